--- /dev/null
+++ b/internal/core/golden_test.go
@@ -0,0 +1,25 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+
+	"tealpond/internal/golden"
+	"tealpond/internal/link"
+	"tealpond/internal/raft"
+)
+
+// TestFrameBytes holds the frames between core daemons against the golden bytes.
+func TestFrameBytes(t *testing.T) {
+	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return link.Pack(value), nil }, Decode: link.Unpack}
+	message := raft.Msg{Kind: raft.MsgPoint, From: "from", To: "to", Term: 1, Index: 2, LogTerm: 3, Commit: 4, Entries: []raft.Entry{}, Sent: 5, Wall: 6,
+		Point: &raft.Point{Index: 7, Term: 8, Conf: []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}}, Data: []byte{},
+			Old: []raft.Voter{{Node: "old-node", Disk: "old-disk", Addr: "old-address"}}}}
+	golden.Check(t, "frames.txt", codec, []golden.Case{
+		{Name: "digest", Value: &digestReport{From: "from", To: "to", Index: 11, Sum: 12, Program: "program"}},
+		{Name: "snapshot-part", Value: &piece{Msg: message, Total: 21, Offset: 22, Data: []byte("part")}},
+		{Name: "snapshot-part-received", Value: &pieceGot{From: "from", To: "to", Index: 31, Have: 32}},
+	})
+	golden.Text(t, "kinds.txt", fmt.Sprintf("frame digest %d\nframe snapshot-part %d\nframe snapshot-part-received %d\ncode stay %d\n",
+		frameDigest, framePiece, framePieceGot, stayOn))
+}
--- /dev/null
+++ b/internal/desire/golden_test.go
@@ -0,0 +1,49 @@
+package desire
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpond/internal/golden"
+)
+
+// filledState gives a configuration whose fields differ.
+func filledState() State {
+	return State{
+		Version: 11,
+		Lanes: []Lane{{Name: "route", HostName: "host", PathPrefix: "/path/", Kind: "kind", TimeoutMs: 21, TargetMs: 22, Priority: 23,
+			TargetService: "service", MaxTries: 24, Stretch: 2.5}},
+		Services: []Service{{Name: "service", Guards: true}},
+		Limits:   Limits{MaxHeaderBytes: 31, MaxBodyBytes: 32, HeaderTimeoutMs: 33, IdleTimeoutMs: 34},
+	}
+}
+
+// TestConfigurationText holds a configuration with all its keys, as operators
+// send it, against the golden text.
+func TestConfigurationText(t *testing.T) {
+	text, err := json.Marshal(filledState())
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Text(t, "configuration.json", string(text)+"\n")
+	got, err := Read(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := filledState()
+	want.Raw = text
+	if !reflect.DeepEqual(*got, want) {
+		t.Errorf("the text reads as\n%+v, want\n%+v", *got, want)
+	}
+}
+
+// TestStoredBytes holds a configuration as the state stores it against the
+// golden bytes.
+func TestStoredBytes(t *testing.T) {
+	stored := filledState()
+	stored.Raw = []byte("text")
+	golden.Check(t, "stored.txt", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, []golden.Case{{Name: "configuration", Value: &stored}})
+}
--- /dev/null
+++ b/internal/disk/golden_test.go
@@ -0,0 +1,106 @@
+package disk
+
+import (
+	"fmt"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	bolt "go.etcd.io/bbolt"
+
+	"tealpond/internal/golden"
+	"tealpond/internal/raft"
+)
+
+// recordsOf encodes records that stand under a key.
+func recordsOf(key []byte) golden.Codec {
+	return golden.Codec{
+		Encode: func(value any) ([]byte, error) { return encode(key, value) },
+		Decode: func(raw []byte, into any) error { return decode(key, raw, into) },
+	}
+}
+
+// TestRecordBytes holds the records of the file, with their checksums, against
+// the golden bytes.
+func TestRecordBytes(t *testing.T) {
+	voters := []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}, {Node: "other-node", Disk: "other-disk", Addr: "other-address"}}
+	snapshot := raft.Point{Index: 11, Term: 12, Conf: voters[:1], Data: []byte("snapshot"), Old: voters[1:]}
+	inFrames := snapshot
+	inFrames.Data = []byte{}
+	for file, record := range map[string]struct {
+		key   []byte
+		value any
+	}{
+		"hard-state":    {kHard, &raft.Hard{Term: 1, Vote: "vote"}},
+		"founders":      {kConf, &voters},
+		"founding":      {kPt, &snapshot},
+		"snapshot-head": {kSnap, &head{Point: inFrames, Generation: 21, Frames: 22, Size: 23, Sum: 24}},
+		"entry":         {key(31), &raft.Entry{Index: 31, Term: 32, Kind: raft.EntryConf, Data: []byte("entry")}},
+	} {
+		golden.Check(t, "records/"+file+".txt", recordsOf(record.key), []golden.Case{{Name: file, Value: record.value}})
+	}
+	identity, frame := seal(kID, []byte("identity")), seal(key(41), []byte("frame"))
+	golden.Text(t, "records/sealed.txt", fmt.Sprintf("identity %x\nframe %x\n", identity, frame))
+	for _, record := range []struct {
+		key, raw []byte
+		want     string
+	}{{kID, identity, "identity"}, {key(41), frame, "frame"}} {
+		if body, summed, err := unseal(record.key, record.raw); string(body) != record.want || !summed || err != nil {
+			t.Errorf("%q is read as %q, %v, %v", record.want, body, summed, err)
+		}
+	}
+}
+
+// TestLayout holds the names of the file, its buckets and keys against the
+// golden list, as they stand in a file with a log and a snapshot.
+func TestLayout(t *testing.T) {
+	dir := t.TempDir()
+	d, _, _, err := Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	voters := []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}}
+	if err := d.Bind(voters, raft.Point{Index: 1, Term: 1, Conf: voters}); err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	list := func(when string) {
+		fmt.Fprintf(&text, "%s\n", when)
+		err := d.db.View(func(tx *bolt.Tx) error { return listBuckets(&text, tx.Cursor().Bucket(), " ") })
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	list("after founding")
+	entries := []raft.Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}}
+	if err := d.write([]Job{{Out: raft.Out{Hard: &raft.Hard{Term: 1}, Entries: entries}}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := d.write([]Job{{Point: &raft.Point{Index: 2, Term: 1, Conf: voters, Data: []byte("snapshot")}}}); err != nil {
+		t.Fatal(err)
+	}
+	list("after a snapshot")
+	if err := d.Close(); err != nil {
+		t.Fatal(err)
+	}
+	files, err := filepath.Glob(filepath.Join(dir, "*"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		fmt.Fprintf(&text, "file %s\n", filepath.Base(file))
+	}
+	golden.Text(t, "layout.txt", text.String())
+}
+
+// listBuckets writes the names of keys and, below theirs, of buckets.
+func listBuckets(text *strings.Builder, bucket *bolt.Bucket, indent string) error {
+	return bucket.ForEach(func(name, value []byte) error {
+		if value != nil {
+			fmt.Fprintf(text, "%skey %q\n", indent, name)
+			return nil
+		}
+		fmt.Fprintf(text, "%sbucket %q\n", indent, name)
+		return listBuckets(text, bucket.Bucket(name), indent+" ")
+	})
+}
--- /dev/null
+++ b/internal/raft/golden_test.go
@@ -0,0 +1,94 @@
+package raft
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpond/internal/golden"
+)
+
+// configurationData is the data of a configuration entry.
+type configurationData struct{ Voters, Old []Voter }
+
+// filledVoter gives a voter whose fields differ.
+func filledVoter(name string) Voter {
+	return Voter{Node: name + "-node", Disk: name + "-disk", Addr: name + "-address"}
+}
+
+// TestStoredBytes holds what is written to disks and sent to other members
+// against the golden bytes.
+func TestStoredBytes(t *testing.T) {
+	voters, old := []Voter{filledVoter("a"), filledVoter("b")}, []Voter{filledVoter("c")}
+	entries := []Entry{{Index: 301, Term: 302, Kind: EntryConf, Data: []byte("entry")}}
+	snapshot := Point{Index: 401, Term: 402, Conf: voters, Data: []byte("snapshot")}
+	joint := snapshot
+	joint.Old = old
+	message := Msg{Kind: MsgPoint, From: "from", To: "to", Term: 501, Index: 502, LogTerm: 503, Commit: 504, Entries: entries,
+		Sent: 505, Wall: 506, Point: &joint}
+	rejected, forced := message, message
+	rejected.Reject, forced.Force = true, true
+	golden.Check(t, "stored.txt", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, []golden.Case{
+		{Name: "voter", Value: &voters[0]},
+		{Name: "entry", Value: &entries[0]},
+		{Name: "hard-state", Value: &Hard{Term: 601, Vote: "vote"}},
+		{Name: "snapshot-joint", Value: &joint},
+		{Name: "message", Value: &message},
+		{Name: "message-rejected", Value: &rejected},
+		{Name: "message-forced", Value: &forced},
+	})
+
+	codec := golden.Codec{
+		Encode: func(value any) ([]byte, error) {
+			sets := value.(*configurationData)
+			return encodeVoters(sets.Voters, sets.Old), nil
+		},
+		Decode: func(raw []byte, into any) (err error) {
+			sets := into.(*configurationData)
+			sets.Voters, sets.Old, err = DecodeConf(raw)
+			return err
+		},
+	}
+	golden.Check(t, "configurations.txt", codec, []golden.Case{{Name: "joint", Value: &configurationData{Voters: voters, Old: old}}})
+}
+
+// TestFormsOutsideAChange covers the shorter forms of the snapshot and of the
+// configuration, which hold no voters from before a change.
+func TestFormsOutsideAChange(t *testing.T) {
+	voters := []Voter{filledVoter("a"), filledVoter("b")}
+	snapshot, err := cbor.Marshal(Point{Index: 401, Term: 402, Conf: voters, Data: []byte("snapshot")})
+	if err != nil {
+		t.Fatal(err)
+	}
+	configuration := encodeVoters(voters, nil)
+	golden.Text(t, "plain.txt", fmt.Sprintf("snapshot %x\nconfiguration %x\n", snapshot, configuration))
+
+	var point Point
+	if err := cbor.Unmarshal(snapshot, &point); err != nil || point.Index != 401 || point.Term != 402 || len(point.Conf) != 2 ||
+		point.Conf[1] != voters[1] || string(point.Data) != "snapshot" || point.Old != nil {
+		t.Errorf("the snapshot decodes to %+v, %v", point, err)
+	}
+	got, old, err := DecodeConf(configuration)
+	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || old != nil {
+		t.Errorf("the configuration decodes to %v, %v, %v", got, old, err)
+	}
+}
+
+// TestKindNumbers holds the numbers of the kinds of entries and messages.
+func TestKindNumbers(t *testing.T) {
+	var text strings.Builder
+	for _, kind := range []struct {
+		name   string
+		number byte
+	}{
+		{"entry data", EntryData}, {"entry configuration", EntryConf}, {"entry none", EntryNone},
+		{"message append", MsgAppend}, {"message append-answer", MsgAppendAnswer}, {"message pre-vote", MsgPreVote},
+		{"message pre-vote-answer", MsgPreVoteAnswer}, {"message vote", MsgVote}, {"message vote-answer", MsgVoteAnswer},
+		{"message snapshot", MsgPoint}, {"message transfer", MsgTransfer},
+	} {
+		fmt.Fprintf(&text, "%s %d\n", kind.name, kind.number)
+	}
+	golden.Text(t, "kinds.txt", text.String())
+}
