--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -432,8 +432,9 @@
 func shared(t *testing.T, at string, v, frozen reflect.Value) {
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
-		// A configuration in force is replaced whole, never written.
-		if !f.IsExported() || f.Name == "Desired" {
+		// A configuration in force is replaced whole, never written. It is known by
+		// the name under which it is stored.
+		if !f.IsExported() || f.Tag.Get("cbor") == "Desired" {
 			continue
 		}
 		switch f.Type.Kind() {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -24,34 +24,35 @@
 }
 
 // Store is the whole state: its exported fields are what replicas agree on and
-// snapshots hold. Freeze copies each of them.
+// snapshots hold, under the names of their tags, which stay when a field is
+// renamed. Freeze copies each of them.
 type Store struct {
-	Applied  uint64 // the index of the last entry of the log that was applied
-	Clock    int64
-	Wall     int64
-	Desired  desire.State
-	Taken    TakenLog
-	Origin   uint64
-	Lanes    map[string]*desire.Lane
-	Services map[string]desire.Service
-	Workers  map[string]*Worker
-	Devices  map[string]*Device
-	Allocs   map[uint64]*Alloc
-	Jobs     map[string]*Job
-	Rollups  map[string]*Rollup
-	Last     uint64
-	LastSeq  int64
-	Epoch    string
-	Peers    map[string]*PeerSeen
-	Voids    map[string]int64
-	Loans    map[string]*Loan
-	Demand   map[string]map[int64]float64 // core-ms asked, by lane and bucket
-	Duties   map[string]Duty              // by zone
-	Flaps    map[string]Flap              // by node
-	Limits   Limits
+	Applied  uint64                       `cbor:"Applied"` // the index of the last entry of the log that was applied
+	Clock    int64                        `cbor:"Clock"`
+	Wall     int64                        `cbor:"Wall"`
+	Desired  desire.State                 `cbor:"Desired"`
+	Taken    TakenLog                     `cbor:"Taken"`
+	Origin   uint64                       `cbor:"Origin"`
+	Lanes    map[string]*desire.Lane      `cbor:"Lanes"`
+	Services map[string]desire.Service    `cbor:"Services"`
+	Workers  map[string]*Worker           `cbor:"Workers"`
+	Devices  map[string]*Device           `cbor:"Devices"`
+	Allocs   map[uint64]*Alloc            `cbor:"Allocs"`
+	Jobs     map[string]*Job              `cbor:"Jobs"`
+	Rollups  map[string]*Rollup           `cbor:"Rollups"`
+	Last     uint64                       `cbor:"Last"`
+	LastSeq  int64                        `cbor:"LastSeq"`
+	Epoch    string                       `cbor:"Epoch"`
+	Peers    map[string]*PeerSeen         `cbor:"Peers"`
+	Voids    map[string]int64             `cbor:"Voids"`
+	Loans    map[string]*Loan             `cbor:"Loans"`
+	Demand   map[string]map[int64]float64 `cbor:"Demand"` // core-ms asked, by lane and bucket
+	Duties   map[string]Duty              `cbor:"Duties"` // by zone
+	Flaps    map[string]Flap              `cbor:"Flaps"`  // by node
+	Limits   Limits                       `cbor:"Limits"`
 	// Chain covers all entries from ChainFrom on, see digest.go; 0: none yet.
-	Chain     uint64
-	ChainFrom uint64
+	Chain     uint64 `cbor:"Chain"`
+	ChainFrom uint64 `cbor:"ChainFrom"`
 
 	derived
 }
