--- a/internal/store/eligible.go
+++ b/internal/store/eligible.go
@@ -20,12 +20,10 @@
 		return Outcome{Code: 410}
 	}
 	w.Ver++
-	w.Draining = c.Draining || c.Gone
-	w.Sick = c.Sick
-	w.LeavesAt = 0
-	if w.Draining && c.LeavesIn >= 0 {
-		w.LeavesAt = s.Clock + c.LeavesIn
+	if c.Draining || c.Gone {
+		w.leave(s.Clock, c.LeavesIn)
 	}
+	w.Sick = c.Sick
 	s.place(w)
 	return Outcome{Code: 200}
 }
--- a/internal/store/takeup.go
+++ b/internal/store/takeup.go
@@ -67,10 +67,8 @@
 	w.Fence = int64(s.Last)
 	w.Life, w.Service, w.Zone, w.Labels, w.Room = c.Life, c.Service, c.Zone, c.Labels, c.Room
 	w.Lost, w.Sick = false, false
-	w.Draining = c.Draining
-	w.LeavesAt = 0
-	if c.Draining && c.LeavesIn >= 0 {
-		w.LeavesAt = s.Clock + c.LeavesIn
+	if c.Draining {
+		w.leave(s.Clock, c.LeavesIn)
 	}
 	if pause > 0 {
 		w.ShunTill = s.Clock + pause
--- a/internal/store/worker.go
+++ b/internal/store/worker.go
@@ -51,6 +51,16 @@
 // Bookable is the predicate of eligibility.
 func (w *Worker) Bookable() bool { return !w.Draining && !w.Sick && !w.Lost && !w.Dead }
 
+// leave notes that the worker drains and, from 0 on, in how many ms it leaves.
+// A life that drains or signed off never stays after all, and leaves no later
+// than was known before: what comes later may be older news.
+func (w *Worker) leave(clock, leavesIn int64) {
+	w.Draining = true
+	if at := clock + leavesIn; leavesIn >= 0 && (w.LeavesAt == 0 || at < w.LeavesAt) {
+		w.LeavesAt = at
+	}
+}
+
 // FreeCPU and FreeMem are max(0, allocatable - allocated).
 func (w *Worker) FreeCPU() int64 { return max(0, w.Room.CPUUnits-w.UsedCPU) }
 func (w *Worker) FreeMem() int64 { return max(0, w.Room.MemMb-w.UsedMem) }
