--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -107,7 +107,7 @@
 		return s.sendStop(session, r)
 	}
 	// The pre-order check: eligibility, grant and lists as of now.
-	if session.drain || session.beat.State == "draining" {
+	if session.drain || s.leaves(session) {
 		if r.attempts == 0 {
 			s.tell(session, r, "refused")
 			return 0
--- a/internal/order/session.go
+++ b/internal/order/session.go
@@ -62,7 +62,7 @@
 		session = &runnerSession{id: b.id, beat: b.beat, seq: b.beat.CallSeq, runs: map[string]*run{}}
 		s.cur = session
 		s.readClock(session, b.beat.ClockMs)
-		session.waiting = append(session.waiting, beatWait{b.beat.State == "draining", b.done})
+		session.waiting = append(session.waiting, beatWait{s.leaves(session), b.done})
 		s.takeUp(session)
 		return
 	}
@@ -72,8 +72,8 @@
 		return
 	}
 	session.seq = b.beat.CallSeq
-	drain := b.beat.State == "draining"
 	session.beat = b.beat
+	drain := s.leaves(session)
 	s.readClock(session, b.beat.ClockMs)
 	if session.fence == 0 || session.taking {
 		session.waiting = append(session.waiting, beatWait{drain, b.done})
@@ -86,8 +86,18 @@
 	b.done <- 200
 }
 
+// leaves tells whether the runner said that it leaves: by a heartbeat or by its
+// sign-off, after which some go on to say `ready`.
+func (s *Side) leaves(session *runnerSession) bool {
+	_, off := s.signOff[session.id]
+	return off || session.beat.State == "draining"
+}
+
 // leavesIn is the least time until the runner leaves, in ms, or -1.
 func (s *Side) leavesIn(session *runnerSession) int64 {
+	if at, off := s.signOff[session.id]; off {
+		return max(0, at.Sub(s.now).Milliseconds())
+	}
 	if session.beat.LeavesAtMs == nil {
 		return -1
 	}
@@ -100,9 +110,9 @@
 		return
 	}
 	session.taking = true
-	b := session.beat
+	b, drain := session.beat, s.leaves(session)
 	s.ask(member.AskTakeUp, &store.TakeUp{ID: session.id, Node: s.set.NodeName, Life: s.me, Service: b.TargetService, Zone: b.Zone,
-		Labels: b.Labels, Room: b.FreeRoom, Draining: b.State == "draining", LeavesIn: s.leavesIn(session), Replaces: session.replaces}, 10*time.Second, func(a member.Answer) {
+		Labels: b.Labels, Room: b.FreeRoom, Draining: drain, LeavesIn: s.leavesIn(session), Replaces: session.replaces}, 10*time.Second, func(a member.Answer) {
 		if s.cur != session {
 			return
 		}
@@ -119,7 +129,7 @@
 			session.renewAt = s.now
 			return
 		}
-		session.fence, session.listed, session.drain = a.N, false, b.State == "draining"
+		session.fence, session.listed, session.drain = a.N, false, drain
 		// Why told anew: what is under way under the old fence may be refused.
 		session.got, session.telling = session.seen, 0
 		session.sick, session.silent, session.heardAt = false, 0, s.now
@@ -178,7 +188,7 @@
 // drain has the runner's draining committed, and then acknowledged.
 func (s *Side) drain(session *runnerSession, done chan int) {
 	_ = s.log.Log("level", "info", "event", "runner.drains", "runner", session.id, "leaves_in_ms", s.leavesIn(session), "clock_ms", session.beat.ClockMs)
-	s.ask(member.AskElig, &store.Eligible{ID: session.id, Draining: true, LeavesIn: s.leavesIn(session)}, 950*time.Millisecond, func(a member.Answer) {
+	s.ask(member.AskElig, &store.Eligible{ID: session.id, Draining: true, LeavesIn: s.leavesIn(session), Sick: session.sick}, 950*time.Millisecond, func(a member.Answer) {
 		if a.Code == 200 {
 			session.drain = true
 			done <- 200
@@ -192,12 +202,28 @@
 func (s *Side) onOff(o *offIn) {
 	session := s.cur
 	if session == nil || session.id != o.id {
-		o.done <- 200
+		// Why committed all the same: this daemon may have started anew, and
+		// the state may know that life from the one before.
+		session = &runnerSession{id: o.id}
+	}
+	if _, again := s.signOff[o.id]; !again {
+		leaves := s.now
+		if !session.drain && !s.leaves(session) {
+			// Why later: it never drained, and serves on for as long now.
+			leaves = leaves.Add(time.Duration(s.set.Bounds.DrainMs * float64(time.Millisecond)))
+		}
+		if s.signOff == nil {
+			s.signOff = map[string]time.Time{}
+		}
+		s.signOff[o.id] = leaves
+	}
+	if session == s.cur && !session.over && (session.fence == 0 || session.taking) {
+		session.waiting = append(session.waiting, beatWait{true, o.done})
 		return
 	}
-	s.ask(member.AskElig, &store.Eligible{ID: o.id, Draining: true, LeavesIn: 0, Gone: true}, 950*time.Millisecond, func(a member.Answer) {
-		session.drain = true
+	s.ask(member.AskElig, &store.Eligible{ID: o.id, Draining: true, LeavesIn: s.leavesIn(session), Gone: true, Sick: session.sick}, 950*time.Millisecond, func(a member.Answer) {
 		if a.Code == 200 || a.Code == 410 {
+			session.drain = true
 			o.done <- 200
 			return
 		}
--- a/internal/order/side.go
+++ b/internal/order/side.go
@@ -48,6 +48,7 @@
 	lead    func(x context.Context, kind string, body any) member.Answer // asks the leader
 	trace   *trace.Ring
 	cur     *runnerSession
+	signOff map[string]time.Time // lives that signed off, and when they leave
 	calling int
 	known   uint64 // the newest state that an answer spoke of
 	ctx     context.Context
--- a/internal/setting/setting.go
+++ b/internal/setting/setting.go
@@ -45,6 +45,7 @@
 	GraceS           float64 `toml:"graceS"`
 	MaxHoldMs        int64   `toml:"maxHoldMs"`
 	StopGraceMs      int64   `toml:"stopGraceMs"`
+	DrainMs          float64 `toml:"drainMs"`
 	GangWaitMs       int64   `toml:"gangWaitMs"`
 	EarlyMs          int64   `toml:"early_ms"`
 	StatusS          float64 `toml:"status_s"`
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -186,7 +186,7 @@
 func (c *Cluster) settings(d *daemon, lost int) setting.Setting {
 	s := setting.Setting{NodeName: d.name, IPAddress: d.ip, Zone: d.zone, InnerPortRange: []int{7720, 7730}, SeedNodes: c.seeds,
 		FirstStart: d.first, BeatIntervalMs: 500, App: d.ip + ":8165"}
-	s.Bounds = setting.Bounds{GraceS: 6, MaxHoldMs: 6000, StopGraceMs: 400, GangWaitMs: 3000, StatusS: 120, SpreadFactor: 1.5, CheckpointEveryS: 1}
+	s.Bounds = setting.Bounds{GraceS: 6, MaxHoldMs: 6000, StopGraceMs: 400, DrainMs: 2500, GangWaitMs: 3000, StatusS: 120, SpreadFactor: 1.5, CheckpointEveryS: 1}
 	s.Tolerate.LostMachines = lost
 	s.Limits.MemoryMb = 284
 	s.ListenAddrs.ControlAddr = d.ip + ":8166"
