--- /dev/null
+++ b/internal/order/latebeat_test.go
@@ -0,0 +1,30 @@
+package order
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tealpond/internal/wire"
+)
+
+// TestLateBeatOfAnEarlierLifeIsPassedOver: the present life, which was taken up
+// after it, keeps its session: its grant, its runs and the ends it read.
+func TestLateBeatOfAnEarlierLifeIsPassedOver(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b, runner := newLeaving(t)
+		runner.set(pathHold, Reply{Code: 409, Clock: wire.Clock{Reason: "fence"}})
+		b.beat("w2", "ready", 1)
+		now := b.s.cur
+		if now.id != "w2" || now.fence == 0 || !b.st.Workers["w"].Dead {
+			t.Fatalf("the next life was not taken up: %+v", now)
+		}
+		time.Sleep(3 * time.Second)
+		if code := b.beat("w", "ready", 6); code != 200 {
+			t.Errorf("the late heartbeat gets %d", code)
+		}
+		if b.s.cur != now || now.over {
+			t.Errorf("the present life's session was given up for one of %s", b.s.cur.id)
+		}
+	})
+}
--- a/internal/order/session.go
+++ b/internal/order/session.go
@@ -17,8 +17,9 @@
 	seq      int64
 	fence    int64
 	taking   bool
-	replaces int64 // fence of the life before it on this machine
-	drain    bool  // committed
+	replaces int64  // fence of the life before it on this machine
+	before   string // the life before it that this daemon had taken up
+	drain    bool   // committed
 	clock    int64
 	clockAt  time.Time
 	until    int64 // granted, on the runner's clock
@@ -57,10 +58,19 @@
 // onBeat takes a heartbeat: a new id is a new life of the runner.
 func (s *Side) onBeat(b *beatIn) {
 	session := s.cur
+	if s.over[b.id] && session != nil && session.id != b.id {
+		// Why passed over: it came late, and would end the present life's
+		// session here, with its grant and what is known of its runs.
+		b.done <- 200
+		return
+	}
 	if session == nil || session.id != b.id {
 		_ = s.log.Log("level", "info", "event", "runner.new", "runner", b.id)
-		session = &runnerSession{id: b.id, beat: b.beat, seq: b.beat.CallSeq, runs: map[string]*run{}}
-		s.cur = session
+		next := &runnerSession{id: b.id, beat: b.beat, seq: b.beat.CallSeq, runs: map[string]*run{}}
+		if session != nil && session.fence > 0 {
+			next.before = session.id
+		}
+		session, s.cur = next, next
 		s.readClock(session, b.beat.ClockMs)
 		session.waiting = append(session.waiting, beatWait{s.leaves(session), b.done})
 		s.takeUp(session)
@@ -122,13 +132,17 @@
 		}
 		session.taking = false
 		if a.Code == 409 {
-			session.over = true
+			s.close(session)
 		}
 		if a.Code != 200 {
 			s.waiters(session, 503)
 			session.renewAt = s.now
 			return
 		}
+		if session.before != "" {
+			// Why now: the state ended it with this take-up.
+			s.isOver(session.before)
+		}
 		session.fence, session.listed, session.drain = a.N, false, drain
 		// Why told anew: what is under way under the old fence may be refused.
 		session.got, session.telling = session.seen, 0
@@ -163,7 +177,7 @@
 				s.waiters(session, 503)
 				session.renewAt = s.now
 			case 421:
-				session.over = true
+				s.close(session)
 				s.waiters(session, 200)
 			default:
 				session.replaces = replaces
@@ -257,6 +271,20 @@
 	})
 }
 
+// close ends a session whose life is over.
+func (s *Side) close(session *runnerSession) {
+	session.over = true
+	s.isOver(session.id)
+}
+
+// isOver notes that a life is over: no heartbeat brings it back.
+func (s *Side) isOver(id string) {
+	if s.over == nil {
+		s.over = map[string]bool{}
+	}
+	s.over[id] = true
+}
+
 // readClock takes note of the runner's clock; late answers show less.
 func (s *Side) readClock(session *runnerSession, ms int64) {
 	if ms > 0 && ms >= session.clock {
--- a/internal/order/side.go
+++ b/internal/order/side.go
@@ -49,6 +49,7 @@
 	trace   *trace.Ring
 	cur     *runnerSession
 	signOff map[string]time.Time // lives that signed off, and when they leave
+	over    map[string]bool      // lives that are over for the state or the runner
 	calling int
 	known   uint64 // the newest state that an answer spoke of
 	ctx     context.Context
