--- a/internal/order/latebeat_test.go
+++ b/internal/order/latebeat_test.go
@@ -8,6 +8,26 @@
 	"tealpond/internal/wire"
 )
 
+// TestLateBeatDoesNotOverturnANewerOne: a heartbeat with a lower callSeq came
+// seconds later; it is acknowledged, and what the newer one said holds.
+func TestLateBeatDoesNotOverturnANewerOne(t *testing.T) {
+	for newer, late := range map[string]string{"draining": "ready", "ready": "draining"} {
+		t.Run(newer, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				b, _ := newLeaving(t)
+				b.beat("w", newer, 9)
+				time.Sleep(3 * time.Second)
+				if code := b.beat("w", late, 8); code != 200 {
+					t.Errorf("the late heartbeat gets %d", code)
+				}
+				if w := b.st.Workers["w"]; w.Draining != (newer == "draining") || b.session.beat.State != newer || b.session.seq != 9 {
+					t.Errorf("the row says draining %v; the daemon holds call %d, %s", w.Draining, b.session.seq, b.session.beat.State)
+				}
+			})
+		})
+	}
+}
+
 // TestLateBeatOfAnEarlierLifeIsPassedOver: the present life, which was taken up
 // after it, keeps its session: its grant, its runs and the ends it read.
 func TestLateBeatOfAnEarlierLifeIsPassedOver(t *testing.T) {
