--- a/internal/store/leaving_test.go
+++ b/internal/store/leaving_test.go
@@ -60,3 +60,23 @@
 		t.Error("booked on a worker that signed off")
 	}
 }
+
+// TestEvacuatedRunResumesFromItsCheckpoint: what was stopped since its worker
+// leaves goes on elsewhere from the text that the stop brought.
+func TestEvacuatedRunResumesFromItsCheckpoint(t *testing.T) {
+	w := newWorld(t)
+	room := wire.Room{CPUUnits: 100, MemMb: 100}
+	a, b := w.worker("a", room), w.worker("b", room)
+	w.job("j", wire.Step{TaskCount: 1, CPUUnits: 10, Checkpoints: true})
+	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
+	w.run("eligible", &Eligible{ID: "a", Draining: true, LeavesIn: 2500, Gone: true})
+	if on := w.s.On("a"); len(on) != 1 || on[0].Stopping {
+		t.Fatalf("the sign-off itself ended or stopped the run: %d left", len(on))
+	}
+	w.run("halt", &Halt{Allocs: []uint64{w.s.On("a")[0].ID}, Why: "worker leaves"})
+	w.run("ends", &Ends{Worker: "a", Fence: a.Fence, Ends: []wire.End{{N: 1, Task: "j.0.0.0", Run: 1, How: "stopped", Saved: "text"}}})
+	w.book("j", 0, false, Item{Worker: "b", Ver: b.Ver})
+	if on := w.s.On("b"); len(on) != 1 || on[0].Saved != "text" {
+		t.Errorf("it goes on elsewhere as %+v", on)
+	}
+}
