--- a/internal/order/session.go
+++ b/internal/order/session.go
@@ -17,8 +17,9 @@
 	seq      int64
 	fence    int64
 	taking   bool
-	replaces int64 // fence of the life before it on this machine
-	drain    bool  // committed
+	replaces int64  // fence of the life before it on this machine
+	before   string // the life before it that this daemon had taken up
+	drain    bool   // committed
 	clock    int64
 	clockAt  time.Time
 	until    int64 // granted, on the runner's clock
@@ -57,12 +58,21 @@
 // onBeat takes a heartbeat: a new id is a new life of the runner.
 func (s *Side) onBeat(b *beatIn) {
 	session := s.cur
+	if s.over[b.id] && session != nil && session.id != b.id {
+		// Why passed over: it came late, and would end the present life's
+		// session here, with its grant and what is known of its runs.
+		b.done <- 200
+		return
+	}
 	if session == nil || session.id != b.id {
 		_ = s.log.Log("level", "info", "event", "runner.new", "runner", b.id)
-		session = &runnerSession{id: b.id, beat: b.beat, seq: b.beat.CallSeq, runs: map[string]*run{}}
-		s.cur = session
+		next := &runnerSession{id: b.id, beat: b.beat, seq: b.beat.CallSeq, runs: map[string]*run{}}
+		if session != nil && session.fence > 0 {
+			next.before = session.id
+		}
+		session, s.cur = next, next
 		s.readClock(session, b.beat.ClockMs)
-		session.waiting = append(session.waiting, beatWait{b.beat.State == "draining", b.done})
+		session.waiting = append(session.waiting, beatWait{s.leaves(session), b.done})
 		s.takeUp(session)
 		return
 	}
@@ -72,8 +82,8 @@
 		return
 	}
 	session.seq = b.beat.CallSeq
-	drain := b.beat.State == "draining"
 	session.beat = b.beat
+	drain := s.leaves(session)
 	s.readClock(session, b.beat.ClockMs)
 	if session.fence == 0 || session.taking {
 		session.waiting = append(session.waiting, beatWait{drain, b.done})
@@ -86,8 +96,18 @@
 	b.done <- 200
 }
 
+// leaves tells whether the runner said that it leaves: by a heartbeat or by its
+// sign-off, after which some go on to say `ready`.
+func (s *Side) leaves(session *runnerSession) bool {
+	_, off := s.signOff[session.id]
+	return off || session.beat.State == "draining"
+}
+
 // leavesIn is the least time until the runner leaves, in ms, or -1.
 func (s *Side) leavesIn(session *runnerSession) int64 {
+	if at, off := s.signOff[session.id]; off {
+		return max(0, at.Sub(s.now).Milliseconds())
+	}
 	if session.beat.LeavesAtMs == nil {
 		return -1
 	}
@@ -100,9 +120,9 @@
 		return
 	}
 	session.taking = true
-	b := session.beat
+	b, drain := session.beat, s.leaves(session)
 	s.ask(member.AskTakeUp, &store.TakeUp{ID: session.id, Node: s.set.NodeName, Life: s.me, Service: b.TargetService, Zone: b.Zone,
-		Labels: b.Labels, Room: b.FreeRoom, Draining: b.State == "draining", LeavesIn: s.leavesIn(session), Replaces: session.replaces}, 10*time.Second, func(a member.Answer) {
+		Labels: b.Labels, Room: b.FreeRoom, Draining: drain, LeavesIn: s.leavesIn(session), Replaces: session.replaces}, 10*time.Second, func(a member.Answer) {
 		if s.cur != session {
 			return
 		}
@@ -112,14 +132,18 @@
 		}
 		session.taking = false
 		if a.Code == 409 {
-			session.over = true
+			s.close(session)
 		}
 		if a.Code != 200 {
 			s.waiters(session, 503)
 			session.renewAt = s.now
 			return
 		}
-		session.fence, session.listed, session.drain = a.N, false, b.State == "draining"
+		if session.before != "" {
+			// Why now: the state ended it with this take-up.
+			s.isOver(session.before)
+		}
+		session.fence, session.listed, session.drain = a.N, false, drain
 		// Why told anew: what is under way under the old fence may be refused.
 		session.got, session.telling = session.seen, 0
 		session.sick, session.silent, session.heardAt = false, 0, s.now
@@ -153,7 +177,7 @@
 				s.waiters(session, 503)
 				session.renewAt = s.now
 			case 421:
-				session.over = true
+				s.close(session)
 				s.waiters(session, 200)
 			default:
 				session.replaces = replaces
@@ -178,7 +202,7 @@
 // drain has the runner's draining committed, and then acknowledged.
 func (s *Side) drain(session *runnerSession, done chan int) {
 	_ = s.log.Log("level", "info", "event", "runner.drains", "runner", session.id, "leaves_in_ms", s.leavesIn(session), "clock_ms", session.beat.ClockMs)
-	s.ask(member.AskElig, &store.Eligible{ID: session.id, Draining: true, LeavesIn: s.leavesIn(session)}, 950*time.Millisecond, func(a member.Answer) {
+	s.ask(member.AskElig, &store.Eligible{ID: session.id, Draining: true, LeavesIn: s.leavesIn(session), Sick: session.sick}, 950*time.Millisecond, func(a member.Answer) {
 		if a.Code == 200 {
 			session.drain = true
 			done <- 200
@@ -192,12 +216,28 @@
 func (s *Side) onOff(o *offIn) {
 	session := s.cur
 	if session == nil || session.id != o.id {
-		o.done <- 200
+		// Why committed all the same: this daemon may have started anew, and
+		// the state may know that life from the one before.
+		session = &runnerSession{id: o.id}
+	}
+	if _, again := s.signOff[o.id]; !again {
+		leaves := s.now
+		if !session.drain && !s.leaves(session) {
+			// Why later: it never drained, and serves on for as long now.
+			leaves = leaves.Add(time.Duration(s.set.Bounds.DrainMs * float64(time.Millisecond)))
+		}
+		if s.signOff == nil {
+			s.signOff = map[string]time.Time{}
+		}
+		s.signOff[o.id] = leaves
+	}
+	if session == s.cur && !session.over && (session.fence == 0 || session.taking) {
+		session.waiting = append(session.waiting, beatWait{true, o.done})
 		return
 	}
-	s.ask(member.AskElig, &store.Eligible{ID: o.id, Draining: true, LeavesIn: 0, Gone: true}, 950*time.Millisecond, func(a member.Answer) {
-		session.drain = true
+	s.ask(member.AskElig, &store.Eligible{ID: o.id, Draining: true, LeavesIn: s.leavesIn(session), Gone: true, Sick: session.sick}, 950*time.Millisecond, func(a member.Answer) {
 		if a.Code == 200 || a.Code == 410 {
+			session.drain = true
 			o.done <- 200
 			return
 		}
@@ -231,6 +271,20 @@
 	})
 }
 
+// close ends a session whose life is over.
+func (s *Side) close(session *runnerSession) {
+	session.over = true
+	s.isOver(session.id)
+}
+
+// isOver notes that a life is over: no heartbeat brings it back.
+func (s *Side) isOver(id string) {
+	if s.over == nil {
+		s.over = map[string]bool{}
+	}
+	s.over[id] = true
+}
+
 // readClock takes note of the runner's clock; late answers show less.
 func (s *Side) readClock(session *runnerSession, ms int64) {
 	if ms > 0 && ms >= session.clock {
