--- a/internal/setting/golden_test.go
+++ b/internal/setting/golden_test.go
@@ -21,7 +21,7 @@
 		ListenAddrs: Listen{FrontHTTP: "10.1.0.10:8161", Readiness: "10.1.0.10:8167", ControlAddr: "10.1.0.10:8166"},
 		Limits:      Limits{CPUShare: 0.5, MemoryMb: 284, MaxFds: 1024, DiskMb: 300},
 		Tolerate:    Tolerate{LostMachines: 1},
-		Bounds: Bounds{InTouchMs: 3001, GraceS: 6.5, MaxHoldMs: 6002, StopGraceMs: 403, GangWaitMs: 3004, EarlyMs: 105, StatusS: 120.5,
+		Bounds: Bounds{InTouchMs: 3001, GraceS: 6.5, MaxHoldMs: 6002, StopGraceMs: 403, DrainMs: 2508, GangWaitMs: 3004, EarlyMs: 105, StatusS: 120.5,
 			SpreadFactor: 1.5, RestoreMs: 4006, ConfigApplyMs: 2007, CheckpointEveryS: 1.25},
 	}
 	var text bytes.Buffer
--- a/internal/store/cmd.go
+++ b/internal/store/cmd.go
@@ -37,7 +37,7 @@
 // Form is the version of the state: of its tables, its commands and what they
 // do. It is raised with any change of these, so that replicas of two versions
 // aren't compared.
-const Form = 2
+const Form = 3
 
 var kinds = map[string]func() Cmd{}
 
