--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -20,7 +20,7 @@
 	"tealpond/internal/kernel"
 	_ "tealpond/internal/order"
 	"tealpond/internal/setting"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 	"tealpond/internal/tune"
 )
 
@@ -111,7 +111,7 @@
 	_, _ = rand.Read(id[:])
 	lg := log.With(leveled{log.NewLogfmtLogger(log.NewSyncWriter(bad)), levels[level]}, "node", set.NodeName, "role", m.Role)
 	b := kernel.Base{Setting: set, Log: lg, Life: hex.EncodeToString(id[:]), Reload: make(chan setting.Setting, 1),
-		Trace: trace.NewRing(tune.TraceMarks), Moves: moves, Debug: level == "debug"}
+		Trace: tracing.NewRing(tune.TraceMarks), Moves: moves, Debug: level == "debug"}
 	p, err := m.Make(b)
 	if err != nil {
 		fmt.Fprintln(bad, "tealpond:", err)
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -85,7 +85,7 @@
 		return fault(bad, err)
 	}
 	for _, s := range p.Steps {
-		fmt.Fprintf(out, "at=%s node=%s id=%s what=%q n=%d text=%q\n", time.Unix(0, s.At).UTC().Format("15:04:05.000000"), s.Node, s.ID, s.What, s.N, s.Text)
+		fmt.Fprintf(out, "at=%s node=%s id=%s what=%q n=%d text=%q\n", time.Unix(0, s.TimeNs).UTC().Format("15:04:05.000000"), s.Node, s.Subject, s.Action, s.Value, s.Detail)
 	}
 	for _, n := range p.Silent {
 		fmt.Fprintf(bad, "tealpond: %s did not answer: its part is missing\n", n)
--- a/internal/agg/agg.go
+++ b/internal/agg/agg.go
@@ -9,8 +9,8 @@
 	"sort"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -274,7 +274,7 @@
 func (a *Agg) Flush() []Pending {
 	var out []Pending
 	for _, waiting := range a.grants {
-		out = append(out, Pending{member.Ask{Kind: member.AskRenew, Body: link.Pack(&waiting.request)}, waiting.reply})
+		out = append(out, Pending{member.Ask{Kind: member.AskRenew, Body: transport.Encode(&waiting.request)}, waiting.reply})
 	}
 	for _, waiting := range a.calls {
 		out = append(out, Pending{waiting.ask, waiting.reply})
--- a/internal/agg/agg_test.go
+++ b/internal/agg/agg_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -145,7 +145,7 @@
 			if len(bs) != 1 {
 				t.Fatalf("%d batches for %d asks", len(bs), n)
 			}
-			last = len(link.Pack(bs[0].Grants))
+			last = len(transport.Encode(bs[0].Grants))
 			l.give(a, bs[0])
 		}
 		if l.granted["i-0000000001"] != 8 {
--- a/internal/core/aggregation.go
+++ b/internal/core/aggregation.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"tealpond/internal/agg"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -28,12 +28,12 @@
 func (c *Core) aggregates(now time.Time) bool {
 	// It goes on through an election: side daemons have nowhere better to turn
 	// to, and the batch is sent as soon as a leader is known.
-	return c.node != nil && c.node.Voter(c.self.Disk) && len(c.leaving) == 0 && c.leadGone(now) < tune.LeadGone
+	return c.node != nil && c.node.IsVoter(c.self.ID) && len(c.leaving) == 0 && c.leadGone(now) < tune.LeadGone
 }
 
 // aggregate takes a request of a side daemon into the next batch; false if it
 // can't.
-func (c *Core) aggregate(a member.Ask, stream *link.Stream, reply replyFunc) bool {
+func (c *Core) aggregate(a member.Ask, stream *transport.Stream, reply replyFunc) bool {
 	now := time.Now()
 	if stream == nil || !aggregatedAsks[a.Kind] || !c.aggregates(now) {
 		return false
@@ -42,7 +42,7 @@
 		return c.aggregator.Call(a, reply)
 	}
 	var request member.Renew
-	if link.Unpack(a.Body, &request) != nil {
+	if transport.Decode(a.Body, &request) != nil {
 		return false
 	}
 	c.openSession(request, stream)
@@ -62,7 +62,7 @@
 		}
 		return 0
 	}
-	if c.aggregator.Waits() == 0 || c.node.Leads() {
+	if c.aggregator.Waits() == 0 || c.node.IsLeader() {
 		return 0
 	}
 	if !c.aggregates(now) {
@@ -72,10 +72,10 @@
 	aggregator := c.aggregator
 	batches, wake := aggregator.Rest(now)
 	for _, batch := range batches {
-		ask := member.Ask{Kind: member.AskMany, Body: link.Pack(batch.Many)}
+		ask := member.Ask{Kind: member.AskMany, Body: transport.Encode(batch.Many)}
 		if batch.Grants != nil {
 			batch.Grants.Life = c.life
-			ask = member.Ask{Kind: member.AskGrants, Body: link.Pack(batch.Grants)}
+			ask = member.Ask{Kind: member.AskGrants, Body: transport.Encode(batch.Grants)}
 		}
 		c.meter.add("raised_"+ask.Kind, 1)
 		callCtx, stop := context.WithTimeout(ctx, tune.AggTime)
@@ -106,14 +106,14 @@
 	}
 	if answered.batch.Grants != nil {
 		var odd []member.Odd
-		if len(answer.Body) > 0 && link.Unpack(answer.Body, &odd) != nil {
+		if len(answer.Body) > 0 && transport.Decode(answer.Body, &odd) != nil {
 			answer = member.Answer{Code: member.NotLead}
 		}
 		answered.aggregator.Granted(answered.batch.No, answer, odd, time.Now())
 		return
 	}
 	var each []member.Answer
-	if len(answer.Body) > 0 && link.Unpack(answer.Body, &each) != nil {
+	if len(answer.Body) > 0 && transport.Decode(answer.Body, &each) != nil {
 		answer = member.Answer{Code: member.NotLead}
 	}
 	answered.aggregator.Called(answered.batch.No, answer, each)
@@ -129,9 +129,9 @@
 }
 
 // askGrants renews the leases of all workers that ask for it in a batch.
-func (c *Core) askGrants(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askGrants(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request member.Grants
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -162,7 +162,7 @@
 	}
 	answer := member.Answer{Code: 200, N: c.leaseTime.Milliseconds()}
 	if len(odd) > 0 {
-		answer.Body = link.Pack(odd)
+		answer.Body = transport.Encode(odd)
 	}
 	reply(answer)
 }
@@ -182,9 +182,9 @@
 }
 
 // askMany answers the other requests of an aggregator, all in one.
-func (c *Core) askMany(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askMany(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request member.Many
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -203,7 +203,7 @@
 				reply(member.Answer{Code: member.Unclear})
 				return
 			}
-			reply(member.Answer{Code: 200, Body: link.Pack(out)})
+			reply(member.Answer{Code: 200, Body: transport.Encode(out)})
 		}
 		if handler := leaderHandlers[a.Kind]; handler != nil && aggregatedAsks[a.Kind] {
 			handler(c, a.Body, nil, done)
--- a/internal/core/aggregation_test.go
+++ b/internal/core/aggregation_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 )
 
 // leaderOver is as much of a leader as answers an aggregator, with workers
@@ -27,7 +27,7 @@
 		lease.grantedAt = time.Time{}
 	}
 	code := 0
-	c.askGrants(link.Pack(&request), nil, func(a member.Answer) { code = a.Code })
+	c.askGrants(transport.Encode(&request), nil, func(a member.Answer) { code = a.Code })
 	who := ""
 	for _, w := range []string{"a", "b", "c"} {
 		if lease := c.leases[w]; lease != nil && !lease.grantedAt.IsZero() {
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -39,7 +39,7 @@
 // the state is found to be wrong.
 func (c *Core) apply(ctx context.Context) bool {
 	defer c.meter.span("apply")()
-	entries := c.node.Settled()
+	entries := c.node.NextCommittedEntries()
 	for _, e := range entries {
 		c.applyEntry(e)
 		c.digestAt(ctx, e.Index)
@@ -52,10 +52,10 @@
 }
 
 func (c *Core) applyEntry(e raft.Entry) {
-	if e.Kind != raft.EntryData {
+	if e.Kind != raft.EntryNormal {
 		c.state.Skip(e.Index)
-		if e.Kind == raft.EntryConf {
-			_ = c.log.Log("level", "info", "event", "core.conf", "index", e.Index, "voters", len(c.node.ConfAt(e.Index)))
+		if e.Kind == raft.EntryConfChange {
+			_ = c.log.Log("level", "info", "event", "core.conf", "index", e.Index, "voters", len(c.node.VotersAt(e.Index)))
 		}
 		// A caller may wait here too: its proposal was replaced by the
 		// entry of a later leader.
@@ -97,7 +97,7 @@
 // noteEnds records the runs and jobs that ended by an entry.
 func (c *Core) noteEnds(e raft.Entry) {
 	for _, r := range c.state.Closed() {
-		c.trace.Add(r.Alloc.Task(), "end applied", int64(r.Alloc.Run), r.How)
+		c.trace.Record(r.Alloc.Task(), "end applied", int64(r.Alloc.Run), r.How)
 		if c.leading && r.How == "done" {
 			c.planner.Learn(c.state, r.Alloc, r.At)
 		}
@@ -106,7 +106,7 @@
 		}
 	}
 	for _, job := range c.state.Ended() {
-		c.trace.Add(job.ID, "over", int64(e.Index), job.Word())
+		c.trace.Record(job.ID, "over", int64(e.Index), job.Word())
 		if c.leading && c.debug {
 			c.logJob(job)
 		}
@@ -136,8 +136,8 @@
 	c.meter.add("commands", len(commands))
 	c.commands, c.replies = nil, nil
 	index, ok := uint64(0), false
-	if c.node.Ready() && !c.swamped() {
-		index, ok = c.node.Propose(link.Pack(store.Batch{Clock: c.clock(now), Wall: c.wall(now), Cmds: commands}))
+	if c.node.LeaderReady() && !c.swamped() {
+		index, ok = c.node.Propose(transport.Encode(store.Batch{Clock: c.clock(now), Wall: c.wall(now), Cmds: commands}))
 	}
 	waiting := waiter{term: c.node.Term(), replies: replies}
 	if !ok {
--- a/internal/core/appointments.go
+++ b/internal/core/appointments.go
@@ -27,12 +27,12 @@
 func (c *Core) zoneOf(node string) string { return c.memberLeases[node+"/edge"].Zone }
 
 // eligible tells whether a voter may aggregate for a zone now.
-func (c *Core) eligible(voter raft.Voter, now time.Time) bool {
-	ok := voter.Disk != c.self.Disk && c.node.Silent(voter.Disk) < tune.DutySilent && now.After(c.appointments.leavingUntil[voter.Disk])
+func (c *Core) eligible(voter raft.Member, now time.Time) bool {
+	ok := voter.ID != c.self.ID && c.node.SilentFor(voter.ID) < tune.DutySilent && now.After(c.appointments.leavingUntil[voter.ID])
 	if !ok {
-		delete(c.appointments.heardSince, voter.Disk)
-	} else if c.appointments.heardSince[voter.Disk].IsZero() {
-		c.appointments.heardSince[voter.Disk] = now
+		delete(c.appointments.heardSince, voter.ID)
+	} else if c.appointments.heardSince[voter.ID].IsZero() {
+		c.appointments.heardSince[voter.ID] = now
 	}
 	return ok
 }
@@ -41,7 +41,7 @@
 // that does not lead; if there is none and the leader isn't in the zone itself,
 // the voter with the fewest zones.
 func (c *Core) appoint(now time.Time) {
-	var eligible []raft.Voter
+	var eligible []raft.Member
 	for _, voter := range c.node.Voters() {
 		if c.eligible(voter, now) {
 			eligible = append(eligible, voter)
@@ -53,7 +53,7 @@
 		held[duty.Disk]++
 		prompt[duty.Disk], prompt[duty.Next] = true, true
 	}
-	c.node.Prompt(prompt)
+	c.node.SetEagerCommitPeers(prompt)
 	zones := map[string]bool{}
 	for zone := range c.state.Duties {
 		zones[zone] = true
@@ -79,32 +79,32 @@
 }
 
 // appointZone proposes an aggregator and a standby for one zone, if they change.
-func (c *Core) appointZone(zone string, eligible []raft.Voter, held map[string]int, now time.Time) {
+func (c *Core) appointZone(zone string, eligible []raft.Member, held map[string]int, now time.Time) {
 	old := c.state.Duties[zone]
-	inZone := func(voter raft.Voter) bool { return c.zoneOf(voter.Node) == zone }
-	rank := append([]raft.Voter(nil), eligible...)
+	inZone := func(voter raft.Member) bool { return c.zoneOf(voter.Node) == zone }
+	rank := append([]raft.Member(nil), eligible...)
 	sort.SliceStable(rank, func(a, b int) bool {
 		if inZone(rank[a]) != inZone(rank[b]) {
 			return inZone(rank[a])
 		}
 		// The present aggregator stays: a change costs each side daemon a new
 		// connection.
-		if x, y := held[rank[a].Disk], held[rank[b].Disk]; x != y && rank[a].Disk != old.Disk && rank[b].Disk != old.Disk {
+		if x, y := held[rank[a].ID], held[rank[b].ID]; x != y && rank[a].ID != old.Disk && rank[b].ID != old.Disk {
 			return x < y
 		}
-		return rank[a].Disk == old.Disk || rank[b].Disk != old.Disk && rank[a].Disk < rank[b].Disk
+		return rank[a].ID == old.Disk || rank[b].ID != old.Disk && rank[a].ID < rank[b].ID
 	})
 	duty := store.Duty{Zone: zone}
 	mine := c.zoneOf(c.self.Node) == zone || c.settings.Zone == zone
 	if len(rank) > 0 && (inZone(rank[0]) || !mine) {
-		duty.Disk, duty.Addr = rank[0].Disk, rank[0].Addr
+		duty.Disk, duty.Addr = rank[0].ID, rank[0].Addr
 		if len(rank) > 1 && (inZone(rank[1]) || !mine) {
-			duty.Next, duty.NextAddr = rank[1].Disk, rank[1].Addr
+			duty.Next, duty.NextAddr = rank[1].ID, rank[1].Addr
 		}
 	}
 	able := false
 	for _, voter := range eligible {
-		able = able || voter.Disk == old.Disk && voter.Addr == old.Addr
+		able = able || voter.ID == old.Disk && voter.Addr == old.Addr
 	}
 	switch {
 	case duty.Disk == old.Disk && duty.Addr == old.Addr && (duty.Next == old.Next && duty.NextAddr == old.NextAddr || now.Sub(c.appointments.heardSince[duty.Next]) < tune.DutyCalm && able):
--- a/internal/core/asks.go
+++ b/internal/core/asks.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"tealpond/internal/desire"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -25,11 +25,11 @@
 }
 
 // leaderHandlers handle those that only a leader with a valid lease answers.
-var leaderHandlers map[string]func(*Core, []byte, *link.Stream, replyFunc)
+var leaderHandlers map[string]func(*Core, []byte, *transport.Stream, replyFunc)
 
 func init() {
 	// Set here, since some handlers look others up in this table.
-	leaderHandlers = map[string]func(*Core, []byte, *link.Stream, replyFunc){
+	leaderHandlers = map[string]func(*Core, []byte, *transport.Stream, replyFunc){
 		member.AskJoin:    (*Core).askJoin,
 		member.AskClaim:   (*Core).askClaim,
 		member.AskHandIn:  (*Core).askHandIn,
@@ -51,7 +51,7 @@
 }
 
 // onAsk dispatches a request; stream is nil for one of this process.
-func (c *Core) onAsk(a member.Ask, stream *link.Stream, reply replyFunc) {
+func (c *Core) onAsk(a member.Ask, stream *transport.Stream, reply replyFunc) {
 	if handler := anyMemberHandlers[a.Kind]; handler != nil {
 		handler(c, a.Body, reply)
 		return
@@ -61,7 +61,7 @@
 		reply(member.Answer{Code: 400, Text: "unknown ask"})
 		return
 	}
-	if c.node == nil || !c.node.Ready() || !c.leading || !c.node.Lease(time.Now()) {
+	if c.node == nil || !c.node.LeaderReady() || !c.leading || !c.node.HasLease(time.Now()) {
 		if c.node != nil && !c.leading && c.aggregate(a, stream, reply) {
 			return
 		}
@@ -84,10 +84,10 @@
 
 // leadAddr is the address of another leader; empty if none is known.
 func (c *Core) leadAddr() string {
-	if c.node == nil || c.node.Lead() == "" || c.node.Lead() == c.self.Disk {
+	if c.node == nil || c.node.Leader() == "" || c.node.Leader() == c.self.ID {
 		return ""
 	}
-	return c.addrOf(c.node.Lead())
+	return c.addrOf(c.node.Leader())
 }
 
 // askLead tells what this daemon knows of the leader.
@@ -95,46 +95,46 @@
 	v := member.View{}
 	if c.node != nil {
 		v.Term = c.node.Term()
-		v.Leads = c.leading && c.node.Ready() && c.node.Lease(time.Now())
+		v.Leads = c.leading && c.node.LeaderReady() && c.node.HasLease(time.Now())
 		v.Lead = c.leadAddr()
 		v.Sums = v.Lead != "" && c.aggregates(time.Now())
 		for _, m := range c.node.Voters() {
 			v.Known = append(v.Known, m.Addr)
 		}
 	}
-	reply(member.Answer{Code: 200, Body: link.Pack(v)})
+	reply(member.Answer{Code: 200, Body: transport.Encode(v)})
 }
 
 // askFound takes the announcement of a candidate for the first core.
 func (c *Core) askFound(raw []byte, reply replyFunc) {
 	var f member.Found
-	if link.Unpack(raw, &f) != nil {
+	if transport.Decode(raw, &f) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
-	reply(member.Answer{Code: 200, Body: link.Pack(c.found.Take(f, time.Now()))})
+	reply(member.Answer{Code: 200, Body: transport.Encode(c.found.Take(f, time.Now()))})
 }
 
 // askJoin notes a candidate for a voter's place.
-func (c *Core) askJoin(raw []byte, _ *link.Stream, reply replyFunc) {
-	var voter raft.Voter
-	if link.Unpack(raw, &voter) != nil || voter.Disk == "" {
+func (c *Core) askJoin(raw []byte, _ *transport.Stream, reply replyFunc) {
+	var voter raft.Member
+	if transport.Decode(raw, &voter) != nil || voter.ID == "" {
 		reply(member.Answer{Code: 400})
 		return
 	}
-	if !c.node.Voter(voter.Disk) && c.addrs[voter.Disk] == "" {
-		_ = c.log.Log("level", "info", "event", "core.candidate", "node", voter.Node, "disk", voter.Disk, "addr", voter.Addr)
+	if !c.node.IsVoter(voter.ID) && c.addrs[voter.ID] == "" {
+		_ = c.log.Log("level", "info", "event", "core.candidate", "node", voter.Node, "disk", voter.ID, "addr", voter.Addr)
 	}
-	c.addrs[voter.Disk] = voter.Addr
-	c.node.Learn(voter)
-	c.candidatesByDisk()[voter.Disk] = voter
+	c.addrs[voter.ID] = voter.Addr
+	c.node.AddLearner(voter)
+	c.candidatesByDisk()[voter.ID] = voter
 	reply(member.Answer{Code: 200})
 }
 
 // askClaim renews a daemon's membership lease.
-func (c *Core) askClaim(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askClaim(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var claim member.Claim
-	if link.Unpack(raw, &claim) != nil {
+	if transport.Decode(raw, &claim) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -171,7 +171,7 @@
 // answers the call, and the last result is false.
 func (c *Core) route(raw []byte, reply replyFunc) (member.Call, *desire.Lane, string, bool) {
 	var call member.Call
-	if link.Unpack(raw, &call) != nil {
+	if transport.Decode(raw, &call) != nil {
 		reply(member.Answer{Code: 400})
 		return call, nil, "", false
 	}
@@ -188,7 +188,7 @@
 }
 
 // askHandIn takes a job.
-func (c *Core) askHandIn(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askHandIn(raw []byte, _ *transport.Stream, reply replyFunc) {
 	call, route, id, ok := c.route(raw, reply)
 	if !ok {
 		return
@@ -201,7 +201,7 @@
 		reply(member.Answer{Code: 429, Text: "more work than can be finished", RetryMs: 2000})
 		return
 	}
-	c.trace.Add(id, "ordered", int64(c.node.LastIndex()+1), route.Name)
+	c.trace.Record(id, "ordered", int64(c.node.LastIndex()+1), route.Name)
 	c.add("handin", &store.HandIn{Host: call.Host, Path: call.Path, ID: id, Job: call.Job, Bucket: c.bucket()}, c.traced(id, "settled", replyOutcome(reply)))
 }
 
@@ -219,7 +219,7 @@
 }
 
 // askCancel cancels a job.
-func (c *Core) askCancel(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askCancel(raw []byte, _ *transport.Stream, reply replyFunc) {
 	_, _, id, ok := c.route(raw, reply)
 	if !ok {
 		return
@@ -228,21 +228,21 @@
 		reply(member.Answer{Code: 400, Text: "the ID wants 16 hex digits"})
 		return
 	}
-	c.trace.Add(id, "cancel ordered", int64(c.node.LastIndex()+1), "")
+	c.trace.Record(id, "cancel ordered", int64(c.node.LastIndex()+1), "")
 	c.add("cancel", &store.Cancel{ID: id}, c.traced(id, "cancel settled", c.replyToCancel(id, reply)))
 }
 
 // askPut replaces the configuration, if its base is still in force.
-func (c *Core) askPut(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askPut(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request member.Put
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
 	// Only the version is read here: the text was checked where it came in, and
 	// is parsed when the command is applied.
 	id := "desired/" + strconv.FormatInt(desire.VersionOf(request.Raw), 10)
-	c.trace.Add(id, "ordered", int64(c.node.LastIndex()+1), "")
+	c.trace.Record(id, "ordered", int64(c.node.LastIndex()+1), "")
 	c.add("replace", &store.Replace{Base: request.Base, Raw: request.Raw}, c.traced(id, "settled", replyOutcome(reply)))
 }
 
@@ -252,7 +252,7 @@
 // applied before a leader is ready; and no later leader has confirmed any while
 // this one holds its lease. A process that freezes between the look at its lease
 // and the answer gives what was newest within the call, since that began before.
-func (c *Core) askRead(_ []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askRead(_ []byte, _ *transport.Stream, reply replyFunc) {
 	if c.state.Desired.Version == 0 {
 		// Not a 404, which would end an operator's call for good: the first
 		// configuration may be on its way.
@@ -263,21 +263,21 @@
 }
 
 // askLimits gives the limits of the newest configuration.
-func (c *Core) askLimits(_ []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askLimits(_ []byte, _ *transport.Stream, reply replyFunc) {
 	if c.state.Desired.Version == 0 {
 		reply(notConfigured)
 		return
 	}
-	reply(member.Answer{Code: 200, N: c.state.Desired.Version, Body: link.Pack(c.state.Desired.Limits)})
+	reply(member.Answer{Code: 200, N: c.state.Desired.Version, Body: transport.Encode(c.state.Desired.Limits)})
 }
 
 // notConfigured answers what needs a configuration before there is one.
 var notConfigured = member.Answer{Code: 503, Text: "not configured yet", RetryMs: 1000}
 
 // askTakeUp gives a worker to a side daemon, under a new fence.
-func (c *Core) askTakeUp(raw []byte, stream *link.Stream, reply replyFunc) {
+func (c *Core) askTakeUp(raw []byte, stream *transport.Stream, reply replyFunc) {
 	var request store.TakeUp
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -297,9 +297,9 @@
 }
 
 // askElig takes a worker's draining, sickness or sign-off.
-func (c *Core) askElig(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askElig(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request store.Eligible
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -307,9 +307,9 @@
 }
 
 // askEnds takes the ends of runs that a side daemon reports.
-func (c *Core) askEnds(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askEnds(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request store.Ends
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
@@ -320,9 +320,9 @@
 }
 
 // askRenew renews a worker's lease.
-func (c *Core) askRenew(raw []byte, stream *link.Stream, reply replyFunc) {
+func (c *Core) askRenew(raw []byte, stream *transport.Stream, reply replyFunc) {
 	var request member.Renew
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -6,13 +6,13 @@
 	"testing"
 
 	"tealpond/internal/desire"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 )
 
 // asked gives the answer to an ask that is answered at once.
-func asked(ask func(*Core, []byte, *link.Stream, replyFunc), c *Core) member.Answer {
+func asked(ask func(*Core, []byte, *transport.Stream, replyFunc), c *Core) member.Answer {
 	var got member.Answer
 	ask(c, nil, nil, c.stamped(func(a member.Answer) { got = a }))
 	return got
@@ -22,7 +22,7 @@
 // then it is given as sent, and each answer names its version.
 func TestConfigurationReads(t *testing.T) {
 	c := &Core{state: store.New(store.Limits{})}
-	for name, ask := range map[string]func(*Core, []byte, *link.Stream, replyFunc){"read": (*Core).askRead, "limits": (*Core).askLimits} {
+	for name, ask := range map[string]func(*Core, []byte, *transport.Stream, replyFunc){"read": (*Core).askRead, "limits": (*Core).askLimits} {
 		if a := asked(ask, c); a.Code != 503 || a.RetryMs == 0 {
 			t.Errorf("%s before the first: %d, come back in %d ms", name, a.Code, a.RetryMs)
 		}
@@ -35,7 +35,7 @@
 		t.Errorf("read: %+v", a)
 	}
 	var l desire.Limits
-	if a := asked((*Core).askLimits, c); a.Code != 200 || link.Unpack(a.Body, &l) != nil || l.MaxBodyBytes != 99 || a.N != 7 || a.Desired != 7 {
+	if a := asked((*Core).askLimits, c); a.Code != 200 || transport.Decode(a.Body, &l) != nil || l.MaxBodyBytes != 99 || a.N != 7 || a.Desired != 7 {
 		t.Errorf("limits: %+v, %+v", a, l)
 	}
 }
@@ -53,7 +53,7 @@
 		if outcome := (&store.Replace{Raw: []byte(raw)}).Apply(c.state); outcome.Code != 200 {
 			t.Fatal(outcome)
 		}
-		news, whole := len(link.Pack(asked((*Core).askLimits, c))), len(link.Pack(asked((*Core).askRead, c)))
+		news, whole := len(transport.Encode(asked((*Core).askLimits, c))), len(transport.Encode(asked((*Core).askRead, c)))
 		t.Logf("%d routes: %d bytes, the whole configuration %d", routes, news, whole)
 		if news > 200 {
 			t.Errorf("%d routes: %d bytes", routes, news)
--- a/internal/core/connections.go
+++ b/internal/core/connections.go
@@ -5,20 +5,20 @@
 	"maps"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
+	"tealpond/internal/transport"
 )
 
 // onLink takes a frame from a stream, or the end of the stream.
-func (c *Core) onLink(ctx context.Context, e *link.Event) {
-	if e.Gone {
+func (c *Core) onLink(ctx context.Context, e *transport.Event) {
+	if e.Closed {
 		for a, stream := range c.connections {
 			if stream == e.Stream {
 				delete(c.connections, a)
 			}
 		}
-		maps.DeleteFunc(c.inbound, func(_ string, stream *link.Stream) bool { return stream == e.Stream })
+		maps.DeleteFunc(c.inbound, func(_ string, stream *transport.Stream) bool { return stream == e.Stream })
 		c.dropSessions(e.Stream)
 		return
 	}
@@ -29,16 +29,16 @@
 		if c.swamped() {
 			return
 		}
-		var message raft.Msg
-		if link.Unpack(e.Frame.Body, &message) != nil || message.To != c.self.Disk {
+		var message raft.Message
+		if transport.Decode(e.Frame.Body, &message) != nil || message.To != c.self.ID {
 			// Addresses are reused: this message is meant for another disk.
 			return
 		}
 		if c.node == nil {
-			if len(c.held.Bound) == 0 {
+			if len(c.held.Founders) == 0 {
 				return
 			}
-			c.startNode(c.held.Point)
+			c.startNode(c.held.Snapshot)
 		}
 		c.inbound[message.From] = e.Stream
 		c.node.Step(message, time.Now())
@@ -50,27 +50,27 @@
 		c.onDigestReport(e.Frame.Body)
 	case member.FrameAsk:
 		var a member.Ask
-		if link.Unpack(e.Frame.Body, &a) != nil {
+		if transport.Decode(e.Frame.Body, &a) != nil {
 			e.Stream.Close()
 			return
 		}
 		stream, id := e.Stream, e.Frame.ID
 		c.meter.add("ask_"+a.Kind, 1)
 		c.onAsk(a, stream, c.stamped(func(r member.Answer) {
-			stream.Send(link.Frame{Kind: member.FrameAnswer, ID: id, Body: link.Pack(r)})
+			stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: id, Body: transport.Encode(r)})
 		}))
 	}
 }
 
 // sendMessages sends messages of the consensus protocol to other members.
-func (c *Core) sendMessages(ctx context.Context, messages []raft.Msg) {
+func (c *Core) sendMessages(ctx context.Context, messages []raft.Message) {
 	for _, message := range messages {
-		if message.Kind == raft.MsgPoint && message.Point != nil && len(message.Point.Data) > 0 {
+		if message.Kind == raft.MsgSnapshot && message.Snapshot != nil && len(message.Snapshot.Data) > 0 {
 			c.transfer(ctx, message)
 			continue
 		}
-		raw := link.Pack(message)
-		if c.send(ctx, message.To, link.Frame{Kind: member.FrameRaft, Body: raw}) {
+		raw := transport.Encode(message)
+		if c.send(ctx, message.To, transport.Frame{Kind: member.FrameRaft, Body: raw}) {
 			c.meter.add("raft_out", 1)
 			c.meter.add("raft_bytes_out", len(raw))
 		}
@@ -79,7 +79,7 @@
 
 // send sends a frame to another member; false if there is no connection yet, and
 // the frame is lost.
-func (c *Core) send(ctx context.Context, to string, f link.Frame) bool {
+func (c *Core) send(ctx context.Context, to string, f transport.Frame) bool {
 	addr := c.addrOf(to)
 	if addr == "" {
 		return c.sendInbound(to, f)
@@ -101,7 +101,7 @@
 // sendInbound answers a member on the stream by which it was last heard: a
 // candidate knows no addresses yet, and the first answer after a snapshot, which
 // names them, must not be lost while a new connection is being made.
-func (c *Core) sendInbound(to string, f link.Frame) bool {
+func (c *Core) sendInbound(to string, f transport.Frame) bool {
 	back := c.inbound[to]
 	return back != nil && back.Send(f)
 }
@@ -109,7 +109,7 @@
 // addrOf is the address of the member with a disk; empty if unknown.
 func (c *Core) addrOf(diskID string) string {
 	for _, voter := range c.node.Voters() {
-		if voter.Disk == diskID {
+		if voter.ID == diskID {
 			return voter.Addr
 		}
 	}
@@ -124,7 +124,7 @@
 	}
 	c.dialing[addr] = time.Time{}
 	go func() {
-		stream, err := link.Dial(ctx, addr, c.Give)
+		stream, err := transport.Dial(ctx, addr, c.Give)
 		if err != nil {
 			stream = nil
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,33 +13,33 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/agg"
-	"tealpond/internal/disk"
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/move"
 	"tealpond/internal/place"
 	"tealpond/internal/raft"
 	"tealpond/internal/setting"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
 // Event is an input of the core's loop. Exactly one of its fields is set, except
 // that By goes with Wrote and Bad.
 type Event struct {
-	Link  *link.Event
+	Link  *transport.Event
 	Ask   *Local
 	Own   *Local
-	Wrote []disk.Job
+	Wrote []storage.WriteRequest
 	Bad   error
 	Peer  *peerUp
 	Found *member.Proposal
 	Disk  *diskUp
 	Leave chan struct{}
 	// By is the disk that Wrote and Bad come from.
-	By *disk.Disk
+	By *storage.Store
 	// Snapshot is a snapshot that was encoded, NewIdentity the empty disk of a
 	// replica that starts over.
 	Snapshot    *encodedSnapshot
@@ -59,7 +59,7 @@
 // peerUp is the outcome of dialing a peer; stream is nil if that failed.
 type peerUp struct {
 	addr   string
-	stream *link.Stream
+	stream *transport.Stream
 }
 
 // workerLease is a side daemon's lease on a worker, as the leader sees it.
@@ -74,21 +74,21 @@
 type Core struct {
 	settings setting.Setting
 	log      log.Logger
-	self     raft.Voter
-	held     disk.Held
-	disk     *disk.Disk
+	self     raft.Member
+	held     storage.Recovered
+	disk     *storage.Store
 	node     *raft.Node
 	state    *store.Store
 
 	events   chan Event
-	diskJobs chan disk.Job
+	diskJobs chan storage.WriteRequest
 	seek     *member.Seeker
 	found    member.Founder
 
-	connections map[string]*link.Stream // by address, dialed
+	connections map[string]*transport.Stream // by address, dialed
 	dialing     map[string]time.Time
-	addrs       map[string]string       // disk to address
-	inbound     map[string]*link.Stream // disk to the stream it came by
+	addrs       map[string]string            // disk to address
+	inbound     map[string]*transport.Stream // disk to the stream it came by
 	joined      time.Time
 
 	waiters          map[uint64]waiter
@@ -97,7 +97,7 @@
 	leases           map[string]*workerLease
 	sessions         map[string]*sideSession // side daemons connected to this one, by worker
 	sessionsUnsynced bool
-	orders           map[*link.Stream][]member.Order
+	orders           map[*transport.Stream][]member.Order
 	aggregator       *agg.Agg
 	memberSets       map[string]memberSet // by the disk of the aggregator
 	appointments     appointments
@@ -113,9 +113,9 @@
 	proposedAt       time.Time
 	sweepInLog       bool // a sweep for timed jobs is proposed and not yet applied
 	preemptedAt      time.Time
-	lastSnapshot     uint64      // the index of the newest snapshot that the disk was given
-	newestSnapshot   *raft.Point // the newest snapshot, for members that lag
-	encodingSnapshot bool        // a snapshot is being encoded
+	lastSnapshot     uint64         // the index of the newest snapshot that the disk was given
+	newestSnapshot   *raft.Snapshot // the newest snapshot, for members that lag
+	encodingSnapshot bool           // a snapshot is being encoded
 	audit            audit
 	stopDisk         context.CancelFunc
 	renewals         int
@@ -138,7 +138,7 @@
 	tracker          tracker
 	peering          *move.Setting
 	cancelWaiters    map[string][]replyFunc
-	trace            *trace.Ring
+	trace            *tracing.Ring
 	life             string
 	debug            bool
 	planner          place.Planner
@@ -164,11 +164,11 @@
 // and requests that need one are answered as by a daemon without state.
 func New(b kernel.Base, seek *member.Seeker) (*Core, error) {
 	core := &Core{trace: b.Trace, life: b.Life, debug: b.Debug, settings: b.Setting, log: b.Log, seek: seek,
-		self:   raft.Voter{Node: b.Setting.NodeName, Addr: b.Setting.Inner()},
-		events: make(chan Event, 4096), diskJobs: make(chan disk.Job, tune.DiskInbox),
-		connections: map[string]*link.Stream{}, dialing: map[string]time.Time{}, addrs: map[string]string{}, inbound: map[string]*link.Stream{},
+		self:   raft.Member{Node: b.Setting.NodeName, Addr: b.Setting.Inner()},
+		events: make(chan Event, 4096), diskJobs: make(chan storage.WriteRequest, tune.DiskInbox),
+		connections: map[string]*transport.Stream{}, dialing: map[string]time.Time{}, addrs: map[string]string{}, inbound: map[string]*transport.Stream{},
 		waiters: map[uint64]waiter{}, leases: map[string]*workerLease{}, memberLeases: map[string]memberLease{}, statusWaiters: map[string][]statusWaiter{},
-		sessions: map[string]*sideSession{}, orders: map[*link.Stream][]member.Order{}, aggregator: agg.New(""), memberSets: map[string]memberSet{}, appointments: newAppointments(), audit: newAudit(), outgoing: map[string]*outgoing{}, incoming: map[string]*incoming{}, cancelWaiters: map[string][]replyFunc{},
+		sessions: map[string]*sideSession{}, orders: map[*transport.Stream][]member.Order{}, aggregator: agg.New(""), memberSets: map[string]memberSet{}, appointments: newAppointments(), audit: newAudit(), outgoing: map[string]*outgoing{}, incoming: map[string]*incoming{}, cancelWaiters: map[string][]replyFunc{},
 		leaseTime: b.Setting.HoldFor(tune.Hold), meter: newMeter(b.Debug)}
 	core.Seeds(b.Setting.Seeds())
 	core.found.Least = 2*b.Setting.Tolerate.LostMachines + 1
@@ -178,9 +178,9 @@
 
 // startNode starts the consensus node at a snapshot, with the log that the disk
 // holds above it.
-func (c *Core) startNode(point raft.Point) {
+func (c *Core) startNode(point raft.Snapshot) {
 	seed := fnv.New64()
-	_, _ = seed.Write([]byte(c.self.Disk))
+	_, _ = seed.Write([]byte(c.self.ID))
 	if c.state.Applied == 0 {
 		// The limits come by the log, also where there is no state yet.
 		c.state.Limits = store.Limits{}
@@ -188,21 +188,21 @@
 	if err := c.state.StartAt(point.Index); err != nil {
 		panic("core: " + err.Error())
 	}
-	c.node = raft.New(c.self.Disk, c.held.Hard, point, c.held.Log, time.Now(), raft.Timing{Beat: tune.Beat, Elect: tune.Elect,
-		Spread: tune.ElectSpread, Quorum: tune.QuorumLoss, LeaseShare: tune.LeaseShare, Window: tune.Window, Bytes: tune.AppendBytes},
+	c.node = raft.New(c.self.ID, c.held.HardState, point, c.held.Entries, time.Now(), raft.Config{HeartbeatInterval: tune.Beat, ElectionTimeout: tune.Elect,
+		ElectionJitter: tune.ElectSpread, CheckQuorumTimeout: tune.QuorumLoss, LeaseFraction: tune.LeaseShare, MaxInflightEntries: tune.Window, MaxAppendBytes: tune.AppendBytes},
 		int64(seed.Sum64())^time.Now().UnixNano())
-	c.node.SetWall(func() int64 { return time.Now().UnixMilli() })
-	c.node.SetPoint(c.snapshotForMember)
-	c.held.Log = nil
-	c.held.Point.Data = nil
-	_ = c.log.Log("level", "info", "event", "core.start", "disk", c.self.Disk, "term", c.node.Term(), "last", c.node.LastIndex(), "voters", len(c.node.Voters()))
+	c.node.SetWallClock(func() int64 { return time.Now().UnixMilli() })
+	c.node.SetSnapshotSource(c.snapshotForMember)
+	c.held.Entries = nil
+	c.held.Snapshot.Data = nil
+	_ = c.log.Log("level", "info", "event", "core.start", "disk", c.self.ID, "term", c.node.Term(), "last", c.node.LastIndex(), "voters", len(c.node.Voters()))
 }
 
 // Seeds replaces the addresses of the seeds. It is safe for concurrent use.
 func (c *Core) Seeds(a []string) { c.seeds.Store(&a) }
 
 // Give hands the loop an event of an accepted stream.
-func (c *Core) Give(e link.Event) { c.events <- Event{Link: &e} }
+func (c *Core) Give(e transport.Event) { c.events <- Event{Link: &e} }
 
 // Handle hands the loop a request of this process; reply is called in the loop.
 func (c *Core) Handle(a member.Ask, reply func(member.Answer)) {
@@ -239,12 +239,12 @@
 		for _, job := range event.Wrote {
 			c.writesInFlight--
 			if c.node != nil {
-				if job.Out.Writes() {
-					c.node.Synced(job.Out.Mark)
+				if job.Ready.MustSync() {
+					c.node.WriteSynced(job.Ready.WriteToken)
 				}
-				c.sendMessages(ctx, job.Out.After)
-				if job.Point != nil {
-					c.node.Drop(job.Point.Index - min(job.Point.Index, tune.PointKeep))
+				c.sendMessages(ctx, job.Ready.MessagesAfterSync)
+				if job.LocalSnapshot != nil {
+					c.node.Compact(job.LocalSnapshot.Index - min(job.LocalSnapshot.Index, tune.PointKeep))
 				}
 			}
 		}
--- a/internal/core/digests.go
+++ b/internal/core/digests.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"runtime"
 
-	"tealpond/internal/link"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -63,12 +63,12 @@
 		delete(c.audit.agreed, index)
 		c.compare(index, agreed)
 	}
-	if c.node.Leads() {
+	if c.node.IsLeader() {
 		c.tally(index)
 		return
 	}
-	if lead := c.node.Lead(); lead != "" {
-		c.send(ctx, lead, link.Frame{Kind: frameDigest, Body: link.Pack(digestReport{c.self.Disk, lead, index, sum, program})})
+	if lead := c.node.Leader(); lead != "" {
+		c.send(ctx, lead, transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{c.self.ID, lead, index, sum, program})})
 	}
 }
 
@@ -103,8 +103,8 @@
 // onDigestReport takes another replica's digest.
 func (c *Core) onDigestReport(raw []byte) {
 	var received digestReport
-	if link.Unpack(raw, &received) != nil || received.To != c.self.Disk || received.Program != program || c.node == nil || !c.node.Leads() ||
-		c.audit.settled[received.Index] || received.Index > c.node.Commit() {
+	if transport.Decode(raw, &received) != nil || received.To != c.self.ID || received.Program != program || c.node == nil || !c.node.IsLeader() ||
+		c.audit.settled[received.Index] || received.Index > c.node.CommitIndex() {
 		return
 	}
 	if c.audit.reported[received.Index] == nil {
@@ -123,8 +123,8 @@
 	voters, heard := c.node.Voters(), 0
 	count := map[uint64]int{}
 	for _, voter := range voters {
-		sum, ok := c.audit.reported[index][voter.Disk]
-		if voter.Disk == c.self.Disk {
+		sum, ok := c.audit.reported[index][voter.ID]
+		if voter.ID == c.self.ID {
 			sum, ok = own, true
 		}
 		if ok {
@@ -169,6 +169,6 @@
 	if c.audit.own[index] != agreed && c.audit.divergedAt == 0 {
 		c.audit.divergedAt = index
 		_ = c.log.Log("level", "error", "event", "replica.differs", "index", index, "sum", c.audit.own[index], "majority", agreed,
-			"disk", c.self.Disk, "leads", c.node.Leads())
+			"disk", c.self.ID, "leads", c.node.IsLeader())
 	}
 }
--- a/internal/core/digests_test.go
+++ b/internal/core/digests_test.go
@@ -8,11 +8,11 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/disk"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -26,7 +26,7 @@
 
 // tell has another replica report its sum.
 func (b *bench) tell(from string, index, sum uint64) {
-	b.c.handle(b.t.Context(), Event{Link: &link.Event{Frame: link.Frame{Kind: frameDigest, Body: link.Pack(digestReport{from, b.c.self.Disk, index, sum, program})}}})
+	b.c.handle(b.t.Context(), Event{Link: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, b.c.self.ID, index, sum, program})}}})
 }
 
 // upTo settles entries until the state has applied one.
@@ -106,24 +106,24 @@
 // new identity with an empty state.
 func TestReplicaThatDiffersTakesTheStateAnew(t *testing.T) {
 	dir := t.TempDir()
-	opened, held, _, err := disk.Open(dir)
+	opened, held, _, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
-	opened.Run(ended, make(chan disk.Job), nil) // closes it
+	opened.Run(ended, make(chan storage.WriteRequest), nil) // closes it
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
 		b.anew(dir)
 		follow := func(index uint64, data []byte) {
 			last := index - 1
 			lt, _ := b.c.node.TermAt(last)
-			b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: lt, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
+			b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: lt, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
 			b.rest()
 		}
 		entry := func(kind string, c store.Cmd) []byte {
-			return link.Pack(store.Batch{Clock: 1, Cmds: []store.Raw{store.Encode(kind, c)}})
+			return transport.Encode(store.Batch{Clock: 1, Cmds: []store.Raw{store.Encode(kind, c)}})
 		}
 		follow(2, entry("limits", &store.SetLimits{}))
 		for i := uint64(3); i <= tune.SumEvery; i++ {
@@ -142,10 +142,10 @@
 		said := 0
 		b.c.waiters[tune.SumEvery+9] = waiter{term: 3, replies: []func(store.Outcome, bool){func(store.Outcome, bool) { said++ }}}
 		follow(tune.SumEvery+4, entry("agree", &store.Agree{Index: tune.SumEvery, Sum: own + 1, Program: program}))
-		if b.c.node != nil || said != 1 || b.c.self.Disk != "" {
-			t.Fatalf("it goes on as %q, callers heard %d answers", b.c.self.Disk, said)
+		if b.c.node != nil || said != 1 || b.c.self.ID != "" {
+			t.Fatalf("it goes on as %q, callers heard %d answers", b.c.self.ID, said)
 		}
-		b.step(raft.Msg{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
+		b.step(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
 		b.c.handle(t.Context(), Event{Found: &member.Proposal{Set: testVoters, Go: true}})
 		if b.rest(); b.c.node != nil {
 			t.Fatal("it takes part again with its old state")
@@ -159,14 +159,14 @@
 			b.events()
 			time.Sleep(time.Millisecond)
 		}
-		if b.c.self.Disk == "" || b.c.self.Disk == held.ID || b.c.self.Disk == "a" || b.c.state.Applied != 0 || b.c.node.Voter(b.c.self.Disk) {
-			t.Errorf("it came back as %q, state at %d", b.c.self.Disk, b.c.state.Applied)
+		if b.c.self.ID == "" || b.c.self.ID == held.ID || b.c.self.ID == "a" || b.c.state.Applied != 0 || b.c.node.IsVoter(b.c.self.ID) {
+			t.Errorf("it came back as %q, state at %d", b.c.self.ID, b.c.state.Applied)
 		}
 		if _, err := os.Stat(filepath.Join(dir, "tealpond.db.differs")); err != nil {
 			t.Error(err)
 		}
 		// The writes of the identity before count no more.
-		b.c.handle(t.Context(), Event{Wrote: []disk.Job{{}}})
+		b.c.handle(t.Context(), Event{Wrote: []storage.WriteRequest{{}}})
 		if b.c.writesInFlight != 0 {
 			t.Error("a write of the old disk was counted")
 		}
@@ -188,7 +188,7 @@
 			}
 			entries = append(entries, raft.Entry{Index: i, Term: 3, Data: appoint(zone)})
 		}
-		b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: tune.PointEvery + 200, Entries: entries})
+		b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: tune.PointEvery + 200, Entries: entries})
 		b.rest()
 		b.rest()
 		if b.c.state.Applied != tune.PointEvery+200 || !b.c.encodingSnapshot {
@@ -203,12 +203,12 @@
 		if err != nil || s.StartAt(tune.PointEvery) != nil || s.Duties["z"].No != 1 || s.Duties["late"].No != 0 || b.c.state.Duties["late"].No != 1 {
 			t.Errorf("it holds what came after it: %v", err)
 		}
-		if len(jobs) != 1 || jobs[0].Point != b.c.newestSnapshot {
+		if len(jobs) != 1 || jobs[0].LocalSnapshot != b.c.newestSnapshot {
 			t.Errorf("the disk was given %v", jobs)
 		}
 
-		stale := &encodedSnapshot{b.c.node, &raft.Point{Index: tune.PointEvery * 2, Data: []byte{1}}, 1}
-		b.step(raft.Msg{Kind: raft.MsgPoint, From: "b", Term: 3, Point: snapshotOf(t, tune.PointEvery*3, "y")})
+		stale := &encodedSnapshot{b.c.node, &raft.Snapshot{Index: tune.PointEvery * 2, Data: []byte{1}}, 1}
+		b.step(raft.Message{Kind: raft.MsgSnapshot, From: "b", Term: 3, Snapshot: snapshotOf(t, tune.PointEvery*3, "y")})
 		b.rest()
 		b.c.onSnapshotEncoded(t.Context(), stale)
 		if b.c.newestSnapshot.Index != tune.PointEvery*3 || len(b.c.diskJobs) > 0 || len(b.c.audit.own) > 0 {
--- a/internal/core/diskwait.go
+++ b/internal/core/diskwait.go
@@ -17,7 +17,7 @@
 // ends then, what it alone holds in memory is gone.
 func (c *Core) watchDisk(now time.Time) {
 	if c.disk != nil {
-		c.onBehind(now, c.disk.Behind(now))
+		c.onBehind(now, c.disk.WriteLag(now))
 	}
 }
 
@@ -27,6 +27,6 @@
 		return
 	}
 	c.diskLoggedAt = now
-	handed := c.node.Leads() && c.node.Transfer()
+	handed := c.node.IsLeader() && c.node.TransferLeadership()
 	_ = c.log.Log("level", "error", "event", "disk.behind", "for", behind, "jobs", c.writesInFlight, "handed", handed)
 }
--- a/internal/core/diskwait_test.go
+++ b/internal/core/diskwait_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/raft"
 	"tealpond/internal/setting"
 	"tealpond/internal/store"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 	"tealpond/internal/tune"
 )
 
@@ -20,31 +20,31 @@
 // answers.
 func elect(t *testing.T, c *Core) {
 	t.Helper()
-	vs := []raft.Voter{{Node: "a", Disk: c.self.Disk}, {Node: "b", Disk: "b"}, {Node: "d", Disk: "d"}}
-	c.startNode(raft.Point{Index: 1, Conf: vs})
+	vs := []raft.Member{{Node: "a", ID: c.self.ID}, {Node: "b", ID: "b"}, {Node: "d", ID: "d"}}
+	c.startNode(raft.Snapshot{Index: 1, Voters: vs})
 	time.Sleep(10 * time.Second)
 	c.node.Tick(time.Now())
-	answer := func(message raft.Msg) {
-		message.From, message.To = "b", c.self.Disk
+	answer := func(message raft.Message) {
+		message.From, message.To = "b", c.self.ID
 		c.node.Step(message, time.Now())
 	}
-	synced := func() raft.Out {
-		o := c.node.Take()
-		c.node.Synced(o.Mark)
+	synced := func() raft.Ready {
+		o := c.node.Ready()
+		c.node.WriteSynced(o.WriteToken)
 		return o
 	}
-	answer(raft.Msg{Kind: raft.MsgPreVoteAnswer, Term: c.node.Term() + 1})
+	answer(raft.Message{Kind: raft.MsgPreVoteResponse, Term: c.node.Term() + 1})
 	synced()
-	answer(raft.Msg{Kind: raft.MsgVoteAnswer, Term: c.node.Term()})
+	answer(raft.Message{Kind: raft.MsgVoteResponse, Term: c.node.Term()})
 	o := synced()
-	for _, message := range append(o.Now, o.After...) {
+	for _, message := range append(o.Messages, o.MessagesAfterSync...) {
 		if message.To == "b" && message.Kind == raft.MsgAppend {
-			answer(raft.Msg{Kind: raft.MsgAppendAnswer, Term: message.Term, Index: c.node.LastIndex(), Sent: message.Sent})
+			answer(raft.Message{Kind: raft.MsgAppendResponse, Term: message.Term, Index: c.node.LastIndex(), SendStamp: message.SendStamp})
 		}
 	}
-	c.node.Take()
-	c.node.Settled()
-	if !c.node.Ready() {
+	c.node.Ready()
+	c.node.NextCommittedEntries()
+	if !c.node.LeaderReady() {
 		t.Fatal("it does not lead")
 	}
 }
@@ -52,7 +52,7 @@
 func newTestCore(t *testing.T, dir string) *Core {
 	t.Helper()
 	b := kernel.Base{Setting: setting.Setting{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
-		Log: log.NewNopLogger(), Trace: trace.NewRing(16)}
+		Log: log.NewNopLogger(), Trace: tracing.NewRing(16)}
 	c, err := New(b, member.NewSeeker(b.Log, "", nil, nil, func(int64) {}, nil))
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 func newTestLeader(t *testing.T, dir string) *Core {
 	t.Helper()
 	c := newTestCore(t, dir)
-	c.self.Disk = "a"
+	c.self.ID = "a"
 	elect(t, c)
 	return c
 }
@@ -81,8 +81,8 @@
 		}{{0, 0}, {tune.DiskBehind - 1, 0}, {tune.DiskBehind, 1}, {tune.DiskBehind, 0}} {
 			c.onBehind(time.Now(), x.behind)
 			sent := 0
-			for _, message := range c.node.Take().Now {
-				if message.Kind == raft.MsgTransfer {
+			for _, message := range c.node.Ready().Messages {
+				if message.Kind == raft.MsgTimeoutNow {
 					sent++
 				}
 			}
--- a/internal/core/duty.go
+++ b/internal/core/duty.go
@@ -13,10 +13,10 @@
 func (c *Core) leaderTick(now time.Time) time.Duration {
 	// Another term in between had another leader, perhaps: what this one knew of
 	// grants, clocks and callers is of the term before.
-	if c.leading && (!c.node.Ready() || c.leadingTerm != c.node.Term()) {
+	if c.leading && (!c.node.LeaderReady() || c.leadingTerm != c.node.Term()) {
 		c.stepDown()
 	}
-	if !c.node.Ready() {
+	if !c.node.LeaderReady() {
 		return 0
 	}
 	if !c.leading {
@@ -90,10 +90,10 @@
 		c.add("limits", &store.SetLimits{Limits: l}, nil)
 	}
 	if c.peering != nil && c.state.Epoch == "" {
-		c.add("mint", &store.Mint{Epoch: c.life + "-" + c.self.Disk}, nil)
+		c.add("mint", &store.Mint{Epoch: c.life + "-" + c.self.ID}, nil)
 	}
 	c.tracker, c.planner = tracker{}, place.Planner{SaveMs: int64(c.settings.Bounds.CheckpointEveryS * 1000)}
-	_ = c.log.Log("level", "info", "event", "core.lead", "term", c.node.Term(), "index", c.node.Applied())
+	_ = c.log.Log("level", "info", "event", "core.lead", "term", c.node.Term(), "index", c.node.AppliedIndex())
 }
 
 // stepDown ends this replica's leadership.
@@ -154,7 +154,7 @@
 func (c *Core) wall(now time.Time) int64 {
 	steady := now.Sub(c.leadingSince).Milliseconds()
 	offsets := []int64{now.UnixMilli() - steady}
-	for _, w := range c.node.Walls(now) {
+	for _, w := range c.node.PeerWallClocks(now) {
 		offsets = append(offsets, w-steady)
 	}
 	sort.Slice(offsets, func(a, b int) bool { return offsets[a] < offsets[b] })
--- a/internal/core/found.go
+++ b/internal/core/found.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -40,7 +40,7 @@
 		got := make(chan announcement, 1)
 		c.Handle(member.Ask{Kind: askState}, func(a member.Answer) {
 			var f member.Found
-			_ = link.Unpack(a.Body, &f)
+			_ = transport.Decode(a.Body, &f)
 			got <- announcement{standing(a.N), f, a.Lead}
 		})
 		select {
@@ -76,7 +76,7 @@
 					// slow, and the seed may have forgotten it.
 					callCtx, stop := context.WithTimeout(ctx, tune.Dial)
 					if c.seek.Ask(callCtx, member.AskJoin, s.found.Me).Code == 200 {
-						c.events <- Event{Found: &member.Proposal{Set: []raft.Voter{{}}}}
+						c.events <- Event{Found: &member.Proposal{Set: []raft.Member{{}}}}
 					}
 					stop()
 				}
@@ -97,14 +97,14 @@
 
 // announcement tells the announcer what to announce.
 func (c *Core) announcement() member.Answer {
-	f := member.Found{Me: c.self, Bound: c.held.Bound, Late: c.blank()}
-	a := member.Answer{N: int64(voter), Lead: c.leadAddr(), Body: link.Pack(f)}
+	f := member.Found{Me: c.self, Bound: c.held.Founders, Late: c.blank()}
+	a := member.Answer{N: int64(voter), Lead: c.leadAddr(), Body: transport.Encode(f)}
 	switch {
 	case !c.Opened():
 		a.N = int64(opening)
 	case c.node == nil:
 		a.N = int64(candidate)
-	case !c.node.Voter(c.self.Disk), c.node.Lead() == "" && time.Since(c.joined) > 3*time.Second:
+	case !c.node.IsVoter(c.self.ID), c.node.Leader() == "" && time.Since(c.joined) > 3*time.Second:
 		// Also a voter that knows no leader: it may have been replaced while
 		// it was away, and only the leader can take it back.
 		c.joined = time.Now()
@@ -119,9 +119,9 @@
 	if addr == "" {
 		return
 	}
-	r, err := member.AskAt(ctx, addr, member.AskFound, link.Pack(f), tune.Dial)
+	r, err := member.AskAt(ctx, addr, member.AskFound, transport.Encode(f), tune.Dial)
 	var proposal member.Proposal
-	if err != nil || link.Unpack(r.Body, &proposal) != nil {
+	if err != nil || transport.Decode(r.Body, &proposal) != nil {
 		return
 	}
 	seeds.Answered(time.Now())
@@ -138,14 +138,14 @@
 		return
 	}
 	for _, a := range *c.seeds.Load() {
-		go func() { _, _ = member.AskAt(ctx, a, member.AskFound, link.Pack(f), tune.Dial) }()
+		go func() { _, _ = member.AskAt(ctx, a, member.AskFound, transport.Encode(f), tune.Dial) }()
 	}
 }
 
 // blank tells whether this daemon waits to be taken in and knows of nothing yet:
 // it was started again, bound to no set, and heard of no term.
 func (c *Core) blank() bool {
-	return c.node != nil && len(c.held.Bound) == 0 && c.node.Term() == 0 && c.node.LastIndex() == 0
+	return c.node != nil && len(c.held.Founders) == 0 && c.node.Term() == 0 && c.node.LastIndex() == 0
 }
 
 // onProposal takes what the seed said.
@@ -162,23 +162,23 @@
 	if c.node != nil || len(proposal.Set) == 0 {
 		return
 	}
-	if len(c.held.Bound) == 0 {
+	if len(c.held.Founders) == 0 {
 		if !mine {
 			// The core was founded without this daemon, which joins it.
-			c.startNode(c.held.Point)
+			c.startNode(c.held.Snapshot)
 			return
 		}
-		point := raft.Point{Index: 1, Conf: proposal.Set}
-		if err := c.disk.Bind(proposal.Set, point); err != nil {
+		point := raft.Snapshot{Index: 1, Voters: proposal.Set}
+		if err := c.disk.Bootstrap(proposal.Set, point); err != nil {
 			_ = c.log.Log("level", "error", "event", "core.bind", "why", err)
 			return
 		}
-		c.held.Bound, c.held.Point = proposal.Set, point
+		c.held.Founders, c.held.Snapshot = proposal.Set, point
 		c.lastSnapshot = 1
 		_ = c.log.Log("level", "info", "event", "core.bound", "voters", len(proposal.Set))
 		return
 	}
 	if proposal.Go {
-		c.startNode(c.held.Point)
+		c.startNode(c.held.Snapshot)
 	}
 }
--- a/internal/core/found_test.go
+++ b/internal/core/found_test.go
@@ -22,15 +22,15 @@
 	}
 	go c.openDisk(t.Context())
 	c.handle(t.Context(), <-c.events)
-	others := []raft.Voter{{Node: "b", Disk: "b"}, {Node: "c", Disk: "c"}}
+	others := []raft.Member{{Node: "b", ID: "b"}, {Node: "c", ID: "c"}}
 	c.onProposal(member.Proposal{Set: others, Go: true})
 	if c.node == nil || len(c.node.Voters()) != 0 {
 		t.Fatal("it didn't stand by beside a core that doesn't name it")
 	}
-	mine := append([]raft.Voter{c.self}, others...)
+	mine := append([]raft.Member{c.self}, others...)
 	c.onProposal(member.Proposal{Set: mine})
-	if c.node != nil || len(c.held.Bound) != 3 {
-		t.Fatalf("bound to %v", c.held.Bound)
+	if c.node != nil || len(c.held.Founders) != 3 {
+		t.Fatalf("bound to %v", c.held.Founders)
 	}
 	c.onProposal(member.Proposal{Set: mine, Go: true})
 	if c.node == nil || len(c.node.Voters()) != 3 {
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -5,16 +5,16 @@
 	"testing"
 
 	"tealpond/internal/golden"
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
+	"tealpond/internal/transport"
 )
 
 // TestFrameBytes holds the frames between core daemons against the golden bytes.
 func TestFrameBytes(t *testing.T) {
-	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return link.Pack(value), nil }, Decode: link.Unpack}
-	message := raft.Msg{Kind: raft.MsgPoint, From: "from", To: "to", Term: 1, Index: 2, LogTerm: 3, Commit: 4, Entries: []raft.Entry{}, Sent: 5, Wall: 6,
-		Point: &raft.Point{Index: 7, Term: 8, Conf: []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}}, Data: []byte{},
-			Old: []raft.Voter{{Node: "old-node", Disk: "old-disk", Addr: "old-address"}}}}
+	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
+	message := raft.Message{Kind: raft.MsgSnapshot, From: "from", To: "to", Term: 1, Index: 2, LogTerm: 3, Commit: 4, Entries: []raft.Entry{}, SendStamp: 5, WallClock: 6,
+		Snapshot: &raft.Snapshot{Index: 7, Term: 8, Voters: []raft.Member{{Node: "node", ID: "disk", Addr: "address"}}, Data: []byte{},
+			OutgoingVoters: []raft.Member{{Node: "old-node", ID: "old-disk", Addr: "old-address"}}}}
 	golden.Check(t, "frames.txt", codec, []golden.Case{
 		{Name: "digest", Value: &digestReport{From: "from", To: "to", Index: 11, Sum: 12, Program: "program"}},
 		{Name: "snapshot-part", Value: &piece{Msg: message, Total: 21, Offset: 22, Data: []byte("part")}},
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -7,13 +7,13 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/agg"
-	"tealpond/internal/disk"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
 	"tealpond/internal/setting"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -24,31 +24,31 @@
 	c *Core
 }
 
-var testVoters = []raft.Voter{{Node: "n-a", Disk: "a"}, {Node: "n-b", Disk: "b"}, {Node: "n-c", Disk: "c"}}
+var testVoters = []raft.Member{{Node: "n-a", ID: "a"}, {Node: "n-b", ID: "b"}, {Node: "n-c", ID: "c"}}
 
 // newBench gives the core of the first voter, founded and empty.
 func newBench(t *testing.T) *bench {
-	c := &Core{log: log.NewNopLogger(), self: testVoters[0], diskJobs: make(chan disk.Job, 1024), events: make(chan Event, 64),
-		connections: map[string]*link.Stream{}, dialing: map[string]time.Time{}, addrs: map[string]string{}, inbound: map[string]*link.Stream{},
+	c := &Core{log: log.NewNopLogger(), self: testVoters[0], diskJobs: make(chan storage.WriteRequest, 1024), events: make(chan Event, 64),
+		connections: map[string]*transport.Stream{}, dialing: map[string]time.Time{}, addrs: map[string]string{}, inbound: map[string]*transport.Stream{},
 		waiters: map[uint64]waiter{}, leases: map[string]*workerLease{}, memberLeases: map[string]memberLease{}, statusWaiters: map[string][]statusWaiter{},
-		sessions: map[string]*sideSession{}, orders: map[*link.Stream][]member.Order{}, aggregator: agg.New("a"), memberSets: map[string]memberSet{},
-		appointments: newAppointments(), audit: newAudit(), outgoing: map[string]*outgoing{}, incoming: map[string]*incoming{}, cancelWaiters: map[string][]replyFunc{}, trace: trace.NewRing(16), meter: newMeter(false), settings: setting.Setting{NodeName: "n-a"},
+		sessions: map[string]*sideSession{}, orders: map[*transport.Stream][]member.Order{}, aggregator: agg.New("a"), memberSets: map[string]memberSet{},
+		appointments: newAppointments(), audit: newAudit(), outgoing: map[string]*outgoing{}, incoming: map[string]*incoming{}, cancelWaiters: map[string][]replyFunc{}, trace: tracing.NewRing(16), meter: newMeter(false), settings: setting.Setting{NodeName: "n-a"},
 		state: store.New(store.Limits{}), leaseTime: tune.Hold}
 	c.opened.Store(true)
-	c.startNode(raft.Point{Index: 1, Conf: testVoters})
+	c.startNode(raft.Snapshot{Index: 1, Voters: testVoters})
 	return &bench{t: t, c: c}
 }
 
 // step hands the node a message as it comes in on a stream.
-func (b *bench) step(message raft.Msg) {
-	message.To = b.c.self.Disk
-	b.c.handle(b.t.Context(), Event{Link: &link.Event{Frame: link.Frame{Kind: member.FrameRaft, Body: link.Pack(message)}}})
+func (b *bench) step(message raft.Message) {
+	message.To = b.c.self.ID
+	b.c.handle(b.t.Context(), Event{Link: &transport.Event{Frame: transport.Frame{Kind: member.FrameRaft, Body: transport.Encode(message)}}})
 }
 
 // rest ends a turn of the loop and has all writes of it succeed.
-func (b *bench) rest() []disk.Job {
+func (b *bench) rest() []storage.WriteRequest {
 	b.c.endTurn(b.t.Context(), time.Now())
-	var jobs []disk.Job
+	var jobs []storage.WriteRequest
 	for len(b.c.diskJobs) > 0 {
 		jobs = append(jobs, <-b.c.diskJobs)
 	}
@@ -66,11 +66,11 @@
 		time.Sleep(tune.Beat)
 		b.rest()
 		switch {
-		case n.Leads():
+		case n.IsLeader():
 			b.ack("b")
 		default:
-			b.step(raft.Msg{Kind: raft.MsgPreVoteAnswer, From: "b", Term: n.Term() + 1})
-			b.step(raft.Msg{Kind: raft.MsgVoteAnswer, From: "b", Term: n.Term()})
+			b.step(raft.Message{Kind: raft.MsgPreVoteResponse, From: "b", Term: n.Term() + 1})
+			b.step(raft.Message{Kind: raft.MsgVoteResponse, From: "b", Term: n.Term()})
 		}
 		b.rest()
 	}
@@ -86,10 +86,10 @@
 
 // ack has a voter acknowledge all entries of this leader.
 func (b *bench) ack(from string) {
-	b.step(raft.Msg{Kind: raft.MsgAppendAnswer, From: from, Term: b.c.node.Term(), Index: b.c.node.LastIndex(), Sent: time.Now().UnixNano()})
+	b.step(raft.Message{Kind: raft.MsgAppendResponse, From: from, Term: b.c.node.Term(), Index: b.c.node.LastIndex(), SendStamp: time.Now().UnixNano()})
 }
 
 // appoint is an entry that gives a zone's duty to nobody, to be seen in the state.
 func appoint(zone string) []byte {
-	return link.Pack(store.Batch{Clock: 1, Cmds: []store.Raw{store.Encode("appoint", &store.Appoint{Duty: store.Duty{Zone: zone}})}})
+	return transport.Encode(store.Batch{Clock: 1, Cmds: []store.Raw{store.Encode("appoint", &store.Appoint{Duty: store.Duty{Zone: zone}})}})
 }
--- a/internal/core/lead_test.go
+++ b/internal/core/lead_test.go
@@ -5,9 +5,9 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 )
 
 // TestLeadInAnotherTermBeginsAnew: a leader that finds itself leading a later
@@ -37,8 +37,8 @@
 func TestClockGoesOnFromTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
-		b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2, Entries: []raft.Entry{{Index: 2, Term: 3,
-			Data: link.Pack(store.Batch{Clock: 1_000_000, Cmds: []store.Raw{store.Encode("sweep", &store.Sweep{})}})}}})
+		b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2, Entries: []raft.Entry{{Index: 2, Term: 3,
+			Data: transport.Encode(store.Batch{Clock: 1_000_000, Cmds: []store.Raw{store.Encode("sweep", &store.Sweep{})}})}}})
 		b.rest()
 		time.Sleep(time.Second)
 		b.lead()
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -39,7 +39,7 @@
 	switch {
 	case c.node == nil:
 		c.finishLeaving()
-	case !c.node.Leads():
+	case !c.node.IsLeader():
 		c.yield(ctx)
 	}
 }
@@ -49,7 +49,7 @@
 func (c *Core) yield(ctx context.Context) {
 	c.yielding = true
 	c.aggregator.Drop(member.Answer{Code: member.NotLead})
-	if !c.node.Voter(c.self.Disk) {
+	if !c.node.IsVoter(c.self.ID) {
 		c.finishLeaving()
 		return
 	}
@@ -58,7 +58,7 @@
 		callCtx, stop := context.WithDeadline(ctx, until)
 		defer stop()
 		for callCtx.Err() == nil {
-			a := c.seek.Ask(callCtx, member.AskYield, &member.Yield{Disk: c.self.Disk})
+			a := c.seek.Ask(callCtx, member.AskYield, &member.Yield{Disk: c.self.ID})
 			if a.Code == 200 {
 				break
 			}
@@ -87,11 +87,11 @@
 	switch {
 	case len(c.leaving) == 0:
 		return 0
-	case now.After(c.leaveBy) || c.handingOver && !c.node.Leads():
+	case now.After(c.leaveBy) || c.handingOver && !c.node.IsLeader():
 		// The transfer is over once another leads.
 		c.finishLeaving()
 		return 0
-	case c.node.Leads():
+	case c.node.IsLeader():
 		c.handOver(now)
 	case !c.yielding:
 		// Leadership was lost without a transfer.
@@ -109,10 +109,10 @@
 		return
 	}
 	late := c.leaveBy.Sub(now) <= tune.HandOver
-	if c.handingOver || !late && c.node.Ready() && c.needed(c.self.Disk) != "" {
+	if c.handingOver || !late && c.node.LeaderReady() && c.needed(c.self.ID) != "" {
 		return
 	}
-	if c.node.Transfer() {
+	if c.node.TransferLeadership() {
 		c.handingOver = true
 		c.leaveBy = now.Add(tune.HandOver)
 	}
@@ -120,9 +120,9 @@
 
 // askYield takes the duties from a daemon that ends; its standbys take over.
 // Whoever waits for a voter's place may have its.
-func (c *Core) askYield(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askYield(raw []byte, _ *transport.Stream, reply replyFunc) {
 	var request member.Yield
-	if link.Unpack(raw, &request) != nil {
+	if transport.Decode(raw, &request) != nil {
 		reply(member.Answer{Code: 400})
 		return
 	}
--- a/internal/core/membership_test.go
+++ b/internal/core/membership_test.go
@@ -22,35 +22,35 @@
 	down  map[string]bool
 }
 
-func testVoter(node, disk string) raft.Voter { return raft.Voter{Node: node, Disk: disk, Addr: disk} }
+func testVoter(node, disk string) raft.Member { return raft.Member{Node: node, ID: disk, Addr: disk} }
 
 func newCoreNet(t *testing.T) *coreNet {
 	n := &coreNet{t: t, now: time.Unix(1000, 0), nodes: map[string]*raft.Node{}, down: map[string]bool{}}
-	var voters []raft.Voter
+	var voters []raft.Member
 	for _, x := range []string{"a", "b", "c"} {
 		voters = append(voters, testVoter("node-"+x, x))
 	}
 	for _, x := range []string{"a", "b", "c"} {
-		n.start(x, raft.Point{Index: 1, Conf: voters})
+		n.start(x, raft.Snapshot{Index: 1, Voters: voters})
 	}
 	n.core = &Core{log: log.NewNopLogger(), self: voters[0], node: n.nodes["a"], addrs: map[string]string{}, appointments: newAppointments()}
 	n.core.found.Least = 3
 	n.now = n.now.Add(3 * time.Second)
 	n.core.node.Tick(n.now)
 	n.run(time.Second)
-	if !n.core.node.Ready() {
+	if !n.core.node.LeaderReady() {
 		t.Fatal("a does not lead")
 	}
 	return n
 }
 
-func (n *coreNet) start(disk string, point raft.Point) {
-	node := raft.New(disk, raft.Hard{Term: 1}, point, nil, n.now, raft.Timing{Beat: tune.Beat, Elect: tune.Elect, Spread: tune.ElectSpread,
-		Quorum: tune.QuorumLoss, LeaseShare: tune.LeaseShare, Window: tune.Window, Bytes: tune.AppendBytes}, int64(disk[0]))
-	node.SetPoint(func() *raft.Point {
-		i := node.Applied()
+func (n *coreNet) start(disk string, point raft.Snapshot) {
+	node := raft.New(disk, raft.HardState{Term: 1}, point, nil, n.now, raft.Config{HeartbeatInterval: tune.Beat, ElectionTimeout: tune.Elect, ElectionJitter: tune.ElectSpread,
+		CheckQuorumTimeout: tune.QuorumLoss, LeaseFraction: tune.LeaseShare, MaxInflightEntries: tune.Window, MaxAppendBytes: tune.AppendBytes}, int64(disk[0]))
+	node.SetSnapshotSource(func() *raft.Snapshot {
+		i := node.AppliedIndex()
 		term, _ := node.TermAt(i)
-		return &raft.Point{Index: i, Term: term, Conf: node.ConfAt(i), Old: node.OldConfAt(i)}
+		return &raft.Snapshot{Index: i, Term: term, Voters: node.VotersAt(i), OutgoingVoters: node.OutgoingVotersAt(i)}
 	})
 	n.nodes[disk] = node
 }
@@ -70,15 +70,15 @@
 }
 
 func (n *coreNet) deliver(node *raft.Node) bool {
-	o := node.Take()
-	if o.Empty() {
+	o := node.Ready()
+	if o.IsEmpty() {
 		return false
 	}
-	if o.Writes() {
-		node.Synced(o.Mark)
+	if o.MustSync() {
+		node.WriteSynced(o.WriteToken)
 	}
-	node.Settled()
-	for _, message := range append(o.Now, o.After...) {
+	node.NextCommittedEntries()
+	for _, message := range append(o.Messages, o.MessagesAfterSync...) {
 		if to := n.nodes[message.To]; to != nil && !n.down[message.To] {
 			to.Step(message, n.now)
 		}
@@ -88,7 +88,7 @@
 
 // candidate starts a daemon with an empty disk that asks for a place.
 func (n *coreNet) candidate(node, disk string) {
-	n.start(disk, raft.Point{})
+	n.start(disk, raft.Snapshot{})
 	n.core.candidatesByDisk()[disk] = testVoter(node, disk)
 }
 
@@ -96,7 +96,7 @@
 	voters, old := n.core.node.VoterSets()
 	var names []string
 	for _, voter := range slices.Concat(voters, old) {
-		names = append(names, voter.Disk)
+		names = append(names, voter.ID)
 	}
 	return fmt.Sprint(names)
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/move"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -17,14 +17,14 @@
 func (c *Core) Moves(ctx context.Context) move.Work {
 	var w move.Work
 	if a, ok := c.own(ctx, member.AskMoves, nil); ok {
-		_ = link.Unpack(a.Body, &w)
+		_ = transport.Decode(a.Body, &w)
 	}
 	return w
 }
 
 // Do puts a command of the mover's into the log.
 func (c *Core) Do(ctx context.Context, kind string, cmd store.Cmd) (store.Outcome, bool) {
-	a, ok := c.own(ctx, member.AskCommand, link.Pack(store.Encode(kind, cmd)))
+	a, ok := c.own(ctx, member.AskCommand, transport.Encode(store.Encode(kind, cmd)))
 	return store.Outcome{Code: a.Code, Text: a.Text, N: a.N}, ok && a.Code >= 100
 }
 
@@ -51,16 +51,16 @@
 
 // onOwn answers the mover of this process; streams can't reach it.
 func (c *Core) onOwn(l *Local) {
-	if c.node == nil || !c.node.Ready() || !c.leading || c.peering == nil {
+	if c.node == nil || !c.node.LeaderReady() || !c.leading || c.peering == nil {
 		l.Reply(member.Answer{Code: member.NotLead})
 		return
 	}
 	switch l.Ask.Kind {
 	case member.AskMoves:
-		l.Reply(member.Answer{Code: 200, Body: link.Pack(c.work())})
+		l.Reply(member.Answer{Code: 200, Body: transport.Encode(c.work())})
 	case member.AskCommand:
 		var r store.Raw
-		if link.Unpack(l.Ask.Body, &r) != nil {
+		if transport.Decode(l.Ask.Body, &r) != nil {
 			l.Reply(member.Answer{Code: 400})
 			return
 		}
@@ -131,7 +131,7 @@
 }
 
 // askPeer answers the leader of another cluster.
-func (c *Core) askPeer(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askPeer(raw []byte, _ *transport.Stream, reply replyFunc) {
 	if c.peering == nil {
 		reply(member.Answer{Code: 404, Text: "moving is off"})
 		return
@@ -143,7 +143,7 @@
 		return
 	}
 	say := func(word string, n int64) {
-		reply(member.Answer{Code: 200, Body: link.Pack(move.Said{Word: word, Epoch: c.state.Epoch, Index: c.state.Applied, N: n})})
+		reply(member.Answer{Code: 200, Body: transport.Encode(move.Said{Word: word, Epoch: c.state.Epoch, Index: c.state.Applied, N: n})})
 	}
 	settled := func(outcome store.Outcome, ok bool) {
 		if !ok {
--- a/internal/core/opening.go
+++ b/internal/core/opening.go
@@ -5,15 +5,15 @@
 	"time"
 
 	"tealpond/internal/agg"
-	"tealpond/internal/disk"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
 	"tealpond/internal/tune"
 )
 
 // diskUp is the opened disk, what it holds, and the state of its snapshot.
 type diskUp struct {
-	disk     *disk.Disk
-	held     disk.Held
+	disk     *storage.Store
+	held     storage.Recovered
 	state    *store.Store
 	setAside string // why an earlier file was put aside
 }
@@ -30,11 +30,11 @@
 	waits := func(err error) {
 		_ = c.log.Log("level", "error", "event", "disk.waits", "dir", dir, "why", err)
 	}
-	opened, held, aside, err := disk.Await(ctx, dir, waits)
+	opened, held, aside, err := storage.OpenWithRetry(ctx, dir, waits)
 	if err != nil {
 		return
 	}
-	state, err := store.Load(held.Point.Data, store.Limits{})
+	state, err := store.Load(held.Snapshot.Data, store.Limits{})
 	for err != nil {
 		// The record on disk is whole, so it is this program that can't read it.
 		// To take another identity would give up what was acknowledged for a
@@ -46,7 +46,7 @@
 			return
 		case <-time.After(tune.DiskSay):
 		}
-		state, err = store.Load(held.Point.Data, store.Limits{})
+		state, err = store.Load(held.Snapshot.Data, store.Limits{})
 	}
 	select {
 	case c.events <- Event{Disk: &diskUp{opened, held, state, aside}}:
@@ -60,14 +60,14 @@
 	if up.setAside != "" {
 		_ = c.log.Log("level", "warn", "event", "disk.foreign", "why", up.setAside, "disk", up.held.ID)
 	}
-	c.disk, c.held, c.state, c.self.Disk = up.disk, up.held, up.state, up.held.ID
-	c.aggregator = agg.New(c.self.Disk)
-	c.lastSnapshot = c.held.Point.Index
+	c.disk, c.held, c.state, c.self.ID = up.disk, up.held, up.state, up.held.ID
+	c.aggregator = agg.New(c.self.ID)
+	c.lastSnapshot = c.held.Snapshot.Index
 	c.opened.Store(true)
 	c.startDisk(ctx)
 	// A node that is only bound is not started: the other founders may be bound
 	// to nothing yet. A message from one of them, or the seed's answer, starts it.
-	if c.held.Hard.Term > 0 || len(c.held.Bound) == 0 && (c.held.Point.Index > 0 || !c.settings.FirstStart) {
-		c.startNode(c.held.Point)
+	if c.held.HardState.Term > 0 || len(c.held.Founders) == 0 && (c.held.Snapshot.Index > 0 || !c.settings.FirstStart) {
+		c.startNode(c.held.Snapshot)
 	}
 }
--- a/internal/core/opening_test.go
+++ b/internal/core/opening_test.go
@@ -8,12 +8,12 @@
 	"github.com/go-kit/log"
 	bolt "go.etcd.io/bbolt"
 
-	"tealpond/internal/disk"
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/setting"
-	"tealpond/internal/trace"
+	"tealpond/internal/storage"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 )
 
 // events is a log that hands out the event of each line.
@@ -32,7 +32,7 @@
 // keep it from answering; it says so, and starts once the disk serves.
 func TestDaemonWaitsForItsDisk(t *testing.T) {
 	dir := t.TempDir()
-	opened, held, _, err := disk.Open(dir)
+	opened, held, _, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	}
 	said := make(events, 1000)
 	b := kernel.Base{Setting: setting.Setting{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
-		Log: log.Logger(said), Trace: trace.NewRing(16)}
+		Log: log.Logger(said), Trace: tracing.NewRing(16)}
 	seek := member.NewSeeker(b.Log, "", nil, nil, func(int64) {}, nil)
 	c, err := New(b, seek)
 	if err != nil {
@@ -70,7 +70,7 @@
 	}
 	wait("disk.waits")
 	var v member.View
-	if a := ask(member.AskLead); a.Code != 200 || link.Unpack(a.Body, &v) != nil || v.Leads {
+	if a := ask(member.AskLead); a.Code != 200 || transport.Decode(a.Body, &v) != nil || v.Leads {
 		t.Errorf("%+v %+v", a, v)
 	}
 	if a := ask(member.AskRead); a.Code != member.NotLead {
@@ -82,7 +82,7 @@
 	_ = other.Close()
 	wait("core.start")
 	got := make(chan string, 1)
-	c.Handle(member.Ask{Kind: askState}, func(member.Answer) { got <- c.self.Disk })
+	c.Handle(member.Ask{Kind: askState}, func(member.Answer) { got <- c.self.ID })
 	if id := <-got; id != held.ID || !c.Opened() {
 		t.Errorf("identity %s, was %s", id, held.ID)
 	}
--- a/internal/core/renew.go
+++ b/internal/core/renew.go
@@ -5,25 +5,25 @@
 	"time"
 
 	"tealpond/internal/agg"
-	"tealpond/internal/disk"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
 // newIdentity is an empty disk with a new identity.
 type newIdentity struct {
-	disk *disk.Disk
-	held disk.Held
+	disk *storage.Store
+	held storage.Recovered
 }
 
 // startDisk starts the disk's writer, which reports each write to the loop.
 func (c *Core) startDisk(ctx context.Context) {
 	ctx, c.stopDisk = context.WithCancel(ctx)
 	opened := c.disk
-	go opened.Run(ctx, c.diskJobs, func(jobs []disk.Job, err error) {
+	go opened.Run(ctx, c.diskJobs, func(jobs []storage.WriteRequest, err error) {
 		select {
 		case c.events <- Event{Wrote: jobs, Bad: err, By: opened}:
 		case <-ctx.Done():
@@ -49,10 +49,10 @@
 		// Closed, so that side daemons look for another at once.
 		session.stream.Close()
 	}
-	c.sessions, c.leases, c.orders = map[string]*sideSession{}, map[string]*workerLease{}, map[*link.Stream][]member.Order{}
+	c.sessions, c.leases, c.orders = map[string]*sideSession{}, map[string]*workerLease{}, map[*transport.Stream][]member.Order{}
 	c.stopDisk()
 	c.opened.Store(false)
-	c.node, c.state, c.held, c.self.Disk = nil, store.New(store.Limits{}), disk.Held{}, ""
+	c.node, c.state, c.held, c.self.ID = nil, store.New(store.Limits{}), storage.Recovered{}, ""
 	c.audit, c.outgoing, c.incoming = newAudit(), map[string]*outgoing{}, map[string]*incoming{}
 	c.renewals++
 	if c.renewals > 1 {
@@ -62,7 +62,7 @@
 	dir := c.settings.DataDir
 	go func() {
 		for {
-			opened, held, err := disk.Renew(dir)
+			opened, held, err := storage.ResetIdentity(dir)
 			if err == nil {
 				select {
 				case c.events <- Event{NewIdentity: &newIdentity{opened, held}, By: nil}:
@@ -83,12 +83,12 @@
 // onNewIdentity starts over with an empty state and a new identity, as a
 // candidate.
 func (c *Core) onNewIdentity(ctx context.Context, identity *newIdentity) {
-	c.disk, c.held, c.self.Disk = identity.disk, identity.held, identity.held.ID
-	c.diskJobs, c.writesInFlight = make(chan disk.Job, tune.DiskInbox), 0
-	c.aggregator = agg.New(c.self.Disk)
+	c.disk, c.held, c.self.ID = identity.disk, identity.held, identity.held.ID
+	c.diskJobs, c.writesInFlight = make(chan storage.WriteRequest, tune.DiskInbox), 0
+	c.aggregator = agg.New(c.self.ID)
 	c.lastSnapshot, c.newestSnapshot, c.encodingSnapshot, c.planDue = 0, nil, false, false
-	_ = c.log.Log("level", "info", "event", "replica.anew", "disk", c.self.Disk)
+	_ = c.log.Log("level", "info", "event", "replica.anew", "disk", c.self.ID)
 	c.opened.Store(true)
 	c.startDisk(ctx)
-	c.startNode(raft.Point{})
+	c.startNode(raft.Snapshot{})
 }
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 )
 
 // sideSession is a side daemon connected to this replica, leader or not: its
 // orders are read from this replica's applied state and go down this stream.
 type sideSession struct {
-	stream *link.Stream
+	stream *transport.Stream
 	fence  int64
 	// known is the log index of the newest state that the side daemon was told
 	// of. Orders are held back until this replica has applied it: an older state
@@ -21,7 +21,7 @@
 }
 
 // openSession notes the stream by which a side daemon renews its lease.
-func (c *Core) openSession(request member.Renew, stream *link.Stream) {
+func (c *Core) openSession(request member.Renew, stream *transport.Stream) {
 	if stream == nil {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // dropSessions forgets the side daemons of a stream that ended.
-func (c *Core) dropSessions(stream *link.Stream) {
+func (c *Core) dropSessions(stream *transport.Stream) {
 	for w, session := range c.sessions {
 		if session.stream == stream {
 			delete(c.sessions, w)
@@ -104,7 +104,7 @@
 	if order.Stop {
 		what = "stop ordered"
 	}
-	c.trace.Add(order.Task, what, int64(order.Run), worker.Node)
+	c.trace.Record(order.Task, what, int64(order.Run), worker.Node)
 	c.orders[session.stream] = append(c.orders[session.stream], order)
 }
 
@@ -119,7 +119,7 @@
 	for stream, orders := range c.orders {
 		c.meter.add("orders", len(orders))
 		c.meter.add("order_frames", 1)
-		stream.Send(link.Frame{Kind: member.FrameOrder, Body: link.Pack(orders)})
+		stream.Send(transport.Frame{Kind: member.FrameOrder, Body: transport.Encode(orders)})
 		delete(c.orders, stream)
 	}
 }
@@ -132,7 +132,7 @@
 		return "", ""
 	}
 	duty := c.state.Duties[worker.Zone]
-	if duty.Disk == c.self.Disk {
+	if duty.Disk == c.self.ID {
 		return "", duty.NextAddr
 	}
 	return duty.Addr, duty.NextAddr
@@ -140,7 +140,7 @@
 
 // leadGone is for how long no leader has been known here.
 func (c *Core) leadGone(now time.Time) time.Duration {
-	if c.node.Lead() != "" || c.leadSeen.IsZero() {
+	if c.node.Leader() != "" || c.leadSeen.IsZero() {
 		c.leadSeen = now
 	}
 	return now.Sub(c.leadSeen)
--- a/internal/core/sessions_test.go
+++ b/internal/core/sessions_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 )
 
 // TestAttachKeepsTheNewestKnownState: a side daemon that is told all anew, after
@@ -12,7 +12,7 @@
 // that it spoke of last.
 func TestAttachKeepsTheNewestKnownState(t *testing.T) {
 	c := &Core{sessions: map[string]*sideSession{}}
-	stream := &link.Stream{}
+	stream := &transport.Stream{}
 	for i, known := range []uint64{100, 120, 110} {
 		c.openSession(member.Renew{Worker: "w", Fence: 1, Known: known}, stream)
 		if want := []uint64{100, 120, 120}[i]; c.sessions["w"].known != want {
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -3,34 +3,34 @@
 import (
 	"context"
 
-	"tealpond/internal/disk"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
 // encodedSnapshot is a snapshot that was encoded outside the loop.
 type encodedSnapshot struct {
 	node   *raft.Node // whose entries it covers
-	point  *raft.Point
+	point  *raft.Snapshot
 	digest uint64
 }
 
 // freeze begins a snapshot at the last entry applied.
-func (c *Core) freeze() (*raft.Point, *store.Frozen) {
+func (c *Core) freeze() (*raft.Snapshot, *store.Frozen) {
 	index := c.state.Applied
 	term, ok := c.node.TermAt(index)
 	if !ok {
 		panic("core: a snapshot at an entry that the log does not know")
 	}
-	return &raft.Point{Index: index, Term: term, Conf: c.node.ConfAt(index), Old: c.node.OldConfAt(index)}, c.state.Freeze()
+	return &raft.Snapshot{Index: index, Term: term, Voters: c.node.VotersAt(index), OutgoingVoters: c.node.OutgoingVotersAt(index)}, c.state.Freeze()
 }
 
 // snapshotForMember is a snapshot for a member that lags: the newest one, since
 // the log holds what follows it. If there is none yet it is taken at once.
-func (c *Core) snapshotForMember() *raft.Point {
+func (c *Core) snapshotForMember() *raft.Snapshot {
 	if c.newestSnapshot == nil {
 		point, frozen := c.freeze()
 		point.Data = frozen.Save()
@@ -71,27 +71,27 @@
 	c.recordDigest(ctx, encoded.point.Index, encoded.digest)
 	c.lastSnapshot, c.newestSnapshot = encoded.point.Index, encoded.point
 	c.writesInFlight++
-	c.diskJobs <- disk.Job{Point: encoded.point}
+	c.diskJobs <- storage.WriteRequest{LocalSnapshot: encoded.point}
 }
 
 // drain carries out what the node has ready until nothing is left. A received
 // snapshot is installed before any entry is applied.
 func (c *Core) drain(ctx context.Context) {
 	for {
-		output := c.node.Take()
-		if !output.Empty() {
-			c.sendMessages(ctx, output.Now)
-			if output.Point != nil {
-				c.install(output.Point)
+		output := c.node.Ready()
+		if !output.IsEmpty() {
+			c.sendMessages(ctx, output.Messages)
+			if output.Snapshot != nil {
+				c.install(output.Snapshot)
 			}
-			if output.Writes() || len(output.After) > 0 && c.writesInFlight > 0 {
+			if output.MustSync() || len(output.MessagesAfterSync) > 0 && c.writesInFlight > 0 {
 				c.writesInFlight++
-				c.diskJobs <- disk.Job{Out: output}
+				c.diskJobs <- storage.WriteRequest{Ready: output}
 			} else {
-				c.sendMessages(ctx, output.After)
+				c.sendMessages(ctx, output.MessagesAfterSync)
 			}
 		}
-		if !c.apply(ctx) && output.Empty() {
+		if !c.apply(ctx) && output.IsEmpty() {
 			return
 		}
 	}
@@ -99,7 +99,7 @@
 
 // install replaces the state by a received snapshot, and with it all that was
 // derived from the state before.
-func (c *Core) install(point *raft.Point) {
+func (c *Core) install(point *raft.Snapshot) {
 	state, err := store.Load(point.Data, store.Limits{})
 	if err == nil {
 		err = state.StartAt(point.Index)
@@ -118,6 +118,6 @@
 			c.unclear(i)
 		}
 	}
-	c.orders = map[*link.Stream][]member.Order{}
+	c.orders = map[*transport.Stream][]member.Order{}
 	c.resyncSessions()
 }
--- a/internal/core/snapshot_test.go
+++ b/internal/core/snapshot_test.go
@@ -10,14 +10,14 @@
 )
 
 // snapshotOf is a snapshot at an entry, of a state that has a zone's duty.
-func snapshotOf(t *testing.T, index uint64, zone string) *raft.Point {
+func snapshotOf(t *testing.T, index uint64, zone string) *raft.Snapshot {
 	t.Helper()
 	s := store.New(store.Limits{})
 	if err := s.StartAt(index - 1); err != nil {
 		t.Fatal(err)
 	}
 	s.Run(index, appoint(zone))
-	return &raft.Point{Index: index, Term: 3, Conf: testVoters, Data: s.Save()}
+	return &raft.Snapshot{Index: index, Term: 3, Voters: testVoters, Data: s.Save()}
 }
 
 // TestSnapshotAndAppendInOneTurn: the loop drains a snapshot and entries above
@@ -29,13 +29,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := newBench(t)
 				if more {
-					b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2,
+					b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2,
 						Entries: []raft.Entry{{Index: 2, Term: 3, Data: appoint("old")}}})
 				}
-				b.step(raft.Msg{Kind: raft.MsgPoint, From: "b", Term: 3, Point: snapshotOf(t, 10, "snapshot")})
-				b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 10, LogTerm: 3, Commit: 12, Entries: []raft.Entry{
-					{Index: 11, Term: 3, Data: appoint("eleven")}, {Index: 12, Term: 3, Kind: raft.EntryNone}}})
-				b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 12, LogTerm: 3, Commit: 13, Entries: []raft.Entry{
+				b.step(raft.Message{Kind: raft.MsgSnapshot, From: "b", Term: 3, Snapshot: snapshotOf(t, 10, "snapshot")})
+				b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 10, LogTerm: 3, Commit: 12, Entries: []raft.Entry{
+					{Index: 11, Term: 3, Data: appoint("eleven")}, {Index: 12, Term: 3, Kind: raft.EntryNoop}}})
+				b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 12, LogTerm: 3, Commit: 13, Entries: []raft.Entry{
 					{Index: 13, Term: 3, Data: appoint("thirteen")}}})
 				b.rest()
 				b.rest()
@@ -44,8 +44,8 @@
 						t.Errorf("the state lacks %q: it has %v", zone, b.c.state.Duties)
 					}
 				}
-				if _, ok := b.c.state.Duties["old"]; ok || b.c.state.Applied != 13 || b.c.node.Applied() != 13 {
-					t.Errorf("state at %d, node at %d: %v", b.c.state.Applied, b.c.node.Applied(), b.c.state.Duties)
+				if _, ok := b.c.state.Duties["old"]; ok || b.c.state.Applied != 13 || b.c.node.AppliedIndex() != 13 {
+					t.Errorf("state at %d, node at %d: %v", b.c.state.Applied, b.c.node.AppliedIndex(), b.c.state.Duties)
 				}
 				if point, _ := b.c.freeze(); point.Index != 13 {
 					t.Errorf("a snapshot taken now is at %d", point.Index)
@@ -97,7 +97,7 @@
 			t.Fatalf("one entry was to be proposed: %d after %d, %d wait", i, last, len(b.c.waiters))
 		}
 		lt, _ := b.c.node.TermAt(last)
-		b.step(raft.Msg{Kind: raft.MsgAppend, From: "b", Term: 9, Index: last, LogTerm: lt, Commit: i,
+		b.step(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 9, Index: last, LogTerm: lt, Commit: i,
 			Entries: []raft.Entry{{Index: i, Term: 9, Data: appoint("z")}}})
 		b.rest()
 		if len(said) != 3 || said[0] || said[1] || said[2] {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
 // askStatus answers with a job's state, or with a queue's length.
-func (c *Core) askStatus(raw []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askStatus(raw []byte, _ *transport.Stream, reply replyFunc) {
 	_, route, id, ok := c.route(raw, reply)
 	if !ok {
 		return
@@ -58,7 +58,7 @@
 				continue
 			}
 			switch {
-			case !c.leading || !c.node.Lease(now):
+			case !c.leading || !c.node.HasLease(now):
 				waiter.reply(member.Answer{Code: member.NotLead, Lead: c.leadAddr()})
 			case job == nil:
 				waiter.reply(member.Answer{Code: 410, Text: "no such job"})
--- a/internal/core/tools.go
+++ b/internal/core/tools.go
@@ -4,9 +4,9 @@
 	"sort"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -17,7 +17,7 @@
 		if !ok {
 			text = "unclear"
 		}
-		c.trace.Add(id, what, int64(outcome.Code), text)
+		c.trace.Record(id, what, int64(outcome.Code), text)
 		next(outcome, ok)
 	}
 }
@@ -28,7 +28,7 @@
 }
 
 // askMembers lists the daemons that hold a membership lease, and the core.
-func (c *Core) askMembers(_ []byte, _ *link.Stream, reply replyFunc) {
+func (c *Core) askMembers(_ []byte, _ *transport.Stream, reply replyFunc) {
 	var out []member.Claim
 	for k, m := range c.memberLeases {
 		if time.Since(m.at) > tune.ClaimTime {
@@ -38,7 +38,7 @@
 		out = append(out, m.Claim)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Node+out[a].Role < out[b].Node+out[b].Role })
-	reply(member.Answer{Code: 200, Body: link.Pack(out)})
+	reply(member.Answer{Code: 200, Body: transport.Encode(out)})
 }
 
 // askFleet gives the tables of this daemon's copy of the state. Any core
@@ -46,10 +46,10 @@
 func (c *Core) askFleet(_ []byte, reply replyFunc) {
 	fleet := member.Fleet{Node: c.settings.NodeName, Clock: c.state.Clock}
 	if c.node != nil {
-		fleet.Leads, fleet.Applied = c.node.Leads(), c.state.Applied
+		fleet.Leads, fleet.Applied = c.node.IsLeader(), c.state.Applied
 	}
 	fleet.Tables = tables(c)
-	reply(member.Answer{Code: 200, Body: link.Pack(fleet)})
+	reply(member.Answer{Code: 200, Body: transport.Encode(fleet)})
 }
 
 var moveWords = map[byte]string{store.MoveNone: "home", store.MoveOffered: "offered", store.MoveTaken: "taken", store.MoveReleased: "released"}
--- a/internal/core/transfer.go
+++ b/internal/core/transfer.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -22,7 +22,7 @@
 
 // piece is a part of a snapshot's bytes.
 type piece struct {
-	Msg    raft.Msg // the message, its point without the bytes
+	Msg    raft.Message // the message, its point without the bytes
 	Total  int
 	Offset int
 	Data   []byte
@@ -38,7 +38,7 @@
 
 // outgoing is a transfer to one member.
 type outgoing struct {
-	msg   raft.Msg
+	msg   raft.Message
 	data  []byte
 	have  int // that many bytes have arrived
 	sent  time.Time
@@ -46,11 +46,11 @@
 }
 
 // newOutgoing begins a transfer of the snapshot in a message.
-func newOutgoing(message raft.Msg, now time.Time) *outgoing {
-	transfer := &outgoing{msg: message, data: message.Point.Data, moved: now}
-	point := *message.Point
+func newOutgoing(message raft.Message, now time.Time) *outgoing {
+	transfer := &outgoing{msg: message, data: message.Snapshot.Data, moved: now}
+	point := *message.Snapshot
 	point.Data = nil
-	transfer.msg.Point = &point
+	transfer.msg.Snapshot = &point
 	return transfer
 }
 
@@ -59,12 +59,12 @@
 
 // stands tells whether a transfer serves a message: it makes progress, be it
 // with an earlier snapshot, or this snapshot has arrived.
-func (transfer *outgoing) stands(message raft.Msg, now time.Time) bool {
+func (transfer *outgoing) stands(message raft.Message, now time.Time) bool {
 	if transfer == nil || transfer.msg.Term != message.Term {
 		return false
 	}
 	if transfer.arrived() {
-		return transfer.msg.Point.Index == message.Point.Index
+		return transfer.msg.Snapshot.Index == message.Snapshot.Index
 	}
 	return now.Sub(transfer.moved) < tune.PieceStall
 }
@@ -78,7 +78,7 @@
 
 // got takes the receiver's acknowledgement; true if another piece is due.
 func (transfer *outgoing) got(ack pieceGot, now time.Time) bool {
-	if transfer == nil || ack.Index != transfer.msg.Point.Index || ack.Have < 0 || ack.Have > len(transfer.data) || ack.Have == transfer.have && ack.Have > 0 {
+	if transfer == nil || ack.Index != transfer.msg.Snapshot.Index || ack.Have < 0 || ack.Have > len(transfer.data) || ack.Have == transfer.have && ack.Have > 0 {
 		return false
 	}
 	// Less than before: the receiver was restarted and begins again.
@@ -106,14 +106,14 @@
 }
 
 // transfer begins to send a snapshot, or sends a piece again that may be lost.
-func (c *Core) transfer(ctx context.Context, message raft.Msg) {
+func (c *Core) transfer(ctx context.Context, message raft.Message) {
 	now := time.Now()
 	transfer := c.outgoing[message.To]
 	if !transfer.stands(message, now) {
 		transfer = newOutgoing(message, now)
 		c.outgoing[message.To] = transfer
 	}
-	transfer.msg.Sent = message.Sent
+	transfer.msg.SendStamp = message.SendStamp
 	if now.Sub(transfer.sent) >= tune.PieceAgain {
 		c.sendPiece(ctx, transfer, now)
 	}
@@ -121,7 +121,7 @@
 
 // sendPiece sends the piece that the receiver lacks.
 func (c *Core) sendPiece(ctx context.Context, transfer *outgoing, now time.Time) {
-	if !c.send(ctx, transfer.msg.To, link.Frame{Kind: framePiece, Body: link.Pack(transfer.next(now))}) {
+	if !c.send(ctx, transfer.msg.To, transport.Frame{Kind: framePiece, Body: transport.Encode(transfer.next(now))}) {
 		transfer.sent = time.Time{} // nothing is under way
 	}
 }
@@ -139,7 +139,7 @@
 // onPieceGot sends the next piece.
 func (c *Core) onPieceGot(ctx context.Context, raw []byte) {
 	var ack pieceGot
-	if link.Unpack(raw, &ack) != nil || ack.To != c.self.Disk || c.node == nil {
+	if transport.Decode(raw, &ack) != nil || ack.To != c.self.ID || c.node == nil {
 		return
 	}
 	now := time.Now()
@@ -149,12 +149,12 @@
 }
 
 // onPiece takes a piece, and hands the message on once it is whole.
-func (c *Core) onPiece(ctx context.Context, raw []byte, stream *link.Stream) {
+func (c *Core) onPiece(ctx context.Context, raw []byte, stream *transport.Stream) {
 	var part piece
-	if link.Unpack(raw, &part) != nil || part.Msg.To != c.self.Disk || part.Msg.Point == nil || c.node == nil || part.Total <= 0 || part.Total > tune.FrameBytes {
+	if transport.Decode(raw, &part) != nil || part.Msg.To != c.self.ID || part.Msg.Snapshot == nil || c.node == nil || part.Total <= 0 || part.Total > tune.FrameBytes {
 		return
 	}
-	from, point := part.Msg.From, part.Msg.Point
+	from, point := part.Msg.From, part.Msg.Snapshot
 	c.inbound[from] = stream
 	transfer := c.incoming[from]
 	if transfer == nil || transfer.index != point.Index || transfer.term != point.Term || transfer.total != part.Total {
@@ -162,11 +162,11 @@
 		c.incoming[from] = transfer
 	}
 	have, whole := transfer.take(part)
-	if point.Index <= c.node.Commit() {
+	if point.Index <= c.node.CommitIndex() {
 		// No longer wanted: the message alone is answered.
 		have, whole = part.Total, true
 	}
-	c.send(ctx, from, link.Frame{Kind: framePieceGot, Body: link.Pack(pieceGot{c.self.Disk, from, point.Index, have})})
+	c.send(ctx, from, transport.Frame{Kind: framePieceGot, Body: transport.Encode(pieceGot{c.self.ID, from, point.Index, have})})
 	if whole {
 		delete(c.incoming, from)
 		point.Data = transfer.data
--- a/internal/core/transfer_test.go
+++ b/internal/core/transfer_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -20,7 +20,7 @@
 		data := make([]byte, []int{1, tune.PieceBytes - 1, tune.PieceBytes, tune.PieceBytes + 1, 5*tune.PieceBytes + 7}[r.Intn(5)])
 		r.Read(data)
 		now := time.Unix(0, 0)
-		transfer := newOutgoing(raft.Msg{Kind: raft.MsgPoint, From: "a", To: "b", Term: 3, Point: &raft.Point{Index: 9, Term: 2, Data: data}}, now)
+		transfer := newOutgoing(raft.Message{Kind: raft.MsgSnapshot, From: "a", To: "b", Term: 3, Snapshot: &raft.Snapshot{Index: 9, Term: 2, Data: data}}, now)
 		fresh := func() *incoming { return &incoming{index: 9, term: 2, total: len(data)} }
 		in, restarts, whole := fresh(), r.Intn(3), false
 		for step := 0; !whole; step++ {
@@ -50,11 +50,11 @@
 			t.Fatalf("seed %d: other bytes arrived", seed)
 		}
 		transfer.got(pieceGot{"b", "a", 9, len(data)}, now)
-		again := raft.Msg{Term: 3, Point: &raft.Point{Index: 9}}
+		again := raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 9}}
 		if part := transfer.next(now); !transfer.stands(again, now.Add(time.Hour)) || len(part.Data) > 0 || part.Offset != len(data) {
 			t.Fatal("what has arrived is sent again")
 		}
-		if transfer.stands(raft.Msg{Term: 4, Point: again.Point}, now) || transfer.stands(raft.Msg{Term: 3, Point: &raft.Point{Index: 10}}, now) {
+		if transfer.stands(raft.Message{Term: 4, Snapshot: again.Snapshot}, now) || transfer.stands(raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 10}}, now) {
 			t.Fatal("it stands for another leader's, or a newer snapshot")
 		}
 		// The receiver was started anew, without it.
@@ -74,8 +74,8 @@
 		give := func(to string, offset, end int) {
 			point := *point
 			point.Data = nil
-			b.c.handle(t.Context(), Event{Link: &link.Event{Frame: link.Frame{Kind: framePiece, Body: link.Pack(piece{
-				raft.Msg{Kind: raft.MsgPoint, From: "b", To: to, Term: 3, Point: &point}, len(whole), offset, whole[offset:end]})}}})
+			b.c.handle(t.Context(), Event{Link: &transport.Event{Frame: transport.Frame{Kind: framePiece, Body: transport.Encode(piece{
+				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &point}, len(whole), offset, whole[offset:end]})}}})
 			b.rest()
 		}
 		half := len(whole) / 2
@@ -104,9 +104,9 @@
 		b := newBench(t)
 		point := snapshotOf(t, 10, "z")
 		now := time.Now()
-		transfer := newOutgoing(raft.Msg{Kind: raft.MsgPoint, From: "b", To: "a", Term: 3, Point: point}, now)
+		transfer := newOutgoing(raft.Message{Kind: raft.MsgSnapshot, From: "b", To: "a", Term: 3, Snapshot: point}, now)
 		give := func(part piece) {
-			b.c.handle(t.Context(), Event{Link: &link.Event{Frame: link.Frame{Kind: framePiece, Body: link.Pack(part)}}})
+			b.c.handle(t.Context(), Event{Link: &transport.Event{Frame: transport.Frame{Kind: framePiece, Body: transport.Encode(part)}}})
 		}
 		for !transfer.arrived() {
 			part := transfer.next(now)
@@ -122,9 +122,9 @@
 			t.Errorf("%d bytes are sent again", len(again.Data))
 		}
 		give(again)
-		out := b.c.node.Take()
-		if len(out.Now)+len(out.After) != 1 {
-			t.Errorf("%d answers", len(out.Now)+len(out.After))
+		out := b.c.node.Ready()
+		if len(out.Messages)+len(out.MessagesAfterSync) != 1 {
+			t.Errorf("%d answers", len(out.Messages)+len(out.MessagesAfterSync))
 		}
 	})
 }
--- a/internal/door/ask.go
+++ b/internal/door/ask.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -40,7 +40,7 @@
 // Ask takes an ask to the leader and notes what the answer says of it.
 func (e *Edge) Ask(ctx context.Context, kind string, body any) member.Answer {
 	begun := time.Now()
-	a := e.route(ctx, member.Ask{Kind: kind, Body: link.Pack(body)})
+	a := e.route(ctx, member.Ask{Kind: kind, Body: transport.Encode(body)})
 	if a.Code >= 100 {
 		e.contact.heard(begun)
 	}
--- a/internal/door/control.go
+++ b/internal/door/control.go
@@ -41,9 +41,9 @@
 	x, stop := e.controlTime(c.Request().Context(), len(raw))
 	defer stop()
 	id := "desired/" + strconv.FormatInt(st.Version, 10)
-	e.base.Trace.Add(id, "taken", base, "")
+	e.base.Trace.Record(id, "taken", base, "")
 	a := e.Ask(x, member.AskPut, member.Put{Base: base, Raw: raw})
-	e.base.Trace.Add(id, "answered", int64(a.Code), a.Text)
+	e.base.Trace.Record(id, "answered", int64(a.Code), a.Text)
 	return e.control(c, a)
 }
 
--- a/internal/door/control_test.go
+++ b/internal/door/control_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 	"tealpond/internal/wire"
 )
@@ -103,7 +103,7 @@
 // operators away in half a second, and soon at once.
 func TestCutOffDaemonAnswersWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(link.On(t.Context(), noNetwork{}))
+		ctx, stop := context.WithCancel(transport.WithNetwork(t.Context(), noNetwork{}))
 		e := newTestEdge(nil)
 		e.seek = member.NewSeeker(e.log, "", []string{"10.0.0.1:1"}, nil, e.onNews, nil)
 		e.route = e.toLeader
--- a/internal/door/edge.go
+++ b/internal/door/edge.go
@@ -13,10 +13,10 @@
 
 	"tealpond/internal/core"
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/move"
 	"tealpond/internal/setting"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -89,7 +89,7 @@
 	if e.core != nil {
 		give = e.core.Give
 	}
-	if err := link.Serve(inner, e.set.Inner(), give); err != nil {
+	if err := transport.Serve(inner, e.set.Inner(), give); err != nil {
 		return err
 	}
 	go func() { _ = e.seek.Run(inner) }()
@@ -141,12 +141,12 @@
 }
 
 // onLink answers other daemons where this one holds no state.
-func (e *Edge) onLink(ev link.Event) {
-	if ev.Gone || ev.Frame.Kind != member.FrameAsk {
+func (e *Edge) onLink(ev transport.Event) {
+	if ev.Closed || ev.Frame.Kind != member.FrameAsk {
 		return
 	}
 	var a member.Ask
-	if link.Unpack(ev.Frame.Body, &a) != nil {
+	if transport.Decode(ev.Frame.Body, &a) != nil {
 		ev.Stream.Close()
 		return
 	}
@@ -157,18 +157,18 @@
 			e.seek.Learn(string(a.Body))
 		}
 		v := member.View{Known: e.seek.Known()}
-		r = member.Answer{Code: 200, Body: link.Pack(v)}
+		r = member.Answer{Code: 200, Body: transport.Encode(v)}
 	case member.AskTrace:
 		r = member.AnswerTrace(e.base.Trace, e.set.NodeName, "edge", a.Body)
 	case member.AskFound:
 		var f member.Found
-		if link.Unpack(a.Body, &f) == nil {
+		if transport.Decode(a.Body, &f) == nil {
 			in := foundIn{f, make(chan member.Proposal, 1)}
 			e.found <- in
-			r = member.Answer{Code: 200, Body: link.Pack(<-in.r)}
+			r = member.Answer{Code: 200, Body: transport.Encode(<-in.r)}
 		}
 	}
-	ev.Stream.Send(link.Frame{Kind: member.FrameAnswer, ID: ev.Frame.ID, Body: link.Pack(r)})
+	ev.Stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: ev.Frame.ID, Body: transport.Encode(r)})
 }
 
 func (e *Edge) founding(ctx context.Context) {
@@ -217,7 +217,7 @@
 			continue
 		}
 		p.echo.HideBanner, p.echo.HidePort = true, true
-		ln, err := link.Listen(ctx, p.addr)
+		ln, err := transport.Listen(ctx, p.addr)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/door/edge_test.go
+++ b/internal/door/edge_test.go
@@ -10,7 +10,7 @@
 
 	"tealpond/internal/kernel"
 	"tealpond/internal/member"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 	"tealpond/internal/tune"
 )
 
@@ -18,7 +18,7 @@
 type leaderFunc = func(context.Context, member.Ask) member.Answer
 
 func newTestEdge(leader leaderFunc) *Edge {
-	return &Edge{log: log.NewNopLogger(), base: kernel.Base{Trace: trace.NewRing(64)}, contact: newContact(),
+	return &Edge{log: log.NewNopLogger(), base: kernel.Base{Trace: tracing.NewRing(64)}, contact: newContact(),
 		pull: make(chan struct{}, 1), route: leader, leader: func() string { return "" }}
 }
 
--- a/internal/door/job.go
+++ b/internal/door/job.go
@@ -171,11 +171,11 @@
 func (r *attempt) ask() phase {
 	id := r.call.Path[strings.LastIndexByte(r.call.Path, '/')+1:]
 	if r.kind != member.AskStatus {
-		r.e.base.Trace.Add(id, "taken", 0, r.kind)
+		r.e.base.Trace.Record(id, "taken", 0, r.kind)
 	}
 	r.ans = r.e.Ask(r.ctx, r.kind, &r.call)
 	if r.kind != member.AskStatus {
-		r.e.base.Trace.Add(id, "answered", int64(r.ans.Code), r.kind)
+		r.e.base.Trace.Record(id, "answered", int64(r.ans.Code), r.kind)
 	}
 	return phaseAnswer
 }
--- a/internal/door/limits.go
+++ b/internal/door/limits.go
@@ -5,8 +5,8 @@
 	"net/http"
 
 	"tealpond/internal/desire"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -46,7 +46,7 @@
 		return e.bounds(), a
 	}
 	var l desire.Limits
-	if err := link.Unpack(a.Body, &l); err != nil {
+	if err := transport.Decode(a.Body, &l); err != nil {
 		return e.bounds(), member.Answer{Code: member.Lost}
 	}
 	newest := limitsOf(a.N, l)
--- a/internal/door/limits_test.go
+++ b/internal/door/limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/desire"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 func TestSizesAreRefusedByTheNewestLimitsOnly(t *testing.T) {
 	job := `{"jobSpec":"` + strings.Repeat("x", 500) + `","steps":[{"taskCount":1}]}`
 	in := func(version int64, header int, body int64) member.Answer {
-		return member.Answer{Code: 200, N: version, Body: link.Pack(desire.Limits{MaxHeaderBytes: header, MaxBodyBytes: body})}
+		return member.Answer{Code: 200, N: version, Body: transport.Encode(desire.Limits{MaxHeaderBytes: header, MaxBodyBytes: body})}
 	}
 	for _, c := range []struct {
 		name          string
@@ -65,7 +65,7 @@
 		e := newTestEdge(func(_ context.Context, a member.Ask) member.Answer {
 			if a.Kind == member.AskLimits {
 				pulls++
-				return member.Answer{Code: 200, N: version, Desired: version, Body: link.Pack(desire.Limits{MaxBodyBytes: version})}
+				return member.Answer{Code: 200, N: version, Desired: version, Body: transport.Encode(desire.Limits{MaxBodyBytes: version})}
 			}
 			return member.Answer{Code: 200, Desired: version}
 		})
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -9,8 +9,8 @@
 	"github.com/go-kit/log"
 	"github.com/zeebo/errs"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -28,7 +28,7 @@
 	for _, a := range at {
 		r, e := member.AskAt(ctx, a, member.AskLead, nil, tune.ToolRound)
 		var v member.View
-		if e != nil || link.Unpack(r.Body, &v) != nil {
+		if e != nil || transport.Decode(r.Body, &v) != nil {
 			continue
 		}
 		heard = true
@@ -49,7 +49,7 @@
 	x, done := context.WithTimeout(ctx, tune.ToolRound)
 	defer done()
 	if r := s.Ask(x, member.AskMembers, struct{}{}); r.Code == 200 {
-		_ = link.Unpack(r.Body, &all)
+		_ = transport.Decode(r.Body, &all)
 	}
 	return core, all, nil
 }
--- a/internal/fleet/follow.go
+++ b/internal/fleet/follow.go
@@ -4,15 +4,15 @@
 	"context"
 	"sort"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 )
 
 // Step is one mark of one daemon.
 type Step struct {
 	Node string
-	trace.Mark
+	tracing.Event
 }
 
 // Path is a change's way through the daemons.
@@ -48,7 +48,7 @@
 	for _, a := range addrs {
 		r, ok := got[a]
 		var t member.Traced
-		if !ok || link.Unpack(r.Body, &t) != nil {
+		if !ok || transport.Decode(r.Body, &t) != nil {
 			p.Silent = append(p.Silent, name[a])
 			continue
 		}
@@ -59,6 +59,6 @@
 			p.Steps = append(p.Steps, Step{t.Node, m})
 		}
 	}
-	sort.SliceStable(p.Steps, func(a, b int) bool { return p.Steps[a].At < p.Steps[b].At })
+	sort.SliceStable(p.Steps, func(a, b int) bool { return p.Steps[a].TimeNs < p.Steps[b].TimeNs })
 	return p, nil
 }
--- a/internal/fleet/query.go
+++ b/internal/fleet/query.go
@@ -8,8 +8,8 @@
 
 	_ "github.com/mattn/go-sqlite3" // the engine of queries, in the tool's memory
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -35,7 +35,7 @@
 	for _, a := range core {
 		r, err := member.AskAt(ctx, a, member.AskFleet, nil, tune.ToolRound)
 		var f member.Fleet
-		if err != nil || link.Unpack(r.Body, &f) != nil {
+		if err != nil || transport.Decode(r.Body, &f) != nil {
 			continue
 		}
 		if !f.Leads {
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -10,7 +10,7 @@
 	"github.com/zeebo/errs"
 
 	"tealpond/internal/setting"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 )
 
 // Killed is the cause of a context that ends without grace.
@@ -27,7 +27,7 @@
 	Log     log.Logger
 	Life    string
 	Reload  chan setting.Setting
-	Trace   *trace.Ring
+	Trace   *tracing.Ring
 	// Debug tells whether lines of that level are kept at all.
 	Debug bool
 	// Moves names the file that turns moving between clusters on.
--- a/internal/member/calls.go
+++ b/internal/member/calls.go
@@ -5,7 +5,7 @@
 
 import (
 	"tealpond/internal/raft"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 	"tealpond/internal/wire"
 )
 
@@ -99,8 +99,8 @@
 // Found is an announcement of a core candidate.
 type Found struct {
 	_     struct{} `cbor:",toarray"`
-	Me    raft.Voter
-	Bound []raft.Voter
+	Me    raft.Member
+	Bound []raft.Member
 	// Late: it was started again, or long after the system, and its disk
 	// knows of no core.
 	Late bool
@@ -110,7 +110,7 @@
 // are bound to that set, so that they may start.
 type Proposal struct {
 	_   struct{} `cbor:",toarray"`
-	Set []raft.Voter
+	Set []raft.Member
 	Go  bool
 }
 
@@ -130,7 +130,7 @@
 	Node  string
 	Role  string
 	Since int64
-	Marks []trace.Mark
+	Marks []tracing.Event
 }
 
 // Table is one table of the fleet's state.
--- a/internal/member/founder.go
+++ b/internal/member/founder.go
@@ -45,7 +45,7 @@
 	Least          int
 	announcements  map[string]announced
 	unchangedSince time.Time
-	proposed       []raft.Voter
+	proposed       []raft.Member
 }
 
 // announced is an announcement and when it came.
@@ -58,8 +58,8 @@
 // are enough. One of them must be running for the first time: that is so only
 // when the whole system starts for the first time; machines that were emptied or
 // came new must not found a second core beside one that they don't reach.
-func (f *Founder) propose(now time.Time) []raft.Voter {
-	var set []raft.Voter
+func (f *Founder) propose(now time.Time) []raft.Member {
+	var set []raft.Member
 	first := false
 	for _, entry := range f.announcements {
 		switch silent := now.Sub(entry.at); {
@@ -76,12 +76,12 @@
 	if !first || len(set) < f.Least {
 		return nil
 	}
-	sort.Slice(set, func(a, b int) bool { return set[a].Disk < set[b].Disk })
+	sort.Slice(set, func(a, b int) bool { return set[a].ID < set[b].ID })
 	return set
 }
 
 // sameVoters tells whether two lists hold the same voters in the same order.
-func sameVoters(a, b []raft.Voter) bool {
+func sameVoters(a, b []raft.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -98,20 +98,20 @@
 	if f.announcements == nil {
 		f.announcements = map[string]announced{}
 	}
-	if announcement.Me.Disk == "" {
+	if announcement.Me.ID == "" {
 		// Nothing that is bound to or counted may rest on a disk without an
 		// identity.
 		return Proposal{}
 	}
 	for disk, other := range f.announcements {
-		if announcement.Me.Node != "" && other.Me.Node == announcement.Me.Node && disk != announcement.Me.Disk && len(other.Bound) == 0 {
+		if announcement.Me.Node != "" && other.Me.Node == announcement.Me.Node && disk != announcement.Me.ID && len(other.Bound) == 0 {
 			// The machine came back with another disk before the core was
 			// founded: it must not count twice.
 			delete(f.announcements, disk)
 		}
 	}
-	old, ok := f.announcements[announcement.Me.Disk]
-	f.announcements[announcement.Me.Disk] = announced{announcement, now}
+	old, ok := f.announcements[announcement.Me.ID]
+	f.announcements[announcement.Me.ID] = announced{announcement, now}
 	if !ok || old.Me != announcement.Me {
 		f.unchangedSince = now
 	}
@@ -129,7 +129,7 @@
 	}
 	proposal := Proposal{Set: f.proposed, Go: true}
 	for _, voter := range f.proposed {
-		if !sameVoters(f.announcements[voter.Disk].Bound, f.proposed) {
+		if !sameVoters(f.announcements[voter.ID].Bound, f.proposed) {
 			proposal.Go = false
 		}
 	}
--- a/internal/member/founder_test.go
+++ b/internal/member/founder_test.go
@@ -21,11 +21,11 @@
 
 // coreNode is a candidate of the model, and a member once it was told to go.
 type coreNode struct {
-	me     raft.Voter
+	me     raft.Member
 	next   time.Time
 	turns  int
 	seeds  Announcer
-	bound  []raft.Voter
+	bound  []raft.Member
 	member bool // founded with bound
 	joined bool // a core was founded without it
 	killed time.Time
@@ -61,7 +61,7 @@
 		m.seeds[addr], m.names = s, append(m.names, addr)
 	}
 	for i := range n {
-		c := &coreNode{me: raft.Voter{Node: fmt.Sprint("n", i), Disk: fmt.Sprint("d", i)}, next: start(300)}
+		c := &coreNode{me: raft.Member{Node: fmt.Sprint("n", i), ID: fmt.Sprint("d", i)}, next: start(300)}
 		if m.rnd.Intn(6) == 0 {
 			c.next = start(2500)
 		}
@@ -205,16 +205,16 @@
 		for range 20 {
 			now = now.Add(tune.Announce)
 			for _, m := range machines {
-				p = f.Take(Found{Me: raft.Voter{Node: m[0], Disk: m[1]}}, now)
+				p = f.Take(Found{Me: raft.Member{Node: m[0], ID: m[1]}}, now)
 			}
 		}
 		return p
 	}
-	f.Take(Found{Me: raft.Voter{Node: "a", Disk: "a1"}}, now)
+	f.Take(Found{Me: raft.Member{Node: "a", ID: "a1"}}, now)
 	if p := announce([2]string{"a", "a2"}, [2]string{"b", "b1"}, [2]string{"c", ""}); len(p.Set) != 0 {
 		t.Fatalf("two machines were proposed as %v", p.Set)
 	}
-	if p := announce([2]string{"a", "a2"}, [2]string{"b", "b1"}, [2]string{"c", "c1"}); len(p.Set) != 3 || p.Set[0].Disk != "a2" {
+	if p := announce([2]string{"a", "a2"}, [2]string{"b", "b1"}, [2]string{"c", "c1"}); len(p.Set) != 3 || p.Set[0].ID != "a2" {
 		t.Errorf("proposed %v", p.Set)
 	}
 }
@@ -228,7 +228,7 @@
 	for range 100 {
 		now = now.Add(tune.Announce)
 		for i := range 6 {
-			if p := f.Take(Found{Me: raft.Voter{Disk: fmt.Sprint("d", i)}, Late: true}, now); len(p.Set) != 0 {
+			if p := f.Take(Found{Me: raft.Member{ID: fmt.Sprint("d", i)}, Late: true}, now); len(p.Set) != 0 {
 				t.Fatalf("a core of %d", len(p.Set))
 			}
 		}
@@ -240,12 +240,12 @@
 func TestSetLeavesOutWhoFellSilent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	f := Founder{Least: 3}
-	f.Take(Found{Me: raft.Voter{Disk: "gone"}}, now)
+	f.Take(Found{Me: raft.Member{ID: "gone"}}, now)
 	var p Proposal
 	for range 20 {
 		now = now.Add(tune.Announce)
 		for i := range 2 {
-			p = f.Take(Found{Me: raft.Voter{Disk: fmt.Sprint("d", i)}}, now)
+			p = f.Take(Found{Me: raft.Member{ID: fmt.Sprint("d", i)}}, now)
 		}
 	}
 	if len(p.Set) != 0 {
@@ -254,10 +254,10 @@
 	for range 20 {
 		now = now.Add(tune.Announce)
 		for i := range 3 {
-			p = f.Take(Found{Me: raft.Voter{Disk: fmt.Sprint("d", i)}}, now)
+			p = f.Take(Found{Me: raft.Member{ID: fmt.Sprint("d", i)}}, now)
 		}
 	}
-	if len(p.Set) != 3 || p.Set[0].Disk != "d0" {
+	if len(p.Set) != 3 || p.Set[0].ID != "d0" {
 		t.Errorf("proposed %v", p.Set)
 	}
 }
--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -6,14 +6,14 @@
 	"testing"
 
 	"tealpond/internal/golden"
-	"tealpond/internal/link"
 	"tealpond/internal/raft"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
 // packed encodes the bodies of frames.
-var packed = golden.Codec{Encode: func(value any) ([]byte, error) { return link.Pack(value), nil }, Decode: link.Unpack}
+var packed = golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
 
 // filledJob gives a client's job whose fields differ.
 func filledJob() wire.Job {
@@ -24,18 +24,18 @@
 
 // TestMessageBytes holds the messages between daemons against the golden bytes.
 func TestMessageBytes(t *testing.T) {
-	voter := raft.Voter{Node: "node", Disk: "disk", Addr: "address"}
-	other := raft.Voter{Node: "other-node", Disk: "other-disk", Addr: "other-address"}
+	voter := raft.Member{Node: "node", ID: "disk", Addr: "address"}
+	other := raft.Member{Node: "other-node", ID: "other-disk", Addr: "other-address"}
 	golden.Check(t, "messages.txt", packed, []golden.Case{
 		{Name: "request", Value: &Ask{Kind: "kind", Body: []byte("body")}},
 		{Name: "response", Value: &Answer{Code: 200, Text: "text", N: 2, Lead: "leader", RetryMs: 3, Body: []byte("body"), Desired: 4, At: 5, Home: "home", Next: "next"}},
 		{Name: "leader-view-leading", Value: &View{Leads: true, Term: 7, Lead: "leader", Known: []string{"a", "b"}}},
 		{Name: "leader-view-aggregating", Value: &View{Sums: true, Term: 7, Lead: "leader", Known: []string{"a", "b"}}},
-		{Name: "candidate", Value: &Found{Me: voter, Bound: []raft.Voter{voter, other}}},
-		{Name: "candidate-late", Value: &Found{Me: voter, Bound: []raft.Voter{other}, Late: true}},
-		{Name: "founding-set", Value: &Proposal{Set: []raft.Voter{voter, other}, Go: true}},
+		{Name: "candidate", Value: &Found{Me: voter, Bound: []raft.Member{voter, other}}},
+		{Name: "candidate-late", Value: &Found{Me: voter, Bound: []raft.Member{other}, Late: true}},
+		{Name: "founding-set", Value: &Proposal{Set: []raft.Member{voter, other}, Go: true}},
 		{Name: "membership-claim", Value: &Claim{Node: "node", Role: "role", Zone: "zone", Addr: "address", Life: "life"}},
-		{Name: "trace", Value: &Traced{Node: "node", Role: "role", Since: 11, Marks: []trace.Mark{{At: 12, ID: "id", What: "what", N: 13, Text: "text"}}}},
+		{Name: "trace", Value: &Traced{Node: "node", Role: "role", Since: 11, Marks: []tracing.Event{{TimeNs: 12, Subject: "id", Action: "what", Value: 13, Detail: "text"}}}},
 		{Name: "table", Value: &Table{Name: "name", Cols: []string{"column-a", "column-b"}, Rows: [][]any{{"cell", uint64(21)}}, Cut: true}},
 		{Name: "tables", Value: &Fleet{Node: "node", Leads: true, Applied: 22, Clock: 23, Tables: []Table{{Name: "name", Cols: []string{"column"}, Rows: [][]any{{"cell"}}}}}},
 		{Name: "client-call", Value: &Call{Host: "host", Path: "path", Job: filledJob()}},
--- a/internal/member/home.go
+++ b/internal/member/home.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -19,7 +19,7 @@
 // that failed.
 type switchResult struct {
 	addr   string
-	stream *link.Stream
+	stream *transport.Stream
 }
 
 // avoid notes that a daemon failed: it is not tried again for a while, longer
@@ -64,7 +64,7 @@
 func (s *Seeker) onSwitch(result *switchResult) {
 	s.switching = false
 	switch {
-	case result.stream == nil || result.stream.Ended():
+	case result.stream == nil || result.stream.Closed():
 		s.avoid(result.addr)
 	case s.stream == nil || s.searching:
 		// A search is under way, and its outcome takes precedence.
@@ -76,7 +76,7 @@
 
 // probeAggregator connects to a daemon that is named as this zone's aggregator;
 // nil if it isn't one.
-func (s *Seeker) probeAggregator(ctx context.Context, addr string) (*link.Stream, View) {
+func (s *Seeker) probeAggregator(ctx context.Context, addr string) (*transport.Stream, View) {
 	stream, view, ok := s.probe(ctx, addr)
 	if ok && (view.Sums || view.Leads) {
 		return stream, view
--- a/internal/member/pending.go
+++ b/internal/member/pending.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -48,7 +48,7 @@
 // Ask carries a request to the leader, again if need be, until ctx ends. All
 // requests can be repeated without harm.
 func (s *Seeker) Ask(ctx context.Context, kind string, body any) Answer {
-	return s.AskRaw(ctx, Ask{Kind: kind, Body: link.Pack(body)})
+	return s.AskRaw(ctx, Ask{Kind: kind, Body: transport.Encode(body)})
 }
 
 // AskRaw is Ask with a body that is already packed.
@@ -96,7 +96,7 @@
 	if s.stream == nil {
 		return
 	}
-	if s.stream.Send(link.Frame{Kind: FrameAsk, ID: id, Body: link.Pack(request.ask)}) {
+	if s.stream.Send(transport.Frame{Kind: FrameAsk, ID: id, Body: transport.Encode(request.ask)}) {
 		request.sent = s.now
 		request.unanswered++
 	}
--- a/internal/member/search.go
+++ b/internal/member/search.go
@@ -4,14 +4,14 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
 // searchResult is the outcome of a search for the leader, or of the rest of one.
 type searchResult struct {
 	id      int
-	stream  *link.Stream
+	stream  *transport.Stream
 	addr    string
 	leads   bool
 	known   []string
@@ -21,7 +21,7 @@
 
 // probeResult is what the daemon at one address said of itself.
 type probeResult struct {
-	stream *link.Stream
+	stream *transport.Stream
 	addr   string
 	view   View
 	ok     bool
@@ -49,7 +49,7 @@
 	for _, addr := range result.known {
 		s.learn(addr)
 	}
-	if result.stream == nil || result.stream.Ended() {
+	if result.stream == nil || result.stream.Closed() {
 		// A stream that has ended counts as none: its end may have been reported
 		// before it was the present one, and would not be reported again.
 		s.failures++
@@ -254,13 +254,13 @@
 
 // probe connects to an address and asks who leads; the stream stays open if it
 // answers.
-func (s *Seeker) probe(ctx context.Context, addr string) (*link.Stream, View, bool) {
+func (s *Seeker) probe(ctx context.Context, addr string) (*transport.Stream, View, bool) {
 	got := make(chan View, 1)
-	stream, err := link.Dial(ctx, addr, func(e link.Event) {
-		if !e.Gone && e.Frame.Kind == FrameAnswer && e.Frame.ID == 0 {
+	stream, err := transport.Dial(ctx, addr, func(e transport.Event) {
+		if !e.Closed && e.Frame.Kind == FrameAnswer && e.Frame.ID == 0 {
 			var answer Answer
 			var view View
-			if link.Unpack(e.Frame.Body, &answer) == nil && link.Unpack(answer.Body, &view) == nil {
+			if transport.Decode(e.Frame.Body, &answer) == nil && transport.Decode(answer.Body, &view) == nil {
 				select {
 				case got <- view:
 				default:
@@ -276,7 +276,7 @@
 	if err != nil {
 		return nil, View{}, false
 	}
-	stream.Send(link.Frame{Kind: FrameAsk, Body: link.Pack(Ask{Kind: AskLead, Body: []byte(s.self)})})
+	stream.Send(transport.Frame{Kind: FrameAsk, Body: transport.Encode(Ask{Kind: AskLead, Body: []byte(s.self)})})
 	timer := time.NewTimer(tune.Vitals)
 	defer timer.Stop()
 	select {
--- a/internal/member/seek_test.go
+++ b/internal/member/seek_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/sim"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -41,7 +41,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ask.Kind == member.AskLead {
-		return member.Answer{Code: 200, Body: link.Pack(d.view)}, true
+		return member.Answer{Code: 200, Body: transport.Encode(d.view)}, true
 	}
 	return d.answer(ask)
 }
@@ -56,13 +56,13 @@
 }
 
 func (p *place) serve(ctx context.Context, d *daemon) {
-	err := link.Serve(link.On(ctx, p.net.Host(d.ip)), d.addr, func(e link.Event) {
+	err := transport.Serve(transport.WithNetwork(ctx, p.net.Host(d.ip)), d.addr, func(e transport.Event) {
 		var ask member.Ask
-		if e.Gone || link.Unpack(e.Frame.Body, &ask) != nil {
+		if e.Closed || transport.Decode(e.Frame.Body, &ask) != nil {
 			return
 		}
 		if r, ok := d.take(ask); ok {
-			e.Stream.Send(link.Frame{Kind: member.FrameAnswer, ID: e.Frame.ID, Body: link.Pack(r)})
+			e.Stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: e.Frame.ID, Body: transport.Encode(r)})
 		}
 	})
 	if err != nil {
@@ -107,7 +107,7 @@
 			seeds = append(seeds, d.addr)
 		}
 		p.seek = member.NewSeeker(log.NewNopLogger(), "", seeds, nil, nil, nil)
-		go func() { _ = p.seek.Run(link.On(ctx, p.net.Host(p.me))) }()
+		go func() { _ = p.seek.Run(transport.WithNetwork(ctx, p.net.Host(p.me))) }()
 		test(p)
 		stop()
 		for _, d := range p.daemons {
--- a/internal/member/seeker.go
+++ b/internal/member/seeker.go
@@ -9,7 +9,7 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 )
 
@@ -25,9 +25,9 @@
 	onConnected func()
 
 	now           time.Time
-	stream        *link.Stream // to the leader, or to the zone's aggregator
-	address       string       // where the stream goes, or the last one went
-	heardAt       time.Time    // the last frame of the stream
+	stream        *transport.Stream // to the leader, or to the zone's aggregator
+	address       string            // where the stream goes, or the last one went
+	heardAt       time.Time         // the last frame of the stream
 	pending       map[uint64]*pendingAsk
 	lastID        uint64 // the number of the newest request
 	largestAnswer int    // bytes of the largest answer, which is a whole configuration
@@ -53,7 +53,7 @@
 
 // seekerEvent is an input of the seeker's loop; one of its fields is set.
 type seekerEvent struct {
-	link     *link.Event
+	link     *transport.Event
 	ask      *pendingAsk
 	search   *searchResult
 	seeds    []string
@@ -151,11 +151,11 @@
 }
 
 // onLink takes a frame of the connection, or its end.
-func (s *Seeker) onLink(ctx context.Context, event *link.Event) {
+func (s *Seeker) onLink(ctx context.Context, event *transport.Event) {
 	if event.Stream != s.stream {
 		return
 	}
-	if event.Gone {
+	if event.Closed {
 		s.avoid(s.address)
 		s.disconnect()
 		return
@@ -164,7 +164,7 @@
 	switch event.Frame.Kind {
 	case FrameAnswer:
 		var answer Answer
-		if link.Unpack(event.Frame.Body, &answer) != nil {
+		if transport.Decode(event.Frame.Body, &answer) != nil {
 			s.disconnect()
 			return
 		}
@@ -172,7 +172,7 @@
 		s.answer(ctx, event.Frame.ID, answer)
 	case FrameOrder:
 		var orders []Order
-		if link.Unpack(event.Frame.Body, &orders) == nil && s.onOrder != nil {
+		if transport.Decode(event.Frame.Body, &orders) == nil && s.onOrder != nil {
 			for _, order := range orders {
 				s.onOrder(order)
 			}
@@ -181,7 +181,7 @@
 }
 
 // useStream makes a stream the present one and sends all pending requests on it.
-func (s *Seeker) useStream(stream *link.Stream, addr string) {
+func (s *Seeker) useStream(stream *transport.Stream, addr string) {
 	old := s.stream
 	s.stream, s.address, s.heardAt, s.failedAt = stream, addr, s.now, time.Time{}
 	s.currentAddress.Store(addr)
--- a/internal/member/stream_test.go
+++ b/internal/member/stream_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 )
 
 // pipes is a network of one process without delay.
@@ -47,16 +47,16 @@
 
 // atLeader runs a test of a seeker whose loop doesn't run, with streams to a
 // leader at "l" that tells what it is sent.
-func atLeader(t *testing.T, test func(ctx context.Context, s *Seeker, open func() *link.Stream, sent <-chan link.Event)) {
+func atLeader(t *testing.T, test func(ctx context.Context, s *Seeker, open func() *transport.Stream, sent <-chan transport.Event)) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, stop := context.WithCancel(link.On(context.Background(), pipes{}))
-		sent := make(chan link.Event, 64)
-		if err := link.Serve(ctx, "l", func(e link.Event) { sent <- e }); err != nil {
+		ctx, stop := context.WithCancel(transport.WithNetwork(context.Background(), pipes{}))
+		sent := make(chan transport.Event, 64)
+		if err := transport.Serve(ctx, "l", func(e transport.Event) { sent <- e }); err != nil {
 			t.Fatal(err)
 		}
-		var streams []*link.Stream
-		open := func() *link.Stream {
-			stream, err := link.Dial(ctx, "l", func(link.Event) {})
+		var streams []*transport.Stream
+		open := func() *transport.Stream {
+			stream, err := transport.Dial(ctx, "l", func(transport.Event) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,10 +79,10 @@
 // tells its end only once, before it is the present one; to use it would leave
 // the seeker with a leader that never answers, and without a search.
 func TestAnEndedStreamIsNotUsed(t *testing.T) {
-	atLeader(t, func(ctx context.Context, s *Seeker, open func() *link.Stream, _ <-chan link.Event) {
+	atLeader(t, func(ctx context.Context, s *Seeker, open func() *transport.Stream, _ <-chan transport.Event) {
 		stream := open()
 		stream.Close()
-		s.onLink(ctx, &link.Event{Stream: stream, Gone: true})
+		s.onLink(ctx, &transport.Event{Stream: stream, Closed: true})
 		s.searchID, s.searching = 1, true
 		s.onSearchResult(&searchResult{id: 1, stream: stream, addr: "l", leads: true})
 		if s.stream != nil || s.searching {
@@ -100,7 +100,7 @@
 // TestAsksAreSentAgainInTheirOrder: of two asks about one worker the later one
 // must win, also when a new leader is asked all that waits.
 func TestAsksAreSentAgainInTheirOrder(t *testing.T) {
-	atLeader(t, func(ctx context.Context, s *Seeker, open func() *link.Stream, sent <-chan link.Event) {
+	atLeader(t, func(ctx context.Context, s *Seeker, open func() *transport.Stream, sent <-chan transport.Event) {
 		const asks = 16
 		for range asks {
 			s.handle(ctx, seekerEvent{ask: &pendingAsk{ask: Ask{Kind: AskElig}, reply: make(chan Answer, 1), deadline: s.now.Add(time.Second)}})
@@ -108,7 +108,7 @@
 		for range 2 {
 			s.useStream(open(), "l")
 			for want := uint64(1); want <= asks; {
-				if e := <-sent; e.Gone {
+				if e := <-sent; e.Closed {
 					continue
 				} else if e.Frame.ID != want {
 					t.Fatalf("ask %d was sent where %d was due", e.Frame.ID, want)
@@ -122,7 +122,7 @@
 // TestAnswersAreMatchedByTheirStream: an answer of an earlier stream that is
 // already queued, one that is doubled, and one to no ask reach nobody.
 func TestAnswersAreMatchedByTheirStream(t *testing.T) {
-	atLeader(t, func(ctx context.Context, s *Seeker, open func() *link.Stream, _ <-chan link.Event) {
+	atLeader(t, func(ctx context.Context, s *Seeker, open func() *transport.Stream, _ <-chan transport.Event) {
 		old, now := open(), open()
 		s.useStream(old, "l")
 		replies := []chan Answer{make(chan Answer, 1), make(chan Answer, 1)}
@@ -130,8 +130,8 @@
 			s.handle(ctx, seekerEvent{ask: &pendingAsk{ask: Ask{Kind: AskPut}, reply: r, deadline: s.now.Add(time.Second)}})
 		}
 		s.useStream(now, "l")
-		answer := func(stream *link.Stream, id uint64, n int64) {
-			s.onLink(ctx, &link.Event{Stream: stream, Frame: link.Frame{Kind: FrameAnswer, ID: id, Body: link.Pack(Answer{Code: 200, N: n})}})
+		answer := func(stream *transport.Stream, id uint64, n int64) {
+			s.onLink(ctx, &transport.Event{Stream: stream, Frame: transport.Frame{Kind: FrameAnswer, ID: id, Body: transport.Encode(Answer{Code: 200, N: n})}})
 		}
 		answer(old, 1, 66)
 		answer(now, 3, 77)
@@ -169,10 +169,10 @@
 		{"read of what was large", []Ask{{Kind: AskRead}}, 190_000, 900 * time.Millisecond, false},
 		{"other ask where that was large", []Ask{{Kind: AskStatus}}, 190_000, 900 * time.Millisecond, true},
 	} {
-		atLeader(t, func(ctx context.Context, s *Seeker, open func() *link.Stream, _ <-chan link.Event) {
+		atLeader(t, func(ctx context.Context, s *Seeker, open func() *transport.Stream, _ <-chan transport.Event) {
 			s.searching = true
 			s.useStream(open(), "l")
-			s.onLink(ctx, &link.Event{Stream: s.stream, Frame: link.Frame{Kind: FrameAnswer, ID: 99, Body: link.Pack(Answer{Body: make([]byte, c.largest)})}})
+			s.onLink(ctx, &transport.Event{Stream: s.stream, Frame: transport.Frame{Kind: FrameAnswer, ID: 99, Body: transport.Encode(Answer{Body: make([]byte, c.largest)})}})
 			for _, ask := range c.asks {
 				s.handle(ctx, seekerEvent{ask: &pendingAsk{ask: ask, reply: make(chan Answer, 1), deadline: s.now.Add(time.Minute), leaderlessBy: s.now.Add(time.Minute), noLeaderBy: s.now.Add(time.Minute)}})
 			}
--- a/internal/move/calls.go
+++ b/internal/move/calls.go
@@ -4,7 +4,7 @@
 	"crypto/hmac"
 	"crypto/sha256"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -58,15 +58,15 @@
 
 // Sign packs a call.
 func Sign(key string, c Call) []byte {
-	raw := link.Pack(c)
-	return link.Pack(signed{From: c.From, Body: raw, Sum: sum(key, raw)})
+	raw := transport.Encode(c)
+	return transport.Encode(signed{From: c.From, Body: raw, Sum: sum(key, raw)})
 }
 
 // Open checks who made a call; why it was refused otherwise.
 func (s *Setting) Open(raw []byte) (Call, string) {
 	var x signed
 	var c Call
-	if link.Unpack(raw, &x) != nil {
+	if transport.Decode(raw, &x) != nil {
 		return c, "unreadable"
 	}
 	p := s.peer(x.From)
@@ -76,7 +76,7 @@
 	if !hmac.Equal(sum(p.Key, x.Body), x.Sum) {
 		return c, "forged in the name of " + x.From
 	}
-	if link.Unpack(x.Body, &c) != nil || c.From != x.From || c.To != s.Name {
+	if transport.Decode(x.Body, &c) != nil || c.From != x.From || c.To != s.Name {
 		return c, "not meant for us"
 	}
 	return c, ""
--- a/internal/move/golden_test.go
+++ b/internal/move/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 
 	"tealpond/internal/golden"
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 // TestCallBytes holds the messages between clusters against the golden bytes.
 func TestCallBytes(t *testing.T) {
 	call := filledCall()
-	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return link.Pack(value), nil }, Decode: link.Unpack}
+	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
 	golden.Check(t, "calls.txt", codec, []golden.Case{
 		{Name: "call", Value: &call},
 		{Name: "answer", Value: &Said{Word: "word", Epoch: "epoch", Index: 21, N: 22}},
--- a/internal/move/mover.go
+++ b/internal/move/mover.go
@@ -10,9 +10,9 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/foresee"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
+	"tealpond/internal/transport"
 )
 
 // Home is the mover's own cluster: asks to the leader's store in this process.
@@ -91,7 +91,7 @@
 	defer stop()
 	a := s.AskRaw(x, member.Ask{Kind: member.AskPeer, Body: Sign(p.Key, c)})
 	var said Said
-	if a.Code != 200 || link.Unpack(a.Body, &said) != nil {
+	if a.Code != 200 || transport.Decode(a.Body, &said) != nil {
 		return Said{}, false
 	}
 	return said, true
--- a/internal/order/ends.go
+++ b/internal/order/ends.go
@@ -70,7 +70,7 @@
 	}
 	for _, e := range session.ended {
 		if e.end.N > session.seen && e.end.N <= a.N {
-			s.trace.Add(e.end.Task, "end acknowledged", e.end.N, "")
+			s.trace.Record(e.end.Task, "end acknowledged", e.end.N, "")
 		}
 	}
 	session.seen = a.N
--- a/internal/order/ends_test.go
+++ b/internal/order/ends_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -31,7 +31,7 @@
 }
 
 func (b *fixture) run(kind string, c store.Cmd) store.Outcome {
-	return b.st.Run(b.st.Applied+1, link.Pack(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
+	return b.st.Run(b.st.Applied+1, transport.Encode(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
 }
 
 // newFixture gives a worker w on which n tasks of job j are booked as run 1.
@@ -45,7 +45,7 @@
 		items = append(items, store.Item{Index: i, Worker: "w", Ver: b.st.Workers["w"].Ver})
 	}
 	b.run("book", &store.Book{Plans: []store.Plan{{Job: "j", Items: items}}})
-	b.s = &Side{log: log.NewNopLogger(), now: time.Now(), trace: trace.NewRing(64), in: make(chan Event, 64), ctx: t.Context()}
+	b.s = &Side{log: log.NewNopLogger(), now: time.Now(), trace: tracing.NewRing(64), in: make(chan Event, 64), ctx: t.Context()}
 	b.s.lead = func(x context.Context, kind string, body any) member.Answer {
 		e, ok := body.(*store.Ends)
 		if ok && b.lose != nil && b.lose(e) {
--- a/internal/order/holds.go
+++ b/internal/order/holds.go
@@ -136,7 +136,7 @@
 		if e.N > session.got {
 			session.got = e.N
 			fresh = append(fresh, e)
-			s.trace.Add(e.Task, "end listed", int64(e.Run), e.How)
+			s.trace.Record(e.Task, "end listed", int64(e.Run), e.How)
 			if q := session.runs[key(e.Task, e.Run)]; q != nil && e.How == "done" && !q.begun.IsZero() && q.order.EstMs > 0 && q.order.Saved == "" {
 				session.samples = append(session.samples, sample{s.now.Sub(q.begun).Milliseconds() * 100 / q.order.EstMs, s.now})
 			}
--- a/internal/order/model_test.go
+++ b/internal/order/model_test.go
@@ -13,10 +13,10 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 	"tealpond/internal/wire"
 )
@@ -92,7 +92,7 @@
 }
 
 func (m *model) run(kind string, c store.Cmd) store.Outcome {
-	return m.st.Run(m.st.Applied+1, link.Pack(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
+	return m.st.Run(m.st.Applied+1, transport.Encode(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
 }
 
 // apply is what the leader does with one ask.
@@ -307,7 +307,7 @@
 // begin starts a side daemon on the worker's machine.
 func (w *modelWorker) begin(ctx context.Context) {
 	x, stop := context.WithCancel(ctx)
-	s := &Side{log: log.NewNopLogger(), me: fmt.Sprint(time.Now().UnixNano()), in: make(chan Event, 1024), call: w, lead: w.m.lead, trace: trace.NewRing(16), ctx: x}
+	s := &Side{log: log.NewNopLogger(), me: fmt.Sprint(time.Now().UnixNano()), in: make(chan Event, 1024), call: w, lead: w.m.lead, trace: tracing.NewRing(16), ctx: x}
 	s.set.NodeName = w.node
 	w.side, w.stop = s, stop
 	go kernel.Loop(x, s.in, s.take, s.rest)
--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -67,7 +67,7 @@
 	if o.Stop {
 		r.stopAsked, what = true, "stop received"
 	}
-	s.trace.Add(o.Task, what, int64(o.Run), "")
+	s.trace.Record(o.Task, what, int64(o.Run), "")
 }
 
 // move brings one run further; it returns when to look at it again.
@@ -165,7 +165,7 @@
 
 // onStart takes the answer to a start.
 func (s *Side) onStart(session *runnerSession, r *run, p Reply) {
-	s.trace.Add(r.order.Task, "start answered", int64(p.Code), p.Clock.Reason)
+	s.trace.Record(r.order.Task, "start answered", int64(p.Code), p.Clock.Reason)
 	if p.unclear() {
 		r.unanswered++
 	}
--- a/internal/order/plug.go
+++ b/internal/order/plug.go
@@ -8,8 +8,8 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 	"tealpond/internal/wire"
 )
@@ -36,14 +36,14 @@
 	e.HideBanner, e.HidePort = true, true
 	e.POST("/-/Runners.Heartbeat/:id", s.serveBeat)
 	e.POST("/-/Runners.SignOff/:id", s.serveOff)
-	ln, err := link.Listen(ctx, s.set.ListenAddrs.ControlAddr)
+	ln, err := transport.Listen(ctx, s.set.ListenAddrs.ControlAddr)
 	if err != nil {
 		return err
 	}
 	srv := &http.Server{Handler: e, ReadHeaderTimeout: tune.HeadTime, IdleTimeout: time.Minute}
 	go func() { _ = srv.Serve(ln) }()
 	go func() { _ = s.seek.Run(ctx) }()
-	if err := link.Serve(ctx, s.set.InnerSide(), s.onLink); err != nil {
+	if err := transport.Serve(ctx, s.set.InnerSide(), s.onLink); err != nil {
 		// Why not fatal: only traces need it.
 		_ = s.log.Log("level", "warn", "event", "trace.unserved", "why", err)
 	}
@@ -64,16 +64,16 @@
 }
 
 // onLink answers a tracer.
-func (s *Side) onLink(ev link.Event) {
+func (s *Side) onLink(ev transport.Event) {
 	var a member.Ask
-	if ev.Gone || ev.Frame.Kind != member.FrameAsk || link.Unpack(ev.Frame.Body, &a) != nil {
+	if ev.Closed || ev.Frame.Kind != member.FrameAsk || transport.Decode(ev.Frame.Body, &a) != nil {
 		return
 	}
 	r := member.Answer{Code: 400}
 	if a.Kind == member.AskTrace {
 		r = member.AnswerTrace(s.trace, s.set.NodeName, "side", a.Body)
 	}
-	ev.Stream.Send(link.Frame{Kind: member.FrameAnswer, ID: ev.Frame.ID, Body: link.Pack(r)})
+	ev.Stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: ev.Frame.ID, Body: transport.Encode(r)})
 }
 
 // renewMembership renews this daemon's membership.
--- a/internal/order/runner.go
+++ b/internal/order/runner.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"time"
 
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 	"tealpond/internal/tune"
 	"tealpond/internal/wire"
 )
@@ -45,7 +45,7 @@
 }
 
 func newDutyCaller(app string) *dutyCaller {
-	d := &net.Dialer{Timeout: tune.OrderRound, Control: link.Control(tune.UserTimeout), KeepAlive: -1}
+	d := &net.Dialer{Timeout: tune.OrderRound, Control: transport.UserTimeoutControl(tune.UserTimeout), KeepAlive: -1}
 	return &dutyCaller{base: "http://" + app, http: &http.Client{Transport: &http.Transport{
 		DialContext: d.DialContext, MaxIdleConns: 16, MaxIdleConnsPerHost: 16, MaxConnsPerHost: 16,
 		IdleConnTimeout: time.Minute, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 4096,
--- a/internal/order/side.go
+++ b/internal/order/side.go
@@ -10,7 +10,7 @@
 	"tealpond/internal/kernel"
 	"tealpond/internal/member"
 	"tealpond/internal/setting"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
 	"tealpond/internal/tune"
 	"tealpond/internal/wire"
 )
@@ -46,7 +46,7 @@
 	seek    *member.Seeker
 	call    Caller
 	lead    func(x context.Context, kind string, body any) member.Answer // asks the leader
-	trace   *trace.Ring
+	trace   *tracing.Ring
 	cur     *runnerSession
 	signOff map[string]time.Time // lives that signed off, and when they leave
 	over    map[string]bool      // lives that are over for the state or the runner
--- a/internal/raft/codec.go
+++ b/internal/raft/codec.go
@@ -6,86 +6,86 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// jointVoters is the data of the entry that starts a change of the voters. The
+// jointConfChange is the data of the entry that starts a change of the voters. The
 // entry that ends it, and all of the first form of the log, hold the list of
 // voters alone.
-type jointVoters struct {
-	Voters []Voter `cbor:"voters"`
-	Old    []Voter `cbor:"old"`
+type jointConfChange struct {
+	Voters         []Member `cbor:"voters"`
+	OutgoingVoters []Member `cbor:"old"`
 }
 
-// encodeVoters is the data of a configuration entry; old is empty unless joint.
-func encodeVoters(voters, old []Voter) []byte {
-	var form any = voters
-	if len(old) > 0 {
-		form = jointVoters{Voters: voters, Old: old}
+// encodeConfChange is the data of a configuration entry; old is empty unless joint.
+func encodeConfChange(voters, outgoing []Member) []byte {
+	var change any = voters
+	if len(outgoing) > 0 {
+		change = jointConfChange{Voters: voters, OutgoingVoters: outgoing}
 	}
-	raw, err := cbor.Marshal(form)
+	raw, err := cbor.Marshal(change)
 	if err != nil {
 		panic("raft: " + err.Error())
 	}
 	return raw
 }
 
-// DecodeConf reads the data of a configuration entry: the voters and, while a
+// DecodeConfChange reads the data of a configuration entry: the voters and, while a
 // change is under way, those before it.
-func DecodeConf(data []byte) (voters, old []Voter, err error) {
+func DecodeConfChange(data []byte) (voters, outgoing []Member, err error) {
 	if cbor.Unmarshal(data, &voters) == nil {
 		return voters, nil, nil
 	}
-	var both jointVoters
-	err = cbor.Unmarshal(data, &both)
-	return both.Voters, both.Old, err
+	var joint jointConfChange
+	err = cbor.Unmarshal(data, &joint)
+	return joint.Voters, joint.OutgoingVoters, err
 }
 
-// plainPoint is a snapshot outside a change of the voters, in the form that it
+// simpleSnapshot is a snapshot outside a change of the voters, in the form that it
 // had before there were joint configurations; disks may hold it.
-type plainPoint struct {
-	_     struct{} `cbor:",toarray"`
-	Index uint64
-	Term  uint64
-	Conf  []Voter
-	Data  []byte
+type simpleSnapshot struct {
+	_      struct{} `cbor:",toarray"`
+	Index  uint64
+	Term   uint64
+	Voters []Member
+	Data   []byte
 }
 
-// jointPoint is a snapshot in mid-change.
-type jointPoint struct {
-	_     struct{} `cbor:",toarray"`
-	Index uint64
-	Term  uint64
-	Conf  []Voter
-	Data  []byte
-	Old   []Voter
+// jointSnapshot is a snapshot in mid-change.
+type jointSnapshot struct {
+	_              struct{} `cbor:",toarray"`
+	Index          uint64
+	Term           uint64
+	Voters         []Member
+	Data           []byte
+	OutgoingVoters []Member
 }
 
 // MarshalCBOR writes four fields, and a fifth with the old voters in mid-change.
-func (p Point) MarshalCBOR() ([]byte, error) {
-	if len(p.Old) == 0 {
-		return cbor.Marshal(plainPoint{Index: p.Index, Term: p.Term, Conf: p.Conf, Data: p.Data})
+func (s Snapshot) MarshalCBOR() ([]byte, error) {
+	if len(s.OutgoingVoters) == 0 {
+		return cbor.Marshal(simpleSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data})
 	}
-	return cbor.Marshal(jointPoint{Index: p.Index, Term: p.Term, Conf: p.Conf, Data: p.Data, Old: p.Old})
+	return cbor.Marshal(jointSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data, OutgoingVoters: s.OutgoingVoters})
 }
 
-// jointHead opens the longer form: an array of five.
-const jointHead = 0x85
+// jointSnapshotHeader opens the longer form: an array of five.
+const jointSnapshotHeader = 0x85
 
 // UnmarshalCBOR reads either form.
-func (p *Point) UnmarshalCBOR(raw []byte) error {
+func (s *Snapshot) UnmarshalCBOR(raw []byte) error {
 	if len(raw) == 0 {
 		return errors.New("raft: empty snapshot")
 	}
-	if raw[0] == jointHead {
-		var j jointPoint
-		if err := cbor.Unmarshal(raw, &j); err != nil {
+	if raw[0] == jointSnapshotHeader {
+		var joint jointSnapshot
+		if err := cbor.Unmarshal(raw, &joint); err != nil {
 			return err
 		}
-		*p = Point{Index: j.Index, Term: j.Term, Conf: j.Conf, Data: j.Data, Old: j.Old}
+		*s = Snapshot{Index: joint.Index, Term: joint.Term, Voters: joint.Voters, Data: joint.Data, OutgoingVoters: joint.OutgoingVoters}
 		return nil
 	}
-	var s plainPoint
-	if err := cbor.Unmarshal(raw, &s); err != nil {
+	var simple simpleSnapshot
+	if err := cbor.Unmarshal(raw, &simple); err != nil {
 		return err
 	}
-	*p = Point{Index: s.Index, Term: s.Term, Conf: s.Conf, Data: s.Data}
+	*s = Snapshot{Index: simple.Index, Term: simple.Term, Voters: simple.Voters, Data: simple.Data}
 	return nil
 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -11,58 +11,58 @@
 	leader
 )
 
-func (n *Node) resetWait() {
+func (n *Node) resetElectionTimeout() {
 	// A beat more than Elect: the others heard the leader up to a beat later, and
 	// would refuse until their own wait is over.
-	n.wait = n.timing.Elect + n.timing.Beat + time.Duration(n.random.Int63n(int64(n.timing.Spread)+1))
+	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
 }
 
-// retryWait is the shorter wait after a round without an outcome.
-func (n *Node) retryWait() {
-	n.wait = n.timing.Beat + time.Duration(n.random.Int63n(int64(n.timing.Spread)+1))
+// shortenElectionTimeout is the shorter wait after a round without an outcome.
+func (n *Node) shortenElectionTimeout() {
+	n.electionTimeout = n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
 }
 
-func (n *Node) newTerm(term uint64, lead string) {
+func (n *Node) becomeFollower(term uint64, leaderID string) {
 	if n.role == leader {
-		n.heard = n.now
-		n.resetWait()
+		n.electionTimerStart = n.now
+		n.resetElectionTimeout()
 	}
 	if term > n.term {
 		n.term, n.vote = term, ""
-		n.hardDirty = true
+		n.hardStateDirty = true
 	}
 	if n.role == leader {
 		n.peers = nil
 	}
-	n.role, n.leader, n.noop, n.leaving = follower, lead, 0, false
+	n.role, n.leader, n.noopIndex, n.transferring = follower, leaderID, 0, false
 }
 
-func (n *Node) campaign(real, force bool) {
-	n.heard = n.now
-	n.retryWait()
+func (n *Node) campaign(election, force bool) {
+	n.electionTimerStart = n.now
+	n.shortenElectionTimeout()
 	n.leader = ""
 	// Its own vote counts once it is on disk, as any other.
-	n.votes = map[string]bool{n.me: !real}
+	n.votes = map[string]bool{n.id: !election}
 	kind, term := MsgPreVote, n.term+1
 	n.role = preCandidate
-	if real {
+	if election {
 		n.term++
-		n.vote = n.me
-		n.hardDirty = true
+		n.vote = n.id
+		n.hardStateDirty = true
 		n.role = candidate
 		kind = MsgVote
 	}
-	logTerm, _ := n.termAt(n.last())
+	logTerm, _ := n.termAt(n.lastIndex())
 	for _, v := range n.Voters() {
-		if v.Disk != n.me {
-			n.send(Msg{Kind: kind, To: v.Disk, Term: term, Index: n.last(), LogTerm: logTerm, Force: force}, real)
+		if v.ID != n.id {
+			n.send(Message{Kind: kind, To: v.ID, Term: term, Index: n.lastIndex(), LogTerm: logTerm, Force: force}, election)
 		}
 	}
-	n.countVotes()
+	n.tallyVotes()
 }
 
-func (n *Node) countVotes() {
-	if !n.current().majorities(func(disk string) bool { return n.votes[disk] }) {
+func (n *Node) tallyVotes() {
+	if !n.latestConfiguration().hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return
 	}
 	if n.role == preCandidate {
@@ -70,71 +70,71 @@
 		return
 	}
 	if n.role == candidate {
-		n.leader = n.me
+		n.leader = n.id
 		n.role = leader
-		n.leaving = false
-		n.elected = n.now
-		n.peers, n.learners = map[string]*progress{}, map[string]Voter{}
-		n.trackPeers()
-		n.noop = n.last() + 1
-		n.roundAt, n.roundBefore, n.roundCommit = n.now, n.noop, n.noop
-		n.appendEntry(EntryNone, nil)
+		n.transferring = false
+		n.electedAt = n.now
+		n.peers, n.learners = map[string]*progress{}, map[string]Member{}
+		n.updatePeers()
+		n.noopIndex = n.lastIndex() + 1
+		n.roundStartedAt, n.previousRoundCommitIndex, n.roundCommitIndex = n.now, n.noopIndex, n.noopIndex
+		n.appendEntry(EntryNoop, nil)
 	}
 }
 
-func (n *Node) upToDate(m Msg) bool {
-	logTerm, _ := n.termAt(n.last())
-	return m.LogTerm > logTerm || m.LogTerm == logTerm && m.Index >= n.last()
+func (n *Node) isUpToDate(m Message) bool {
+	logTerm, _ := n.termAt(n.lastIndex())
+	return m.LogTerm > logTerm || m.LogTerm == logTerm && m.Index >= n.lastIndex()
 }
 
-func (n *Node) onPreVote(m Msg) {
-	fresh := n.role == leader || n.now.Sub(n.kept) < n.timing.Elect
-	ok := m.Term > n.term && n.upToDate(m) && !fresh
-	t := m.Term
-	if !ok {
-		t = n.term
+func (n *Node) handlePreVote(m Message) {
+	leaderAlive := n.role == leader || n.now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout
+	granted := m.Term > n.term && n.isUpToDate(m) && !leaderAlive
+	term := m.Term
+	if !granted {
+		term = n.term
 	}
-	n.send(Msg{Kind: MsgPreVoteAnswer, To: m.From, Term: t, Reject: !ok}, false)
+	n.send(Message{Kind: MsgPreVoteResponse, To: m.From, Term: term, Reject: !granted}, false)
 }
 
-func (n *Node) onPreVoteAnswer(m Msg) {
+func (n *Node) handlePreVoteResponse(m Message) {
 	if m.Reject {
 		if m.Term > n.term {
-			n.newTerm(m.Term, "")
+			n.becomeFollower(m.Term, "")
 		}
 		return
 	}
 	if n.role == preCandidate && m.Term == n.term+1 {
 		n.votes[m.From] = true
-		n.countVotes()
+		n.tallyVotes()
 	}
 }
 
-func (n *Node) onVote(m Msg) {
+func (n *Node) handleVote(m Message) {
 	if m.Term < n.term {
-		n.send(Msg{Kind: MsgVoteAnswer, To: m.From, Reject: true}, false)
+		n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: true}, false)
 		return
 	}
 	// Also while it asks around for itself: it has promised its vote to nobody.
-	ok := (n.vote == "" || n.vote == m.From) && n.leader == "" && n.upToDate(m)
+	granted := (n.vote == "" || n.vote == m.From) && n.leader == "" && n.isUpToDate(m)
 	// Not soon after a start: a lease from before it may be running.
-	if !m.Force && n.now.Sub(n.kept) < n.timing.Elect {
-		ok = false
+	if !m.Force && n.now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
+		granted = false
 	}
-	if ok {
+	if granted {
 		n.role = follower
-		n.hardDirty = n.hardDirty || n.vote != m.From
+		n.hardStateDirty = n.hardStateDirty || n.vote != m.From
 		n.vote = m.From
-		n.heard = n.now
-		n.resetWait()
+		n.electionTimerStart = n.now
+		n.resetElectionTimeout()
 	}
-	n.send(Msg{Kind: MsgVoteAnswer, To: m.From, Reject: !ok}, ok)
+	n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: !granted}, granted)
 }
 
-func (n *Node) onVoteAnswer(m Msg) {
+func (n *Node) handleVoteResponse(m Message) {
 	if n.role != candidate || m.Term != n.term || m.Reject {
 		return
 	}
 	n.votes[m.From] = true
-	n.countVotes()
+	n.tallyVotes()
 }
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-func TestOwnVoteCountsOnceItIsSynced(t *testing.T) {
+func TestOwnVoteCountsOnlyAfterSync(t *testing.T) {
 	now := time.Unix(1000, 0)
-	n := New("a", Hard{Term: 1}, Point{Index: 1, Conf: []Voter{testVoter("a")}}, nil, now, testTiming, 1)
+	n := New("a", HardState{Term: 1}, Snapshot{Index: 1, Voters: []Member{testMember("a")}}, nil, now, testConfig, 1)
 	n.Tick(now.Add(time.Minute))
-	o := n.Take()
-	if o.Hard == nil || n.Leads() {
+	o := n.Ready()
+	if o.HardState == nil || n.IsLeader() {
 		t.Fatal("leads a term that its disk may forget, and could vote in once more")
 	}
-	if n.Synced(o.Mark); !n.Leads() {
+	if n.WriteSynced(o.WriteToken); !n.IsLeader() {
 		t.Fatal("does not lead with its own vote on disk")
 	}
 }
 
-func TestVotesWhileItAsksAroundForItself(t *testing.T) {
+func TestPreCandidateGrantsVotes(t *testing.T) {
 	n := followerWith(1)
-	n.give(Msg{Kind: MsgPreVoteAnswer, From: "c", Term: 5, Reject: true})
+	n.receive(Message{Kind: MsgPreVoteResponse, From: "c", Term: 5, Reject: true})
 	n.Tick(n.now.Add(time.Minute))
 	if n.role != preCandidate || n.Term() != 5 {
 		t.Fatal("not the case that is meant")
 	}
-	n.give(Msg{Kind: MsgVote, From: "c", Term: 5, Index: 1})
-	o := n.Take()
-	for _, m := range o.After {
-		if m.Kind == MsgVoteAnswer && !m.Reject && o.Hard != nil && o.Hard.Vote == "c" {
+	n.receive(Message{Kind: MsgVote, From: "c", Term: 5, Index: 1})
+	o := n.Ready()
+	for _, m := range o.MessagesAfterSync {
+		if m.Kind == MsgVoteResponse && !m.Reject && o.HardState != nil && o.HardState.Vote == "c" {
 			// Late answers to its own question count no more.
-			n.give(Msg{Kind: MsgPreVoteAnswer, From: "a", Term: 6})
+			n.receive(Message{Kind: MsgPreVoteResponse, From: "a", Term: 6})
 			if n.Term() != 5 {
 				t.Fatal("runs against the one whom it voted for")
 			}
@@ -40,17 +40,17 @@
 	t.Fatal("keeps back a vote that it has promised to nobody")
 }
 
-// TestSecondVoteForTheSameIsNotWrittenAgain, but still waits for the first write.
-func TestSecondVoteForTheSameIsNotWrittenAgain(t *testing.T) {
+// TestRepeatedVoteIsNotPersistedAgain, but still waits for the first write.
+func TestRepeatedVoteIsNotPersistedAgain(t *testing.T) {
 	n := followerWith(1)
 	n.now = n.now.Add(time.Minute)
-	ask := Msg{Kind: MsgVote, From: "c", Term: 5, Index: 1}
-	n.give(ask)
-	if o := n.Take(); o.Hard == nil {
+	ask := Message{Kind: MsgVote, From: "c", Term: 5, Index: 1}
+	n.receive(ask)
+	if o := n.Ready(); o.HardState == nil {
 		t.Fatal("no vote")
 	}
-	n.give(ask)
-	if o := n.Take(); o.Hard != nil || len(o.Now) > 0 || len(o.After) != 1 {
+	n.receive(ask)
+	if o := n.Ready(); o.HardState != nil || len(o.Messages) > 0 || len(o.MessagesAfterSync) != 1 {
 		t.Fatalf("out %+v", o)
 	}
 }
--- a/internal/raft/exhaustive_copy_test.go
+++ b/internal/raft/exhaustive_copy_test.go
@@ -10,16 +10,16 @@
 // Copies and names of states of the exhaustive search, by reflection: the node
 // need not know of them.
 
-// copyNode is a deep copy; only the source of lots is shared, which the timing
+// deepCopyNode is a deep copy; only the source of lots is shared, which the timing
 // of the search leaves without effect.
-func copyNode(n *Node) *Node {
+func deepCopyNode(n *Node) *Node {
 	c := *n
-	deepen(reflect.ValueOf(&c).Elem())
+	deepCopyInPlace(reflect.ValueOf(&c).Elem())
 	return &c
 }
 
-// deepen replaces what a value points to by copies.
-func deepen(v reflect.Value) {
+// deepCopyInPlace replaces what a value points to by copies.
+func deepCopyInPlace(v reflect.Value) {
 	switch v.Type() {
 	case reflect.TypeFor[time.Time](), reflect.TypeFor[*rand.Rand]():
 		return
@@ -30,22 +30,22 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			deepen(v.Field(i))
+			deepCopyInPlace(v.Field(i))
 		}
 	case reflect.Pointer:
 		if !v.IsNil() {
 			p := reflect.New(v.Type().Elem())
 			p.Elem().Set(v.Elem())
-			deepen(p.Elem())
+			deepCopyInPlace(p.Elem())
 			v.Set(p)
 		}
 	case reflect.Slice:
 		if !v.IsNil() {
 			s := reflect.MakeSlice(v.Type(), v.Len(), v.Len())
 			reflect.Copy(s, v)
-			if !plain(v.Type().Elem()) {
+			if !isPlainData(v.Type().Elem()) {
 				for i := range s.Len() {
-					deepen(s.Index(i))
+					deepCopyInPlace(s.Index(i))
 				}
 			}
 			v.Set(s)
@@ -56,7 +56,7 @@
 			for it := v.MapRange(); it.Next(); {
 				e := reflect.New(v.Type().Elem()).Elem()
 				e.Set(it.Value())
-				deepen(e)
+				deepCopyInPlace(e)
 				m.SetMapIndex(it.Key(), e)
 			}
 			v.Set(m)
@@ -64,10 +64,10 @@
 	}
 }
 
-// plain tells whether copies of a type share nothing that is changed in place.
-func plain(t reflect.Type) bool {
+// isPlainData tells whether copies of a type share nothing that is changed in place.
+func isPlainData(t reflect.Type) bool {
 	switch t {
-	case reflect.TypeFor[Entry](), reflect.TypeFor[Voter](), reflect.TypeFor[Msg]():
+	case reflect.TypeFor[Entry](), reflect.TypeFor[Member](), reflect.TypeFor[Message]():
 		return true
 	}
 	return t.Kind() <= reflect.Float64 || t.Kind() == reflect.String
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -11,29 +11,29 @@
 )
 
 // configurationData is the data of a configuration entry.
-type configurationData struct{ Voters, Old []Voter }
+type configurationData struct{ Voters, Old []Member }
 
 // filledVoter gives a voter whose fields differ.
-func filledVoter(name string) Voter {
-	return Voter{Node: name + "-node", Disk: name + "-disk", Addr: name + "-address"}
+func filledVoter(name string) Member {
+	return Member{Node: name + "-node", ID: name + "-disk", Addr: name + "-address"}
 }
 
 // TestStoredBytes holds what is written to disks and sent to other members
 // against the golden bytes.
 func TestStoredBytes(t *testing.T) {
-	voters, old := []Voter{filledVoter("a"), filledVoter("b")}, []Voter{filledVoter("c")}
-	entries := []Entry{{Index: 301, Term: 302, Kind: EntryConf, Data: []byte("entry")}}
-	snapshot := Point{Index: 401, Term: 402, Conf: voters, Data: []byte("snapshot")}
+	voters, old := []Member{filledVoter("a"), filledVoter("b")}, []Member{filledVoter("c")}
+	entries := []Entry{{Index: 301, Term: 302, Kind: EntryConfChange, Data: []byte("entry")}}
+	snapshot := Snapshot{Index: 401, Term: 402, Voters: voters, Data: []byte("snapshot")}
 	joint := snapshot
-	joint.Old = old
-	message := Msg{Kind: MsgPoint, From: "from", To: "to", Term: 501, Index: 502, LogTerm: 503, Commit: 504, Entries: entries,
-		Sent: 505, Wall: 506, Point: &joint}
+	joint.OutgoingVoters = old
+	message := Message{Kind: MsgSnapshot, From: "from", To: "to", Term: 501, Index: 502, LogTerm: 503, Commit: 504, Entries: entries,
+		SendStamp: 505, WallClock: 506, Snapshot: &joint}
 	rejected, forced := message, message
 	rejected.Reject, forced.Force = true, true
 	golden.Check(t, "stored.txt", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, []golden.Case{
 		{Name: "voter", Value: &voters[0]},
 		{Name: "entry", Value: &entries[0]},
-		{Name: "hard-state", Value: &Hard{Term: 601, Vote: "vote"}},
+		{Name: "hard-state", Value: &HardState{Term: 601, Vote: "vote"}},
 		{Name: "snapshot-joint", Value: &joint},
 		{Name: "message", Value: &message},
 		{Name: "message-rejected", Value: &rejected},
@@ -43,11 +43,11 @@
 	codec := golden.Codec{
 		Encode: func(value any) ([]byte, error) {
 			sets := value.(*configurationData)
-			return encodeVoters(sets.Voters, sets.Old), nil
+			return encodeConfChange(sets.Voters, sets.Old), nil
 		},
 		Decode: func(raw []byte, into any) (err error) {
 			sets := into.(*configurationData)
-			sets.Voters, sets.Old, err = DecodeConf(raw)
+			sets.Voters, sets.Old, err = DecodeConfChange(raw)
 			return err
 		},
 	}
@@ -57,20 +57,20 @@
 // TestFormsOutsideAChange covers the shorter forms of the snapshot and of the
 // configuration, which hold no voters from before a change.
 func TestFormsOutsideAChange(t *testing.T) {
-	voters := []Voter{filledVoter("a"), filledVoter("b")}
-	snapshot, err := cbor.Marshal(Point{Index: 401, Term: 402, Conf: voters, Data: []byte("snapshot")})
+	voters := []Member{filledVoter("a"), filledVoter("b")}
+	snapshot, err := cbor.Marshal(Snapshot{Index: 401, Term: 402, Voters: voters, Data: []byte("snapshot")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	configuration := encodeVoters(voters, nil)
+	configuration := encodeConfChange(voters, nil)
 	golden.Text(t, "plain.txt", fmt.Sprintf("snapshot %x\nconfiguration %x\n", snapshot, configuration))
 
-	var point Point
-	if err := cbor.Unmarshal(snapshot, &point); err != nil || point.Index != 401 || point.Term != 402 || len(point.Conf) != 2 ||
-		point.Conf[1] != voters[1] || string(point.Data) != "snapshot" || point.Old != nil {
+	var point Snapshot
+	if err := cbor.Unmarshal(snapshot, &point); err != nil || point.Index != 401 || point.Term != 402 || len(point.Voters) != 2 ||
+		point.Voters[1] != voters[1] || string(point.Data) != "snapshot" || point.OutgoingVoters != nil {
 		t.Errorf("the snapshot decodes to %+v, %v", point, err)
 	}
-	got, old, err := DecodeConf(configuration)
+	got, old, err := DecodeConfChange(configuration)
 	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || old != nil {
 		t.Errorf("the configuration decodes to %v, %v, %v", got, old, err)
 	}
@@ -83,10 +83,10 @@
 		name   string
 		number byte
 	}{
-		{"entry data", EntryData}, {"entry configuration", EntryConf}, {"entry none", EntryNone},
-		{"message append", MsgAppend}, {"message append-answer", MsgAppendAnswer}, {"message pre-vote", MsgPreVote},
-		{"message pre-vote-answer", MsgPreVoteAnswer}, {"message vote", MsgVote}, {"message vote-answer", MsgVoteAnswer},
-		{"message snapshot", MsgPoint}, {"message transfer", MsgTransfer},
+		{"entry data", EntryNormal}, {"entry configuration", EntryConfChange}, {"entry none", EntryNoop},
+		{"message append", MsgAppend}, {"message append-answer", MsgAppendResponse}, {"message pre-vote", MsgPreVote},
+		{"message pre-vote-answer", MsgPreVoteResponse}, {"message vote", MsgVote}, {"message vote-answer", MsgVoteResponse},
+		{"message snapshot", MsgSnapshot}, {"message transfer", MsgTimeoutNow},
 	} {
 		fmt.Fprintf(&text, "%s %d\n", kind.name, kind.number)
 	}
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// SetWall gives the reading of the time of day that goes into answers.
-func (n *Node) SetWall(f func() int64) { n.wall = f }
+// SetWallClock gives the reading of the time of day that goes into answers.
+func (n *Node) SetWallClock(clock func() int64) { n.wallClock = clock }
 
-// Ready tells whether the leader has applied the first entry of its term.
-func (n *Node) Ready() bool {
-	return n.role == leader && n.noop > 0 && n.applied >= n.noop && !n.leaving
+// LeaderReady tells whether the leader has applied the first entry of its term.
+func (n *Node) LeaderReady() bool {
+	return n.role == leader && n.noopIndex > 0 && n.appliedIndex >= n.noopIndex && !n.transferring
 }
 
-// Lease tells whether a majority has confirmed this leader so lately that no
+// HasLease tells whether a majority has confirmed this leader so lately that no
 // other can have been elected.
-func (n *Node) Lease(now time.Time) bool {
-	if n.role != leader || n.leaving {
+func (n *Node) HasLease(now time.Time) bool {
+	if n.role != leader || n.transferring {
 		return false
 	}
-	return now.Sub(n.quorumAt(now)) < time.Duration(float64(n.timing.Elect)*n.timing.LeaseShare)
+	return now.Sub(n.lastQuorumContact(now)) < time.Duration(float64(n.config.ElectionTimeout)*n.config.LeaseFraction)
 }
 
-// quorumAt is the newest time at which a majority, in mid-change of both sets,
+// lastQuorumContact is the newest time at which a majority, in mid-change of both sets,
 // is known to have followed.
-func (n *Node) quorumAt(now time.Time) time.Time {
+func (n *Node) lastQuorumContact(now time.Time) time.Time {
 	// Counted from the start, so that zero means never.
-	since := func(t time.Time) uint64 { return uint64(max(0, t.Sub(n.started)) + 1) }
-	reached := n.current().reached(func(disk string) uint64 {
-		if disk == n.me {
-			return since(now)
+	sinceStart := func(t time.Time) uint64 { return uint64(max(0, t.Sub(n.startedAt)) + 1) }
+	reached := n.latestConfiguration().quorumValue(func(id string) uint64 {
+		if id == n.id {
+			return sinceStart(now)
 		}
-		if p := n.peers[disk]; p != nil && !p.faulty && !p.acked.IsZero() {
-			return since(p.acked)
+		if peer := n.peers[id]; peer != nil && !peer.faulty && !peer.lastAckedSend.IsZero() {
+			return sinceStart(peer.lastAckedSend)
 		}
 		return 0
 	})
 	if reached == 0 {
 		return time.Time{}
 	}
-	return n.started.Add(time.Duration(reached - 1))
+	return n.startedAt.Add(time.Duration(reached - 1))
 }
 
-// Walls are the others' offsets of time of day against now, in ms.
-func (n *Node) Walls(now time.Time) []int64 {
-	var out []int64
+// PeerWallClocks are the others' offsets of time of day against now, in ms.
+func (n *Node) PeerWallClocks(now time.Time) []int64 {
+	var clocks []int64
 	for _, v := range n.Voters() {
-		if p := n.peers[v.Disk]; p != nil && p.wall != 0 && now.Sub(p.wallAt) < 3*time.Second {
-			out = append(out, p.wall+now.Sub(p.wallAt).Milliseconds())
+		if peer := n.peers[v.ID]; peer != nil && peer.wallClock != 0 && now.Sub(peer.wallClockAt) < 3*time.Second {
+			clocks = append(clocks, peer.wallClock+now.Sub(peer.wallClockAt).Milliseconds())
 		}
 	}
-	return out
+	return clocks
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -11,212 +11,218 @@
 // then need a majority of each, so that at no moment two majorities could pass
 // each other by.
 type configuration struct {
-	index       uint64
-	voters, old []Voter
+	index            uint64
+	voters, outgoing []Member
 }
 
-func (c *configuration) joint() bool { return len(c.old) > 0 }
+func (c *configuration) isJoint() bool { return len(c.outgoing) > 0 }
 
-// all are those who vote: the voters, then those who are on their way out.
-func (c *configuration) all() []Voter {
-	if !c.joint() {
+// allVoters are those who vote: the voters, then those who are on their way out.
+func (c *configuration) allVoters() []Member {
+	if !c.isJoint() {
 		return c.voters
 	}
 	all := slices.Clone(c.voters)
-	for _, v := range c.old {
-		if !holds(c.voters, v.Disk) {
+	for _, v := range c.outgoing {
+		if !containsMember(c.voters, v.ID) {
 			all = append(all, v)
 		}
 	}
 	return all
 }
 
-// majorities tells whether each set of voters has a majority of such disks.
-func (c *configuration) majorities(has func(disk string) bool) bool {
-	most := func(voters []Voter) bool {
+// hasQuorum tells whether each set of voters has a majority of such disks.
+func (c *configuration) hasQuorum(granted func(disk string) bool) bool {
+	majority := func(voters []Member) bool {
 		count := 0
 		for _, v := range voters {
-			if has(v.Disk) {
+			if granted(v.ID) {
 				count++
 			}
 		}
 		return 2*count > len(voters)
 	}
-	return most(c.voters) && (!c.joint() || most(c.old))
+	return majority(c.voters) && (!c.isJoint() || majority(c.outgoing))
 }
 
-// reached is the highest value that a majority of each set has reached.
-func (c *configuration) reached(value func(disk string) uint64) uint64 {
-	least := func(voters []Voter) uint64 {
+// quorumValue is the highest value that a majority of each set has reached.
+func (c *configuration) quorumValue(value func(disk string) uint64) uint64 {
+	majorityValue := func(voters []Member) uint64 {
 		values := make([]uint64, len(voters))
 		for i, v := range voters {
-			values[i] = value(v.Disk)
+			values[i] = value(v.ID)
 		}
 		sort.Slice(values, func(i, j int) bool { return values[i] > values[j] })
 		return values[len(values)/2]
 	}
-	if !c.joint() {
-		return least(c.voters)
+	if !c.isJoint() {
+		return majorityValue(c.voters)
 	}
-	return min(least(c.voters), least(c.old))
+	return min(majorityValue(c.voters), majorityValue(c.outgoing))
 }
 
-func holds(voters []Voter, disk string) bool {
-	return slices.ContainsFunc(voters, func(v Voter) bool { return v.Disk == disk })
+func containsMember(members []Member, id string) bool {
+	return slices.ContainsFunc(members, func(v Member) bool { return v.ID == id })
 }
 
-// current is the newest configuration in the log, committed or not.
-func (n *Node) current() *configuration { return &n.configurations[len(n.configurations)-1] }
+// latestConfiguration is the newest configuration in the log, committed or not.
+func (n *Node) latestConfiguration() *configuration {
+	return &n.configurations[len(n.configurations)-1]
+}
 
-func (n *Node) noteConfiguration(e Entry) {
-	if e.Kind != EntryConf {
+func (n *Node) recordConfiguration(e Entry) {
+	if e.Kind != EntryConfChange {
 		return
 	}
-	voters, old, err := DecodeConf(e.Data)
+	voters, outgoing, err := DecodeConfChange(e.Data)
 	if err != nil {
 		panic("raft: conf entry unreadable: " + err.Error())
 	}
-	n.configurations = append(n.configurations, configuration{e.Index, voters, old})
+	n.configurations = append(n.configurations, configuration{e.Index, voters, outgoing})
 }
 
 // Voters are all who vote by the newest configuration in the log; in mid-change
 // also those who are on their way out.
-func (n *Node) Voters() []Voter { return n.current().all() }
+func (n *Node) Voters() []Member { return n.latestConfiguration().allVoters() }
 
 // VoterSets are the voters of the newest configuration and, in mid-change,
 // those before it; a majority of each is needed.
-func (n *Node) VoterSets() (voters, old []Voter) { return n.current().voters, n.current().old }
+func (n *Node) VoterSets() (voters, outgoing []Member) {
+	return n.latestConfiguration().voters, n.latestConfiguration().outgoing
+}
 
 // ConfIndex is the entry of the newest configuration.
-func (n *Node) ConfIndex() uint64 { return n.current().index }
+func (n *Node) ConfIndex() uint64 { return n.latestConfiguration().index }
 
-// Changing tells whether a change of the voters is under way.
-func (n *Node) Changing() bool { return n.current().joint() || n.ConfIndex() > n.commit }
+// ConfChangePending tells whether a change of the voters is under way.
+func (n *Node) ConfChangePending() bool {
+	return n.latestConfiguration().isJoint() || n.ConfIndex() > n.commitIndex
+}
 
-// Voter tells whether a disk votes.
-func (n *Node) Voter(disk string) bool {
-	return holds(n.current().voters, disk) || holds(n.current().old, disk)
+// IsVoter tells whether a disk votes.
+func (n *Node) IsVoter(id string) bool {
+	return containsMember(n.latestConfiguration().voters, id) || containsMember(n.latestConfiguration().outgoing, id)
 }
 
-// mayLead tells whether this member runs for leader: a voter, or one that was
+// promotable tells whether this member runs for leader: a voter, or one that was
 // voted out by an entry which is not committed for all it knows. Its log may be
 // the longest, and its vote refused to all others by that; it must then lead
 // once more (without counting itself) to end the change.
-func (n *Node) mayLead() bool {
-	if n.Voter(n.me) {
+func (n *Node) promotable() bool {
+	if n.IsVoter(n.id) {
 		return true
 	}
-	before := len(n.configurations) - 2
-	return before >= 0 && n.ConfIndex() > n.commit && holds(n.configurations[before].all(), n.me)
+	previous := len(n.configurations) - 2
+	return previous >= 0 && n.ConfIndex() > n.commitIndex && containsMember(n.configurations[previous].allVoters(), n.id)
 }
 
-// trackPeers keeps the progress of those whom the leader sends to: voters,
+// updatePeers keeps the progress of those whom the leader sends to: voters,
 // candidates, and who was just voted out, until that is committed.
-func (n *Node) trackPeers() {
-	want := map[string]bool{}
+func (n *Node) updatePeers() {
+	wanted := map[string]bool{}
 	for _, v := range n.Voters() {
-		want[v.Disk] = true
+		wanted[v.ID] = true
 	}
-	for d := range n.learners {
-		want[d] = true
+	for id := range n.learners {
+		wanted[id] = true
 	}
-	if n.Changing() && len(n.configurations) > 1 {
-		for _, v := range n.configurations[len(n.configurations)-2].all() {
-			want[v.Disk] = true
+	if n.ConfChangePending() && len(n.configurations) > 1 {
+		for _, v := range n.configurations[len(n.configurations)-2].allVoters() {
+			wanted[v.ID] = true
 		}
 	}
-	delete(want, n.me)
-	for d := range want {
-		if n.peers[d] == nil {
-			n.peers[d] = &progress{next: n.last() + 1, probing: true, since: n.stamped, heard: n.now}
+	delete(wanted, n.id)
+	for id := range wanted {
+		if n.peers[id] == nil {
+			n.peers[id] = &progress{next: n.lastIndex() + 1, probing: true, nextSetStamp: n.lastStamp, lastContact: n.now}
 		}
 	}
-	for d, p := range n.peers {
-		if !want[d] {
+	for id, peer := range n.peers {
+		if !wanted[id] {
 			// Who was voted out may rest once it knows that this is committed.
-			n.sendCommit(d, p)
-			delete(n.peers, d)
+			n.sendCommit(id, peer)
+			delete(n.peers, id)
 		}
 	}
 }
 
-// ProposeConf starts a change to a new set of voters, in one step however many
+// ProposeConfChange starts a change to a new set of voters, in one step however many
 // change: first an entry under which both sets count, then, by itself once that
 // is committed, one with the new set alone. Refused while a change is under way.
-func (n *Node) ProposeConf(voters []Voter) bool {
-	if n.role != leader || n.leaving || n.Changing() || n.commit < n.noop || len(voters) == 0 || slices.Equal(voters, n.Voters()) {
+func (n *Node) ProposeConfChange(voters []Member) bool {
+	if n.role != leader || n.transferring || n.ConfChangePending() || n.commitIndex < n.noopIndex || len(voters) == 0 || slices.Equal(voters, n.Voters()) {
 		return false
 	}
-	n.appendEntry(EntryConf, encodeVoters(voters, n.current().voters))
+	n.appendEntry(EntryConfChange, encodeConfChange(voters, n.latestConfiguration().voters))
 	for _, v := range voters {
-		delete(n.learners, v.Disk)
+		delete(n.learners, v.ID)
 	}
-	n.trackPeers()
+	n.updatePeers()
 	return true
 }
 
-// carryChange takes the next step of a change, also one that an earlier leader
+// advanceConfChange takes the next step of a change, also one that an earlier leader
 // began: the final entry once the joint one is committed, and, once that is, a
 // leader that is no longer a voter hands over.
-func (n *Node) carryChange() {
-	c := n.current()
-	if c.index > n.commit || n.commit < n.noop {
+func (n *Node) advanceConfChange() {
+	latest := n.latestConfiguration()
+	if latest.index > n.commitIndex || n.commitIndex < n.noopIndex {
 		return
 	}
 	switch {
-	case n.leaving:
-	case c.joint():
-		n.appendEntry(EntryConf, encodeVoters(c.voters, nil))
-		n.trackPeers()
-	case !n.Voter(n.me):
-		if !n.Transfer() {
-			n.newTerm(n.term, "")
+	case n.transferring:
+	case latest.isJoint():
+		n.appendEntry(EntryConfChange, encodeConfChange(latest.voters, nil))
+		n.updatePeers()
+	case !n.IsVoter(n.id):
+		if !n.TransferLeadership() {
+			n.becomeFollower(n.term, "")
 		}
-	case len(n.peers) > len(c.voters)-1+len(n.learners):
-		n.trackPeers()
+	case len(n.peers) > len(latest.voters)-1+len(n.learners):
+		n.updatePeers()
 	}
 }
 
-// Learn starts to bring a candidate up to date.
-func (n *Node) Learn(v Voter) {
-	if n.role != leader || n.Voter(v.Disk) {
+// AddLearner starts to bring a candidate up to date.
+func (n *Node) AddLearner(member Member) {
+	if n.role != leader || n.IsVoter(member.ID) {
 		return
 	}
-	n.learners[v.Disk] = v
-	n.trackPeers()
+	n.learners[member.ID] = member
+	n.updatePeers()
 }
 
-// Forget ends that.
-func (n *Node) Forget(disk string) {
-	delete(n.learners, disk)
+// RemoveLearner ends that.
+func (n *Node) RemoveLearner(id string) {
+	delete(n.learners, id)
 	if n.role == leader {
-		n.trackPeers()
+		n.updatePeers()
 	}
 }
 
-// nextRound starts a round of heartbeats, if it is time for one.
-func (n *Node) nextRound() bool {
-	if n.now.Sub(n.roundAt) < n.timing.Beat {
+// startHeartbeatRound starts a round of heartbeats, if it is time for one.
+func (n *Node) startHeartbeatRound() bool {
+	if n.now.Sub(n.roundStartedAt) < n.config.HeartbeatInterval {
 		return false
 	}
-	n.roundAt = n.now
-	n.roundBefore, n.roundCommit = n.roundCommit, n.commit
+	n.roundStartedAt = n.now
+	n.previousRoundCommitIndex, n.roundCommitIndex = n.roundCommitIndex, n.commitIndex
 	return true
 }
 
-// Caught tells whether a member holds all that was committed when the last
+// CaughtUp tells whether a member holds all that was committed when the last
 // whole round of heartbeats began. Under load the newest entries are always
 // under way, so that more can't be asked for; a member that lags by more than a
 // round never counts, however few entries that are.
-func (n *Node) Caught(disk string) bool {
-	p := n.peers[disk]
-	return p != nil && !p.probing && !p.faulty && p.match >= n.roundBefore
+func (n *Node) CaughtUp(id string) bool {
+	peer := n.peers[id]
+	return peer != nil && !peer.probing && !peer.faulty && peer.match >= n.previousRoundCommitIndex
 }
 
-// Silent is how long a member has not been heard.
-func (n *Node) Silent(disk string) time.Duration {
-	if p := n.peers[disk]; p != nil {
-		return n.now.Sub(p.heard)
+// SilentFor is how long a member has not been heard.
+func (n *Node) SilentFor(id string) time.Duration {
+	if peer := n.peers[id]; peer != nil {
+		return n.now.Sub(peer.lastContact)
 	}
 	return 0
 }
@@ -232,9 +238,9 @@
 	return found
 }
 
-// ConfAt are the voters at an applied entry; a snapshot holds them.
-func (n *Node) ConfAt(index uint64) []Voter { return n.configurationAt(index).voters }
+// VotersAt are the voters at an applied entry; a snapshot holds them.
+func (n *Node) VotersAt(index uint64) []Member { return n.configurationAt(index).voters }
 
-// OldConfAt are the voters before a change that was under way at an applied
+// OutgoingVotersAt are the voters before a change that was under way at an applied
 // entry, else nothing; a snapshot holds them too.
-func (n *Node) OldConfAt(index uint64) []Voter { return n.configurationAt(index).old }
+func (n *Node) OutgoingVotersAt(index uint64) []Member { return n.configurationAt(index).outgoing }
--- a/internal/raft/model_checks_test.go
+++ b/internal/raft/model_checks_test.go
@@ -8,24 +8,24 @@
 type check string
 
 const (
-	checkLeader    = check("at most one leader a term")
-	checkVote      = check("one vote a term")
-	checkElected   = check("a leader has the votes of a majority")
-	checkComplete  = check("a leader holds all that was committed")
-	checkCommitted = check("no committed entry is lost or changed")
-	checkLogs      = check("logs match")
-	checkApplied   = check("the same state at the same index")
-	checkReads     = check("reads are linearizable")
-	checkDurable   = check("what is committed is on the disks of a majority")
-	checkPromise   = check("what is promised is on the disk")
-	checkMeet      = check("majorities of configurations in a row meet")
-	checkDisk      = check("the log on disk is whole")
-	checkLive      = check("a command is committed once all is healed")
-	checkPanic     = check("no panic")
+	checkLeader              = check("at most one leader a term")
+	checkVote                = check("one vote a term")
+	checkElectedByMajority   = check("a leader has the votes of a majority")
+	checkLeaderCompleteness  = check("a leader holds all that was committed")
+	checkCommitted           = check("no committed entry is lost or changed")
+	checkLogMatching         = check("logs match")
+	checkApplied             = check("the same state at the same index")
+	checkLinearizableReads   = check("reads are linearizable")
+	checkDurable             = check("what is committed is on the disks of a majority")
+	checkPersistedBeforeSent = check("what is promised is on the disk")
+	checkQuorumsIntersect    = check("majorities of configurations in a row meet")
+	checkDisk                = check("the log on disk is whole")
+	checkLiveness            = check("a command is committed once all is healed")
+	checkPanic               = check("no panic")
 )
 
-var allChecks = []check{checkLeader, checkVote, checkElected, checkComplete, checkCommitted, checkLogs, checkApplied, checkReads,
-	checkDurable, checkPromise, checkMeet, checkDisk, checkLive, checkPanic}
+var allChecks = []check{checkLeader, checkVote, checkElectedByMajority, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied, checkLinearizableReads,
+	checkDurable, checkPersistedBeforeSent, checkQuorumsIntersect, checkDisk, checkLiveness, checkPanic}
 
 // failure is the first check that failed.
 type failure struct {
@@ -36,16 +36,16 @@
 
 func (f *failure) String() string { return fmt.Sprintf("step %d: %s: %s", f.step, f.check, f.text) }
 
-// record is one entry of the committed log.
-type record struct {
-	term, hash uint64
-	kind       byte
-	state      machine // after it
-	seenIn     uint64  // the lowest term in which it was seen committed
+// committedEntry is one entry of the committed log.
+type committedEntry struct {
+	term, hash     uint64
+	kind           byte
+	state          stateMachine // after it
+	lowestTermSeen uint64       // the lowest term in which it was seen committed
 }
 
-type lineKey struct{ index, term uint64 }
-type line struct{ hash, prevTerm uint64 }
+type entryKey struct{ index, term uint64 }
+type entryDigest struct{ hash, prevTerm uint64 }
 type voteKey struct {
 	id   string
 	term uint64
@@ -53,27 +53,27 @@
 
 // checker holds what is known of the whole cluster.
 type checker struct {
-	w       *world
+	w       *modelWorld
 	only    check // the one check that counts, or empty: all
 	failure *failure
 
-	first     uint64 // the index of log[0]
-	log       []record
-	sets      [][]string // the newest committed configuration
-	leaders   map[uint64]string
-	votes     map[voteKey]string
-	granted   map[uint64]map[string]map[string]bool // term, candidate, voter
-	lines     map[lineKey]line
-	terms     map[string]uint64 // the highest term seen of a running member
-	commits   map[string]uint64
-	led       map[string]uint64 // the term whose lead was looked at
-	floor     uint64            // index that each read that starts now must see
-	confAfter uint64
+	first       uint64 // the index of log[0]
+	log         []committedEntry
+	voterSets   [][]string // the newest committed configuration
+	leaders     map[uint64]string
+	votes       map[voteKey]string
+	granted     map[uint64]map[string]map[string]bool // term, candidate, voter
+	entries     map[entryKey]entryDigest
+	terms       map[string]uint64 // the highest term seen of a running member
+	commits     map[string]uint64
+	lastLedTerm map[string]uint64 // the term whose lead was looked at
+	readFloor   uint64            // index that each read that starts now must see
+	confIndex   uint64
 }
 
-func newChecker(w *world, only check) *checker {
+func newChecker(w *modelWorld, only check) *checker {
 	return &checker{w: w, only: only, leaders: map[uint64]string{}, votes: map[voteKey]string{}, granted: map[uint64]map[string]map[string]bool{},
-		lines: map[lineKey]line{}, terms: map[string]uint64{}, commits: map[string]uint64{}, led: map[string]uint64{}}
+		entries: map[entryKey]entryDigest{}, terms: map[string]uint64{}, commits: map[string]uint64{}, lastLedTerm: map[string]uint64{}}
 }
 
 func (c *checker) fail(k check, format string, args ...any) {
@@ -89,15 +89,15 @@
 	}
 }
 
-func (c *checker) found(p Point) {
+func (c *checker) bootstrap(p Snapshot) {
 	c.first = p.Index
-	c.log = []record{{term: p.Term, state: loadMachine(p.Data)}}
-	c.sets = setsOf(p.Conf, p.Old)
+	c.log = []committedEntry{{term: p.Term, state: decodeStateMachine(p.Data)}}
+	c.voterSets = voterIDSets(p.Voters, p.OutgoingVoters)
 }
 
 func (c *checker) last() uint64 { return c.first + uint64(len(c.log)) - 1 }
 
-func (c *checker) at(index uint64) *record {
+func (c *checker) at(index uint64) *committedEntry {
 	if index < c.first || index > c.last() {
 		return nil
 	}
@@ -105,11 +105,11 @@
 }
 
 // started looks at what a member found on its disk.
-func (c *checker) started(m *member, h heldOnDisk) {
+func (c *checker) started(m *modelMember, recovered recoveredDisk) {
 	delete(c.terms, m.id)
 	delete(c.commits, m.id)
-	prev, term := h.point.Index, h.point.Term
-	for _, e := range h.log {
+	prev, term := recovered.snapshot.Index, recovered.snapshot.Term
+	for _, e := range recovered.log {
 		if e.Index != prev+1 || e.Term < term {
 			c.fail(checkDisk, "%s: entry %d of term %d follows %d of term %d", m.id, e.Index, e.Term, prev, term)
 			return
@@ -120,14 +120,14 @@
 }
 
 // loaded looks at the state of a received snapshot.
-func (c *checker) loaded(m *member, index uint64) {
+func (c *checker) loaded(m *modelMember, index uint64) {
 	if m.state.index != index {
 		c.fail(checkApplied, "%s: a snapshot up to %d holds the state at %d", m.id, index, m.state.index)
 	}
 	c.state(m, "loaded")
 }
 
-func (c *checker) state(m *member, how string) {
+func (c *checker) state(m *modelMember, how string) {
 	if m.state.index < c.first {
 		return
 	}
@@ -140,14 +140,14 @@
 }
 
 // applying takes an entry into the committed log, or compares it.
-func (c *checker) applying(m *member, e Entry) {
+func (c *checker) applying(m *modelMember, e Entry) {
 	if e.Index != m.state.index+1 {
 		c.fail(checkApplied, "%s: applies %d to the state at %d", m.id, e.Index, m.state.index)
 	}
 	if e.Index == c.last()+1 {
-		c.log = append(c.log, record{term: e.Term, hash: entryHash(e), kind: e.Kind, state: c.log[len(c.log)-1].state.apply(e), seenIn: m.node.Term()})
-		if e.Kind == EntryConf {
-			c.configured(m, e)
+		c.log = append(c.log, committedEntry{term: e.Term, hash: hashEntry(e), kind: e.Kind, state: c.log[len(c.log)-1].state.apply(e), lowestTermSeen: m.node.Term()})
+		if e.Kind == EntryConfChange {
+			c.applyConfChange(m, e)
 		}
 		return
 	}
@@ -155,87 +155,87 @@
 	switch {
 	case r == nil:
 		c.fail(checkCommitted, "%s: applies %d, committed are %d", m.id, e.Index, c.last())
-	case r.term != e.Term || r.hash != entryHash(e):
+	case r.term != e.Term || r.hash != hashEntry(e):
 		c.fail(checkCommitted, "%s: entry %d of term %d, committed was one of term %d", m.id, e.Index, e.Term, r.term)
 	default:
-		r.seenIn = min(r.seenIn, m.node.Term())
+		r.lowestTermSeen = min(r.lowestTermSeen, m.node.Term())
 	}
 }
 
-func (c *checker) configured(m *member, e Entry) {
-	sets, err := confSets(e.Data)
+func (c *checker) applyConfChange(m *modelMember, e Entry) {
+	sets, err := confChangeVoterSets(e.Data)
 	if err != nil {
-		c.fail(checkMeet, "entry %d: %v", e.Index, err)
+		c.fail(checkQuorumsIntersect, "entry %d: %v", e.Index, err)
 		return
 	}
-	if !meet(c.sets, sets) {
-		c.fail(checkMeet, "entry %d: %v after %v", e.Index, sets, c.sets)
+	if !quorumsIntersect(c.voterSets, sets) {
+		c.fail(checkQuorumsIntersect, "entry %d: %v after %v", e.Index, sets, c.voterSets)
 	}
-	c.sets, c.confAfter = sets, e.Index
+	c.voterSets, c.confIndex = sets, e.Index
 }
 
-func (c *checker) applied(m *member, e Entry) {
+func (c *checker) applied(m *modelMember, e Entry) {
 	if r := c.at(e.Index); r != nil && r.state != m.state {
 		c.fail(checkApplied, "%s: state after %d differs", m.id, e.Index)
 	}
 }
 
-func (c *checker) acked(m *member, e Entry, p proposal) {
+func (c *checker) acknowledged(m *modelMember, e Entry, p proposal) {
 	if string(e.Data) != p.data {
 		c.fail(checkCommitted, "%s: %q was acknowledged, entry %d is %q", m.id, p.data, e.Index, e.Data)
 	}
-	c.floor = max(c.floor, e.Index)
+	c.readFloor = max(c.readFloor, e.Index)
 }
 
-func (c *checker) read(m *member, r read) {
+func (c *checker) read(m *modelMember, r clientRead) {
 	if m.state.lastData < r.floor {
-		c.fail(checkReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began", m.id, m.node.Term(), m.state.lastData, r.floor)
+		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began", m.id, m.node.Term(), m.state.lastData, r.floor)
 	}
-	c.floor = max(c.floor, m.state.lastData)
+	c.readFloor = max(c.readFloor, m.state.lastData)
 }
 
-// entries looks at what a member adds to its log.
-func (c *checker) entries(m *member, es []Entry) {
+// appended looks at what a member adds to its log.
+func (c *checker) appended(m *modelMember, es []Entry) {
 	for _, e := range es {
 		prev, ok := m.node.TermAt(e.Index - 1)
 		if t, held := m.node.TermAt(e.Index); !ok || !held || t != e.Term {
 			continue
 		}
-		k, l := lineKey{e.Index, e.Term}, line{entryHash(e), prev}
-		if old, seen := c.lines[k]; seen && old != l {
-			c.fail(checkLogs, "%s: entry %d of term %d differs from another's, or what it follows does", m.id, e.Index, e.Term)
+		k, l := entryKey{e.Index, e.Term}, entryDigest{hashEntry(e), prev}
+		if old, seen := c.entries[k]; seen && old != l {
+			c.fail(checkLogMatching, "%s: entry %d of term %d differs from another's, or what it follows does", m.id, e.Index, e.Term)
 		} else if !seen {
-			c.lines[k] = l
+			c.entries[k] = l
 		}
 	}
 }
 
 // posted looks at a message at the moment when it may leave.
-func (c *checker) posted(m *member, x Msg) {
-	d := &m.disk
+func (c *checker) posted(m *modelMember, message Message) {
+	disk := &m.disk
 	switch {
-	case x.Kind == MsgVote || x.Kind == MsgVoteAnswer && !x.Reject:
-		voted := x.To
-		if x.Kind == MsgVote {
+	case message.Kind == MsgVote || message.Kind == MsgVoteResponse && !message.Reject:
+		voted := message.To
+		if message.Kind == MsgVote {
 			voted = m.id
 		}
-		k := voteKey{m.id, x.Term}
+		k := voteKey{m.id, message.Term}
 		if old := c.votes[k]; old != "" && old != voted {
-			c.fail(checkVote, "%s votes for %s and %s in term %d", m.id, old, voted, x.Term)
+			c.fail(checkVote, "%s votes for %s and %s in term %d", m.id, old, voted, message.Term)
 		}
 		c.votes[k] = voted
-		c.grant(x.Term, voted, m.id)
-		if d.hard.Term < x.Term || d.hard.Term == x.Term && d.hard.Vote != voted {
-			c.fail(checkPromise, "%s votes for %s in term %d, on disk is %q in term %d", m.id, voted, x.Term, d.hard.Vote, d.hard.Term)
+		c.grant(message.Term, voted, m.id)
+		if disk.hardState.Term < message.Term || disk.hardState.Term == message.Term && disk.hardState.Vote != voted {
+			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d", m.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
 		}
-	case x.Kind == MsgAppendAnswer || x.Kind == MsgAppend:
-		if d.hard.Term < x.Term {
-			c.fail(checkPromise, "%s speaks in term %d, on disk is %d", m.id, x.Term, d.hard.Term)
+	case message.Kind == MsgAppendResponse || message.Kind == MsgAppend:
+		if disk.hardState.Term < message.Term {
+			c.fail(checkPersistedBeforeSent, "%s speaks in term %d, on disk is %d", m.id, message.Term, disk.hardState.Term)
 		}
 		// Above that term another leader may have replaced the entry since.
-		if x.Kind == MsgAppendAnswer && !x.Reject && d.hard.Term == x.Term && m.node.Term() == x.Term {
-			if t, ok := m.node.TermAt(x.Index); ok && !d.holds(x.Index, t) {
-				c.fail(checkPromise, "%s acknowledges %d of term %d, which its disk does not hold", m.id, x.Index, t)
+		if message.Kind == MsgAppendResponse && !message.Reject && disk.hardState.Term == message.Term && m.node.Term() == message.Term {
+			if t, ok := m.node.TermAt(message.Index); ok && !disk.holds(message.Index, t) {
+				c.fail(checkPersistedBeforeSent, "%s acknowledges %d of term %d, which its disk does not hold", m.id, message.Index, t)
 			}
 		}
 	}
@@ -252,7 +252,7 @@
 }
 
 // observe looks at a member after each input.
-func (c *checker) observe(m *member) {
+func (c *checker) observe(m *modelMember) {
 	n := m.node
 	if n == nil {
 		return
@@ -261,24 +261,24 @@
 		c.fail(checkVote, "%s: term fell from %d to %d", m.id, c.terms[m.id], n.Term())
 	}
 	c.terms[m.id] = n.Term()
-	if n.Commit() < c.commits[m.id] {
-		c.fail(checkCommitted, "%s: commit fell from %d to %d", m.id, c.commits[m.id], n.Commit())
+	if n.CommitIndex() < c.commits[m.id] {
+		c.fail(checkCommitted, "%s: commit fell from %d to %d", m.id, c.commits[m.id], n.CommitIndex())
 	}
-	if n.Leads() {
-		c.leads(m)
-		if n.Commit() > c.commits[m.id] && n.Commit() > c.first {
+	if n.IsLeader() {
+		c.leaderElected(m)
+		if n.CommitIndex() > c.commits[m.id] && n.CommitIndex() > c.first {
 			c.durable(m)
 		}
 	}
-	c.commits[m.id] = n.Commit()
+	c.commits[m.id] = n.CommitIndex()
 }
 
-func (c *checker) leads(m *member) {
+func (c *checker) leaderElected(m *modelMember) {
 	n := m.node
-	if c.led[m.id] == n.Term() {
+	if c.lastLedTerm[m.id] == n.Term() {
 		return
 	}
-	c.led[m.id] = n.Term()
+	c.lastLedTerm[m.id] = n.Term()
 	c.w.note("leads", m.id, n.Term(), n.LastIndex())
 	c.w.counts["leaders"]++
 	if old, ok := c.leaders[n.Term()]; ok && old != m.id {
@@ -286,8 +286,8 @@
 	}
 	c.leaders[n.Term()] = m.id
 	votes := c.granted[n.Term()][m.id]
-	if !quorum(voterSets(n), func(id string) bool { return id == m.id || votes[id] }) {
-		c.fail(checkElected, "%s in term %d: voters %v, votes of %v", m.id, n.Term(), voterSets(n), votes)
+	if !hasQuorum(currentVoterSets(n), func(id string) bool { return id == m.id || votes[id] }) {
+		c.fail(checkElectedByMajority, "%s in term %d: voters %v, votes of %v", m.id, n.Term(), currentVoterSets(n), votes)
 	}
 	for i := c.last(); i > c.first; i-- {
 		r := c.at(i)
@@ -296,8 +296,8 @@
 			break // in its snapshot
 		}
 		// What a later term committed, an earlier leader needs not hold.
-		if r.seenIn < n.Term() && (!ok || t != r.term) {
-			c.fail(checkComplete, "%s in term %d lacks %d of term %d, last is %d", m.id, n.Term(), i, r.term, n.LastIndex())
+		if r.lowestTermSeen < n.Term() && (!ok || t != r.term) {
+			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d", m.id, n.Term(), i, r.term, n.LastIndex())
 			break
 		}
 	}
@@ -305,13 +305,13 @@
 
 // durable wants what a leader counts as committed on the disks of a majority;
 // a disk lost since counts as it was, since one in a minority may be lost.
-func (c *checker) durable(m *member) {
-	i := m.node.Commit()
+func (c *checker) durable(m *modelMember) {
+	i := m.node.CommitIndex()
 	t, ok := m.node.TermAt(i)
 	if !ok {
 		return
 	}
-	if !quorum(voterSets(m.node), func(id string) bool { return c.w.byID[id].disk.holds(i, t) }) {
-		c.fail(checkDurable, "%s commits %d of term %d, voters %v", m.id, i, t, voterSets(m.node))
+	if !hasQuorum(currentVoterSets(m.node), func(id string) bool { return c.w.byID[id].disk.holds(i, t) }) {
+		c.fail(checkDurable, "%s commits %d of term %d, voters %v", m.id, i, t, currentVoterSets(m.node))
 	}
 }
