--- a/internal/raft/model_faults_test.go
+++ b/internal/raft/model_faults_test.go
@@ -7,9 +7,9 @@
 
 // Faults, clients and changes of voters of the model test, all by lot.
 
-// up are the members that run.
-func (w *world) up() []*member {
-	var out []*member
+// runningMembers are the members that run.
+func (w *modelWorld) runningMembers() []*modelMember {
+	var out []*modelMember
 	for _, m := range w.members {
 		if m.node != nil {
 			out = append(out, m)
@@ -18,70 +18,70 @@
 	return out
 }
 
-func (w *world) anyUp() *member {
-	if ms := w.up(); len(ms) > 0 {
-		return ms[w.lot.Intn(len(ms))]
+func (w *modelWorld) randomRunningMember() *modelMember {
+	if ms := w.runningMembers(); len(ms) > 0 {
+		return ms[w.random.Intn(len(ms))]
 	}
 	return nil
 }
 
-// clients sends commands and reads, to those that say they lead, and at times
+// runClients sends commands and reads, to those that say they lead, and at times
 // to any.
-func (w *world) clients() {
-	w.after(w.gap(35*time.Millisecond), w.clients)
-	for _, m := range w.up() {
-		if !m.node.Leads() && !w.chance(0.05) {
+func (w *modelWorld) runClients() {
+	w.schedule(w.randomDelay(35*time.Millisecond), w.runClients)
+	for _, m := range w.runningMembers() {
+		if !m.node.IsLeader() && !w.chance(0.05) {
 			continue
 		}
 		if w.chance(0.6) {
-			w.give(m, input{read: &read{floor: w.checks.floor}})
+			w.enqueue(m, input{read: &clientRead{floor: w.checks.readFloor}})
 		}
 		for w.chance(0.5) {
 			w.commands++
-			w.give(m, input{command: fmt.Sprintf("c%d", w.commands)})
+			w.enqueue(m, input{command: fmt.Sprintf("c%d", w.commands)})
 		}
 	}
 }
 
-// chaos brings about the next fault.
-func (w *world) chaos() {
-	if w.calm {
+// injectFault brings about the next fault.
+func (w *modelWorld) injectFault() {
+	if w.faultsStopped {
 		return
 	}
-	w.after(w.gap(w.profile.chaosGap), w.chaos)
+	w.schedule(w.randomDelay(w.profile.meanFaultGap), w.injectFault)
 	if w.chance(0.1) {
 		// A while without new faults, so that the log goes on.
-		w.healNet()
-		w.after(w.gap(time.Second), func() {})
+		w.healNetwork()
+		w.schedule(w.randomDelay(time.Second), func() {})
 	}
-	m := w.anyUp()
+	m := w.randomRunningMember()
 	if m == nil {
 		return
 	}
 	faults := []struct {
 		share int
-		run   func(*member)
+		run   func(*modelMember)
 	}{
-		{12, w.cutOne}, {4, w.isolate}, {4, w.partition}, {10, func(*member) { w.healNet() }}, {8, w.reconnectOne},
-		{8, w.freeze}, {8, func(m *member) { w.down(m, false) }}, {8, func(m *member) { w.down(m, true) }},
-		{2, w.powerLoss}, {4, w.stall}, {6, w.transfer}, {6, func(m *member) { w.give(m, input{snapshot: true}) }},
-		{6, w.newChange}, {3, w.loseDisk}, {1, w.abandon}, {3, w.prompt},
+		{12, w.cutLink}, {4, w.isolate}, {4, w.partition}, {10, func(*modelMember) { w.healNetwork() }}, {8, w.reconnectMember},
+		{8, w.freeze}, {8, func(m *modelMember) { w.crashAndRestart(m, false) }}, {8, func(m *modelMember) { w.crashAndRestart(m, true) }},
+		{2, w.powerLoss}, {4, w.stallDisk}, {6, w.transferLeadership}, {6, func(m *modelMember) { w.enqueue(m, input{snapshot: true}) }},
+		{6, w.requestConfChange}, {3, w.loseDisk}, {1, w.abandonChange}, {3, w.setEagerCommitPeers},
 	}
 	sum := 0
 	for _, f := range faults {
 		sum += f.share
 	}
-	pick := w.lot.Intn(sum)
+	draw := w.random.Intn(sum)
 	for _, f := range faults {
-		if pick -= f.share; pick < 0 {
+		if draw -= f.share; draw < 0 {
 			f.run(m)
 			return
 		}
 	}
 }
 
-func (w *world) cutOne(m *member) {
-	o := w.members[w.lot.Intn(len(w.members))]
+func (w *modelWorld) cutLink(m *modelMember) {
+	o := w.members[w.random.Intn(len(w.members))]
 	w.note("cut>"+o.id, m.id, 0, 0)
 	w.net.link(m.id, o.id).cut = true
 	if w.chance(0.5) {
@@ -90,8 +90,8 @@
 }
 
 // isolate cuts a member from all others: what it says, what it hears, or both.
-func (w *world) isolate(m *member) {
-	way := w.lot.Intn(3)
+func (w *modelWorld) isolate(m *modelMember) {
+	way := w.random.Intn(3)
 	w.note("isolate", m.id, uint64(way), 0)
 	for _, o := range w.members {
 		if way != 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-func (w *world) partition(*member) {
+func (w *modelWorld) partition(*modelMember) {
 	side := map[string]bool{}
 	for _, m := range w.members {
 		side[m.id] = w.chance(0.5)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) healNet() {
+func (w *modelWorld) healNetwork() {
 	w.note("heal", "", 0, 0)
 	for _, a := range w.members {
 		for _, b := range w.members {
@@ -127,90 +127,92 @@
 	}
 }
 
-func (w *world) reconnectOne(m *member) {
+func (w *modelWorld) reconnectMember(m *modelMember) {
 	for _, o := range w.members {
 		w.net.reconnect(m.id, o.id)
 	}
 }
 
 // freeze stops a process for a while; its clock goes on.
-func (w *world) freeze(m *member) {
+func (w *modelWorld) freeze(m *modelMember) {
 	w.note("freeze", m.id, 0, 0)
 	m.frozen = true
-	life := m.life
-	w.after(w.gap(700*time.Millisecond), func() {
-		if m.life == life {
+	life := m.incarnation
+	w.schedule(w.randomDelay(700*time.Millisecond), func() {
+		if m.incarnation == life {
 			w.note("thaw", m.id, 0, 0)
 			m.frozen = false
-			w.poke(m)
+			w.scheduleTurn(m)
 		}
 	})
 }
 
-func (w *world) down(m *member, power bool) {
+func (w *modelWorld) crashAndRestart(m *modelMember, power bool) {
 	w.crash(m, power)
-	life := m.life
-	w.after(w.gap(800*time.Millisecond), func() {
-		if m.life == life && !m.lost && !m.retired {
+	life := m.incarnation
+	w.schedule(w.randomDelay(800*time.Millisecond), func() {
+		if m.incarnation == life && !m.lost && !m.retired {
 			w.start(m)
 		}
 	})
 }
 
 // powerLoss takes the power from a minority, or from all.
-func (w *world) powerLoss(*member) {
+func (w *modelWorld) powerLoss(*modelMember) {
 	all := w.chance(0.5)
-	for _, m := range w.up() {
+	for _, m := range w.runningMembers() {
 		if all || w.chance(0.4) {
-			w.down(m, true)
+			w.crashAndRestart(m, true)
 		}
 	}
 }
 
-func (w *world) stall(m *member) { m.disk.stalled = w.now + w.gap(time.Second) }
+func (w *modelWorld) stallDisk(m *modelMember) {
+	m.disk.stalledUntil = w.now + w.randomDelay(time.Second)
+}
 
-func (w *world) transfer(m *member) {
-	for _, o := range w.up() {
-		if o.node.Leads() {
+func (w *modelWorld) transferLeadership(m *modelMember) {
+	for _, o := range w.runningMembers() {
+		if o.node.IsLeader() {
 			m = o
 		}
 	}
-	w.give(m, input{transfer: true})
+	w.enqueue(m, input{transfer: true})
 }
 
-// prompt has a leader tell some members of each commit at once.
-func (w *world) prompt(m *member) {
+// setEagerCommitPeers has a leader tell some members of each commit at once.
+func (w *modelWorld) setEagerCommitPeers(m *modelMember) {
 	some := map[string]bool{}
 	for _, o := range w.members {
 		some[o.id] = w.chance(0.5)
 	}
-	m.node.Prompt(some)
+	m.node.SetEagerCommitPeers(some)
 }
 
-// newChange has the operator change the voters: replace one that lives, add
+// requestConfChange has the operator change the voters: replace one that lives, add
 // one, or take one out.
-func (w *world) newChange(m *member) {
+func (w *modelWorld) requestConfChange(m *modelMember) {
 	ids := allVoters(m.node)
 	if w.change != nil || len(ids) == 0 {
 		return
 	}
-	c := &change{}
+	change := &voterChange{}
 	const replace, add, remove = 0, 1, 2
-	kind := w.lot.Intn(3)
+	kind := w.random.Intn(3)
 	if kind != add || len(ids) >= 5 {
-		c.out = ids[w.lot.Intn(len(ids))]
+		change.outgoing = ids[w.random.Intn(len(ids))]
 	}
 	if kind != remove || len(ids) == 1 {
-		c.in = w.candidate().id
+		change.incoming = w.pickLearner().id
 	}
-	if c.in == c.out {
+	if change.incoming == change.outgoing {
 		return
 	}
-	w.note("want out="+c.out+" in="+c.in, "", 0, 0)
-	w.change = c
+	w.note("want out="+change.outgoing+" in="+change.incoming, "", 0, 0)
+	w.change = change
 }
 
-func (w *world) newcomer() *member {
+func (w *modelWorld) addAndStartMember() *modelMember {
 	n := w.addMember()
 	w.start(n)
 	return n
@@ -219,24 +221,24 @@
 // loseDisk takes a disk away for good where every set of voters that a member
 // may still rest on can bear it; the daemon comes back with an empty one, as
 // another.
-func (w *world) loseDisk(m *member) {
-	for _, o := range w.members {
-		if o.node == nil && !o.lost && !o.retired {
+func (w *modelWorld) loseDisk(m *modelMember) {
+	for _, other := range w.members {
+		if other.node == nil && !other.lost && !other.retired {
 			return // what it knows of the voters is not seen now
 		}
-		if o.node == nil {
+		if other.node == nil {
 			continue
 		}
 		// The newest configuration may not be on any disk yet.
-		n := o.node
-		for _, set := range append(voterSets(n), setsOf(n.ConfAt(n.Commit()), n.OldConfAt(n.Commit()))...) {
-			gone := 0
+		n := other.node
+		for _, set := range append(currentVoterSets(n), voterIDSets(n.VotersAt(n.CommitIndex()), n.OutgoingVotersAt(n.CommitIndex()))...) {
+			lost := 0
 			for _, id := range set {
 				if w.byID[id].lost || w.byID[id].retired || id == m.id {
-					gone++
+					lost++
 				}
 			}
-			if gone*2 >= len(set) && len(set) > 0 {
+			if lost*2 >= len(set) && len(set) > 0 {
 				return
 			}
 		}
@@ -245,26 +247,26 @@
 	w.counts["disks lost"]++
 	w.crash(m, true)
 	m.lost = true
-	if w.change != nil && w.change.in == m.id {
-		w.change.in = w.newcomer().id
+	if w.change != nil && w.change.incoming == m.id {
+		w.change.incoming = w.addAndStartMember().id
 	}
 }
 
 // heal ends all faults; members that have a disk run.
-func (w *world) heal() {
-	w.calm = true
-	w.healNet()
-	w.net.quiet = true
+func (w *modelWorld) heal() {
+	w.faultsStopped = true
+	w.healNetwork()
+	w.net.reliable = true
 	for _, a := range w.members {
 		for _, b := range w.members {
 			w.net.reconnect(a.id, b.id) // nothing waits behind a message of before
 		}
 	}
 	for _, m := range w.members {
-		m.disk.stalled = 0
+		m.disk.stalledUntil = 0
 		if m.frozen {
 			m.frozen = false
-			w.poke(m)
+			w.scheduleTurn(m)
 		}
 		if m.node == nil && !m.lost && !m.retired {
 			w.start(m)
--- a/internal/raft/model_test.go
+++ b/internal/raft/model_test.go
@@ -22,7 +22,7 @@
 	sum := map[string]int{}
 	failed, slowest := 0, time.Duration(0)
 	for seed := *modelSeed; seed < *modelSeed+int64(*modelSeeds); seed++ {
-		w := newWorld(seed, plant{}, "")
+		w := newModelWorld(seed, mutation{}, "")
 		w.tracing = *modelTrace
 		f := w.walk(*modelSteps)
 		for k, v := range w.counts {
@@ -53,13 +53,13 @@
 // TestModelSameSeedSameWalk: a failure can be repeated from its seed.
 func TestModelSameSeedSameWalk(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
-		a, b := newWorld(seed, plant{}, ""), newWorld(seed, plant{}, "")
+		a, b := newModelWorld(seed, mutation{}, ""), newModelWorld(seed, mutation{}, "")
 		a.walk(2000)
 		b.walk(2000)
 		if a.digest != b.digest || a.step != b.step {
 			t.Errorf("seed %d: two walks differ", seed)
 		}
-		if c := newWorld(seed+100, plant{}, ""); c.walk(2000) == nil && c.digest == a.digest {
+		if c := newModelWorld(seed+100, mutation{}, ""); c.walk(2000) == nil && c.digest == a.digest {
 			t.Errorf("seeds %d and %d: the same walk", seed, seed+100)
 		}
 	}
--- a/internal/raft/model_walk_test.go
+++ b/internal/raft/model_walk_test.go
@@ -34,12 +34,12 @@
 }
 
 // run goes on for a number of steps, or until something fails.
-func (w *world) run(steps int, until func() bool) *failure {
+func (w *modelWorld) run(steps int, until func() bool) *failure {
 	for i := 0; i < steps && w.checks.failure == nil && len(w.queue) > 0; i++ {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
 		w.step++
-		w.guarded(e.run)
+		w.runGuarded(e.run)
 		if until != nil && until() {
 			break
 		}
@@ -47,8 +47,8 @@
 	return w.checks.failure
 }
 
-// guarded turns a panic into a failure.
-func (w *world) guarded(run func()) {
+// runGuarded turns a panic into a failure.
+func (w *modelWorld) runGuarded(run func()) {
 	defer func() {
 		if r := recover(); r != nil {
 			w.checks.panicked(fmt.Sprintf("%v\n%s", r, debug.Stack()))
@@ -64,10 +64,10 @@
 
 // walk plays one seed: faults for so many steps, then all is healed, and a
 // command must be committed and applied by all within bounds.
-func (w *world) walk(steps int) *failure {
+func (w *modelWorld) walk(steps int) *failure {
 	// A call into the package that never returns can't be counted in steps.
 	hung := time.AfterFunc(time.Minute, func() {
-		panic(fmt.Sprintf("model: seed %d, break %q: a call never returned at step %d", w.seed, w.plant.name, w.step))
+		panic(fmt.Sprintf("model: seed %d, break %q: a call never returned at step %d", w.seed, w.mutation.name, w.step))
 	})
 	defer hung.Stop()
 	if f := w.run(steps, nil); f != nil {
@@ -78,28 +78,28 @@
 	healed := w.now
 	ok := false
 	f := w.run(400_000, func() bool {
-		ok = w.settled(mark)
+		ok = w.recoveredSince(mark)
 		return ok || w.now > healed+recoverWithin
 	})
 	if f == nil && !ok {
-		w.checks.fail(checkLive, "not within %v after all was healed: %s", recoverWithin, w.describe())
+		w.checks.fail(checkLiveness, "not within %v after all was healed: %s", recoverWithin, w.describe())
 	}
 	w.recovered = w.now - healed
 	return w.checks.failure
 }
 
-// settled tells whether a command from after mark is applied by all voters.
-func (w *world) settled(mark int) bool {
+// recoveredSince tells whether a command from after mark is applied by all voters.
+func (w *modelWorld) recoveredSince(mark int) bool {
 	var n int
-	if _, err := fmt.Sscanf(w.lastCmd, "c%d", &n); err != nil || n <= mark || w.change != nil {
+	if _, err := fmt.Sscanf(w.lastAckedCommand, "c%d", &n); err != nil || n <= mark || w.change != nil {
 		return false
 	}
 	for _, m := range w.members {
-		if m.node == nil || !m.node.Ready() || !m.node.Lease(m.clock(w.now)) {
+		if m.node == nil || !m.node.LeaderReady() || !m.node.HasLease(m.clock(w.now)) {
 			continue
 		}
 		for _, id := range allVoters(m.node) {
-			if o := w.byID[id]; !o.lost && (o.node == nil || o.node.Applied() < w.lastAck) {
+			if o := w.byID[id]; !o.lost && (o.node == nil || o.node.AppliedIndex() < w.lastAckedIndex) {
 				return false
 			}
 		}
@@ -108,10 +108,10 @@
 	return false
 }
 
-func (w *world) describe() string {
+func (w *modelWorld) describe() string {
 	var b strings.Builder
 	if w.change != nil {
-		fmt.Fprintf(&b, "change out=%q in=%q;", w.change.out, w.change.in)
+		fmt.Fprintf(&b, "change out=%q in=%q;", w.change.outgoing, w.change.incoming)
 	}
 	for _, m := range w.members {
 		if m.node == nil {
@@ -119,17 +119,17 @@
 			continue
 		}
 		n := m.node
-		fmt.Fprintf(&b, " %s: term %d leads %v ready %v lease %v lead %q last %d commit %d applied %d conf %d %v;", m.id, n.Term(), n.Leads(),
-			n.Ready(), n.Lease(m.clock(w.now)), n.Lead(), n.LastIndex(), n.Commit(), n.Applied(), n.ConfIndex(), voterSets(n))
+		fmt.Fprintf(&b, " %s: term %d leads %v ready %v lease %v lead %q last %d commit %d applied %d conf %d %v;", m.id, n.Term(), n.IsLeader(),
+			n.LeaderReady(), n.HasLease(m.clock(w.now)), n.Leader(), n.LastIndex(), n.CommitIndex(), n.AppliedIndex(), n.ConfIndex(), currentVoterSets(n))
 	}
 	return b.String()
 }
 
-var kindNames = map[byte]string{MsgAppend: "append", MsgAppendAnswer: "append-answer", MsgPreVote: "pre-vote", MsgPreVoteAnswer: "pre-vote-answer",
-	MsgVote: "vote", MsgVoteAnswer: "vote-answer", MsgPoint: "snapshot", MsgTransfer: "transfer"}
+var kindNames = map[byte]string{MsgAppend: "append", MsgAppendResponse: "append-answer", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-answer",
+	MsgVote: "vote", MsgVoteResponse: "vote-answer", MsgSnapshot: "snapshot", MsgTimeoutNow: "transfer"}
 
 // sortByReceiver makes the order of messages to different members the same
 // each time: a Node goes over maps. Those to one member keep their order.
-func sortByReceiver(ms []Msg) {
+func sortByReceiver(ms []Message) {
 	sort.SliceStable(ms, func(i, j int) bool { return ms[i].To < ms[j].To })
 }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -7,8 +7,8 @@
 
 // Node is the state machine of one member. It isn't safe for several tasks.
 type Node struct {
-	me     string
-	timing Timing
+	id     string
+	config Config
 	random *rand.Rand
 
 	term   uint64
@@ -16,100 +16,100 @@
 	role   role
 	leader string
 
-	base           Point // index, term of the last entry dropped, and the conf there
+	base           Snapshot // index, term of the last entry dropped, and the conf there
 	log            []Entry
 	configurations []configuration
 
-	commit, applied uint64
-	synced          uint64
-	hardOut         int // hard states not yet synced
+	commitIndex, appliedIndex uint64
+	syncedIndex               uint64
+	unsyncedHardStates        int // hard states not yet synced
 	// Writes handed out, and how many of them are synced.
-	writes, written uint64
-	// A write up to cutWrite may name entries that were replaced since: from
-	// cutIndex on it proves nothing.
-	cutWrite, cutIndex uint64
+	issuedWrites, syncedWrites uint64
+	// A write up to supersededWrite may name entries that were replaced since: from
+	// supersededFrom on it proves nothing.
+	supersededWrite, supersededFrom uint64
 
-	started  time.Time // stamps count from here
-	stamped  int64     // the newest stamp
-	now      time.Time
-	heard    time.Time // the election wait counts from here
-	kept     time.Time // the last word of a leader, or the start
-	elected  time.Time
-	wait     time.Duration
-	votes    map[string]bool
-	peers    map[string]*progress
-	learners map[string]Voter
-	prompt   map[string]bool
-	noop     uint64
+	startedAt          time.Time // stamps count from here
+	lastStamp          int64     // the newest stamp
+	now                time.Time
+	electionTimerStart time.Time // the election wait counts from here
+	lastLeaderContact  time.Time // the last word of a leader, or the start
+	electedAt          time.Time
+	electionTimeout    time.Duration
+	votes              map[string]bool
+	peers              map[string]*progress
+	learners           map[string]Member
+	eagerCommitPeers   map[string]bool
+	noopIndex          uint64
 	// What was committed when the present round of heartbeats began, and the
 	// one before it.
-	roundCommit, roundBefore uint64
-	roundAt                  time.Time
-	leaving                  bool
-	handing                  handOver // while leaving
+	roundCommitIndex, previousRoundCommitIndex uint64
+	roundStartedAt                             time.Time
+	transferring                               bool
+	transfer                                   leadTransfer // while leaving
 
-	hardDirty bool
-	out       Out
-	wall      func() int64
-	pointNow  func() *Point
+	hardStateDirty bool
+	pending        Ready
+	wallClock      func() int64
+	snapshotSource func() *Snapshot
 }
 
 // New builds a node from what its disk holds.
-func New(me string, hard Hard, point Point, log []Entry, now time.Time, timing Timing, seed int64) *Node {
-	n := &Node{me: me, timing: timing, random: rand.New(rand.NewSource(seed)), term: hard.Term, vote: hard.Vote,
-		base: Point{Index: point.Index, Term: point.Term, Conf: point.Conf, Old: point.Old}, log: log, commit: point.Index, applied: point.Index,
-		started: now, now: now, heard: now, kept: now, learners: map[string]Voter{}}
-	n.configurations = []configuration{{point.Index, point.Conf, point.Old}}
-	for _, e := range log {
-		n.noteConfiguration(e)
+func New(id string, hardState HardState, snapshot Snapshot, entries []Entry, now time.Time, config Config, seed int64) *Node {
+	n := &Node{id: id, config: config, random: rand.New(rand.NewSource(seed)), term: hardState.Term, vote: hardState.Vote,
+		base: Snapshot{Index: snapshot.Index, Term: snapshot.Term, Voters: snapshot.Voters, OutgoingVoters: snapshot.OutgoingVoters}, log: entries, commitIndex: snapshot.Index, appliedIndex: snapshot.Index,
+		startedAt: now, now: now, electionTimerStart: now, lastLeaderContact: now, learners: map[string]Member{}}
+	n.configurations = []configuration{{snapshot.Index, snapshot.Voters, snapshot.OutgoingVoters}}
+	for _, e := range entries {
+		n.recordConfiguration(e)
 	}
-	n.synced = n.last()
+	n.syncedIndex = n.lastIndex()
 	// A whole wait after a start: a lease that this member confirmed
 	// before it ended may still be trusted.
-	n.wait = n.timing.Elect + n.timing.Beat/4 + time.Duration(n.random.Int63n(int64(n.timing.Spread)/2+1))
+	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)/2+1))
 	return n
 }
 
-func (n *Node) last() uint64 { return n.base.Index + uint64(len(n.log)) }
+func (n *Node) lastIndex() uint64 { return n.base.Index + uint64(len(n.log)) }
 
-func (n *Node) termAt(i uint64) (uint64, bool) {
-	if i == n.base.Index {
+func (n *Node) termAt(index uint64) (uint64, bool) {
+	if index == n.base.Index {
 		return n.base.Term, true
 	}
-	if i < n.base.Index || i > n.last() {
+	if index < n.base.Index || index > n.lastIndex() {
 		return 0, false
 	}
-	return n.log[i-n.base.Index-1].Term, true
+	return n.log[index-n.base.Index-1].Term, true
 }
 
-// Me is this node's disk.
-func (n *Node) Me() string { return n.me }
+// ID is this node's disk.
+func (n *Node) ID() string { return n.id }
 
 // Term is the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Lead is the disk of the known leader, or empty.
-func (n *Node) Lead() string { return n.leader }
+// Leader is the disk of the known leader, or empty.
+func (n *Node) Leader() string { return n.leader }
 
-// Leads tells whether this node is the leader of its term.
-func (n *Node) Leads() bool { return n.role == leader }
+// IsLeader tells whether this node is the leader of its term.
+func (n *Node) IsLeader() bool { return n.role == leader }
 
-// Commit and Applied tell how far the log is settled and handed out.
-func (n *Node) Commit() uint64  { return n.commit }
-func (n *Node) Applied() uint64 { return n.applied }
+// CommitIndex and Applied tell how far the log is settled and handed out.
+func (n *Node) CommitIndex() uint64  { return n.commitIndex }
+func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
 // LastIndex is the index of the newest entry.
-func (n *Node) LastIndex() uint64 { return n.last() }
+func (n *Node) LastIndex() uint64 { return n.lastIndex() }
 
-func (n *Node) send(m Msg, after bool) {
-	m.From = n.me
-	if m.Kind != MsgPreVote && m.Kind != MsgPreVoteAnswer {
+func (n *Node) send(m Message, afterSync bool) {
+	m.From = n.id
+	if m.Kind != MsgPreVote && m.Kind != MsgPreVoteResponse {
 		m.Term = n.term
 	}
-	if after || n.hardDirty || n.hardOut > 0 {
-		n.out.After = append(n.out.After, m)
+	if afterSync || n.hardStateDirty || n.unsyncedHardStates > 0 {
+		n.pending.MessagesAfterSync = append(n.pending.MessagesAfterSync, m)
 	} else {
-		n.out.Now = append(n.out.Now, m)
+		n.pending.Messages = append(n.pending.Messages, m)
 	}
 }
 
@@ -117,146 +117,146 @@
 func (n *Node) Tick(now time.Time) time.Duration {
 	n.now = now
 	if n.role == leader {
-		if now.Sub(n.quorumAt(now)) > n.timing.Quorum && now.Sub(n.elected) > n.timing.Quorum {
+		if now.Sub(n.lastQuorumContact(now)) > n.config.CheckQuorumTimeout && now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
 			// Whoever can reach a majority must not wait for this member.
-			n.newTerm(n.term, "")
-			n.heard = now
-			n.resetWait()
-			return n.wait
+			n.becomeFollower(n.term, "")
+			n.electionTimerStart = now
+			n.resetElectionTimeout()
+			return n.electionTimeout
 		}
-		if n.leaving && now.Sub(n.handing.since) >= n.timing.Elect {
-			n.endTransfer()
-			return n.timing.Beat
+		if n.transferring && now.Sub(n.transfer.startedAt) >= n.config.ElectionTimeout {
+			n.abortTransfer()
+			return n.config.HeartbeatInterval
 		}
-		if n.nextRound() {
-			n.orderTransfer()
+		if n.startHeartbeatRound() {
+			n.sendTimeoutNow()
 		}
-		for d, p := range n.peers {
-			if now.Sub(p.sent) >= n.timing.Beat {
-				n.sendAppend(d, p, true)
+		for id, peer := range n.peers {
+			if now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
+				n.sendAppend(id, peer, true)
 			}
 		}
-		return n.timing.Beat
+		return n.config.HeartbeatInterval
 	}
-	if !n.mayLead() {
+	if !n.promotable() {
 		return time.Second
 	}
-	if left := n.wait - now.Sub(n.heard); left > 0 {
-		return left
+	if remaining := n.electionTimeout - now.Sub(n.electionTimerStart); remaining > 0 {
+		return remaining
 	}
 	n.campaign(false, false)
-	return n.wait
+	return n.electionTimeout
 }
 
 // Step takes a message.
-func (n *Node) Step(m Msg, now time.Time) {
+func (n *Node) Step(m Message, now time.Time) {
 	n.now = now
-	if m.To != n.me {
+	if m.To != n.id {
 		return
 	}
 	if m.Term > n.term {
 		switch m.Kind {
-		case MsgPreVote, MsgPreVoteAnswer:
+		case MsgPreVote, MsgPreVoteResponse:
 		case MsgVote:
 			// A leader lives, and its lease may rest on this member.
-			if !m.Force && now.Sub(n.kept) < n.timing.Elect {
+			if !m.Force && now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 				return
 			}
-			if !m.Force && n.role == leader && n.Lease(now) {
+			if !m.Force && n.role == leader && n.HasLease(now) {
 				return
 			}
-			n.newTerm(m.Term, "")
-		case MsgAppend, MsgPoint:
-			n.newTerm(m.Term, m.From)
+			n.becomeFollower(m.Term, "")
+		case MsgAppend, MsgSnapshot:
+			n.becomeFollower(m.Term, m.From)
 		default:
-			n.newTerm(m.Term, "")
+			n.becomeFollower(m.Term, "")
 		}
 	}
-	if h := handlers[m.Kind]; h != nil {
-		h(n, m)
+	if handle := handlers[m.Kind]; handle != nil {
+		handle(n, m)
 	}
 }
 
-var handlers = map[byte]func(*Node, Msg){
-	MsgAppend:        (*Node).onAppend,
-	MsgAppendAnswer:  (*Node).onAppendAnswer,
-	MsgPreVote:       (*Node).onPreVote,
-	MsgPreVoteAnswer: (*Node).onPreVoteAnswer,
-	MsgVote:          (*Node).onVote,
-	MsgVoteAnswer:    (*Node).onVoteAnswer,
-	MsgPoint:         (*Node).onPoint,
-	MsgTransfer:      (*Node).onTransfer,
+var handlers = map[byte]func(*Node, Message){
+	MsgAppend:          (*Node).handleAppend,
+	MsgAppendResponse:  (*Node).handleAppendResponse,
+	MsgPreVote:         (*Node).handlePreVote,
+	MsgPreVoteResponse: (*Node).handlePreVoteResponse,
+	MsgVote:            (*Node).handleVote,
+	MsgVoteResponse:    (*Node).handleVoteResponse,
+	MsgSnapshot:        (*Node).handleSnapshot,
+	MsgTimeoutNow:      (*Node).handleTimeoutNow,
 }
 
-// Take hands out what is to be done.
-func (n *Node) Take() Out {
-	n.flush()
-	o := n.out
-	n.out = Out{}
-	if n.hardDirty {
-		o.Hard = &Hard{Term: n.term, Vote: n.vote}
-		n.hardDirty = false
-		n.hardOut++
-		o.Mark.Hard = true
+// Ready hands out what is to be done.
+func (n *Node) Ready() Ready {
+	n.replicate()
+	ready := n.pending
+	n.pending = Ready{}
+	if n.hardStateDirty {
+		ready.HardState = &HardState{Term: n.term, Vote: n.vote}
+		n.hardStateDirty = false
+		n.unsyncedHardStates++
+		ready.WriteToken.HasHardState = true
 	}
-	if k := len(o.Entries); k > 0 {
-		o.Mark.Index, o.Mark.Term = o.Entries[k-1].Index, o.Entries[k-1].Term
+	if count := len(ready.Entries); count > 0 {
+		ready.WriteToken.LastIndex, ready.WriteToken.LastTerm = ready.Entries[count-1].Index, ready.Entries[count-1].Term
 	}
-	if o.Point != nil {
-		o.Mark.Point = o.Point.Index
+	if ready.Snapshot != nil {
+		ready.WriteToken.SnapshotIndex = ready.Snapshot.Index
 	}
-	if o.Writes() {
-		n.writes++
-		o.Mark.Write = n.writes
+	if ready.MustSync() {
+		n.issuedWrites++
+		ready.WriteToken.Sequence = n.issuedWrites
 	}
-	return o
+	return ready
 }
 
-// Synced takes note that a write is on disk.
-func (n *Node) Synced(m Mark) {
-	if m.Hard {
-		n.hardOut--
-		if n.role == candidate && n.hardOut == 0 && !n.hardDirty {
-			n.votes[n.me] = true
-			n.countVotes()
+// WriteSynced takes note that a write is on disk.
+func (n *Node) WriteSynced(token WriteToken) {
+	if token.HasHardState {
+		n.unsyncedHardStates--
+		if n.role == candidate && n.unsyncedHardStates == 0 && !n.hardStateDirty {
+			n.votes[n.id] = true
+			n.tallyVotes()
 		}
 	}
-	n.written = max(n.written, m.Write)
-	if m.Point == n.base.Index {
-		n.synced = max(n.synced, m.Point)
+	n.syncedWrites = max(n.syncedWrites, token.Sequence)
+	if token.SnapshotIndex == n.base.Index {
+		n.syncedIndex = max(n.syncedIndex, token.SnapshotIndex)
 	}
-	last := m.Index
-	if t, ok := n.termAt(last); !ok || t != m.Term {
+	last := token.LastIndex
+	if term, ok := n.termAt(last); !ok || term != token.LastTerm {
 		last = 0
 	}
-	if m.Write <= n.cutWrite {
-		last = min(last, n.cutIndex-1)
+	if token.Sequence <= n.supersededWrite {
+		last = min(last, n.supersededFrom-1)
 	}
-	n.synced = max(n.synced, last)
-	n.settle()
+	n.syncedIndex = max(n.syncedIndex, last)
+	n.maybeCommit()
 }
 
-// cut notes that the entries from an index on are replaced. Writes handed out
+// supersedeWrites notes that the entries from an index on are replaced. Writes handed out
 // before and not yet synced prove nothing of what will stand there: the same
 // entry may even come back while an older write is still to remove it.
-func (n *Node) cut(index uint64) {
-	n.synced = min(n.synced, index-1)
-	if n.written >= n.cutWrite || index < n.cutIndex {
-		n.cutIndex = index
+func (n *Node) supersedeWrites(index uint64) {
+	n.syncedIndex = min(n.syncedIndex, index-1)
+	if n.syncedWrites >= n.supersededWrite || index < n.supersededFrom {
+		n.supersededFrom = index
 	}
-	n.cutWrite = n.writes
+	n.supersededWrite = n.issuedWrites
 }
 
-// Settled hands out the entries to apply, once each. While a received snapshot
+// NextCommittedEntries hands out the entries to apply, once each. While a received snapshot
 // waits to be taken there are none: they follow the state that it holds, and
 // the caller has the old one still.
-func (n *Node) Settled() []Entry {
-	if n.out.Point != nil || n.applied >= n.commit {
+func (n *Node) NextCommittedEntries() []Entry {
+	if n.pending.Snapshot != nil || n.appliedIndex >= n.commitIndex {
 		return nil
 	}
-	out := n.log[n.applied-n.base.Index : n.commit-n.base.Index]
-	n.applied = n.commit
-	return out
+	entries := n.log[n.appliedIndex-n.base.Index : n.commitIndex-n.base.Index]
+	n.appliedIndex = n.commitIndex
+	return entries
 }
 
 // TermAt is the term of an entry still held.
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -10,147 +10,147 @@
 type progress struct {
 	match, next uint64
 	probing     bool
-	// since and matched are the newest stamps that had been given out when
+	// nextSetStamp and matchSetStamp are the newest stamps that had been given out when
 	// next was last set anew, and when match last rose.
-	since, matched int64
-	faulty         bool // it broke a promise, and counts for nothing
-	pointSent      time.Time
-	acked          time.Time // the send time of the newest answered append
-	heard          time.Time
-	sent           time.Time
-	wall           int64
-	wallAt         time.Time
-	told           uint64 // the newest commit that it was told of
+	nextSetStamp, matchSetStamp int64
+	faulty                      bool // it broke a promise, and counts for nothing
+	snapshotSentAt              time.Time
+	lastAckedSend               time.Time // the send time of the newest answered append
+	lastContact                 time.Time
+	lastSend                    time.Time
+	wallClock                   int64
+	wallClockAt                 time.Time
+	commitSent                  uint64 // the newest commit that it was told of
 }
 
 func (n *Node) appendEntry(kind byte, data []byte) uint64 {
-	e := Entry{Index: n.last() + 1, Term: n.term, Kind: kind, Data: data}
+	e := Entry{Index: n.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.log = append(n.log, e)
-	n.noteConfiguration(e)
-	n.out.Entries = append(n.out.Entries, e)
+	n.recordConfiguration(e)
+	n.pending.Entries = append(n.pending.Entries, e)
 	return e.Index
 }
 
 // Propose adds a command to the log; the index is that at which it will be
 // applied, if the term stays the same.
 func (n *Node) Propose(data []byte) (uint64, bool) {
-	if n.role != leader || n.leaving {
+	if n.role != leader || n.transferring {
 		return 0, false
 	}
-	return n.appendEntry(EntryData, data), true
+	return n.appendEntry(EntryNormal, data), true
 }
 
-// Prompt names the members that are told of each commit at once, and not with
+// SetEagerCommitPeers names the members that are told of each commit at once, and not with
 // the next append: they act on what they have applied.
-func (n *Node) Prompt(disks map[string]bool) { n.prompt = disks }
+func (n *Node) SetEagerCommitPeers(ids map[string]bool) { n.eagerCommitPeers = ids }
 
 // sendCommit tells a member of the commit; no answer is wanted.
-func (n *Node) sendCommit(d string, p *progress) {
-	prev := p.next - 1
-	logTerm, ok := n.termAt(prev)
+func (n *Node) sendCommit(id string, peer *progress) {
+	prevIndex := peer.next - 1
+	logTerm, ok := n.termAt(prevIndex)
 	if !ok {
 		return
 	}
-	p.told = n.commit
-	n.send(Msg{Kind: MsgAppend, To: d, Index: prev, LogTerm: logTerm, Commit: n.commit}, false)
+	peer.commitSent = n.commitIndex
+	n.send(Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex}, false)
 }
 
-// flush sends what members lack.
-func (n *Node) flush() {
+// replicate sends what members lack.
+func (n *Node) replicate() {
 	if n.role != leader {
 		return
 	}
-	for d, p := range n.peers {
-		if p.probing {
-			if n.now.Sub(p.sent) >= n.timing.Beat {
-				n.sendAppend(d, p, true)
+	for id, peer := range n.peers {
+		if peer.probing {
+			if n.now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
+				n.sendAppend(id, peer, true)
 			}
 			continue
 		}
-		for !p.probing && p.next <= n.last() && p.next-p.match <= uint64(n.timing.Window) {
-			n.sendAppend(d, p, false)
+		for !peer.probing && peer.next <= n.lastIndex() && peer.next-peer.match <= uint64(n.config.MaxInflightEntries) {
+			n.sendAppend(id, peer, false)
 		}
-		if n.prompt[d] && p.told < n.commit && p.next > p.told+1 {
-			n.sendCommit(d, p)
+		if n.eagerCommitPeers[id] && peer.commitSent < n.commitIndex && peer.next > peer.commitSent+1 {
+			n.sendCommit(id, peer)
 		}
 	}
 }
 
-// stamp numbers an append: nanoseconds of the steady clock since the start of
+// nextStamp numbers an append: nanoseconds of the steady clock since the start of
 // this node, and no two alike. The time of day may jump, and a lease counted
 // from it would then reach too far.
-func (n *Node) stamp() int64 {
-	n.stamped = max(n.stamped+1, int64(n.now.Sub(n.started)))
-	return n.stamped
+func (n *Node) nextStamp() int64 {
+	n.lastStamp = max(n.lastStamp+1, int64(n.now.Sub(n.startedAt)))
+	return n.lastStamp
 }
 
 // stampTime is the time at which an append was sent, or a moment before.
-func (n *Node) stampTime(stamp int64) time.Time { return n.started.Add(time.Duration(stamp)) }
+func (n *Node) stampTime(stamp int64) time.Time { return n.startedAt.Add(time.Duration(stamp)) }
 
-// noEntry is the term of no entry: an append that names it wants only a sign of
+// noEntryTerm is the term of no entry: an append that names it wants only a sign of
 // life, and its refusal means nothing.
-const noEntry = ^uint64(0)
+const noEntryTerm = ^uint64(0)
 
-// sendAlive asks for a sign of life, where there is nothing else to send.
-func (n *Node) sendAlive(d string, p *progress) {
-	p.sent = n.now
-	n.send(Msg{Kind: MsgAppend, To: d, Index: n.commit, LogTerm: noEntry, Sent: n.stamp()}, false)
+// sendHeartbeat asks for a sign of life, where there is nothing else to send.
+func (n *Node) sendHeartbeat(id string, peer *progress) {
+	peer.lastSend = n.now
+	n.send(Message{Kind: MsgAppend, To: id, Index: n.commitIndex, LogTerm: noEntryTerm, SendStamp: n.nextStamp()}, false)
 }
 
 // sendSnapshot sends the state to a member that lacks entries which are no
 // longer held.
-func (n *Node) sendSnapshot(d string, p *progress, beat bool) {
-	p.probing = true
+func (n *Node) sendSnapshot(id string, peer *progress, heartbeat bool) {
+	peer.probing = true
 	// A snapshot is large, and one on its way is enough; while one that was
 	// received waits to be taken, the caller has an older state still.
-	if n.now.Sub(p.pointSent) < time.Second || n.out.Point != nil {
-		if beat {
-			n.sendAlive(d, p)
+	if n.now.Sub(peer.snapshotSentAt) < time.Second || n.pending.Snapshot != nil {
+		if heartbeat {
+			n.sendHeartbeat(id, peer)
 		}
 		return
 	}
-	p.pointSent, p.sent = n.now, n.now
-	n.send(Msg{Kind: MsgPoint, To: d, Point: n.pointNow(), Sent: n.stamp()}, false)
+	peer.snapshotSentAt, peer.lastSend = n.now, n.now
+	n.send(Message{Kind: MsgSnapshot, To: id, Snapshot: n.snapshotSource(), SendStamp: n.nextStamp()}, false)
 }
 
 // sendAppend sends the next entries that a member lacks, or a heartbeat.
-func (n *Node) sendAppend(d string, p *progress, beat bool) {
-	if p.faulty {
-		if beat {
-			n.sendAlive(d, p)
+func (n *Node) sendAppend(id string, peer *progress, heartbeat bool) {
+	if peer.faulty {
+		if heartbeat {
+			n.sendHeartbeat(id, peer)
 		}
 		return
 	}
-	prev := p.next - 1
-	logTerm, ok := n.termAt(prev)
+	prevIndex := peer.next - 1
+	logTerm, ok := n.termAt(prevIndex)
 	if !ok {
-		n.sendSnapshot(d, p, beat)
+		n.sendSnapshot(id, peer, heartbeat)
 		return
 	}
-	m := Msg{Kind: MsgAppend, To: d, Index: prev, LogTerm: logTerm, Commit: n.commit, Sent: n.stamp()}
+	m := Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex, SendStamp: n.nextStamp()}
 	size := 0
-	for i := p.next; i <= n.last() && size < n.timing.Bytes; i++ {
+	for i := peer.next; i <= n.lastIndex() && size < n.config.MaxAppendBytes; i++ {
 		// One only: while the place is searched, more would be thrown away.
-		if p.probing && i > p.next {
+		if peer.probing && i > peer.next {
 			break
 		}
-		e := n.log[i-n.base.Index-1]
-		m.Entries = append(m.Entries, e)
-		size += len(e.Data) + 16
+		entry := n.log[i-n.base.Index-1]
+		m.Entries = append(m.Entries, entry)
+		size += len(entry.Data) + 16
 	}
-	if !p.probing {
-		p.next += uint64(len(m.Entries))
+	if !peer.probing {
+		peer.next += uint64(len(m.Entries))
 	}
-	p.sent, p.told = n.now, n.commit
+	peer.lastSend, peer.commitSent = n.now, n.commitIndex
 	n.send(m, false)
 }
 
-// follow takes note of the leader; false if the message is of an older term.
-func (n *Node) follow(m Msg) bool {
+// followLeader takes note of the leader; false if the message is of an older term.
+func (n *Node) followLeader(m Message) bool {
 	if m.Term < n.term {
 		// A thawed leader must learn of the newer term. Without a stamp it
 		// tells nothing of this member's log.
-		n.send(Msg{Kind: MsgAppendAnswer, To: m.From, Reject: true}, false)
+		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true}, false)
 		return false
 	}
 	if n.role != follower {
@@ -160,123 +160,123 @@
 		n.role = follower
 	}
 	n.leader = m.From
-	n.heard, n.kept = n.now, n.now
-	n.resetWait()
+	n.electionTimerStart, n.lastLeaderContact = n.now, n.now
+	n.resetElectionTimeout()
 	return true
 }
 
-// answer tells the leader how far this log agrees with its own, or refuses.
-func (n *Node) answer(m Msg, index uint64, reject, after bool) {
-	if m.Kind == MsgAppend && m.Sent == 0 && len(m.Entries) == 0 {
+// respondToAppend tells the leader how far this log agrees with its own, or refuses.
+func (n *Node) respondToAppend(m Message, index uint64, reject, afterSync bool) {
+	if m.Kind == MsgAppend && m.SendStamp == 0 && len(m.Entries) == 0 {
 		// It only told of a commit.
 		return
 	}
-	a := Msg{Kind: MsgAppendAnswer, To: m.From, Index: index, Reject: reject, Sent: m.Sent, LogTerm: m.LogTerm, Commit: m.Index}
-	if n.wall != nil {
-		a.Wall = n.wall()
+	response := Message{Kind: MsgAppendResponse, To: m.From, Index: index, Reject: reject, SendStamp: m.SendStamp, LogTerm: m.LogTerm, Commit: m.Index}
+	if n.wallClock != nil {
+		response.WallClock = n.wallClock()
 	}
-	n.send(a, after)
+	n.send(response, afterSync)
 }
 
-// onAppend takes entries, or a heartbeat, from the leader.
-func (n *Node) onAppend(m Msg) {
-	if !n.follow(m) {
+// handleAppend takes entries, or a heartbeat, from the leader.
+func (n *Node) handleAppend(m Message) {
+	if !n.followLeader(m) {
 		return
 	}
-	if m.Index < n.commit && m.LogTerm != noEntry {
+	if m.Index < n.commitIndex && m.LogTerm != noEntryTerm {
 		// What is committed can't differ.
-		skip := n.commit - m.Index
+		skip := n.commitIndex - m.Index
 		if uint64(len(m.Entries)) <= skip {
-			n.answer(m, n.commit, false, n.synced < n.commit)
+			n.respondToAppend(m, n.commitIndex, false, n.syncedIndex < n.commitIndex)
 			return
 		}
 		m.Entries = m.Entries[skip:]
-		m.Index = n.commit
-		m.LogTerm, _ = n.termAt(n.commit)
+		m.Index = n.commitIndex
+		m.LogTerm, _ = n.termAt(n.commitIndex)
 	}
-	t, ok := n.termAt(m.Index)
-	if !ok || t != m.LogTerm {
-		hint := n.last()
+	term, ok := n.termAt(m.Index)
+	if !ok || term != m.LogTerm {
+		hint := n.lastIndex()
 		if m.Index <= hint && m.Index > 0 {
 			hint = m.Index - 1
 		}
-		if hint < n.commit {
-			hint = n.commit
+		if hint < n.commitIndex {
+			hint = n.commitIndex
 		}
-		n.answer(m, hint, true, false)
+		n.respondToAppend(m, hint, true, false)
 		return
 	}
-	wrote := false
+	appended := false
 	for i, e := range m.Entries {
-		if t, ok := n.termAt(e.Index); ok {
-			if t == e.Term {
+		if term, ok := n.termAt(e.Index); ok {
+			if term == e.Term {
 				continue
 			}
-			n.truncate(e.Index)
+			n.truncateLog(e.Index)
 		}
-		for _, f := range m.Entries[i:] {
-			n.log = append(n.log, f)
-			n.noteConfiguration(f)
-			n.out.Entries = append(n.out.Entries, f)
+		for _, entry := range m.Entries[i:] {
+			n.log = append(n.log, entry)
+			n.recordConfiguration(entry)
+			n.pending.Entries = append(n.pending.Entries, entry)
 		}
-		wrote = true
+		appended = true
 		break
 	}
-	got := m.Index + uint64(len(m.Entries))
-	if m.Commit > n.commit && got > n.commit {
-		n.commit = min(m.Commit, got)
+	matched := m.Index + uint64(len(m.Entries))
+	if m.Commit > n.commitIndex && matched > n.commitIndex {
+		n.commitIndex = min(m.Commit, matched)
 	}
-	n.answer(m, got, false, wrote || n.synced < got)
+	n.respondToAppend(m, matched, false, appended || n.syncedIndex < matched)
 }
 
-// truncate drops the log from an index on, where the leader's differs.
-func (n *Node) truncate(index uint64) {
-	if index <= n.commit {
+// truncateLog drops the log from an index on, where the leader's differs.
+func (n *Node) truncateLog(index uint64) {
+	if index <= n.commitIndex {
 		panic("raft: a committed entry would change")
 	}
 	n.log = n.log[:index-n.base.Index-1]
-	for len(n.configurations) > 1 && n.current().index >= index {
+	for len(n.configurations) > 1 && n.latestConfiguration().index >= index {
 		n.configurations = n.configurations[:len(n.configurations)-1]
 	}
-	n.cut(index)
-	n.out.Entries = slices.DeleteFunc(n.out.Entries, func(o Entry) bool { return o.Index >= index })
+	n.supersedeWrites(index)
+	n.pending.Entries = slices.DeleteFunc(n.pending.Entries, func(o Entry) bool { return o.Index >= index })
 }
 
-// onAppendAnswer takes note of how far a member's log goes.
-func (n *Node) onAppendAnswer(m Msg) {
-	p := n.peers[m.From]
-	if n.role != leader || m.Term != n.term || p == nil {
+// handleAppendResponse takes note of how far a member's log goes.
+func (n *Node) handleAppendResponse(m Message) {
+	peer := n.peers[m.From]
+	if n.role != leader || m.Term != n.term || peer == nil {
 		return
 	}
-	p.heard = n.now
-	if sent := n.stampTime(m.Sent); m.Sent != 0 && sent.After(p.acked) {
-		p.acked = sent
+	peer.lastContact = n.now
+	if sentAt := n.stampTime(m.SendStamp); m.SendStamp != 0 && sentAt.After(peer.lastAckedSend) {
+		peer.lastAckedSend = sentAt
 	}
-	if m.Wall != 0 {
-		p.wall, p.wallAt = m.Wall, n.now
+	if m.WallClock != 0 {
+		peer.wallClock, peer.wallClockAt = m.WallClock, n.now
 	}
-	if p.faulty {
+	if peer.faulty {
 		return
 	}
 	if m.Reject {
-		n.onRefusal(m, p)
+		n.handleAppendRejection(m, peer)
 		return
 	}
-	if m.Index > p.match {
-		p.match, p.matched = m.Index, n.stamped
+	if m.Index > peer.match {
+		peer.match, peer.matchSetStamp = m.Index, n.lastStamp
 	}
-	if p.probing || p.next <= p.match {
-		p.since = n.stamped
-		p.next = p.match + 1
+	if peer.probing || peer.next <= peer.match {
+		peer.nextSetStamp = n.lastStamp
+		peer.next = peer.match + 1
 	}
-	p.probing = false
-	n.settle()
-	if n.handing.to == m.From && !n.handing.ordered {
-		n.orderTransfer()
+	peer.probing = false
+	n.maybeCommit()
+	if n.transfer.transferee == m.From && !n.transfer.timeoutNowSent {
+		n.sendTimeoutNow()
 	}
 }
 
-// onRefusal looks for the place from which a member's log differs. The answer
+// handleAppendRejection looks for the place from which a member's log differs. The answer
 // echoes the append that it refused: its stamp, and the index (Commit) and term
 // that it named. Answers of a lost connection may come late; one to an append
 // from before the present place was chosen says nothing.
@@ -292,56 +292,56 @@
 // committed from here on rests on the others alone. A later leader, which was
 // promised nothing, can't tell and takes the member as it finds it; so the
 // voter is to be replaced (see Faulty).
-func (n *Node) onRefusal(m Msg, p *progress) {
-	asked := m.Commit
+func (n *Node) handleAppendRejection(m Message, peer *progress) {
+	probedIndex := m.Commit
 	switch {
-	case m.LogTerm == noEntry || m.Sent <= p.since:
+	case m.LogTerm == noEntryTerm || m.SendStamp <= peer.nextSetStamp:
 		return
-	case asked <= p.match:
-		if asked > 0 && m.Sent > p.matched {
-			p.faulty, p.probing = true, true
+	case probedIndex <= peer.match:
+		if probedIndex > 0 && m.SendStamp > peer.matchSetStamp {
+			peer.faulty, peer.probing = true, true
 		}
 		return
 	}
-	p.next = max(min(m.Index+1, asked), p.match+1)
-	p.probing = true
-	p.since = n.stamped
+	peer.next = max(min(m.Index+1, probedIndex), peer.match+1)
+	peer.probing = true
+	peer.nextSetStamp = n.lastStamp
 	// Not while a snapshot is on its way: each refusal would call forth the next.
-	if _, ok := n.termAt(p.next - 1); ok || n.now.Sub(p.pointSent) >= time.Second {
-		n.sendAppend(m.From, p, false)
+	if _, ok := n.termAt(peer.next - 1); ok || n.now.Sub(peer.snapshotSentAt) >= time.Second {
+		n.sendAppend(m.From, peer, false)
 	}
 }
 
-// Faulty names the members that refused entries which they had acknowledged to
+// FaultyPeers names the members that refused entries which they had acknowledged to
 // this leader. They count for nothing until they are replaced.
-func (n *Node) Faulty() []string {
-	var disks []string
-	for d, p := range n.peers {
-		if p.faulty {
-			disks = append(disks, d)
+func (n *Node) FaultyPeers() []string {
+	var ids []string
+	for id, peer := range n.peers {
+		if peer.faulty {
+			ids = append(ids, id)
 		}
 	}
-	sort.Strings(disks)
-	return disks
+	sort.Strings(ids)
+	return ids
 }
 
-// settle commits what a majority, in mid-change of both sets, holds on disk.
+// maybeCommit commits what a majority, in mid-change of both sets, holds on disk.
 // Only entries of this term are counted; those before them follow.
-func (n *Node) settle() {
+func (n *Node) maybeCommit() {
 	if n.role != leader {
 		return
 	}
-	held := n.current().reached(func(disk string) uint64 {
-		if disk == n.me {
-			return n.synced
+	quorumIndex := n.latestConfiguration().quorumValue(func(id string) uint64 {
+		if id == n.id {
+			return n.syncedIndex
 		}
-		if p := n.peers[disk]; p != nil && !p.faulty {
-			return p.match
+		if peer := n.peers[id]; peer != nil && !peer.faulty {
+			return peer.match
 		}
 		return 0
 	})
-	if t, ok := n.termAt(held); ok && held > n.commit && t == n.term {
-		n.commit = held
+	if term, ok := n.termAt(quorumIndex); ok && quorumIndex > n.commitIndex && term == n.term {
+		n.commitIndex = quorumIndex
 	}
-	n.carryChange()
+	n.advanceConfChange()
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -7,98 +7,98 @@
 )
 
 // others are the voters beside the leader, in order.
-func (n *testNet) others(l *Node) []string {
-	return slices.DeleteFunc(n.names(), func(x string) bool { return x == l.Me() })
+func (c *testCluster) others(leader *Node) []string {
+	return slices.DeleteFunc(c.names(), func(x string) bool { return x == leader.ID() })
 }
 
-func TestMemberThatLostWhatItAcknowledgedCountsNoMore(t *testing.T) {
+func TestMemberThatLostAcknowledgedEntriesIsNotCounted(t *testing.T) {
 	for seed := int64(0); seed < 10; seed++ {
-		n := newNet(t, seed, "a", "b", "c")
-		n.put("1")
-		l := n.lead()
+		n := newTestCluster(t, seed, "a", "b", "c")
+		n.commit("1")
+		l := n.leader()
 		gone, third := n.others(l)[0], n.others(l)[1]
 		old := *n.disks[gone]
-		n.put("2")
-		n.put("3")
-		n.until("all have it", func() bool { return n.has(gone, "3") && n.has(third, "3") })
+		n.commit("2")
+		n.commit("3")
+		n.until("all have it", func() bool { return n.hasApplied(gone, "3") && n.hasApplied(third, "3") })
 		n.kill(gone)
 		n.disks[gone] = &old
 		n.start(gone)
-		n.until("told", func() bool { return slices.Equal(l.Faulty(), []string{gone}) })
-		n.until("a lease from the third", func() bool { return l.Lease(n.now) })
-		n.cut[l.Me()+">"+third] = true
-		settled := l.Commit()
+		n.until("told", func() bool { return slices.Equal(l.FaultyPeers(), []string{gone}) })
+		n.until("a lease from the third", func() bool { return l.HasLease(n.now) })
+		n.cut[l.ID()+">"+third] = true
+		settled := l.CommitIndex()
 		l.Propose([]byte("4"))
 		for range 30 {
 			n.step()
 		}
-		if l.Commit() > settled {
+		if l.CommitIndex() > settled {
 			t.Fatalf("seed %d: committed with the help of a disk that forgets", seed)
 		}
-		n.cut[l.Me()+">"+third] = false
-		n.put("5")
+		n.cut[l.ID()+">"+third] = false
+		n.commit("5")
 	}
 }
 
-func TestLateRefusalDoesNoHarm(t *testing.T) {
-	n := newNet(t, 1, "a", "b", "c")
-	n.put("1")
-	l := n.lead()
+func TestStaleRejectionIsIgnored(t *testing.T) {
+	n := newTestCluster(t, 1, "a", "b", "c")
+	n.commit("1")
+	l := n.leader()
 	x := n.others(l)[0]
 	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	first := l.stamped
-	n.put("2")
+	first := l.lastStamp
+	n.commit("2")
 	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	n.put("3")
-	late := Msg{Kind: MsgAppendAnswer, From: x, To: l.Me(), Term: l.Term(), Reject: true, Index: 1, LogTerm: l.Term(), Sent: first}
+	n.commit("3")
+	late := Message{Kind: MsgAppendResponse, From: x, To: l.ID(), Term: l.Term(), Reject: true, Index: 1, LogTerm: l.Term(), SendStamp: first}
 	for _, late.Commit = range []uint64{2, l.LastIndex()} {
 		l.Step(late, n.now)
-		if l.peers[x].probing || len(l.Faulty()) > 0 {
+		if l.peers[x].probing || len(l.FaultyPeers()) > 0 {
 			t.Fatalf("a late refusal of index %d was taken for a new one", late.Commit)
 		}
 	}
 	// A thawed leader's message is refused for its term; nothing is said of the log.
 	f := n.nodes[x]
-	f.Take()
-	f.Step(Msg{Kind: MsgAppend, From: l.Me(), To: x, Term: l.Term() - 1, Index: 90, Sent: l.stamped + 1}, n.now)
-	o := f.Take()
-	l.Step(append(o.Now, o.After...)[0], n.now)
-	if l.peers[x].probing || len(l.Faulty()) > 0 {
+	f.Ready()
+	f.Step(Message{Kind: MsgAppend, From: l.ID(), To: x, Term: l.Term() - 1, Index: 90, SendStamp: l.lastStamp + 1}, n.now)
+	o := f.Ready()
+	l.Step(append(o.Messages, o.MessagesAfterSync...)[0], n.now)
+	if l.peers[x].probing || len(l.FaultyPeers()) > 0 {
 		t.Fatal("a refusal of an older term was taken for one of this log")
 	}
 }
 
-func TestSteadyStampsOnly(t *testing.T) {
-	n := newNet(t, 1, "a", "b", "c")
-	n.put("1")
-	l := n.lead()
-	l.Tick(n.now.Add(testTiming.Beat))
-	for _, m := range l.Take().Now {
-		if m.Kind == MsgAppend && m.Sent > int64(n.now.Add(time.Second).Sub(l.started)) {
-			t.Fatalf("stamp %d holds the time of day, which may jump", m.Sent)
+func TestStampsUseTheMonotonicClock(t *testing.T) {
+	n := newTestCluster(t, 1, "a", "b", "c")
+	n.commit("1")
+	l := n.leader()
+	l.Tick(n.now.Add(testConfig.HeartbeatInterval))
+	for _, m := range l.Ready().Messages {
+		if m.Kind == MsgAppend && m.SendStamp > int64(n.now.Add(time.Second).Sub(l.startedAt)) {
+			t.Fatalf("stamp %d holds the time of day, which may jump", m.SendStamp)
 		}
 	}
 }
 
-// TestMemberBehindTheLogWithOpenWindow: the entries that a member lacks are no
+// TestFollowerBehindCompactedLogGetsSnapshot: the entries that a member lacks are no
 // longer held when it answers again. (Without the mend this never ends.)
-func TestMemberBehindTheLogWithOpenWindow(t *testing.T) {
-	n := newNet(t, 1, "a", "b", "c")
-	n.put("1")
-	l := n.lead()
+func TestFollowerBehindCompactedLogGetsSnapshot(t *testing.T) {
+	n := newTestCluster(t, 1, "a", "b", "c")
+	n.commit("1")
+	l := n.leader()
 	x := n.others(l)[0]
 	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	n.cut[x+">"+l.Me()], n.cut[l.Me()+">"+x] = true, true
+	n.cut[x+">"+l.ID()], n.cut[l.ID()+">"+x] = true, true
 	for range 9 {
-		n.put("2")
+		n.commit("2")
 	}
-	l.Drop(l.Applied())
+	l.Compact(l.AppliedIndex())
 	p := l.peers[x]
 	p.next = p.match + 2 // large entries: one in each append
-	l.Step(Msg{Kind: MsgAppendAnswer, From: x, To: l.Me(), Term: l.Term(), Index: p.match + 1, Sent: l.stamped}, n.now)
+	l.Step(Message{Kind: MsgAppendResponse, From: x, To: l.ID(), Term: l.Term(), Index: p.match + 1, SendStamp: l.lastStamp}, n.now)
 	sent := false
-	for _, m := range l.Take().Now {
-		sent = sent || m.Kind == MsgPoint && m.To == x
+	for _, m := range l.Ready().Messages {
+		sent = sent || m.Kind == MsgSnapshot && m.To == x
 	}
 	if !sent {
 		t.Fatal("no snapshot for a member that lacks what is no longer held")
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,50 +1,50 @@
 package raft
 
-// SetPoint gives the source of snapshots for members that lag.
-func (n *Node) SetPoint(f func() *Point) { n.pointNow = f }
+// SetSnapshotSource gives the source of snapshots for members that lag.
+func (n *Node) SetSnapshotSource(source func() *Snapshot) { n.snapshotSource = source }
 
-// onPoint takes a snapshot from the leader. It replaces state and log in one
+// handleSnapshot takes a snapshot from the leader. It replaces state and log in one
 // step, and is acknowledged once it is synced; a log that holds its last entry
 // already is kept as it is.
-func (n *Node) onPoint(m Msg) {
-	if !n.follow(m) || m.Point == nil {
+func (n *Node) handleSnapshot(m Message) {
+	if !n.followLeader(m) || m.Snapshot == nil {
 		return
 	}
-	if m.Point.Index <= n.commit {
-		n.answer(m, n.commit, false, true)
+	if m.Snapshot.Index <= n.commitIndex {
+		n.respondToAppend(m, n.commitIndex, false, true)
 		return
 	}
-	if t, ok := n.termAt(m.Point.Index); ok && t == m.Point.Term {
+	if t, ok := n.termAt(m.Snapshot.Index); ok && t == m.Snapshot.Term {
 		// The log holds all that the snapshot stands for, and perhaps entries
 		// above it that were acknowledged: it stays, and is only committed.
-		n.commit = m.Point.Index
-		n.answer(m, m.Point.Index, false, true)
+		n.commitIndex = m.Snapshot.Index
+		n.respondToAppend(m, m.Snapshot.Index, false, true)
 		return
 	}
-	n.cut(1)
-	n.base = Point{Index: m.Point.Index, Term: m.Point.Term, Conf: m.Point.Conf, Old: m.Point.Old}
+	n.supersedeWrites(1)
+	n.base = Snapshot{Index: m.Snapshot.Index, Term: m.Snapshot.Term, Voters: m.Snapshot.Voters, OutgoingVoters: m.Snapshot.OutgoingVoters}
 	n.log = nil
-	n.configurations = []configuration{{m.Point.Index, m.Point.Conf, m.Point.Old}}
+	n.configurations = []configuration{{m.Snapshot.Index, m.Snapshot.Voters, m.Snapshot.OutgoingVoters}}
 	// Not synced: nothing of it is on disk before the mark of its write is back.
-	n.commit, n.applied = m.Point.Index, m.Point.Index
-	n.out.Entries = nil
-	n.out.Point = m.Point
-	n.answer(m, m.Point.Index, false, true)
+	n.commitIndex, n.appliedIndex = m.Snapshot.Index, m.Snapshot.Index
+	n.pending.Entries = nil
+	n.pending.Snapshot = m.Snapshot
+	n.respondToAppend(m, m.Snapshot.Index, false, true)
 }
 
-// Drop forgets entries up to index, which a snapshot on disk holds.
-func (n *Node) Drop(index uint64) {
-	if index <= n.base.Index || index > n.applied {
+// Compact forgets entries up to index, which a snapshot on disk holds.
+func (n *Node) Compact(index uint64) {
+	if index <= n.base.Index || index > n.appliedIndex {
 		return
 	}
-	t, _ := n.termAt(index)
-	conf := n.configurations[0]
-	rest := n.configurations
-	for len(rest) > 0 && rest[0].index <= index {
-		conf = rest[0]
-		rest = rest[1:]
+	term, _ := n.termAt(index)
+	base := n.configurations[0]
+	remaining := n.configurations
+	for len(remaining) > 0 && remaining[0].index <= index {
+		base = remaining[0]
+		remaining = remaining[1:]
 	}
 	n.log = append([]Entry(nil), n.log[index-n.base.Index:]...)
-	n.base = Point{Index: index, Term: t, Conf: conf.voters, Old: conf.old}
-	n.configurations = append([]configuration{conf}, rest...)
+	n.base = Snapshot{Index: index, Term: term, Voters: base.voters, OutgoingVoters: base.outgoing}
+	n.configurations = append([]configuration{base}, remaining...)
 }
--- a/internal/sim/agg_test.go
+++ b/internal/sim/agg_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 )
 
 // five voters: a leader and an aggregator may be lost together.
@@ -17,7 +17,7 @@
 	for _, n := range c.names("edge") {
 		r, err := member.AskAt(c.tool(), c.IP(n)+":7720", member.AskFleet, nil, time.Second)
 		var f member.Fleet
-		if err != nil || link.Unpack(r.Body, &f) != nil || !f.Leads {
+		if err != nil || transport.Decode(r.Body, &f) != nil || !f.Leads {
 			continue
 		}
 		for _, t := range f.Tables {
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -20,10 +20,10 @@
 
 	_ "tealpond/internal/door" // registers the edge role
 	"tealpond/internal/kernel"
-	"tealpond/internal/link"
 	"tealpond/internal/order"
 	"tealpond/internal/setting"
-	"tealpond/internal/trace"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
 	"tealpond/internal/wire"
 )
 
@@ -207,8 +207,8 @@
 func (c *Cluster) Start(name string, lost int) {
 	d := c.daemon(name)
 	set := c.settings(d, lost)
-	ctx, kill := context.WithCancelCause(link.On(context.Background(), c.Net.Host(d.ip)))
-	b := kernel.Base{Setting: set, Log: log.NewLogfmtLogger(log.NewSyncWriter(watch{c})), Life: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan setting.Setting, 1), Trace: trace.NewRing(4096)}
+	ctx, kill := context.WithCancelCause(transport.WithNetwork(context.Background(), c.Net.Host(d.ip)))
+	b := kernel.Base{Setting: set, Log: log.NewLogfmtLogger(log.NewSyncWriter(watch{c})), Life: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan setting.Setting, 1), Trace: tracing.NewRing(4096)}
 	if d.core {
 		b.Moves = c.moves
 	}
--- a/internal/sim/differs_test.go
+++ b/internal/sim/differs_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"tealpond/internal/disk"
 	"tealpond/internal/raft"
+	"tealpond/internal/storage"
 	"tealpond/internal/store"
 )
 
@@ -17,23 +17,23 @@
 // running, as a fault in its memory might.
 func (c *Cluster) Corrupt(name string) {
 	// Awaited: the daemon that was killed may not have let go of it yet.
-	d, held, _, err := disk.Await(context.Background(), filepath.Join(c.dir, name), func(error) {})
+	d, held, _, err := storage.OpenWithRetry(context.Background(), filepath.Join(c.dir, name), func(error) {})
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	s, err := store.Load(held.Point.Data, store.Limits{})
+	s, err := store.Load(held.Snapshot.Data, store.Limits{})
 	if err == nil {
-		err = s.StartAt(held.Point.Index)
+		err = s.StartAt(held.Snapshot.Index)
 	}
 	if err != nil {
 		c.T.Fatal(err)
 	}
 	s.LastSeq += 1000000
 	ctx, stop := context.WithCancel(context.Background())
-	in, done := make(chan disk.Job, 1), make(chan struct{})
-	in <- disk.Job{Point: &raft.Point{Index: held.Point.Index, Term: held.Point.Term, Conf: held.Point.Conf, Data: s.Save()}}
+	in, done := make(chan storage.WriteRequest, 1), make(chan struct{})
+	in <- storage.WriteRequest{LocalSnapshot: &raft.Snapshot{Index: held.Snapshot.Index, Term: held.Snapshot.Term, Voters: held.Snapshot.Voters, Data: s.Save()}}
 	go func() {
-		d.Run(ctx, in, func(_ []disk.Job, err error) {
+		d.Run(ctx, in, func(_ []storage.WriteRequest, err error) {
 			if err != nil {
 				c.T.Errorf("the state was not corrupted: %v", err)
 			}
--- a/internal/sim/leader.go
+++ b/internal/sim/leader.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
-	"tealpond/internal/link"
 	"tealpond/internal/member"
+	"tealpond/internal/transport"
 )
 
 // Applied is how far a core daemon's log is applied, 0 if it doesn't say.
 func (c *Cluster) Applied(at string) uint64 {
-	ctx, stop := context.WithTimeout(link.On(context.Background(), c.Net.Host(c.ip(probeHost))), time.Second)
+	ctx, stop := context.WithTimeout(transport.WithNetwork(context.Background(), c.Net.Host(c.ip(probeHost))), time.Second)
 	defer stop()
 	r, err := member.AskAt(ctx, c.IP(at)+":7720", member.AskLead, nil, time.Second)
 	if err != nil {
@@ -21,11 +21,11 @@
 
 // leaderOf asks a daemon who leads.
 func leaderOf(c *Cluster, at string) string {
-	ctx, stop := context.WithTimeout(link.On(context.Background(), c.Net.Host(c.ip(probeHost))), time.Second)
+	ctx, stop := context.WithTimeout(transport.WithNetwork(context.Background(), c.Net.Host(c.ip(probeHost))), time.Second)
 	defer stop()
 	r, err := member.AskAt(ctx, c.IP(at)+":7720", member.AskLead, nil, time.Second)
 	var v member.View
-	if err != nil || link.Unpack(r.Body, &v) != nil {
+	if err != nil || transport.Decode(r.Body, &v) != nil {
 		return ""
 	}
 	if v.Leads {
--- a/internal/sim/membership_test.go
+++ b/internal/sim/membership_test.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestLossInMidChange: five voters bear two losses; one is replaced or wiped,
+// TestMemberLossDuringConfChange: five voters bear two losses; one is replaced or wiped,
 // and while that is under way the leader goes.
 func TestLossInMidChange(t *testing.T) {
 	for i, x := range firstLosses {
--- a/internal/sim/tools_test.go
+++ b/internal/sim/tools_test.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"tealpond/internal/fleet"
-	"tealpond/internal/link"
+	"tealpond/internal/transport"
 )
 
 func (c *Cluster) tool() context.Context {
-	return link.On(context.Background(), c.Net.Host(c.ip(252)))
+	return transport.WithNetwork(context.Background(), c.Net.Host(c.ip(252)))
 }
 
 func TestTraceFollowsAJobThroughAllDaemons(t *testing.T) {
@@ -30,10 +30,10 @@
 		}
 		who := map[string]map[string]bool{}
 		for _, s := range p.Steps {
-			if who[s.What] == nil {
-				who[s.What] = map[string]bool{}
+			if who[s.Action] == nil {
+				who[s.Action] = map[string]bool{}
 			}
-			who[s.What][s.Node] = true
+			who[s.Action][s.Node] = true
 		}
 		for what, n := range map[string]int{"taken": 1, "ordered": 1, "settled": 1, "answered": 1, "start ordered": 1, "start received": 1,
 			"start answered": 1, "end listed": 1, "end acknowledged": 1, "end applied": 3, "over": 3} {
--- a/internal/disk/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -1,4 +1,4 @@
-package disk
+package storage
 
 import (
 	"fmt"
@@ -15,37 +15,37 @@
 // recordsOf encodes records that stand under a key.
 func recordsOf(key []byte) golden.Codec {
 	return golden.Codec{
-		Encode: func(value any) ([]byte, error) { return encode(key, value) },
-		Decode: func(raw []byte, into any) error { return decode(key, raw, into) },
+		Encode: func(value any) ([]byte, error) { return encodeRecord(key, value) },
+		Decode: func(raw []byte, into any) error { return decodeRecord(key, raw, into) },
 	}
 }
 
 // TestRecordBytes holds the records of the file, with their checksums, against
 // the golden bytes.
 func TestRecordBytes(t *testing.T) {
-	voters := []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}, {Node: "other-node", Disk: "other-disk", Addr: "other-address"}}
-	snapshot := raft.Point{Index: 11, Term: 12, Conf: voters[:1], Data: []byte("snapshot"), Old: voters[1:]}
+	voters := []raft.Member{{Node: "node", ID: "disk", Addr: "address"}, {Node: "other-node", ID: "other-disk", Addr: "other-address"}}
+	snapshot := raft.Snapshot{Index: 11, Term: 12, Voters: voters[:1], Data: []byte("snapshot"), OutgoingVoters: voters[1:]}
 	inFrames := snapshot
 	inFrames.Data = []byte{}
 	for file, record := range map[string]struct {
 		key   []byte
 		value any
 	}{
-		"hard-state":    {kHard, &raft.Hard{Term: 1, Vote: "vote"}},
-		"founders":      {kConf, &voters},
-		"founding":      {kPt, &snapshot},
-		"snapshot-head": {kSnap, &head{Point: inFrames, Generation: 21, Frames: 22, Size: 23, Sum: 24}},
-		"entry":         {key(31), &raft.Entry{Index: 31, Term: 32, Kind: raft.EntryConf, Data: []byte("entry")}},
+		"hard-state":    {keyHardState, &raft.HardState{Term: 1, Vote: "vote"}},
+		"founders":      {keyFounders, &voters},
+		"founding":      {keyLegacySnapshot, &snapshot},
+		"snapshot-head": {keySnapshotHeader, &snapshotHeader{Snapshot: inFrames, Generation: 21, FrameCount: 22, Size: 23, Checksum: 24}},
+		"entry":         {encodeKey(31), &raft.Entry{Index: 31, Term: 32, Kind: raft.EntryConfChange, Data: []byte("entry")}},
 	} {
 		golden.Check(t, "records/"+file+".txt", recordsOf(record.key), []golden.Case{{Name: file, Value: record.value}})
 	}
-	identity, frame := seal(kID, []byte("identity")), seal(key(41), []byte("frame"))
+	identity, frame := withChecksum(keyIdentity, []byte("identity")), withChecksum(encodeKey(41), []byte("frame"))
 	golden.Text(t, "records/sealed.txt", fmt.Sprintf("identity %x\nframe %x\n", identity, frame))
 	for _, record := range []struct {
 		key, raw []byte
 		want     string
-	}{{kID, identity, "identity"}, {key(41), frame, "frame"}} {
-		if body, summed, err := unseal(record.key, record.raw); string(body) != record.want || !summed || err != nil {
+	}{{keyIdentity, identity, "identity"}, {encodeKey(41), frame, "frame"}} {
+		if body, summed, err := verifyChecksum(record.key, record.raw); string(body) != record.want || !summed || err != nil {
 			t.Errorf("%q is read as %q, %v, %v", record.want, body, summed, err)
 		}
 	}
@@ -59,8 +59,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	voters := []raft.Voter{{Node: "node", Disk: "disk", Addr: "address"}}
-	if err := d.Bind(voters, raft.Point{Index: 1, Term: 1, Conf: voters}); err != nil {
+	voters := []raft.Member{{Node: "node", ID: "disk", Addr: "address"}}
+	if err := d.Bootstrap(voters, raft.Snapshot{Index: 1, Term: 1, Voters: voters}); err != nil {
 		t.Fatal(err)
 	}
 	var text strings.Builder
@@ -73,10 +73,10 @@
 	}
 	list("after founding")
 	entries := []raft.Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}}
-	if err := d.write([]Job{{Out: raft.Out{Hard: &raft.Hard{Term: 1}, Entries: entries}}}); err != nil {
+	if err := d.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries}}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.write([]Job{{Point: &raft.Point{Index: 2, Term: 1, Conf: voters, Data: []byte("snapshot")}}}); err != nil {
+	if err := d.writeAll([]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 2, Term: 1, Voters: voters, Data: []byte("snapshot")}}}); err != nil {
 		t.Fatal(err)
 	}
 	list("after a snapshot")
--- a/internal/disk/open_test.go
+++ b/internal/storage/open_test.go
@@ -1,4 +1,4 @@
-package disk
+package storage
 
 import (
 	"bytes"
@@ -20,19 +20,19 @@
 	"tealpond/internal/tune"
 )
 
-// good makes a folder with a file that holds a vote and entries.
-func good(t *testing.T) (dir, path, id string) {
+// newStoreFile makes a folder with a file that holds a vote and entries.
+func newStoreFile(t *testing.T) (dir, path, id string) {
 	t.Helper()
 	dir = t.TempDir()
 	d, h := reopen(t, nil, dir)
-	write(t, d, Job{Out: raft.Out{Hard: &raft.Hard{Term: 3, Vote: "x"}, Entries: entries(1, 300, 3)}})
+	mustWrite(t, d, WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 3, Vote: "x"}, Entries: entries(1, 300, 3)}})
 	if err := d.db.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return dir, filepath.Join(dir, "tealpond.db"), h.ID
 }
 
-func content(t *testing.T, path string) []byte {
+func mustReadFile(t *testing.T, path string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return b
 }
 
-func absent(t *testing.T, path string) {
+func requireAbsent(t *testing.T, path string) {
 	t.Helper()
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
 		t.Fatalf("%s is there: %v", path, err)
@@ -51,7 +51,7 @@
 // A lock that another holds stands for all that passes by itself: before, the
 // good file was renamed and a new identity taken.
 func TestLockedFileIsLeftAlone(t *testing.T) {
-	dir, path, id := good(t)
+	dir, path, id := newStoreFile(t)
 	other, err := bolt.Open(path, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -59,42 +59,42 @@
 	if d, h, why, err := Open(dir); err == nil || d != nil || why != "" || h.ID != "" {
 		t.Fatalf("%v %q %v", h, why, err)
 	}
-	absent(t, path+".foreign")
+	requireAbsent(t, path+".foreign")
 	_ = other.Close()
-	if _, h := reopen(t, nil, dir); h.ID != id || h.Hard.Vote != "x" || len(h.Log) != 300 {
-		t.Fatalf("%s %+v %d", h.ID, h.Hard, len(h.Log))
+	if _, h := reopen(t, nil, dir); h.ID != id || h.HardState.Vote != "x" || len(h.Entries) != 300 {
+		t.Fatalf("%s %+v %d", h.ID, h.HardState, len(h.Entries))
 	}
 }
 
 func TestOpeningAGoodFileWritesNothing(t *testing.T) {
-	dir, path, _ := good(t)
-	before := content(t, path)
+	dir, path, _ := newStoreFile(t)
+	before := mustReadFile(t, path)
 	d, _ := reopen(t, nil, dir)
-	if !bytes.Equal(before, content(t, path)) {
+	if !bytes.Equal(before, mustReadFile(t, path)) {
 		t.Fatal("opening wrote to the file")
 	}
 	_ = d.db.Close()
 }
 
-func TestFaultsOfTheSystemLeaveTheFile(t *testing.T) {
+func TestSystemErrorsLeaveTheFile(t *testing.T) {
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO, syscall.EAGAIN, syscall.EACCES, syscall.EROFS, syscall.ETIMEDOUT, syscall.EMFILE, syscall.ENOMEM} {
-		dir, path, id := good(t)
-		before := content(t, path)
+		dir, path, id := newStoreFile(t)
+		before := mustReadFile(t, path)
 		for calls := range 2 { // the check's own call, then bbolt's
-			s, n := system, 0
-			s.open = func(name string, flag int, mode os.FileMode) (*os.File, error) {
+			s, n := osFileSystem, 0
+			s.openFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 				if n++; n > calls {
 					return nil, &os.PathError{Op: "open", Path: name, Err: fault}
 				}
 				return os.OpenFile(name, flag, mode)
 			}
-			_, _, why, err := s.open1(dir)
-			var u *Unavailable
+			_, _, why, err := s.open(dir)
+			var u *UnavailableError
 			if !errors.As(err, &u) || !errors.Is(err, fault) || why != "" {
 				t.Fatalf("%v, call %d: %v %q", fault, calls, err, why)
 			}
-			absent(t, path+".foreign")
-			if !bytes.Equal(before, content(t, path)) {
+			requireAbsent(t, path+".foreign")
+			if !bytes.Equal(before, mustReadFile(t, path)) {
 				t.Fatalf("%v: the file changed", fault)
 			}
 		}
@@ -105,7 +105,7 @@
 }
 
 // A name that no sync of its folder covers may be lost with the power.
-func TestFolderIsSyncedBeforeAnIdentityIsUsed(t *testing.T) {
+func TestDirectoryIsSyncedBeforeIdentityIsUsed(t *testing.T) {
 	for _, old := range []string{"", "a file of another program, of some length at least"} {
 		dir := t.TempDir()
 		path := filepath.Join(dir, "tealpond.db")
@@ -115,13 +115,13 @@
 			}
 		}
 		var calls []string
-		s := system
+		s := osFileSystem
 		s.rename = func(from, to string) error {
 			calls = append(calls, "rename "+filepath.Base(to))
 			return os.Rename(from, to)
 		}
 		broken := true
-		s.syncDir = func(d string) error {
+		s.syncDirectory = func(d string) error {
 			calls = append(calls, "sync")
 			if d != dir {
 				t.Errorf("synced %s", d)
@@ -129,9 +129,9 @@
 			if broken {
 				return syscall.EIO
 			}
-			return syncDir(d)
+			return syncDirectory(d)
 		}
-		if d, _, _, err := s.open1(dir); err == nil || d != nil {
+		if d, _, _, err := s.open(dir); err == nil || d != nil {
 			t.Fatal("opened without a synced folder")
 		}
 		broken = false
@@ -140,8 +140,8 @@
 		if old != "" {
 			_ = os.WriteFile(path, []byte(old), 0o600)
 		}
-		d, h, _, err := s.open1(dir)
-		if err != nil || !h.Fresh {
+		d, h, _, err := s.open(dir)
+		if err != nil || !h.NewIdentity {
 			t.Fatal(err)
 		}
 		_ = d.Close()
@@ -157,22 +157,22 @@
 
 // A first start whose folder could not be synced left a whole file behind; its
 // identity was not used, but another one must not be minted beside it either.
-func TestFileOfABrokenFirstStartIsSyncedBeforeUse(t *testing.T) {
+func TestFileOfFailedFirstStartIsSyncedBeforeUse(t *testing.T) {
 	dir := t.TempDir()
-	s, synced := system, 0
-	s.syncDir = func(string) error { synced++; return syscall.EIO }
-	if _, _, _, err := s.open1(dir); err == nil {
+	s, synced := osFileSystem, 0
+	s.syncDirectory = func(string) error { synced++; return syscall.EIO }
+	if _, _, _, err := s.open(dir); err == nil {
 		t.Fatal("opened")
 	}
-	if d, _, _, err := s.open1(dir); err == nil || d != nil || synced != 2 {
+	if d, _, _, err := s.open(dir); err == nil || d != nil || synced != 2 {
 		t.Fatalf("the second attempt used a name that is not durable: %v, %d syncs", err, synced)
 	}
-	if _, h := reopen(t, nil, dir); !h.Fresh && h.ID == "" {
+	if _, h := reopen(t, nil, dir); !h.NewIdentity && h.ID == "" {
 		t.Fatalf("%+v", h)
 	}
 }
 
-func TestFileTornAtBirthIsReplacedQuietly(t *testing.T) {
+func TestUninitializedFileIsReplacedSilently(t *testing.T) {
 	initOnly := func(path string) {
 		db, err := bolt.Open(path, 0o600, nil)
 		if err != nil {
@@ -195,12 +195,12 @@
 			path := filepath.Join(dir, "tealpond.db")
 			make(path)
 			d, h := reopen(t, nil, dir)
-			if !h.Fresh || h.ID == "" {
+			if !h.NewIdentity || h.ID == "" {
 				t.Fatalf("%+v", h)
 			}
-			absent(t, path+".foreign")
-			absent(t, path+".new")
-			if _, again := reopen(t, d, dir); again.ID != h.ID || again.Fresh {
+			requireAbsent(t, path+".foreign")
+			requireAbsent(t, path+".new")
+			if _, again := reopen(t, d, dir); again.ID != h.ID || again.NewIdentity {
 				t.Fatalf("%+v", again)
 			}
 		})
@@ -210,9 +210,9 @@
 // Each page that is in use is blanked, and one byte of each changed, and the
 // file is cut at each page: none of it may end the process, and what opens
 // under the old identity must hold all that was written.
-func TestTornPagesMakeAStranger(t *testing.T) {
-	_, path, id := good(t)
-	whole := content(t, path)
+func TestCorruptPagesGetNewIdentity(t *testing.T) {
+	_, path, id := newStoreFile(t)
+	whole := mustReadFile(t, path)
 	_, want, _, err := Open(filepath.Dir(path))
 	if err != nil {
 		t.Fatal(err)
@@ -229,15 +229,15 @@
 		}
 		_ = d.Close()
 		if h.ID != id {
-			if !h.Fresh || why == "" || !bytes.Equal(content(t, p+".foreign"), b) {
+			if !h.NewIdentity || why == "" || !bytes.Equal(mustReadFile(t, p+".foreign"), b) {
 				t.Fatalf("%s: %+v %q", what, h, why)
 			}
 			return true
 		}
 		// A bad meta page is what a loss of power in the last write leaves, which
 		// nobody was told of: the state before it is the right one.
-		if before := what == "meta" && len(h.Log) == 0 && h.Hard == (raft.Hard{}); !before && (!reflect.DeepEqual(h.Log, want.Log) || h.Hard != want.Hard) {
-			t.Fatalf("%s: opened with %d entries, %+v", what, len(h.Log), h.Hard)
+		if before := what == "meta" && len(h.Entries) == 0 && h.HardState == (raft.HardState{}); !before && (!reflect.DeepEqual(h.Entries, want.Entries) || h.HardState != want.HardState) {
+			t.Fatalf("%s: opened with %d entries, %+v", what, len(h.Entries), h.HardState)
 		}
 		return false
 	}
@@ -262,7 +262,7 @@
 	}
 }
 
-func TestOnlyTheNewestFileIsKeptAside(t *testing.T) {
+func TestOnlyNewestCorruptFileIsKept(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "tealpond.db")
 	for _, text := range []string{"first", "second"} {
@@ -270,22 +270,22 @@
 			t.Fatal(err)
 		}
 		d, h, why, err := Open(dir)
-		if err != nil || why == "" || !h.Fresh {
+		if err != nil || why == "" || !h.NewIdentity {
 			t.Fatal(err, why)
 		}
 		_ = d.Close()
 	}
 	all, _ := os.ReadDir(dir)
-	if len(all) != 2 || !strings.HasPrefix(string(content(t, path+".foreign")), "second") {
+	if len(all) != 2 || !strings.HasPrefix(string(mustReadFile(t, path+".foreign")), "second") {
 		t.Fatalf("%v", all)
 	}
 }
 
-func TestAwaitTriesUntilTheDiskServes(t *testing.T) {
-	dir, _, id := good(t)
+func TestOpenWithRetryUntilDiskServes(t *testing.T) {
+	dir, _, id := newStoreFile(t)
 	synctest.Test(t, func(t *testing.T) {
-		s, n := system, 0
-		s.open = func(name string, flag int, mode os.FileMode) (*os.File, error) {
+		s, n := osFileSystem, 0
+		s.openFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 			n++
 			if n == 3 {
 				time.Sleep(2500 * time.Millisecond) // a stalled disk, in virtual time
@@ -296,7 +296,7 @@
 			return os.OpenFile(name, flag, mode)
 		}
 		said, last, widest := 0, time.Now(), time.Duration(0)
-		d, h, why, err := s.await(t.Context(), dir, func(err error) {
+		d, h, why, err := s.openWithRetry(t.Context(), dir, func(err error) {
 			said++
 			widest = max(widest, time.Since(last))
 			last = time.Now()
@@ -311,14 +311,14 @@
 	})
 }
 
-func TestAwaitEndsWithItsContext(t *testing.T) {
+func TestOpenWithRetryEndsWithContext(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		s := system
-		s.open = func(string, int, os.FileMode) (*os.File, error) { return nil, syscall.ENOSPC }
+		s := osFileSystem
+		s.openFile = func(string, int, os.FileMode) (*os.File, error) { return nil, syscall.ENOSPC }
 		ctx, stop := context.WithTimeout(t.Context(), 5*time.Second)
 		defer stop()
-		if d, _, _, err := s.await(ctx, dir, func(error) {}); d != nil || !errors.Is(err, context.DeadlineExceeded) {
+		if d, _, _, err := s.openWithRetry(ctx, dir, func(error) {}); d != nil || !errors.Is(err, context.DeadlineExceeded) {
 			t.Fatal(err)
 		}
 	})
--- /dev/null
+++ b/internal/storage/recovery.go
@@ -0,0 +1,175 @@
+package storage
+
+import (
+	"io"
+	"strings"
+
+	"tealpond/internal/raft"
+)
+
+// Recovered is what was found on disk.
+type Recovered struct {
+	ID          string
+	HardState   raft.HardState
+	Snapshot    raft.Snapshot
+	Entries     []raft.Entry
+	Founders    []raft.Member
+	NewIdentity bool
+}
+
+// isUnused tells whether nothing but an identity was ever written.
+func (h *Recovered) isUnused() bool {
+	return h.HardState == (raft.HardState{}) && h.Snapshot.Index == 0 && len(h.Entries) == 0 && len(h.Founders) == 0
+}
+
+// recordReader takes the records of a file.
+type recordReader struct {
+	recovered Recovered
+	buckets   int
+	meta      map[string][]byte
+	snapshot  snapshotReader
+}
+
+// recoverFile checks and reads a whole file.
+func recoverFile(reader io.ReaderAt, size int64) (Recovered, boltMeta, uint64, error) {
+	records := &recordReader{meta: map[string][]byte{}}
+	if size == 0 {
+		return Recovered{}, boltMeta{}, 0, errUninitialized
+	}
+	meta, err := walkFile(reader, size, records.readRecord)
+	if err != nil {
+		return Recovered{}, meta, 0, err
+	}
+	if records.buckets == 0 && len(records.meta) == 0 && len(records.recovered.Entries) == 0 {
+		return Recovered{}, meta, 0, errUninitialized
+	}
+	if err := records.finish(); err != nil {
+		return Recovered{}, meta, 0, err
+	}
+	return records.recovered, meta, records.snapshot.header.Generation, nil
+}
+
+// readRecord files one record; the start of a bucket has no key.
+func (r *recordReader) readRecord(bucket string, key, value []byte) error {
+	generation, isFrame := strings.CutPrefix(bucket, "/"+string(bucketSnapshots)+"/")
+	switch {
+	case key == nil:
+		r.buckets++
+		if bucket == "/"+string(bucketSnapshots) {
+			return r.readSnapshotHeader()
+		}
+		return nil
+	case bucket == "/"+string(bucketMeta):
+		r.meta[string(key)] = value
+		return nil
+	case bucket == "/"+string(bucketLog):
+		return r.readEntry(key, value)
+	case isFrame:
+		return r.snapshot.addFrame(generation, key, value)
+	}
+	return corrupt("bucket", "%q is none of ours", bucket)
+}
+
+// readSnapshotHeader reads which snapshot is in force.
+func (r *recordReader) readSnapshotHeader() error {
+	raw := r.meta[string(keySnapshotHeader)]
+	if raw == nil {
+		return nil
+	}
+	r.snapshot.hasHeader = true
+	return decodeRecord(keySnapshotHeader, raw, &r.snapshot.header)
+}
+
+func (r *recordReader) readEntry(key, value []byte) error {
+	if len(key) != 8 {
+		return corrupt("log", "a key of %d bytes", len(key))
+	}
+	var entry raft.Entry
+	if err := decodeRecord(key, value, &entry); err != nil {
+		return err
+	}
+	if keyIndex := decodeKey(key); entry.Index != keyIndex {
+		return corrupt("log", "entry %d stands in the place of %d", entry.Index, keyIndex)
+	}
+	r.recovered.Entries = append(r.recovered.Entries, entry)
+	return nil
+}
+
+func (r *recordReader) finish() error {
+	recovered := &r.recovered
+	id, _, err := verifyChecksum(keyIdentity, r.meta[string(keyIdentity)])
+	if err != nil {
+		return err
+	}
+	if recovered.ID = string(id); recovered.ID == "" {
+		return corrupt("meta", "no identity")
+	}
+	for _, field := range []struct {
+		key []byte
+		to  any
+	}{{keyHardState, &recovered.HardState}, {keyFounders, &recovered.Founders}} {
+		if raw := r.meta[string(field.key)]; raw != nil {
+			if err := decodeRecord(field.key, raw, field.to); err != nil {
+				return err
+			}
+		}
+	}
+	if raw := r.meta[string(keyLegacySnapshot)]; raw != nil {
+		if recovered.Snapshot, err = decodeLegacySnapshot(raw); err != nil {
+			return err
+		}
+	}
+	if r.meta[string(keySnapshotHeader)] != nil {
+		if recovered.Snapshot, err = r.snapshot.assemble(); err != nil {
+			return err
+		}
+	}
+	// Entries that the snapshot covers may be left from older versions.
+	for len(recovered.Entries) > 0 && recovered.Entries[0].Index <= recovered.Snapshot.Index {
+		recovered.Entries = recovered.Entries[1:]
+	}
+	return checkLog(recovered.Snapshot, recovered.Entries)
+}
+
+// legacySnapshot is a snapshot as the first version wrote it, as a list.
+type legacySnapshot struct {
+	_      struct{} `cbor:",toarray"`
+	Index  uint64
+	Term   uint64
+	Voters []raft.Member
+	Data   []byte
+}
+
+// decodeLegacySnapshot reads a snapshot that is one record. Those of the first version
+// are read whatever form raft.Snapshot has taken since.
+func decodeLegacySnapshot(raw []byte) (raft.Snapshot, error) {
+	var snapshot raft.Snapshot
+	err := decodeRecord(keyLegacySnapshot, raw, &snapshot)
+	var legacy legacySnapshot
+	if err != nil && decodeRecord(keyLegacySnapshot, raw, &legacy) == nil {
+		return raft.Snapshot{Index: legacy.Index, Term: legacy.Term, Voters: legacy.Voters, Data: legacy.Data}, nil
+	}
+	return snapshot, err
+}
+
+// checkLog holds the log against the rules by which it was written: it goes on
+// from the snapshot without a gap, and terms never fall.
+//
+// A log that breaks them has lost records that were synced. The part below the
+// gap can't be kept under this identity: entries above it may have been
+// acknowledged, the leader may have counted them as held by this disk, and this
+// disk's vote would then help to elect a leader that lacks them. What is missing
+// can't be told from what is there, so the whole file is torn.
+func checkLog(snapshot raft.Snapshot, entries []raft.Entry) error {
+	index, term := snapshot.Index, snapshot.Term
+	for _, entry := range entries {
+		if entry.Index != index+1 {
+			return corrupt("log", "entry %d follows %d", entry.Index, index)
+		}
+		if entry.Term < term {
+			return corrupt("log", "entry %d: term %d follows term %d", entry.Index, entry.Term, term)
+		}
+		index, term = entry.Index, entry.Term
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/storage/snapshot.go
@@ -0,0 +1,152 @@
+package storage
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+
+	bolt "go.etcd.io/bbolt"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/tune"
+)
+
+// A snapshot is written in frames under a number of its own, its generation: a
+// bucket for each generation, in it the frames by number. Each transaction adds
+// some frames, so that entries of the log need not wait for a large snapshot;
+// the last one names the new generation in the head and removes the old one.
+// Until that is synced the old snapshot and the log above it are whole, from
+// then on the new ones are. What a crash leaves of a generation that the head
+// does not name is removed when the next one begins.
+
+// snapshotHeader is the record of the snapshot in force.
+type snapshotHeader struct {
+	_          struct{}      `cbor:",toarray"`
+	Snapshot   raft.Snapshot // without its data
+	Generation uint64
+	FrameCount uint64
+	Size       uint64
+	Checksum   uint32 // CRC-32C of the data
+}
+
+// snapshotWriter is a snapshot that is being written.
+type snapshotWriter struct {
+	snapshot  *raft.Snapshot
+	header    snapshotHeader
+	nextFrame uint64 // the first frame that is not on disk
+}
+
+func newSnapshotWriter(snapshot *raft.Snapshot, generation uint64) *snapshotWriter {
+	size := uint64(len(snapshot.Data))
+	header := snapshotHeader{Snapshot: *snapshot, Generation: generation, FrameCount: (size + tune.SnapshotFrame - 1) / tune.SnapshotFrame,
+		Size: size, Checksum: crc32.Checksum(snapshot.Data, castagnoli)}
+	header.Snapshot.Data = nil
+	return &snapshotWriter{snapshot: snapshot, header: header}
+}
+
+// nextBatch is the end of the frames that the next transaction writes, and whether
+// they are the last.
+func (w *snapshotWriter) nextBatch() (uint64, bool) {
+	end := min(w.nextFrame+tune.SnapshotFrames, w.header.FrameCount)
+	return end, end == w.header.FrameCount
+}
+
+// writeFrames writes the frames up to end.
+func (w *snapshotWriter) writeFrames(tx *bolt.Tx, current, end uint64) error {
+	snapshots, err := tx.CreateBucketIfNotExists(bucketSnapshots)
+	if err != nil {
+		return err
+	}
+	if w.nextFrame == 0 {
+		if err := deleteOtherGenerations(snapshots, current); err != nil {
+			return err
+		}
+	}
+	frames, err := snapshots.CreateBucketIfNotExists(encodeKey(w.header.Generation))
+	if err != nil {
+		return err
+	}
+	frames.FillPercent = 1
+	for i := w.nextFrame; i < end; i++ {
+		start := i * tune.SnapshotFrame
+		frameKey := encodeKey(i)
+		if err := frames.Put(frameKey, withChecksum(frameKey, w.snapshot.Data[start:min(start+tune.SnapshotFrame, w.header.Size)])); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// activate puts the snapshot in force and removes the one before.
+func (w *snapshotWriter) activate(tx *bolt.Tx) error {
+	meta := tx.Bucket(bucketMeta)
+	raw, err := encodeRecord(keySnapshotHeader, w.header)
+	if err != nil {
+		return err
+	}
+	if err := meta.Put(keySnapshotHeader, raw); err != nil {
+		return err
+	}
+	if err := meta.Delete(keyLegacySnapshot); err != nil {
+		return err
+	}
+	return deleteOtherGenerations(tx.Bucket(bucketSnapshots), w.header.Generation)
+}
+
+// deleteOtherGenerations removes all generations but one.
+func deleteOtherGenerations(snapshots *bolt.Bucket, generation uint64) error {
+	var obsolete [][]byte
+	err := snapshots.ForEachBucket(func(k []byte) error {
+		if decodeKey(k) != generation {
+			obsolete = append(obsolete, append([]byte(nil), k...))
+		}
+		return nil
+	})
+	for _, k := range obsolete {
+		if err == nil {
+			err = snapshots.DeleteBucket(k)
+		}
+	}
+	return err
+}
+
+// snapshotReader puts a snapshot together from its frames while a file is read.
+type snapshotReader struct {
+	header     snapshotHeader
+	hasHeader  bool
+	frameCount uint64
+	data       []byte
+}
+
+// addFrame takes one record of a generation.
+func (r *snapshotReader) addFrame(generation string, key, raw []byte) error {
+	if len(generation) != 8 {
+		return corrupt("snapshot", "a generation named %q", generation)
+	}
+	if !r.hasHeader || binary.BigEndian.Uint64([]byte(generation)) != r.header.Generation {
+		return nil // what a crash left over
+	}
+	if len(key) != 8 || decodeKey(key) != r.frameCount {
+		return corrupt("snapshot", "frame %x in the place of %d", key, r.frameCount)
+	}
+	body, summed, err := verifyChecksum(key, raw)
+	if err != nil {
+		return err
+	}
+	if !summed || uint64(len(body)) > r.header.Size-uint64(len(r.data)) {
+		return corrupt("snapshot", "frame %d of %d bytes does not fit", r.frameCount, len(body))
+	}
+	r.frameCount++
+	r.data = append(r.data, body...)
+	return nil
+}
+
+// assemble gives the snapshot once all frames were taken.
+func (r *snapshotReader) assemble() (raft.Snapshot, error) {
+	header := r.header
+	if r.frameCount != header.FrameCount || uint64(len(r.data)) != header.Size || crc32.Checksum(r.data, castagnoli) != header.Checksum {
+		return raft.Snapshot{}, corrupt("snapshot", "%d of %d frames, %d of %d bytes, or their sum", r.frameCount, header.FrameCount, len(r.data), header.Size)
+	}
+	snapshot := header.Snapshot
+	snapshot.Data = r.data
+	return snapshot, nil
+}
--- a/internal/link/decode.go
+++ b/internal/transport/decode.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"github.com/fxamacker/cbor/v2"
@@ -18,5 +18,5 @@
 	return m
 }()
 
-// Unpack decodes a body.
-func Unpack(raw []byte, v any) error { return Error.Wrap(decoder.Unmarshal(raw, v)) }
+// Decode decodes a body.
+func Decode(raw []byte, body any) error { return Error.Wrap(decoder.Unmarshal(raw, body)) }
--- a/internal/link/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"bytes"
@@ -11,26 +11,26 @@
 	f.Add([]byte{})
 	f.Add([]byte{1, 2, 3})
 	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0, 9})
-	f.Add(append([]byte{2, 0, 0, 0, 0, 0, 0, 0, 9}, Pack([]string{"a", "b"})...))
+	f.Add(append([]byte{2, 0, 0, 0, 0, 0, 0, 0, 9}, Encode([]string{"a", "b"})...))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var x Frame
-		if err := (coder{}).Unmarshal(raw, &x); err != nil {
+		if err := (frameEncoding{}).Unmarshal(raw, &x); err != nil {
 			if len(raw) >= 9 {
 				t.Fatal(err)
 			}
 			return
 		}
-		again, err := coder{}.Marshal(&x)
+		again, err := frameEncoding{}.Marshal(&x)
 		if err != nil || !bytes.Equal(again, raw) {
 			t.Fatalf("%x became %x: %v", raw, again, err)
 		}
 		var body any
-		_ = Unpack(x.Body, &body)
+		_ = Decode(x.Body, &body)
 	})
 }
 
 // What a hostile body could make of few bytes is bounded.
-func TestBodiesThatWouldGrowAreRefused(t *testing.T) {
+func TestOversizedBodiesAreRejected(t *testing.T) {
 	deep := bytes.Repeat([]byte{0x81}, 20)
 	wide := append([]byte{0x9a, 0, 1, 0x86, 0xa0}, make([]byte, 100_000)...)
 	for name, raw := range map[string][]byte{
@@ -40,7 +40,7 @@
 		"promised":   {0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff},
 	} {
 		var v any
-		if Unpack(raw, &v) == nil {
+		if Decode(raw, &v) == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/link/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"testing"
@@ -9,11 +9,11 @@
 // TestFrameBytes holds the layout of frames against the golden bytes.
 func TestFrameBytes(t *testing.T) {
 	codec := golden.Codec{
-		Encode: func(value any) ([]byte, error) { return coder{}.Marshal(value) },
-		Decode: func(raw []byte, into any) error { return coder{}.Unmarshal(raw, into) },
+		Encode: func(value any) ([]byte, error) { return frameEncoding{}.Marshal(value) },
+		Decode: func(raw []byte, into any) error { return frameEncoding{}.Unmarshal(raw, into) },
 	}
 	golden.Check(t, "frames.txt", codec, []golden.Case{
 		{Name: "frame", Value: &Frame{Kind: 2, ID: 0x0102030405060708, Body: []byte("body")}},
 	})
-	golden.Text(t, "names.txt", "rpc "+rpcName+"\n")
+	golden.Text(t, "names.txt", "rpc "+joinRPC+"\n")
 }
--- a/internal/tune/tune.go
+++ b/internal/tune/tune.go
@@ -13,7 +13,7 @@
 	Elect = 400 * time.Millisecond
 	// ElectSpread is added by lot, so that two do not run at once.
 	ElectSpread = 200 * time.Millisecond
-	// LeaseShare is the part of Elect in which a leader trusts the answers
+	// LeaseFraction is the part of Elect in which a leader trusts the answers
 	// of a majority; the rest covers drift between steady clocks.
 	LeaseShare = 0.85
 	// QuorumLoss is the silence of a majority after which a leader resigns.
