--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -16,9 +16,9 @@
 	"github.com/alecthomas/kingpin/v2"
 	"github.com/go-kit/log"
 
-	_ "tealpond/internal/door"
+	_ "tealpond/internal/agent"
+	_ "tealpond/internal/api"
 	"tealpond/internal/kernel"
-	_ "tealpond/internal/order"
 	"tealpond/internal/setting"
 	"tealpond/internal/tracing"
 	"tealpond/internal/tune"
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/fleet"
 	"tealpond/internal/member"
 	"tealpond/internal/setting"
@@ -64,8 +64,8 @@
 		return fault(bad, err)
 	}
 	if strings.HasPrefix(strings.TrimSpace(string(raw)), "{") {
-		if _, err = desire.Read(raw); err == nil {
-			err = desire.Check(raw)
+		if _, err = clusterconfig.Parse(raw); err == nil {
+			err = clusterconfig.Validate(raw)
 		}
 	} else {
 		_, err = setting.Parse(file, raw)
--- /dev/null
+++ b/internal/agent/call_policy.go
@@ -0,0 +1,28 @@
+package agent
+
+// Paths of the calls to a runner.
+const (
+	pathStart     = "/-/run-start"
+	pathStop      = "/-/run-stop"
+	pathKeepAlive = "/-/hold"
+)
+
+// callPolicy says what may be done when a call to the runner brought no answer:
+// it may have been carried out, or may be seconds later, after newer ones.
+type callPolicy struct {
+	// Retryable: the same call may be made again at once. Otherwise the
+	// lists are read first, by a look begun after the silence, and the call is
+	// made again only if they don't settle the matter.
+	Retryable bool
+	// Reason it is so, and what makes a late one harmless.
+	Reason string
+}
+
+// callPolicies declares each call that is made to a runner. The HTTP client never
+// makes one twice by itself.
+var callPolicies = map[string]callPolicy{
+	pathStart: {false, "the run may be there, or over; the same run is not started twice there, a late start is turned away " +
+		"once the run ended, was stopped, its untilMs is past, or a higher fence was seen"},
+	pathStop:      {false, "the run may have ended by itself, and how it ended is in the lists"},
+	pathKeepAlive: {true, "untilMs never shortens, lastSeen never falls, and the lists are those of the moment of the answer"},
+}
--- a/internal/order/latebeat_test.go
+++ b/internal/agent/latebeat_test.go
@@ -1,11 +1,11 @@
-package order
+package agent
 
 import (
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // TestLateBeatDoesNotOverturnANewerOne: a heartbeat with a lower callSeq came
@@ -20,8 +20,8 @@
 				if code := b.beat("w", late, 8); code != 200 {
 					t.Errorf("the late heartbeat gets %d", code)
 				}
-				if w := b.st.Workers["w"]; w.Draining != (newer == "draining") || b.session.beat.State != newer || b.session.seq != 9 {
-					t.Errorf("the row says draining %v; the daemon holds call %d, %s", w.Draining, b.session.seq, b.session.beat.State)
+				if w := b.state.Workers["w"]; w.Draining != (newer == "draining") || b.session.heartbeat.State != newer || b.session.heartbeatSequence != 9 {
+					t.Errorf("the row says draining %v; the daemon holds call %d, %s", w.Draining, b.session.heartbeatSequence, b.session.heartbeat.State)
 				}
 			})
 		})
@@ -33,18 +33,18 @@
 func TestLateBeatOfAnEarlierLifeIsPassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, runner := newLeaving(t)
-		runner.set(pathHold, Reply{Code: 409, Clock: wire.Clock{Reason: "fence"}})
+		runner.respond(pathKeepAlive, RunnerResponse{StatusCode: 409, Run: protocol.RunResponse{Reason: "fence"}})
 		b.beat("w2", "ready", 1)
-		now := b.s.cur
-		if now.id != "w2" || now.fence == 0 || !b.st.Workers["w"].Dead {
+		now := b.agent.session
+		if now.id != "w2" || now.fence == 0 || !b.state.Workers["w"].Dead {
 			t.Fatalf("the next life was not taken up: %+v", now)
 		}
 		time.Sleep(3 * time.Second)
 		if code := b.beat("w", "ready", 6); code != 200 {
 			t.Errorf("the late heartbeat gets %d", code)
 		}
-		if b.s.cur != now || now.over {
-			t.Errorf("the present life's session was given up for one of %s", b.s.cur.id)
+		if b.agent.session != now || now.superseded {
+			t.Errorf("the present life's session was given up for one of %s", b.agent.session.id)
 		}
 	})
 }
--- a/internal/order/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -1,4 +1,4 @@
-package order
+package agent
 
 import (
 	"context"
@@ -7,40 +7,40 @@
 	"time"
 
 	"tealpond/internal/member"
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
-	"tealpond/internal/wire"
 )
 
 // testDrain is how long a runner of these tests serves on after its sign-off.
 const testDrain = 2500
 
 // newLeaving is a fixture with the runner w, whose newest heartbeat was call 7.
-func newLeaving(t *testing.T) (*fixture, *scripted) {
+func newLeaving(t *testing.T) (*fixture, *scriptedRunner) {
 	t.Helper()
-	b, runner := newTurned(t, 1)
-	b.s.set.NodeName = "n"
-	b.s.set.Bounds.DrainMs = testDrain
-	b.session.seq = 7
+	b, runner := newFixtureWithRunner(t, 1)
+	b.agent.settings.NodeName = "n"
+	b.agent.settings.Bounds.DrainMs = testDrain
+	b.session.heartbeatSequence = 7
 	return b, runner
 }
 
 // beat brings a heartbeat and gives the code of its answer, or 0.
-func (b *fixture) beat(id, state string, seq int64) int {
-	b.t.Helper()
-	in := &beatIn{id: id, done: make(chan int, 1), beat: wire.Beat{TargetService: "s", State: state,
-		FreeRoom: wire.Room{CPUUnits: 1000, MemMb: 1000}, CallSeq: seq}}
-	b.s.take(Event{beat: in})
-	b.settle()
-	return answered(in.done)
+func (f *fixture) beat(id, state string, seq int64) int {
+	f.t.Helper()
+	in := &heartbeatRequest{id: id, status: make(chan int, 1), heartbeat: protocol.Heartbeat{Service: "s", State: state,
+		FreeResources: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, Sequence: seq}}
+	f.agent.handle(event{heartbeat: in})
+	f.settle()
+	return answered(in.status)
 }
 
 // signOff brings a sign-off and gives the code of its answer, or 0.
-func (b *fixture) signOff(id string) int {
-	b.t.Helper()
-	in := &offIn{id: id, done: make(chan int, 1)}
-	b.s.take(Event{off: in})
-	b.settle()
-	return answered(in.done)
+func (f *fixture) signOff(id string) int {
+	f.t.Helper()
+	in := &signOffRequest{id: id, status: make(chan int, 1)}
+	f.agent.handle(event{signOff: in})
+	f.settle()
+	return answered(in.status)
 }
 
 func answered(done chan int) int {
@@ -53,14 +53,14 @@
 }
 
 // leaving demands that a worker's row says that it leaves in so many ms.
-func (b *fixture) leaving(id string, in int64) {
-	b.t.Helper()
-	w := b.st.Workers[id]
+func (f *fixture) leaving(id string, in int64) {
+	f.t.Helper()
+	w := f.state.Workers[id]
 	if w == nil || !w.Draining || w.Bookable() {
-		b.t.Fatalf("%s is not leaving: %+v", id, w)
+		f.t.Fatalf("%s is not leaving: %+v", id, w)
 	}
 	if left := w.LeavesAt - time.Now().UnixMilli(); left != in {
-		b.t.Errorf("%s leaves in %d ms, want %d", id, left, in)
+		f.t.Errorf("%s leaves in %d ms, want %d", id, left, in)
 	}
 }
 
@@ -109,12 +109,12 @@
 					t.Errorf("the heartbeat gets %d", code)
 				}
 				b.leaving("w", testDrain-1000)
-				b.s.takeUp(b.session)
+				b.agent.registerRunner(b.session)
 				b.settle()
 				b.leaving("w", testDrain-1000)
-				runner.set(pathStart, Reply{Code: 200})
-				b.order(0)
-				b.turn(500 * time.Millisecond)
+				runner.respond(pathStart, RunnerResponse{StatusCode: 200})
+				b.assign(0)
+				b.advance(500 * time.Millisecond)
 				if n := runner.count(pathStart); n != 0 {
 					t.Errorf("%d starts on a runner that signed off", n)
 				}
@@ -128,7 +128,7 @@
 func TestSignOffAtASideDaemonThatStartedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newLeaving(t)
-		b.s.cur = nil
+		b.agent.session = nil
 		if code := b.signOff("w"); code != 200 {
 			t.Errorf("the sign-off gets %d", code)
 		}
@@ -145,8 +145,8 @@
 func TestSignOffBeforeItsTakeUpIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newLeaving(t)
-		b.run("eligible", &store.Eligible{ID: "w", Draining: true, LeavesIn: -1})
-		b.s.cur = nil
+		b.execute("eligible", &store.Eligible{ID: "w", Draining: true, LeavesIn: -1})
+		b.agent.session = nil
 		b.signOff("w2")
 		b.beat("w2", "ready", 1)
 		b.leaving("w2", testDrain)
@@ -158,17 +158,17 @@
 func TestSignOffThatWasNotCommittedIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newLeaving(t)
-		lead := b.s.lead
-		b.s.lead = noLeader
+		lead := b.agent.callLeader
+		b.agent.callLeader = noLeader
 		if code := b.signOff("w"); code != 503 {
 			t.Errorf("the sign-off gets %d", code)
 		}
 		if code := b.beat("w", "draining", 8); code != 503 {
 			t.Errorf("the heartbeat gets %d", code)
 		}
-		b.s.lead = lead
-		if code := b.beat("w", "draining", 9); code != 200 || !b.st.Workers["w"].Draining {
-			t.Errorf("the next one gets %d, draining %v", code, b.st.Workers["w"].Draining)
+		b.agent.callLeader = lead
+		if code := b.beat("w", "draining", 9); code != 200 || !b.state.Workers["w"].Draining {
+			t.Errorf("the next one gets %d, draining %v", code, b.state.Workers["w"].Draining)
 		}
 	})
 }
--- a/internal/order/side_test.go
+++ b/internal/agent/progress_test.go
@@ -1,4 +1,4 @@
-package order
+package agent
 
 import (
 	"testing"
@@ -7,13 +7,13 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/member"
+	"tealpond/internal/protocol"
 	"tealpond/internal/setting"
-	"tealpond/internal/wire"
 )
 
-// TestStuckIsToldFromRestoring: nbo-tealpond trouble-1 seed 12 stopped a
+// TestStuckRunIsDistinguishedFromRestoringOne: nbo-tealpond trouble-1 seed 12 stopped a
 // resumed run on one worker after another while it read its saved text.
-func TestStuckIsToldFromRestoring(t *testing.T) {
+func TestStuckRunIsDistinguishedFromRestoringOne(t *testing.T) {
 	const task = "j.0.0.0"
 	for name, c := range map[string]struct {
 		saved string
@@ -27,15 +27,15 @@
 		"long, a point at a time": {"", 60000, []int{0, 0, 1, 1, 2, 2, 3, 3}, false},
 		"still from the start":    {"", 300, []int{0, 0, 0, 0}, true},
 	} {
-		s := &Side{log: log.NewNopLogger(), now: time.Unix(1000, 0), set: setting.Setting{Bounds: setting.Bounds{RestoreMs: 600}}}
-		session := &runnerSession{runs: map[string]*run{}}
-		r := &run{order: member.Order{Worker: "w", Task: task, Run: 1, Saved: c.saved, EstMs: c.est}, state: started, begun: s.now, percentAt: s.now}
+		a := &Agent{log: log.NewNopLogger(), now: time.Unix(1000, 0), settings: setting.Setting{Bounds: setting.Bounds{RestoreMs: 600}}}
+		session := &runnerSession{runs: map[string]*taskRun{}}
+		run := &taskRun{assignment: member.Order{Worker: "w", Task: task, Run: 1, Saved: c.saved, EstMs: c.est}, phase: runRunning, startedAt: a.now, percentChangedAt: a.now}
 		for _, p := range c.seen {
-			s.now = s.now.Add(300 * time.Millisecond)
-			s.progress(session, r, wire.Run{Task: task, Run: 1, Percent: p})
+			a.now = a.now.Add(300 * time.Millisecond)
+			a.trackProgress(session, run, protocol.RunProgress{Task: task, Run: 1, Percent: p})
 		}
-		if r.stopAsked != c.stuck {
-			t.Errorf("%s: stuck %v, want %v", name, r.stopAsked, c.stuck)
+		if run.stopRequested != c.stuck {
+			t.Errorf("%s: stuck %v, want %v", name, run.stopRequested, c.stuck)
 		}
 	}
 }
--- /dev/null
+++ b/internal/agent/role.go
@@ -0,0 +1,128 @@
+package agent
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/labstack/echo/v4"
+
+	"tealpond/internal/kernel"
+	"tealpond/internal/member"
+	"tealpond/internal/protocol"
+	"tealpond/internal/transport"
+	"tealpond/internal/tune"
+)
+
+func init() {
+	kernel.Register(kernel.Maker{Role: "side", About: "orders the runner on its machine", Make: func(b kernel.Base) (kernel.Plug, error) {
+		return New(b, newHTTPRunnerClient(b.Setting.App)), nil
+	}})
+}
+
+// New builds the side daemon's plug over a way to call its runner.
+func New(env kernel.Base, runner RunnerClient) kernel.Plug {
+	return &role{Agent: newAgent(env, runner), env: env}
+}
+
+type role struct {
+	*Agent
+	env kernel.Base
+}
+
+// Run serves the runner's calls and turns the loop.
+func (r *role) Run(ctx context.Context) error {
+	agent := r.Agent
+	agent.ctx = ctx
+	router := echo.New()
+	router.HideBanner, router.HidePort = true, true
+	router.POST("/-/Runners.Heartbeat/:id", agent.serveHeartbeat)
+	router.POST("/-/Runners.SignOff/:id", agent.serveSignOff)
+	listener, err := transport.Listen(ctx, agent.settings.ListenAddrs.ControlAddr)
+	if err != nil {
+		return err
+	}
+	httpServer := &http.Server{Handler: router, ReadHeaderTimeout: tune.HeadTime, IdleTimeout: time.Minute}
+	go func() { _ = httpServer.Serve(listener) }()
+	go func() { _ = agent.discovery.Run(ctx) }()
+	if err := transport.Serve(ctx, agent.settings.InnerSide(), agent.handleFrame); err != nil {
+		// Why not fatal: only traces need it.
+		_ = agent.log.Log("level", "warn", "event", "trace.unserved", "why", err)
+	}
+	go agent.renewMembership(ctx)
+	go func() {
+		for {
+			select {
+			case reloaded := <-r.env.Reload:
+				agent.discovery.Seeds(reloaded.Seeds())
+			case <-ctx.Done():
+				return
+			}
+		}
+	}()
+	kernel.Loop(ctx, agent.events, agent.handle, agent.advance)
+	_ = httpServer.Close()
+	return nil
+}
+
+// handleFrame answers a tracer.
+func (a *Agent) handleFrame(event transport.Event) {
+	var request member.Ask
+	if event.Closed || event.Frame.Kind != member.FrameAsk || transport.Decode(event.Frame.Body, &request) != nil {
+		return
+	}
+	response := member.Answer{Code: 400}
+	if request.Kind == member.AskTrace {
+		response = member.AnswerTrace(a.trace, a.settings.NodeName, "side", request.Body)
+	}
+	event.Stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: event.Frame.ID, Body: transport.Encode(response)})
+}
+
+// renewMembership renews this daemon's membership.
+func (a *Agent) renewMembership(ctx context.Context) {
+	ticker := time.NewTicker(tune.SideClaim)
+	defer ticker.Stop()
+	for {
+		callCtx, cancel := context.WithTimeout(ctx, tune.SideClaim)
+		a.discovery.Ask(callCtx, member.AskClaim, member.Claim{Node: a.settings.NodeName, Role: "side", Zone: a.settings.Zone, Addr: a.settings.InnerSide(), Life: a.process})
+		cancel()
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// serveHeartbeat: POST /-/Runners.Heartbeat/ID with a Beat; 200 once heard.
+func (a *Agent) serveHeartbeat(c echo.Context) error {
+	var heartbeat protocol.Heartbeat
+	if err := c.Echo().JSONSerializer.Deserialize(c, &heartbeat); err != nil {
+		return c.String(http.StatusBadRequest, "the beat cannot be read")
+	}
+	request := &heartbeatRequest{id: c.Param("id"), heartbeat: heartbeat, status: make(chan int, 1)}
+	return a.respond(c, event{heartbeat: request}, request.status)
+}
+
+// serveSignOff: POST /-/Runners.SignOff/ID; 200 once committed.
+func (a *Agent) serveSignOff(c echo.Context) error {
+	request := &signOffRequest{id: c.Param("id"), status: make(chan int, 1)}
+	return a.respond(c, event{signOff: request}, request.status)
+}
+
+func (a *Agent) respond(c echo.Context, e event, status chan int) error {
+	a.events <- e
+	timer := time.NewTimer(970 * time.Millisecond)
+	defer timer.Stop()
+	select {
+	case code := <-status:
+		if code == 200 {
+			return c.JSONBlob(200, []byte("{}"))
+		}
+		return c.NoContent(code)
+	case <-timer.C:
+		return c.NoContent(http.StatusServiceUnavailable)
+	case <-a.ctx.Done():
+		return c.NoContent(http.StatusServiceUnavailable)
+	}
+}
--- a/internal/door/history_model_test.go
+++ b/internal/api/history_model_test.go
@@ -1,4 +1,4 @@
-package door
+package api
 
 import (
 	"fmt"
--- a/internal/door/limits_test.go
+++ b/internal/api/limits_test.go
@@ -1,4 +1,4 @@
-package door
+package api
 
 import (
 	"context"
@@ -10,18 +10,18 @@
 
 	"github.com/labstack/echo/v4"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/member"
+	"tealpond/internal/protocol"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // TestSizesAreRefusedByTheNewestLimitsOnly: limits known here may be older than
 // the configuration in force.
 func TestSizesAreRefusedByTheNewestLimitsOnly(t *testing.T) {
 	job := `{"jobSpec":"` + strings.Repeat("x", 500) + `","steps":[{"taskCount":1}]}`
-	in := func(version int64, header int, body int64) member.Answer {
-		return member.Answer{Code: 200, N: version, Body: transport.Encode(desire.Limits{MaxHeaderBytes: header, MaxBodyBytes: body})}
+	leaderLimits := func(version int64, header int, body int64) member.Answer {
+		return member.Answer{Code: 200, N: version, Body: transport.Encode(clusterconfig.Limits{MaxHeaderBytes: header, MaxBodyBytes: body})}
 	}
 	for _, c := range []struct {
 		name          string
@@ -32,51 +32,51 @@
 		unknownLength bool
 	}{
 		{"within", 1000, 1000, member.Answer{Code: 500}, 200, false},
-		{"body over the old limit", 1000, 100, in(8, 1000, 1000), 200, false},
-		{"body over the old limit, length unknown", 1000, 100, in(8, 1000, 1000), 200, true},
-		{"body over both", 1000, 100, in(8, 1000, 400), 413, false},
-		{"body over both, length unknown", 1000, 100, in(8, 1000, 400), 413, true},
-		{"heads over the old limit", 10, 1000, in(8, 1000, 1000), 200, false},
-		{"heads over both", 10, 1000, in(8, 20, 1000), 431, false},
+		{"body over the old limit", 1000, 100, leaderLimits(8, 1000, 1000), 200, false},
+		{"body over the old limit, length unknown", 1000, 100, leaderLimits(8, 1000, 1000), 200, true},
+		{"body over both", 1000, 100, leaderLimits(8, 1000, 400), 413, false},
+		{"body over both, length unknown", 1000, 100, leaderLimits(8, 1000, 400), 413, true},
+		{"heads over the old limit", 10, 1000, leaderLimits(8, 1000, 1000), 200, false},
+		{"heads over both", 10, 1000, leaderLimits(8, 20, 1000), 431, false},
 		{"body over the old limit, cut off", 1000, 100, member.Answer{Code: member.NoLeader}, 503, false},
 		{"heads over the old limit, cut off", 10, 1000, member.Answer{Code: member.Lost}, 503, false},
 		{"body over the old limit, not configured", 1000, 100, member.Answer{Code: 503}, 503, true},
 	} {
-		e := newTestEdge(answers(map[string]member.Answer{member.AskLimits: c.newest, member.AskHandIn: {Code: 200}}))
-		e.limits.Store(limitsOf(7, desire.Limits{MaxHeaderBytes: c.header, MaxBodyBytes: c.body}))
+		s := newTestServer(respondByKind(map[string]member.Answer{member.AskLimits: c.newest, member.AskHandIn: {Code: 200}}))
+		s.limits.Store(newSizeLimits(7, clusterconfig.Limits{MaxHeaderBytes: c.header, MaxBodyBytes: c.body}))
 		request := httptest.NewRequest(http.MethodPost, "/p/0123456789abcdef", strings.NewReader(job))
 		request.Header.Set("X-Long", strings.Repeat("h", 50))
 		if c.unknownLength {
 			request.ContentLength = -1
 		}
 		recorder := httptest.NewRecorder()
-		_ = e.serveJob(echo.New().NewContext(request, recorder))
-		if recorder.Code != c.want || (c.want == 503) != (recorder.Header().Get(wire.HeadRetry) != "") {
+		_ = s.serveJob(echo.New().NewContext(request, recorder))
+		if recorder.Code != c.want || (c.want == 503) != (recorder.Header().Get(protocol.HeaderRetryAfter) != "") {
 			t.Errorf("%s: %d, want %d", c.name, recorder.Code, c.want)
 		}
 	}
 }
 
-// TestLimitsArePulledAtNews: whoever answers, the own core too, names the newest
+// TestLimitsAreFetchedWhenANewerVersionIsNamed: whoever answers, the own core too, names the newest
 // version, and its limits are pulled; older ones never come back.
-func TestLimitsArePulledAtNews(t *testing.T) {
+func TestLimitsAreFetchedWhenANewerVersionIsNamed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		version, pulls := int64(8), 0
-		e := newTestEdge(func(_ context.Context, a member.Ask) member.Answer {
+		version, fetches := int64(8), 0
+		s := newTestServer(func(_ context.Context, a member.Ask) member.Answer {
 			if a.Kind == member.AskLimits {
-				pulls++
-				return member.Answer{Code: 200, N: version, Desired: version, Body: transport.Encode(desire.Limits{MaxBodyBytes: version})}
+				fetches++
+				return member.Answer{Code: 200, N: version, Desired: version, Body: transport.Encode(clusterconfig.Limits{MaxBodyBytes: version})}
 			}
 			return member.Answer{Code: 200, Desired: version}
 		})
 		ctx, stop := context.WithCancel(t.Context())
-		go e.news(ctx)
+		go s.followLimits(ctx)
 		for _, version = range []int64{8, 8, 9, 8} {
-			e.Ask(ctx, member.AskClaim, struct{}{})
+			s.Call(ctx, member.AskClaim, struct{}{})
 			synctest.Wait()
 		}
-		if got := e.bounds(); got.version != 9 || got.body != 9 || pulls != 2 {
-			t.Errorf("limits %+v after %d pulls", *got, pulls)
+		if got := s.knownLimits(); got.version != 9 || got.bodyBytes != 9 || fetches != 2 {
+			t.Errorf("limits %+v after %d pulls", *got, fetches)
 		}
 		stop()
 	})
--- a/internal/door/control_test.go
+++ b/internal/api/operators_test.go
@@ -1,4 +1,4 @@
-package door
+package api
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/member"
+	"tealpond/internal/protocol"
 	"tealpond/internal/transport"
 	"tealpond/internal/tune"
-	"tealpond/internal/wire"
 )
 
 // serveWith runs a handler on one request.
@@ -29,20 +29,20 @@
 	return recorder
 }
 
-const goodConfiguration = `{"configVersion":7,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`
+const validConfig = `{"configVersion":7,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`
 
-func put(e *Edge, base, raw string) *httptest.ResponseRecorder {
-	return serveWith(e.servePut, http.MethodPost, "/-/Config.Replace", raw, wire.HeadBasedOn, base)
+func replaceConfig(s *Server, base, raw string) *httptest.ResponseRecorder {
+	return serveWith(s.serveConfigReplace, http.MethodPost, "/-/Config.Replace", raw, protocol.HeaderBasedOn, base)
 }
 
-func read(e *Edge) *httptest.ResponseRecorder {
-	return serveWith(e.serveRead, http.MethodGet, "/-/Config.Read", "")
+func readConfig(s *Server) *httptest.ResponseRecorder {
+	return serveWith(s.serveConfigRead, http.MethodGet, "/-/Config.Read", "")
 }
 
-// TestOperatorsAnswers: refusals come from the leader alone; what isn't clear,
+// TestOperatorResponseStatus: refusals come from the leader alone; what isn't clear,
 // or not possible now, says when to come back.
-func TestOperatorsAnswers(t *testing.T) {
-	for _, c := range []struct {
+func TestOperatorResponseStatus(t *testing.T) {
+	for _, test := range []struct {
 		leader    member.Answer
 		put, read int
 	}{
@@ -55,35 +55,35 @@
 		{member.Answer{Code: 412}, 412, 412},
 		{member.Answer{Code: 200, Body: []byte("{}")}, 200, 200},
 	} {
-		e := newTestEdge(answers(map[string]member.Answer{member.AskPut: c.leader, member.AskRead: c.leader}))
+		s := newTestServer(respondByKind(map[string]member.Answer{member.AskPut: test.leader, member.AskRead: test.leader}))
 		for what, got := range map[string]struct {
 			answer *httptest.ResponseRecorder
 			want   int
-		}{"put": {put(e, "5", goodConfiguration), c.put}, "read": {read(e), c.read}} {
+		}{"put": {replaceConfig(s, "5", validConfig), test.put}, "read": {readConfig(s), test.read}} {
 			if got.answer.Code != got.want {
-				t.Errorf("%s, leader's answer %d: %d, want %d", what, c.leader.Code, got.answer.Code, got.want)
+				t.Errorf("%s, leader's answer %d: %d, want %d", what, test.leader.Code, got.answer.Code, got.want)
 			}
-			retry := got.answer.Header().Get(wire.HeadRetry)
-			if (got.want >= 500) != (retry != "") || c.leader.RetryMs == 2500 && retry != "3" {
-				t.Errorf("%s, leader's answer %d: %d with %s %q", what, c.leader.Code, got.answer.Code, wire.HeadRetry, retry)
+			retry := got.answer.Header().Get(protocol.HeaderRetryAfter)
+			if (got.want >= 500) != (retry != "") || test.leader.RetryMs == 2500 && retry != "3" {
+				t.Errorf("%s, leader's answer %d: %d with %s %q", what, test.leader.Code, got.answer.Code, protocol.HeaderRetryAfter, retry)
 			}
 		}
 	}
 }
 
-// TestMalformedOrdersNeedNoLeader: what is wrong with a text is found here, the
+// TestMalformedConfigurationsNeedNoLeader: what is wrong with a text is found here, the
 // same on each daemon.
-func TestMalformedOrdersNeedNoLeader(t *testing.T) {
-	e := newTestEdge(func(context.Context, member.Ask) member.Answer {
+func TestMalformedConfigurationsNeedNoLeader(t *testing.T) {
+	s := newTestServer(func(context.Context, member.Ask) member.Answer {
 		t.Error("the leader was asked")
 		return member.Answer{}
 	})
 	for _, c := range []struct{ base, raw string }{
-		{"", goodConfiguration}, {"x", goodConfiguration}, {"5", goodConfiguration[:40]},
-		{"5", strings.Replace(goodConfiguration, `"timeoutMs":1000`, `"timeoutMs":0`, 1)},
-		{"5", strings.Replace(goodConfiguration, `"targetService":"s"`, `"targetService":"x"`, 1)},
+		{"", validConfig}, {"x", validConfig}, {"5", validConfig[:40]},
+		{"5", strings.Replace(validConfig, `"timeoutMs":1000`, `"timeoutMs":0`, 1)},
+		{"5", strings.Replace(validConfig, `"targetService":"s"`, `"targetService":"x"`, 1)},
 	} {
-		if got := put(e, c.base, c.raw); got.Code != 400 {
+		if got := replaceConfig(s, c.base, c.raw); got.Code != 400 {
 			t.Errorf("base %q: %d", c.base, got.Code)
 		}
 	}
@@ -104,12 +104,12 @@
 func TestCutOffDaemonAnswersWithinASecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(transport.WithNetwork(t.Context(), noNetwork{}))
-		e := newTestEdge(nil)
-		e.seek = member.NewSeeker(e.log, "", []string{"10.0.0.1:1"}, nil, e.onNews, nil)
-		e.route = e.toLeader
+		s := newTestServer(nil)
+		s.discovery = member.NewSeeker(s.log, "", []string{"10.0.0.1:1"}, nil, s.noteVersion, nil)
+		s.callLeader = s.forward
 		done := make(chan struct{})
-		go func() { defer close(done); _ = e.seek.Run(ctx) }()
-		e.contact.heard(time.Now())
+		go func() { defer close(done); _ = s.discovery.Run(ctx) }()
+		s.leaderContact.record(time.Now())
 		call := func(what string, most time.Duration, handle func() *httptest.ResponseRecorder) {
 			t.Helper()
 			begun := time.Now()
@@ -117,17 +117,17 @@
 			if took := time.Since(begun); took > most {
 				t.Errorf("%s: answered after %v", what, took)
 			}
-			if got.Code != 503 || got.Header().Get(wire.HeadRetry) == "" {
-				t.Errorf("%s: %d, %s %q", what, got.Code, wire.HeadRetry, got.Header().Get(wire.HeadRetry))
+			if got.Code != 503 || got.Header().Get(protocol.HeaderRetryAfter) == "" {
+				t.Errorf("%s: %d, %s %q", what, got.Code, protocol.HeaderRetryAfter, got.Header().Get(protocol.HeaderRetryAfter))
 			}
 		}
-		order := func() *httptest.ResponseRecorder { return put(e, "5", goodConfiguration) }
-		call("order", 600*time.Millisecond, order)
-		call("read", 600*time.Millisecond, func() *httptest.ResponseRecorder { return read(e) })
+		replace := func() *httptest.ResponseRecorder { return replaceConfig(s, "5", validConfig) }
+		call("order", 600*time.Millisecond, replace)
+		call("read", 600*time.Millisecond, func() *httptest.ResponseRecorder { return readConfig(s) })
 		time.Sleep(tune.Fresh)
-		call("order, cut off for long", 200*time.Millisecond, order)
-		call("read, cut off for long", 200*time.Millisecond, func() *httptest.ResponseRecorder { return read(e) })
-		if e.ready() {
+		call("order, cut off for long", 200*time.Millisecond, replace)
+		call("read, cut off for long", 200*time.Millisecond, func() *httptest.ResponseRecorder { return readConfig(s) })
+		if s.ready() {
 			t.Error("ready while cut off")
 		}
 		stop()
--- /dev/null
+++ b/internal/api/redirect_test.go
@@ -0,0 +1,56 @@
+package api
+
+import (
+	"context"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tealpond/internal/member"
+	"tealpond/internal/setting"
+	"tealpond/internal/tune"
+)
+
+// TestLargeConfigurationsAreRedirectedToTheLeader: nbo-tealpond-large broke CONFIG on
+// a day whose configuration had 920 routes: read through small machines, it
+// never came in time.
+func TestLargeConfigurationsAreRedirectedToTheLeader(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		calls := 0
+		s := newTestServer(func(context.Context, member.Ask) member.Answer {
+			calls++
+			return member.Answer{Code: 200, Body: []byte("{}")}
+		})
+		s.settings = setting.Setting{ListenAddrs: setting.Listen{ControlAddr: "10.0.0.9:8166"}}
+		leader := "10.0.0.4:7720"
+		s.leaderAddress = func() string { return leader }
+		large := validConfig + strings.Repeat(" ", tune.RedirectBytes)
+
+		// The leader wasn't heard yet: the call is carried on.
+		if replaceConfig(s, "5", large).Code != 200 || calls != 1 {
+			t.Fatalf("asked %d times", calls)
+		}
+		// Now it was.
+		for what, location := range map[string]string{
+			"read": readConfig(s).Header().Get("Location"),
+			"put":  replaceConfig(s, "5", large).Header().Get("Location"),
+		} {
+			if !strings.HasPrefix(location, "http://10.0.0.4:8166/-/Config.Re") {
+				t.Errorf("%s was sent to %q", what, location)
+			}
+		}
+		if replaceConfig(s, "5", validConfig).Code != 200 || calls != 2 {
+			t.Error("a small configuration wasn't carried on")
+		}
+		leader = ""
+		if readConfig(s).Code != 200 {
+			t.Error("a call was sent on though no leader is known")
+		}
+		leader = "10.0.0.4:7720"
+		time.Sleep(2 * tune.RedirectFresh)
+		if readConfig(s).Code != 200 {
+			t.Error("a call was sent to a leader that wasn't heard for long")
+		}
+	})
+}
--- /dev/null
+++ b/internal/api/server.go
@@ -0,0 +1,237 @@
+// Package api serves clients and operators: it reads a call, asks the leader
+// and writes the answer.
+package api
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/labstack/echo/v4"
+
+	"tealpond/internal/core"
+	"tealpond/internal/kernel"
+	"tealpond/internal/member"
+	"tealpond/internal/move"
+	"tealpond/internal/setting"
+	"tealpond/internal/transport"
+	"tealpond/internal/tune"
+)
+
+func init() {
+	kernel.Register(kernel.Maker{Role: "edge", About: "takes clients' and operators' calls; holds state where it has a disk", Moves: true, Make: newServer})
+}
+
+// Server is the plug of the edge role.
+type Server struct {
+	settings   setting.Setting
+	log        log.Logger
+	env        kernel.Base
+	replica    *core.Core
+	mover      *move.Mover
+	discovery  *member.Seeker
+	bootstraps chan bootstrapRequest
+	leaving    atomic.Bool
+	// callLeader takes an ask to the leader; tests stand in for it.
+	callLeader func(context.Context, member.Ask) member.Answer
+	// leaderAddress gives the inner address of the leader, if one is known and this
+	// daemon isn't of the core; tests stand in for it.
+	leaderAddress func() string
+	leaderContact *leaderContact
+	limits        atomic.Pointer[sizeLimits]
+	newestVersion atomic.Int64  // version of the newest configuration heard of
+	limitsStale   chan struct{} // a newer one was heard of
+}
+
+type bootstrapRequest struct {
+	message member.Found
+	reply   chan member.Proposal
+}
+
+func newServer(env kernel.Base) (kernel.Plug, error) {
+	s := &Server{settings: env.Setting, log: env.Log, env: env, bootstraps: make(chan bootstrapRequest), leaderContact: newLeaderContact(), limitsStale: make(chan struct{}, 1)}
+	s.callLeader = s.forward
+	s.leaderAddress = func() string { return "" }
+	selfAddress := ""
+	if env.Setting.Core() {
+		// Why only then: others need not know those that hold no state.
+		selfAddress = env.Setting.Inner()
+	}
+	s.discovery = member.NewSeeker(env.Log, selfAddress, env.Setting.Seeds(), nil, s.noteVersion, nil)
+	if !env.Setting.Core() {
+		s.leaderAddress = s.discovery.Speaking
+	}
+	if env.Setting.Core() {
+		replica, err := core.New(env, s.discovery)
+		if err != nil {
+			return nil, err
+		}
+		s.replica = replica
+		if env.Moves != "" {
+			routes, err := move.Load(env.Moves)
+			if err != nil {
+				return nil, err
+			}
+			replica.SetMoves(routes)
+			s.mover = move.New(routes, env.Log, replica)
+		}
+	}
+	return s, nil
+}
+
+// Run serves until ctx ends.
+func (s *Server) Run(ctx context.Context) error {
+	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	handleFrame := s.handleFrame
+	if s.replica != nil {
+		handleFrame = s.replica.Give
+	}
+	if err := transport.Serve(serveCtx, s.settings.Inner(), handleFrame); err != nil {
+		return err
+	}
+	go func() { _ = s.discovery.Run(serveCtx) }()
+	if s.replica != nil {
+		go func() { _ = s.replica.Run(serveCtx) }()
+		if s.mover != nil {
+			go s.mover.Run(serveCtx)
+		}
+	} else {
+		go s.runBootstrap(serveCtx)
+	}
+	go s.renewMembership(serveCtx)
+	go s.followLimits(serveCtx)
+	httpServers, err := s.listen(serveCtx)
+	if err != nil {
+		return err
+	}
+	for {
+		select {
+		case reloaded := <-s.env.Reload:
+			s.discovery.Seeds(reloaded.Seeds())
+			if s.replica != nil {
+				s.replica.Seeds(reloaded.Seeds())
+			}
+			continue
+		case <-ctx.Done():
+		}
+		break
+	}
+	if context.Cause(ctx) == kernel.Killed {
+		for _, httpServer := range httpServers {
+			_ = httpServer.Close()
+		}
+		return nil
+	}
+	// Why in this order: no new callers, then hand the lead on, then finish
+	// what is under way.
+	s.leaving.Store(true)
+	if s.replica != nil {
+		s.replica.Leave()
+	}
+	grace := time.Duration(s.settings.Bounds.GraceS*float64(time.Second)) / 2
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), grace)
+	defer cancelShutdown()
+	for _, httpServer := range httpServers {
+		_ = httpServer.Shutdown(shutdownCtx)
+	}
+	return nil
+}
+
+// handleFrame answers other daemons where this one holds no state.
+func (s *Server) handleFrame(event transport.Event) {
+	if event.Closed || event.Frame.Kind != member.FrameAsk {
+		return
+	}
+	var request member.Ask
+	if transport.Decode(event.Frame.Body, &request) != nil {
+		event.Stream.Close()
+		return
+	}
+	response := member.Answer{Code: member.NotLead}
+	switch request.Kind {
+	case member.AskLead:
+		if len(request.Body) > 0 {
+			s.discovery.Learn(string(request.Body))
+		}
+		view := member.View{Known: s.discovery.Known()}
+		response = member.Answer{Code: 200, Body: transport.Encode(view)}
+	case member.AskTrace:
+		response = member.AnswerTrace(s.env.Trace, s.settings.NodeName, "edge", request.Body)
+	case member.AskFound:
+		var message member.Found
+		if transport.Decode(request.Body, &message) == nil {
+			bootstrap := bootstrapRequest{message, make(chan member.Proposal, 1)}
+			s.bootstraps <- bootstrap
+			response = member.Answer{Code: 200, Body: transport.Encode(<-bootstrap.reply)}
+		}
+	}
+	event.Stream.Send(transport.Frame{Kind: member.FrameAnswer, ID: event.Frame.ID, Body: transport.Encode(response)})
+}
+
+func (s *Server) runBootstrap(ctx context.Context) {
+	founder := member.Founder{Least: 2*s.settings.Tolerate.LostMachines + 1}
+	kernel.Loop(ctx, s.bootstraps, func(request bootstrapRequest) { request.reply <- founder.Take(request.message, time.Now()) }, func(time.Time) time.Duration { return 0 })
+}
+
+// renewMembership renews this daemon's membership, which also tests the way to the
+// leader and brings the newest version.
+func (s *Server) renewMembership(ctx context.Context) {
+	ticker := time.NewTicker(tune.Claim)
+	defer ticker.Stop()
+	for {
+		callCtx, cancel := context.WithTimeout(ctx, tune.Claim)
+		s.Call(callCtx, member.AskClaim, member.Claim{Node: s.settings.NodeName, Role: "edge", Zone: s.settings.Zone, Addr: s.settings.Inner(), Life: s.env.Life})
+		cancel()
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// ready tells whether this daemon should be given new callers.
+func (s *Server) ready() bool {
+	if s.replica != nil && !s.replica.Opened() {
+		return false
+	}
+	return !s.leaving.Load() && s.leaderContact.heardWithin(tune.Fresh)
+}
+
+func (s *Server) listen(ctx context.Context) ([]*http.Server, error) {
+	clients, readiness, operators := echo.New(), echo.New(), echo.New()
+	clients.Any("/*", s.serveJob)
+	readiness.GET("/-/readiness", s.serveReadiness)
+	operators.POST("/-/Config.Replace", s.serveConfigReplace)
+	operators.GET("/-/Config.Read", s.serveConfigRead)
+	var httpServers []*http.Server
+	for _, listener := range []struct {
+		addr string
+		echo *echo.Echo
+		idle time.Duration
+	}{{s.settings.ListenAddrs.FrontHTTP, clients, tune.IdleStream}, {s.settings.ListenAddrs.Readiness, readiness, time.Minute}, {s.settings.ListenAddrs.ControlAddr, operators, tune.IdleStream}} {
+		if listener.addr == "" {
+			continue
+		}
+		listener.echo.HideBanner, listener.echo.HidePort = true, true
+		socket, err := transport.Listen(ctx, listener.addr)
+		if err != nil {
+			return nil, err
+		}
+		httpServer := &http.Server{Handler: listener.echo, ReadHeaderTimeout: tune.HeadTime, IdleTimeout: listener.idle, MaxHeaderBytes: tune.HeadMost}
+		httpServers = append(httpServers, httpServer)
+		go func() { _ = httpServer.Serve(socket) }()
+	}
+	return httpServers, nil
+}
+
+// serveReadiness: GET /-/readiness; 200 while the leader is heard.
+func (s *Server) serveReadiness(c echo.Context) error {
+	if s.ready() {
+		return c.NoContent(http.StatusOK)
+	}
+	return c.NoContent(http.StatusServiceUnavailable)
+}
--- a/internal/desire/state_test.go
+++ b/internal/clusterconfig/config_test.go
@@ -1,4 +1,4 @@
-package desire
+package clusterconfig
 
 import (
 	"strings"
@@ -7,12 +7,12 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestFaults runs the examples of docs/desired.examples.
-func TestFaults(t *testing.T) {
+// TestConfigurationExamples runs the examples of docs/desired.examples.
+func TestConfigurationExamples(t *testing.T) {
 	datadriven.RunTest(t, "../../docs/desired.examples", func(t *testing.T, d *datadriven.TestData) string {
-		s, err := Read([]byte(d.Input))
+		config, err := Parse([]byte(d.Input))
 		if err == nil {
-			err = Check([]byte(d.Input))
+			err = Validate([]byte(d.Input))
 		}
 		if err != nil {
 			return err.Error() + "\n"
@@ -21,11 +21,11 @@
 			var host, path string
 			d.ScanArgs(t, "host", &host)
 			d.ScanArgs(t, "path", &path)
-			l, rest := NewTable(s).Find(host, path)
-			if l == nil {
+			route, rest := NewRouteTable(config).Find(host, path)
+			if route == nil {
 				return "none\n"
 			}
-			return strings.TrimSpace(l.Name+" "+rest) + "\n"
+			return strings.TrimSpace(route.Name+" "+rest) + "\n"
 		}
 		return "ok\n"
 	})
--- a/internal/desire/golden_test.go
+++ b/internal/clusterconfig/golden_test.go
@@ -1,4 +1,4 @@
-package desire
+package clusterconfig
 
 import (
 	"encoding/json"
@@ -11,12 +11,12 @@
 )
 
 // filledState gives a configuration whose fields differ.
-func filledState() State {
-	return State{
+func filledState() Config {
+	return Config{
 		Version: 11,
-		Lanes: []Lane{{Name: "route", HostName: "host", PathPrefix: "/path/", Kind: "kind", TimeoutMs: 21, TargetMs: 22, Priority: 23,
-			TargetService: "service", MaxTries: 24, Stretch: 2.5}},
-		Services: []Service{{Name: "service", Guards: true}},
+		Routes: []Route{{Name: "route", HostName: "host", PathPrefix: "/path/", Kind: "kind", TimeoutMs: 21, TargetMs: 22, Priority: 23,
+			TargetService: "service", MaxAttempts: 24, Stretch: 2.5}},
+		Services: []Service{{Name: "service", EnforcesResources: true}},
 		Limits:   Limits{MaxHeaderBytes: 31, MaxBodyBytes: 32, HeaderTimeoutMs: 33, IdleTimeoutMs: 34},
 	}
 }
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	golden.Text(t, "configuration.json", string(text)+"\n")
-	got, err := Read(text)
+	got, err := Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/desire/check.go
+++ b/internal/clusterconfig/schema.go
@@ -1,4 +1,4 @@
-package desire
+package clusterconfig
 
 import (
 	"sync"
@@ -43,24 +43,24 @@
 ...
 `
 
-var build = sync.OnceValues(func() (*cue.Context, cue.Value) {
+var compileSchema = sync.OnceValues(func() (*cue.Context, cue.Value) {
 	c := cuecontext.New()
 	return c, c.CompileString(schema)
 })
 
-var mu sync.Mutex
+var schemaMu sync.Mutex
 
-// Check holds a configuration against the schema.
-func Check(raw []byte) error {
-	mu.Lock()
-	defer mu.Unlock()
-	c, s := build()
-	x, err := cuejson.Extract("configuration", raw)
+// Validate holds a configuration against the schema.
+func Validate(raw []byte) error {
+	schemaMu.Lock()
+	defer schemaMu.Unlock()
+	cueContext, compiled := compileSchema()
+	expression, err := cuejson.Extract("configuration", raw)
 	if err != nil {
 		return Error.New("%s", errors.Details(err, nil))
 	}
-	v := s.Unify(c.BuildExpr(x))
-	if err := v.Validate(cue.Concrete(true)); err != nil {
+	unified := compiled.Unify(cueContext.BuildExpr(expression))
+	if err := unified.Validate(cue.Concrete(true)); err != nil {
 		return Error.New("%v", err)
 	}
 	return nil
--- a/internal/core/asks.go
+++ b/internal/core/asks.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/member"
 	"tealpond/internal/raft"
 	"tealpond/internal/store"
@@ -169,7 +169,7 @@
 
 // route finds the route of a call and the rest of its path; if there is none it
 // answers the call, and the last result is false.
-func (c *Core) route(raw []byte, reply replyFunc) (member.Call, *desire.Lane, string, bool) {
+func (c *Core) route(raw []byte, reply replyFunc) (member.Call, *clusterconfig.Route, string, bool) {
 	var call member.Call
 	if transport.Decode(raw, &call) != nil {
 		reply(member.Answer{Code: 400})
@@ -206,7 +206,7 @@
 }
 
 // crowded tells whether more waits than the room can finish in good time.
-func (c *Core) crowded(route *desire.Lane) bool {
+func (c *Core) crowded(route *clusterconfig.Route) bool {
 	room, _ := c.state.Bookable(route.TargetService)
 	if room.CPU == 0 {
 		return false
@@ -241,7 +241,7 @@
 	}
 	// Only the version is read here: the text was checked where it came in, and
 	// is parsed when the command is applied.
-	id := "desired/" + strconv.FormatInt(desire.VersionOf(request.Raw), 10)
+	id := "desired/" + strconv.FormatInt(clusterconfig.VersionOf(request.Raw), 10)
 	c.trace.Record(id, "ordered", int64(c.node.LastIndex()+1), "")
 	c.add("replace", &store.Replace{Base: request.Base, Raw: request.Raw}, c.traced(id, "settled", replyOutcome(reply)))
 }
--- a/internal/core/config_test.go
+++ b/internal/core/config_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/member"
 	"tealpond/internal/store"
 	"tealpond/internal/transport"
@@ -34,7 +34,7 @@
 	if a := asked((*Core).askRead, c); a.Code != 200 || string(a.Body) != string(raw) || a.N != 7 || a.Desired != 7 {
 		t.Errorf("read: %+v", a)
 	}
-	var l desire.Limits
+	var l clusterconfig.Limits
 	if a := asked((*Core).askLimits, c); a.Code != 200 || transport.Decode(a.Body, &l) != nil || l.MaxBodyBytes != 99 || a.N != 7 || a.Desired != 7 {
 		t.Errorf("limits: %+v, %+v", a, l)
 	}
--- a/internal/core/logjob.go
+++ b/internal/core/logjob.go
@@ -34,7 +34,7 @@
 			n++
 			cpu += worker.Room.CPUUnits
 			used += worker.UsedCPU
-			mem += worker.Room.MemMb
+			mem += worker.Room.MemoryMB
 			usedMem += worker.UsedMem
 		}
 	}
@@ -57,5 +57,5 @@
 	}
 	step := job.Steps[alloc.Step]
 	_ = c.log.Log("level", "debug", "event", "run.ended", "task", alloc.Task(), "run", alloc.Run, "copy", alloc.Copy, "how", r.How, "why", alloc.Why, "worker", worker.Node,
-		"waited_ms", alloc.From-job.Insts[alloc.K].Steps[alloc.Step].Since, "took_ms", r.At-alloc.From, "estimate_ms", step.EstimateMs, "far", worker.FarFrom(step.NearTo), "priority", job.Priority, "cpu", alloc.CPU)
+		"waited_ms", alloc.From-job.Insts[alloc.K].Steps[alloc.Step].Since, "took_ms", r.At-alloc.From, "estimate_ms", step.EstimateMs, "far", worker.FarFrom(step.PreferredRack), "priority", job.Priority, "cpu", alloc.CPU)
 }
--- a/internal/core/moves.go
+++ b/internal/core/moves.go
@@ -5,9 +5,9 @@
 
 	"tealpond/internal/member"
 	"tealpond/internal/move"
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // SetMoves turns moving on.
@@ -85,7 +85,7 @@
 	for _, job := range state.Open() {
 		if job.Away() {
 			work.Open = append(work.Open, move.Open{Job: job.ID, Peer: job.Move.Peer, No: job.Move.No, State: job.Move.State, Cancel: job.Move.Cancel, Lane: there[job.Lane],
-				Body: wire.Job{JobSpec: job.Spec, Steps: job.Steps}})
+				Body: protocol.Job{Spec: job.Spec, Steps: job.Steps}})
 			continue
 		}
 		if may[job.Lane] && !job.Began && job.RunTimes == 0 && !job.Move.Guest && !lasts(job) {
--- a/internal/core/sessions.go
+++ b/internal/core/sessions.go
@@ -96,7 +96,7 @@
 		order.Spec, order.Saved = job.Spec, alloc.Saved
 		step := job.Steps[alloc.Step]
 		order.EstMs, order.Lasts = step.EstimateMs, step.LongRunning
-		if worker.FarFrom(step.NearTo) {
+		if worker.FarFrom(step.PreferredRack) {
 			order.EstMs = int64(float64(order.EstMs) * c.state.Far())
 		}
 	}
--- a/internal/core/tools.go
+++ b/internal/core/tools.go
@@ -70,7 +70,7 @@
 	}
 	workers := member.Table{Name: "workers", Cols: []string{"id", "node", "service", "zone", "rack", "cpu", "cpu_used", "mem", "mem_used", "gpus", "fence", "draining", "sick", "lost", "dead"}}
 	for _, worker := range state.Workers {
-		add(&workers, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(), worker.Room.CPUUnits, worker.UsedCPU, worker.Room.MemMb, worker.UsedMem, worker.Room.GPUs, worker.Fence, worker.Draining, worker.Sick, worker.Lost, worker.Dead)
+		add(&workers, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(), worker.Room.CPUUnits, worker.UsedCPU, worker.Room.MemoryMB, worker.UsedMem, worker.Room.GPUs, worker.Fence, worker.Draining, worker.Sick, worker.Lost, worker.Dead)
 	}
 	devices := member.Table{Name: "devices", Cols: []string{"id", "class", "worker", "healthy", "bookings"}}
 	books := member.Table{Name: "bookings", Cols: []string{"device", "alloc", "from_ms", "to_ms"}}
@@ -89,8 +89,8 @@
 		add(&allocs, alloc.ID, alloc.Worker, alloc.Task(), alloc.Run, alloc.CPU, alloc.Mem, len(alloc.GPUs), alloc.From, alloc.Stopping, alloc.Why)
 	}
 	inboxes := member.Table{Name: "inboxes", Cols: []string{"name", "host", "prefix", "service", "priority", "target_ms", "stretch", "max_rounds", "waiting"}}
-	for _, l := range state.Desired.Lanes {
-		add(&inboxes, l.Name, l.HostName, l.PathPrefix, l.TargetService, l.Priority, l.TargetMs, l.Stretch, l.MaxTries, state.Waiting(l.Name))
+	for _, l := range state.Desired.Routes {
+		add(&inboxes, l.Name, l.HostName, l.PathPrefix, l.TargetService, l.Priority, l.TargetMs, l.Stretch, l.MaxAttempts, state.Waiting(l.Name))
 	}
 	jobs := member.Table{Name: "jobs", Cols: []string{"id", "inbox", "service", "priority", "state", "born_ms", "ended_ms", "steps", "run_times"}}
 	for _, job := range state.Jobs {
--- a/internal/member/calls.go
+++ b/internal/member/calls.go
@@ -4,9 +4,9 @@
 package member
 
 import (
+	"tealpond/internal/protocol"
 	"tealpond/internal/raft"
 	"tealpond/internal/tracing"
-	"tealpond/internal/wire"
 )
 
 // Kinds of frames.
@@ -157,7 +157,7 @@
 	_    struct{} `cbor:",toarray"`
 	Host string
 	Path string
-	Job  wire.Job
+	Job  protocol.Job
 }
 
 // Put is an operator's change of the configuration.
--- a/internal/member/golden_test.go
+++ b/internal/member/golden_test.go
@@ -6,20 +6,20 @@
 	"testing"
 
 	"tealpond/internal/golden"
+	"tealpond/internal/protocol"
 	"tealpond/internal/raft"
 	"tealpond/internal/tracing"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // packed encodes the bodies of frames.
 var packed = golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
 
 // filledJob gives a client's job whose fields differ.
-func filledJob() wire.Job {
-	return wire.Job{JobSpec: "spec", RunTimes: 41, FirstRunMs: 42, IntervalMs: 43, Steps: []wire.Step{{
-		TaskCount: 51, CPUUnits: 52, MemMb: 53, GPUs: 54, EstimateMs: 55, DependsOn: []int{56, 57}, Checkpoints: true,
-		NeededLabels: wire.Labels{"label-a", "label-b"}, NearTo: "rack", ApartFrom: 58, LongRunning: true}}}
+func filledJob() protocol.Job {
+	return protocol.Job{Spec: "spec", PeriodicInstances: 41, FirstRunMs: 42, IntervalMs: 43, Steps: []protocol.Step{{
+		TaskCount: 51, CPUUnits: 52, MemoryMB: 53, GPUs: 54, EstimateMs: 55, DependsOn: []int{56, 57}, Checkpoints: true,
+		RequiredLabels: protocol.Labels{"label-a", "label-b"}, PreferredRack: "rack", MaxPerWorker: 58, LongRunning: true}}}
 }
 
 // TestMessageBytes holds the messages between daemons against the golden bytes.
--- a/internal/move/calls.go
+++ b/internal/move/calls.go
@@ -4,8 +4,8 @@
 	"crypto/hmac"
 	"crypto/sha256"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // Kinds of calls between clusters.
@@ -30,7 +30,7 @@
 	CPU    int64
 	ForMs  int64
 	Cancel bool
-	Body   wire.Job
+	Body   protocol.Job
 }
 
 // Said is the answer: a word, and how far the log that says it was.
@@ -109,7 +109,7 @@
 	Over   bool // its end is committed here, and the peer may forget it
 	Lane   string
 	Loan   string
-	Body   wire.Job
+	Body   protocol.Job
 }
 
 // Candidate is a job that may move.
--- a/internal/move/golden_test.go
+++ b/internal/move/golden_test.go
@@ -10,16 +10,16 @@
 	"github.com/BurntSushi/toml"
 
 	"tealpond/internal/golden"
+	"tealpond/internal/protocol"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // filledCall gives a call between clusters whose fields differ.
 func filledCall() Call {
 	return Call{From: "there", To: "here", Kind: "kind", Job: "job", No: 1, Lane: "route", Loan: "loan", CPU: 2, ForMs: 3, Cancel: true,
-		Body: wire.Job{JobSpec: "spec", RunTimes: 4, FirstRunMs: 5, IntervalMs: 6, Steps: []wire.Step{{
-			TaskCount: 11, CPUUnits: 12, MemMb: 13, GPUs: 14, EstimateMs: 15, DependsOn: []int{16}, AllTogether: true,
-			NeededLabels: wire.Labels{"label"}, NearTo: "rack", ApartFrom: 17, Twice: true}}}}
+		Body: protocol.Job{Spec: "spec", PeriodicInstances: 4, FirstRunMs: 5, IntervalMs: 6, Steps: []protocol.Step{{
+			TaskCount: 11, CPUUnits: 12, MemoryMB: 13, GPUs: 14, EstimateMs: 15, DependsOn: []int{16}, Gang: true,
+			RequiredLabels: protocol.Labels{"label"}, PreferredRack: "rack", MaxPerWorker: 17, Speculative: true}}}}
 }
 
 // TestCallBytes holds the messages between clusters against the golden bytes.
--- a/internal/place/pace_test.go
+++ b/internal/place/pace_test.go
@@ -5,8 +5,8 @@
 	"math/rand"
 	"testing"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
-	"tealpond/internal/wire"
 )
 
 // TestPaceTellsASlowWorkerFromRoughEstimates: estimates are off by up to eight
@@ -18,7 +18,7 @@
 	rnd := rand.New(rand.NewSource(9))
 	slow := worker(2)
 	for range 40 {
-		f.job("/p/", wire.Step{TaskCount: 18, CPUUnits: 5000, MemMb: 10, EstimateMs: int64(200 * math.Exp(rnd.Float64()*4-2))})
+		f.job("/p/", protocol.Step{TaskCount: 18, CPUUnits: 5000, MemoryMB: 10, EstimateMs: int64(200 * math.Exp(rnd.Float64()*4-2))})
 		f.plan(p)
 		for i := 0; len(f.s.Allocs) > 0; i++ {
 			for _, a := range f.s.Allocs {
@@ -56,7 +56,7 @@
 	for _, sound := range []bool{true, false} {
 		f := newFleet(4)
 		p := &Planner{}
-		f.job("/p/", wire.Step{TaskCount: 8, CPUUnits: 3000, MemMb: 10, EstimateMs: 300, Twice: true})
+		f.job("/p/", protocol.Step{TaskCount: 8, CPUUnits: 3000, MemoryMB: 10, EstimateMs: 300, Speculative: true})
 		f.plan(p)
 		long := f.any()
 		p.paces = map[string]pace{}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -70,8 +70,8 @@
 			if st.CPUUnits > 0 {
 				n = min(n, int((most.cpu-held[k].cpu)/float64(st.CPUUnits)))
 			}
-			if st.MemMb > 0 {
-				n = min(n, int((most.mem-held[k].mem)/float64(st.MemMb)))
+			if st.MemoryMB > 0 {
+				n = min(n, int((most.mem-held[k].mem)/float64(st.MemoryMB)))
 			}
 			if held[k].cpu == 0 {
 				n = max(n, 1)
@@ -89,10 +89,10 @@
 		left -= max(len(q.Items), tune.PlanMiss)
 		if len(q.Items) > 0 {
 			out = append(out, q)
-			held[k] = held[k].add(st.CPUUnits, st.MemMb, len(q.Items))
+			held[k] = held[k].add(st.CPUUnits, st.MemoryMB, len(q.Items))
 		}
 		if n := len(w.tasks) - len(q.Items); n > 0 && w.class < 2 && !w.copies && s.Clock-w.in.Steps[w.step].Since >= tune.PushAfter.Milliseconds() {
-			p.lack[k] = p.lack[k].add(st.CPUUnits, st.MemMb, n)
+			p.lack[k] = p.lack[k].add(st.CPUUnits, st.MemoryMB, n)
 		}
 	}
 	return out
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -7,9 +7,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
 	"tealpond/internal/tune"
-	"tealpond/internal/wire"
 )
 
 const desired = `{"configVersion":1,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":9,"stretch":1.5},{"name":"b","hostName":"h","pathPrefix":"/q/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":2,"targetService":"s","maxTries":9,"stretch":3}],"serviceList":[{"name":"s","guards":true}]}`
@@ -27,7 +27,7 @@
 	f.run("replace", &store.Replace{Raw: []byte(desired)})
 	for i := range workers {
 		f.run("takeup", &store.TakeUp{ID: worker(i), Node: "n" + worker(i), Service: "s", Zone: fmt.Sprint("z", i%9),
-			Labels: []string{"a", fmt.Sprint("r", i/7)}, Room: wire.Room{CPUUnits: 16000, MemMb: 32768}, LeavesIn: -1})
+			Labels: []string{"a", fmt.Sprint("r", i/7)}, Room: protocol.Resources{CPUUnits: 16000, MemoryMB: 32768}, LeavesIn: -1})
 	}
 	return f
 }
@@ -43,10 +43,10 @@
 	return f.s.Run(f.s.Applied+1, raw)[0]
 }
 
-func (f *fleet) job(prefix string, steps ...wire.Step) string {
+func (f *fleet) job(prefix string, steps ...protocol.Step) string {
 	f.jobs++
 	id := fmt.Sprintf("%016x", f.jobs)
-	if o := f.run("handin", &store.HandIn{Host: "h", Path: prefix + id, ID: id, Job: wire.Job{JobSpec: "x", Steps: steps}}); o.Code != 200 {
+	if o := f.run("handin", &store.HandIn{Host: "h", Path: prefix + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}); o.Code != 200 {
 		panic(o.Text)
 	}
 	return id
@@ -67,7 +67,7 @@
 func (f *fleet) end(a *store.Alloc, how string) {
 	w := f.s.Workers[a.Worker]
 	f.ends[a.Worker]++
-	f.run("ends", &store.Ends{Worker: a.Worker, Fence: w.Fence, Ends: []wire.End{{N: f.ends[a.Worker], Task: a.Task(), Run: a.Run, How: how}}})
+	f.run("ends", &store.Ends{Worker: a.Worker, Fence: w.Fence, Ends: []protocol.Completion{{Sequence: f.ends[a.Worker], Task: a.Task(), Run: a.Run, Result: how}}})
 }
 
 func (f *fleet) any() *store.Alloc {
@@ -82,7 +82,7 @@
 	want := int(each * float64(len(f.s.Workers)))
 	for len(f.s.Allocs) < want {
 		n := min(want-len(f.s.Allocs), tune.PlanTasks)
-		f.job("/p/", wire.Step{TaskCount: n, CPUUnits: 800, MemMb: 900, EstimateMs: 40000})
+		f.job("/p/", protocol.Step{TaskCount: n, CPUUnits: 800, MemoryMB: 900, EstimateMs: 40000})
 		f.plan(p)
 	}
 }
@@ -95,16 +95,16 @@
 		p := &Planner{}
 		rnd := rand.New(rand.NewSource(3))
 		for i := range 600 {
-			st := wire.Step{TaskCount: 1 + rnd.Intn(30), CPUUnits: int64(100 + rnd.Intn(6000)), MemMb: int64(100 + rnd.Intn(9000)), EstimateMs: 300}
+			st := protocol.Step{TaskCount: 1 + rnd.Intn(30), CPUUnits: int64(100 + rnd.Intn(6000)), MemoryMB: int64(100 + rnd.Intn(9000)), EstimateMs: 300}
 			switch rnd.Intn(6) {
 			case 0:
-				st.NearTo = fmt.Sprint("r", rnd.Intn(4))
+				st.PreferredRack = fmt.Sprint("r", rnd.Intn(4))
 			case 1:
-				st.NeededLabels = []string{fmt.Sprint("r", rnd.Intn(4))}
+				st.RequiredLabels = []string{fmt.Sprint("r", rnd.Intn(4))}
 			case 2:
-				st.ApartFrom = 1 + rnd.Intn(2)
+				st.MaxPerWorker = 1 + rnd.Intn(2)
 			case 3:
-				st.AllTogether, st.SameRack = true, rnd.Intn(2) == 0
+				st.Gang, st.SameRack = true, rnd.Intn(2) == 0
 			}
 			id := f.job("/p/", st)
 			f.plan(p)
@@ -114,9 +114,9 @@
 				if !f.s.Fits(j, 0, w) {
 					continue
 				}
-				n := int(min(w.FreeCPU()/st.CPUUnits, w.FreeMem()/st.MemMb))
-				if st.ApartFrom > 0 {
-					n = min(n, st.ApartFrom-f.s.Apart(id, 0, 0, w.ID))
+				n := int(min(w.FreeCPU()/st.CPUUnits, w.FreeMem()/st.MemoryMB))
+				if st.MaxPerWorker > 0 {
+					n = min(n, st.MaxPerWorker-f.s.Apart(id, 0, 0, w.ID))
 				}
 				free += max(n, 0)
 			}
@@ -126,7 +126,7 @@
 					waits++
 				}
 			}
-			if waits > 0 && free >= max(1, waits) && !st.AllTogether || st.AllTogether && waits > 0 && free >= st.TaskCount {
+			if waits > 0 && free >= max(1, waits) && !st.Gang || st.Gang && waits > 0 && free >= st.TaskCount {
 				t.Fatalf("%d workers, job %d: %d of %d tasks wait beside room for %d (%+v)", workers, i, waits, st.TaskCount, free, st)
 			}
 			for len(f.s.Allocs) > workers*6 {
@@ -140,7 +140,7 @@
 func TestNearDataFirst(t *testing.T) {
 	for _, workers := range []int{30, tune.LookAtAll + 60} {
 		f := newFleet(workers)
-		id := f.job("/p/", wire.Step{TaskCount: 20, CPUUnits: 1000, MemMb: 100, EstimateMs: 300, NearTo: "r2"})
+		id := f.job("/p/", protocol.Step{TaskCount: 20, CPUUnits: 1000, MemoryMB: 100, EstimateMs: 300, PreferredRack: "r2"})
 		f.plan(&Planner{})
 		for _, a := range f.s.Allocs {
 			if r := f.s.Workers[a.Worker].Rack(); a.Job == id && r != "r2" {
@@ -155,7 +155,7 @@
 func TestCopyOfARunInTrouble(t *testing.T) {
 	f := newFleet(4)
 	p := &Planner{}
-	f.job("/p/", wire.Step{TaskCount: 2, CPUUnits: 9000, MemMb: 100, EstimateMs: 400, Twice: true})
+	f.job("/p/", protocol.Step{TaskCount: 2, CPUUnits: 9000, MemoryMB: 100, EstimateMs: 400, Speculative: true})
 	f.plan(p)
 	if n := f.plan(p); n != 0 {
 		t.Fatalf("%d copies of young runs", n)
@@ -202,7 +202,7 @@
 				for range 22 {
 					f.end(f.any(), "done")
 				}
-				f.job("/p/", wire.Step{TaskCount: 22, CPUUnits: 800, MemMb: 900, EstimateMs: 40000})
+				f.job("/p/", protocol.Step{TaskCount: 22, CPUUnits: 800, MemoryMB: 900, EstimateMs: 40000})
 				if f.plan(p) == 0 {
 					b.Fatal("nothing was placed")
 				}
@@ -259,9 +259,9 @@
 func TestNothingIsPushedForWorkThatNoLongerWaits(t *testing.T) {
 	f := newFleet(2)
 	p := &Planner{}
-	f.job("/q/", wire.Step{TaskCount: 4, CPUUnits: 7900, MemMb: 100, EstimateMs: 4000})
+	f.job("/q/", protocol.Step{TaskCount: 4, CPUUnits: 7900, MemoryMB: 100, EstimateMs: 4000})
 	f.plan(p)
-	id := f.job("/p/", wire.Step{TaskCount: 2, CPUUnits: 7900, MemMb: 100, EstimateMs: 300})
+	id := f.job("/p/", protocol.Step{TaskCount: 2, CPUUnits: 7900, MemoryMB: 100, EstimateMs: 300})
 	f.now += 100
 	f.run("sweep", &store.Sweep{})
 	if f.plan(p) != 0 || len(p.Pushes(f.s)) == 0 {
@@ -282,7 +282,7 @@
 	p := &Planner{}
 	for i := range 600 {
 		for _, prefix := range []string{"/p/", "/q/"} {
-			f.job(prefix, wire.Step{TaskCount: 1, CPUUnits: 100, EstimateMs: 100})
+			f.job(prefix, protocol.Step{TaskCount: 1, CPUUnits: 100, EstimateMs: 100})
 			f.plan(p)
 			a := f.any()
 			if prefix == "/p/" && i%10 == 0 {
--- a/internal/place/push.go
+++ b/internal/place/push.go
@@ -39,7 +39,7 @@
 		if st.Checkpoints {
 			lost = min(lost, p.SaveMs)
 		}
-		if st.EstimateMs < tune.LongTask.Milliseconds() || st.AllTogether || st.LongRunning || lost > tune.PushLoss.Milliseconds() {
+		if st.EstimateMs < tune.LongTask.Milliseconds() || st.Gang || st.LongRunning || lost > tune.PushLoss.Milliseconds() {
 			continue
 		}
 		vs = append(vs, victim{a, j, lost})
--- a/internal/place/share.go
+++ b/internal/place/share.go
@@ -31,7 +31,7 @@
 	for _, w := range ws {
 		st := w.j.Steps[w.step]
 		k := store.Kind{Service: w.j.Service, Priority: w.j.Priority}
-		all[k] = all[k].add(st.CPUUnits, st.MemMb, len(w.tasks))
+		all[k] = all[k].add(st.CPUUnits, st.MemoryMB, len(w.tasks))
 	}
 	return held, all
 }
--- a/internal/place/view.go
+++ b/internal/place/view.go
@@ -4,9 +4,9 @@
 	"math"
 	"sort"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
 	"tealpond/internal/tune"
-	"tealpond/internal/wire"
 )
 
 // view is the room that a plan has left. It holds a slot for each worker that
@@ -37,7 +37,7 @@
 func (v *view) surely(w *want) bool {
 	st := &w.j.Steps[w.step]
 	for _, x := range v.full[w.j.Service] {
-		if st.CPUUnits >= x.CPU && st.MemMb >= x.Mem {
+		if st.CPUUnits >= x.CPU && st.MemoryMB >= x.Mem {
 			return true
 		}
 	}
@@ -48,8 +48,8 @@
 func (v *view) missed(w *want) {
 	st := &w.j.Steps[w.step]
 	// Why not of the first class: it may pass over slow workers.
-	if len(st.NeededLabels) == 0 && st.ApartFrom == 0 && st.GPUs == 0 && !w.copies && w.class > 0 {
-		v.full[w.j.Service] = append(v.full[w.j.Service], store.Sum{CPU: st.CPUUnits, Mem: st.MemMb})
+	if len(st.RequiredLabels) == 0 && st.MaxPerWorker == 0 && st.GPUs == 0 && !w.copies && w.class > 0 {
+		v.full[w.j.Service] = append(v.full[w.j.Service], store.Sum{CPU: st.CPUUnits, Mem: st.MemoryMB})
 	}
 }
 
@@ -98,15 +98,15 @@
 }
 
 // fits tells whether one task of a step fits there now.
-func (v *view) fits(sl *slot, w *want, st *wire.Step, rack, key string) bool {
+func (v *view) fits(sl *slot, w *want, st *protocol.Step, rack, key string) bool {
 	switch {
-	case sl.out, sl.cpu < st.CPUUnits, sl.mem < st.MemMb, sl.gpu < st.GPUs, rack != "" && sl.w.Rack() != rack:
+	case sl.out, sl.cpu < st.CPUUnits, sl.mem < st.MemoryMB, sl.gpu < st.GPUs, rack != "" && sl.w.Rack() != rack:
 		return false
 	case w.not[sl.w.ID], !v.s.Fits(w.j, w.step, sl.w):
 		return false
 	case sl.w.LeavesAt > 0 && sl.w.LeavesAt < v.s.Clock+st.EstimateMs:
 		return false
-	case st.ApartFrom > 0 && v.apart(sl, *w, key) >= st.ApartFrom:
+	case st.MaxPerWorker > 0 && v.apart(sl, *w, key) >= st.MaxPerWorker:
 		return false
 	}
 	return !v.tooSlow(sl, *w)
@@ -114,7 +114,7 @@
 
 // candidates are the slots that one task may go to: all that fit where a
 // service has few workers; else those near its data and the fullest that fit.
-func (v *view) candidates(w *want, st *wire.Step, rack, key string) []*slot {
+func (v *view) candidates(w *want, st *protocol.Step, rack, key string) []*slot {
 	if all, ok := v.few(w.j.Service); ok {
 		return all
 	}
@@ -131,8 +131,8 @@
 		}
 		return out
 	}
-	if st.NearTo != "" {
-		for _, x := range v.s.Labelled(w.j.Service, st.NearTo) {
+	if st.PreferredRack != "" {
+		for _, x := range v.s.Labelled(w.j.Service, st.PreferredRack) {
 			add(x)
 		}
 		if len(out) > 0 {
@@ -140,9 +140,9 @@
 			return out
 		}
 	}
-	if len(st.NeededLabels) > 0 {
-		least := v.s.Labelled(w.j.Service, st.NeededLabels[0])
-		for _, l := range st.NeededLabels[1:] {
+	if len(st.RequiredLabels) > 0 {
+		least := v.s.Labelled(w.j.Service, st.RequiredLabels[0])
+		for _, l := range st.RequiredLabels[1:] {
 			if x := v.s.Labelled(w.j.Service, l); len(x) < len(least) {
 				least = x
 			}
@@ -161,14 +161,14 @@
 // fit places a step's tasks; a gang whole or not at all.
 func (v *view) fit(w want) store.Plan {
 	st := w.j.Steps[w.step]
-	p := store.Plan{Job: w.j.ID, K: w.in.K, Step: w.step, Whole: st.AllTogether}
-	if st.AllTogether && st.SameRack {
+	p := store.Plan{Job: w.j.ID, K: w.in.K, Step: w.step, Whole: st.Gang}
+	if st.Gang && st.SameRack {
 		if q, ok := v.oneRack(w, p); ok {
 			return q
 		}
 	}
 	items, undo := v.fill(w, "")
-	if st.AllTogether && len(items) < len(w.tasks) {
+	if st.Gang && len(items) < len(w.tasks) {
 		undo()
 		return store.Plan{}
 	}
@@ -196,7 +196,7 @@
 	}
 	sort.SliceStable(racks, func(a, b int) bool {
 		// Why first where the data is: it works faster there.
-		return racks[a] == st.NearTo && racks[b] != st.NearTo
+		return racks[a] == st.PreferredRack && racks[b] != st.PreferredRack
 	})
 	for _, r := range racks {
 		if free[r] < st.CPUUnits*int64(len(w.tasks)) {
@@ -231,15 +231,15 @@
 			}
 		}
 		if best == nil {
-			if rack == "" && (len(items) == 0 || !st.AllTogether) {
+			if rack == "" && (len(items) == 0 || !st.Gang) {
 				v.missed(&w)
 			}
 			break
 		}
 		best.cpu -= st.CPUUnits
-		best.mem -= st.MemMb
+		best.mem -= st.MemoryMB
 		best.gpu -= st.GPUs
-		if st.ApartFrom > 0 {
+		if st.MaxPerWorker > 0 {
 			best.apart[key]++
 		}
 		it.Worker, it.Ver = best.w.ID, best.w.Ver
@@ -249,16 +249,16 @@
 	return items, func() {
 		for _, sl := range took {
 			sl.cpu += st.CPUUnits
-			sl.mem += st.MemMb
+			sl.mem += st.MemoryMB
 			sl.gpu += st.GPUs
-			if st.ApartFrom > 0 {
+			if st.MaxPerWorker > 0 {
 				sl.apart[key]--
 			}
 		}
 	}
 }
 
-func (v *view) best(can []*slot, w *want, st *wire.Step, rack, key string) *slot {
+func (v *view) best(can []*slot, w *want, st *protocol.Step, rack, key string) *slot {
 	best, score := (*slot)(nil), math.Inf(1)
 	for _, sl := range can {
 		if !v.fits(sl, w, st, rack, key) {
@@ -309,11 +309,11 @@
 func (v *view) cost(sl *slot, w want) float64 {
 	st := w.j.Steps[w.step]
 	t := v.speed(sl)
-	if sl.w.FarFrom(st.NearTo) {
+	if sl.w.FarFrom(st.PreferredRack) {
 		t *= v.s.Far()
 	}
 	cpu := float64(sl.cpu-st.CPUUnits) / float64(max(sl.w.Room.CPUUnits, 1))
-	mem := float64(sl.mem-st.MemMb) / float64(max(sl.w.Room.MemMb, 1))
+	mem := float64(sl.mem-st.MemoryMB) / float64(max(sl.w.Room.MemoryMB, 1))
 	// Why fullest first: large holes are kept for large tasks.
 	return t*10 + (cpu+mem)/2
 }
--- a/internal/place/watch.go
+++ b/internal/place/watch.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		j := s.Jobs[a.Job]
-		if j == nil || !j.Steps[a.Step].Twice || j.Gang(a.Step) {
+		if j == nil || !j.Steps[a.Step].Speculative || j.Gang(a.Step) {
 			continue
 		}
 		q.put(id, a.From+tune.CopyLeast.Milliseconds())
@@ -83,7 +83,7 @@
 		usual, most = float64(q.Took)/float64(q.TookN), tune.CopyAfter
 	}
 	w := s.Workers[a.Worker]
-	if w != nil && w.FarFrom(st.NearTo) {
+	if w != nil && w.FarFrom(st.PreferredRack) {
 		usual *= s.Far()
 	}
 	age := float64(s.Clock - a.From)
@@ -114,7 +114,7 @@
 	st := &j.Steps[a.Step]
 	usual := float64(st.EstimateMs) * max(p.Usual, 0.5)
 	near := float64(at - a.From)
-	if w := s.Workers[a.Worker]; w != nil && w.FarFrom(st.NearTo) {
+	if w := s.Workers[a.Worker]; w != nil && w.FarFrom(st.PreferredRack) {
 		usual *= s.Far()
 		near /= s.Far()
 	}
--- a/internal/wire/labels.go
+++ b/internal/protocol/labels.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 import (
 	"encoding/json"
@@ -12,19 +12,19 @@
 // UnmarshalJSON takes a text or a list of texts.
 func (l *Labels) UnmarshalJSON(raw []byte) error {
 	if strings.HasPrefix(strings.TrimSpace(string(raw)), "[") {
-		var many []string
-		if err := json.Unmarshal(raw, &many); err != nil {
+		var labels []string
+		if err := json.Unmarshal(raw, &labels); err != nil {
 			return err
 		}
-		*l = many
+		*l = labels
 		return nil
 	}
-	var one string
-	if err := json.Unmarshal(raw, &one); err != nil {
+	var label string
+	if err := json.Unmarshal(raw, &label); err != nil {
 		return err
 	}
-	if one != "" {
-		*l = Labels{one}
+	if label != "" {
+		*l = Labels{label}
 	}
 	return nil
 }
--- a/internal/sim/again_test.go
+++ b/internal/sim/again_test.go
@@ -6,11 +6,11 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // handInOnce sends a job to one daemon, once.
-func (c *Cluster) handInOnce(at, inbox, id string, j wire.Job) int {
+func (c *Cluster) handInOnce(at, inbox, id string, j protocol.Job) int {
 	code, _ := c.clientCall(at, CallHandIn, http.MethodPost, inbox+id, j)
 	return code
 }
--- a/internal/sim/cluster.go
+++ b/internal/sim/cluster.go
@@ -18,13 +18,13 @@
 
 	"github.com/go-kit/log"
 
-	_ "tealpond/internal/door" // registers the edge role
+	"tealpond/internal/agent"
+	_ "tealpond/internal/api" // registers the edge role
 	"tealpond/internal/kernel"
-	"tealpond/internal/order"
+	"tealpond/internal/protocol"
 	"tealpond/internal/setting"
 	"tealpond/internal/tracing"
 	"tealpond/internal/transport"
-	"tealpond/internal/wire"
 )
 
 // Cluster is whole daemons on one stand-in network.
@@ -217,7 +217,7 @@
 	b.Log = log.With(gated{&d.gate, b.Log}, "t", log.Valuer(func() any { return time.Now().Format("05.000") }), "node", name)
 	var p kernel.Plug
 	if d.role == "side" {
-		p = order.New(b, c.Runners[name])
+		p = agent.New(b, c.Runners[name])
 	} else {
 		m, _ := kernel.Find("edge")
 		var err error
@@ -352,8 +352,8 @@
 // Put sends a desired state to a daemon.
 func (c *Cluster) Put(at string, version, base int, more string) int {
 	q := Call{Sent: time.Now(), At: at, Kind: CallReplace, Version: int64(version), Base: int64(base), Text: fmt.Sprintf(desired, version, more)}
-	code, _, heads := c.call(http.MethodPost, "http://"+c.IP(at)+":8166/-/Config.Replace", "", q.Text, map[string]string{wire.HeadBasedOn: fmt.Sprint(base)})
-	q.Done, q.Code, q.Retry = time.Now(), code, heads.Get(wire.HeadRetry) != ""
+	code, _, heads := c.call(http.MethodPost, "http://"+c.IP(at)+":8166/-/Config.Replace", "", q.Text, map[string]string{protocol.HeaderBasedOn: fmt.Sprint(base)})
+	q.Done, q.Code, q.Retry = time.Now(), code, heads.Get(protocol.HeaderRetryAfter) != ""
 	c.Hist.called(q)
 	return code
 }
@@ -377,24 +377,24 @@
 }
 
 // HandIn sends a job, again to other daemons, until the answer is clear.
-func (c *Cluster) HandIn(id string, job wire.Job) bool { return c.HandInAt("/p/", id, job) }
+func (c *Cluster) HandIn(id string, job protocol.Job) bool { return c.HandInAt("/p/", id, job) }
 
 // clientCall makes a client's call about a job and takes it down.
 func (c *Cluster) clientCall(at, kind, method, path string, body any) (int, []byte) {
 	q := Call{Sent: time.Now(), At: at, Kind: kind}
-	code, raw, heads := c.call(method, "http://"+c.IP(at)+":8161"+path, "h", body, map[string]string{wire.HeadLeft: "2000"})
-	q.Done, q.Code, q.Retry = time.Now(), code, heads.Get(wire.HeadRetry) != ""
+	code, raw, heads := c.call(method, "http://"+c.IP(at)+":8161"+path, "h", body, map[string]string{protocol.HeaderTimeLeft: "2000"})
+	q.Done, q.Code, q.Retry = time.Now(), code, heads.Get(protocol.HeaderRetryAfter) != ""
 	c.Hist.called(q)
 	return code, raw
 }
 
 // HandInAt is HandIn to another inbox.
-func (c *Cluster) HandInAt(inbox, id string, job wire.Job) bool {
-	j := &Handed{Spec: job.JobSpec, Tries: 3}
+func (c *Cluster) HandInAt(inbox, id string, job protocol.Job) bool {
+	j := &Handed{Spec: job.Spec, Tries: 3}
 	for _, s := range job.Steps {
 		j.Counts = append(j.Counts, s.TaskCount)
 		j.Deps = append(j.Deps, s.DependsOn)
-		j.Twice = j.Twice || s.Twice
+		j.Twice = j.Twice || s.Speculative
 	}
 	c.Hist.mu.Lock()
 	c.Hist.Jobs[id] = j
--- a/internal/sim/cluster_test.go
+++ b/internal/sim/cluster_test.go
@@ -6,13 +6,13 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
-func job(ms, cpu, n int, steps ...wire.Step) wire.Job {
-	j := wire.Job{JobSpec: fmt.Sprintf("ms=%d cpu=%d", ms, cpu), Steps: steps}
+func job(ms, cpu, n int, steps ...protocol.Step) protocol.Job {
+	j := protocol.Job{Spec: fmt.Sprintf("ms=%d cpu=%d", ms, cpu), Steps: steps}
 	if len(steps) == 0 {
-		j.Steps = []wire.Step{{TaskCount: n, CPUUnits: int64(cpu), MemMb: 10, EstimateMs: int64(ms)}}
+		j.Steps = []protocol.Step{{TaskCount: n, CPUUnits: int64(cpu), MemoryMB: 10, EstimateMs: int64(ms)}}
 	}
 	return j
 }
@@ -32,10 +32,10 @@
 		go func() {
 			defer close(done)
 			for i := range jobs {
-				steps := []wire.Step{{TaskCount: 3, CPUUnits: 500, MemMb: 10, EstimateMs: 300}, {TaskCount: 2, CPUUnits: 500, MemMb: 10, EstimateMs: 300, DependsOn: []int{0}}}
+				steps := []protocol.Step{{TaskCount: 3, CPUUnits: 500, MemoryMB: 10, EstimateMs: 300}, {TaskCount: 2, CPUUnits: 500, MemoryMB: 10, EstimateMs: 300, DependsOn: []int{0}}}
 				j := job(300, 500, 0, steps...)
 				if i%5 == 4 {
-					j.JobSpec += " fail=1"
+					j.Spec += " fail=1"
 				}
 				c.HandIn(id(i), j)
 				time.Sleep(200 * time.Millisecond)
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // longer multiplies the seeds of the tests that play several:
@@ -46,7 +46,7 @@
 	all    sync.WaitGroup
 	mu     sync.Mutex
 	handed []string      // jobs that were accepted
-	work   wire.Job      // handed in again and again
+	work   protocol.Job  // handed in again and again
 	pause  time.Duration // between two jobs
 }
 
@@ -126,7 +126,7 @@
 }
 
 // hands sets what is handed in from now on, and how often.
-func (d *day) hands(work wire.Job, pause time.Duration) {
+func (d *day) hands(work protocol.Job, pause time.Duration) {
 	d.mu.Lock()
 	d.work, d.pause = work, pause
 	d.mu.Unlock()
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // Troubles of the grown deployments, beside the known ones.
@@ -25,7 +25,7 @@
 		c.Ready()
 		from := time.Now()
 		for i := range 8 {
-			c.HandIn(id(i), job(400, 0, 0, wire.Step{TaskCount: 10, CPUUnits: 1000, MemMb: 10, EstimateMs: 400, NearTo: "r2"}))
+			c.HandIn(id(i), job(400, 0, 0, protocol.Step{TaskCount: 10, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 400, PreferredRack: "r2"}))
 		}
 		c.HandIn(id(8), job(200, 500, 4))
 		c.Until("the one that wants no rack is done", 4*time.Second, func() bool { return c.State("edge-4", id(8)) == "done" })
--- a/internal/sim/load_test.go
+++ b/internal/sim/load_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // The size of the fleet that TestLoad plays; larger ones are for profiles:
@@ -39,7 +39,7 @@
 			i, w := n, 1+rnd.Intn(2**loadWide)
 			go func() {
 				born := time.Now()
-				ok := c.HandIn(id(i), job(240, 1600, 0, wire.Step{TaskCount: w, CPUUnits: 1600, MemMb: 10, EstimateMs: 240}))
+				ok := c.HandIn(id(i), job(240, 1600, 0, protocol.Step{TaskCount: w, CPUUnits: 1600, MemoryMB: 10, EstimateMs: 240}))
 				for ok && time.Since(born) < time.Minute {
 					time.Sleep(100 * time.Millisecond)
 					if c.State(edges[i%len(edges)], id(i)) == "done" {
--- a/internal/sim/operator.go
+++ b/internal/sim/operator.go
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // Change is a configuration that an operator sends.
@@ -73,7 +73,7 @@
 func (o *Operator) make(q *Call, method, path, body string, routes int) {
 	heads := map[string]string{}
 	if q.Kind == CallReplace {
-		heads[wire.HeadBasedOn] = fmt.Sprint(q.Base)
+		heads[protocol.HeaderBasedOn] = fmt.Sprint(q.Base)
 	}
 	q.Sent = time.Now()
 	wait := patience(routes)
@@ -82,7 +82,7 @@
 		time.Sleep(wait - time.Since(q.Sent))
 		code = 0
 	}
-	q.Done, q.Code, q.Retry = time.Now(), code, answer.Get(wire.HeadRetry) != ""
+	q.Done, q.Code, q.Retry = time.Now(), code, answer.Get(protocol.HeaderRetryAfter) != ""
 	if q.Kind == CallRead && code == 200 {
 		q.Text = string(raw)
 		var v struct {
--- a/internal/sim/runner.go
+++ b/internal/sim/runner.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"tealpond/internal/order"
-	"tealpond/internal/wire"
+	"tealpond/internal/agent"
+	"tealpond/internal/protocol"
 )
 
 // Runner is a stand-in for a runner, by the pages of the protocol. What its
@@ -22,7 +22,7 @@
 	Service string
 	Zone    string
 	Labels  []string
-	Room    wire.Room
+	Room    protocol.Resources
 	Guards  bool
 	life    string
 	lives   int
@@ -34,7 +34,7 @@
 	nextN   int64
 	runs    map[string]*simRun
 	top     map[string]int // the highest run that stopped or ended, by task
-	ended   []wire.End
+	ended   []protocol.Completion
 	changed chan struct{}
 	rnd     *rand.Rand
 
@@ -58,7 +58,7 @@
 
 // NewRunner builds a runner of one life.
 func NewRunner(h *History, node, service string, seed int64) *Runner {
-	r := &Runner{h: h, Node: node, Service: service, Zone: "z", Labels: []string{"a", "r1"}, Room: wire.Room{CPUUnits: 8000, MemMb: 8000}, Guards: true,
+	r := &Runner{h: h, Node: node, Service: service, Zone: "z", Labels: []string{"a", "r1"}, Room: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000}, Guards: true,
 		changed: make(chan struct{}), rnd: rand.New(rand.NewSource(seed)), slow: 1}
 	r.born()
 	return r
@@ -125,7 +125,7 @@
 	delete(r.runs, k)
 	r.top[x.task] = max(r.top[x.task], x.run)
 	r.nextN++
-	r.ended = append(r.ended, wire.End{N: r.nextN, Task: x.task, Run: x.run, How: how})
+	r.ended = append(r.ended, protocol.Completion{Sequence: r.nextN, Task: x.task, Run: x.run, Result: how})
 	r.h.add(Fact{Kind: "end", Node: r.Node, Life: r.life, Task: x.task, Run: x.run, How: how, N: r.nextN})
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -153,15 +153,15 @@
 }
 
 // Call is the runner's side of duty_call.
-func (r *Runner) Call(ctx context.Context, life, path string, body any) order.Reply {
+func (r *Runner) Call(ctx context.Context, life, path string, body any) agent.RunnerResponse {
 	r.mu.Lock()
-	if b, ok := body.(wire.Start); ok {
+	if b, ok := body.(protocol.StartRequest); ok {
 		r.h.add(Fact{Kind: "order", Node: r.Node, Life: life, Task: b.TaskID, Run: b.RunID})
 	}
 	if r.Dark {
 		r.mu.Unlock()
 		<-ctx.Done()
-		return order.Reply{}
+		return agent.RunnerResponse{}
 	}
 	if path != "/-/hold" && r.rnd.Float64() < r.Late {
 		wait := time.Duration(2000+r.rnd.Intn(10000)) * time.Millisecond
@@ -173,43 +173,43 @@
 			r.mu.Unlock()
 		}()
 		<-ctx.Done()
-		return order.Reply{}
+		return agent.RunnerResponse{}
 	}
 	defer r.mu.Unlock()
-	if h, ok := body.(wire.Hold); ok {
+	if h, ok := body.(protocol.KeepAliveRequest); ok {
 		return r.hold(ctx, life, h)
 	}
 	return r.do(life, path, body)
 }
 
-func (r *Runner) no(reason string) order.Reply {
-	return order.Reply{Code: 409, Clock: wire.Clock{ClockMs: r.clock(), Reason: reason}}
+func (r *Runner) no(reason string) agent.RunnerResponse {
+	return agent.RunnerResponse{StatusCode: 409, Run: protocol.RunResponse{ClockMs: r.clock(), Reason: reason}}
 }
 
-func (r *Runner) do(life, path string, body any) order.Reply {
+func (r *Runner) do(life, path string, body any) agent.RunnerResponse {
 	r.tick()
 	if life != r.life {
-		return order.Reply{Code: 421}
+		return agent.RunnerResponse{StatusCode: 421}
 	}
-	ok := order.Reply{Code: 200, Clock: wire.Clock{ClockMs: r.clock()}}
+	ok := agent.RunnerResponse{StatusCode: 200, Run: protocol.RunResponse{ClockMs: r.clock()}}
 	switch b := body.(type) {
-	case wire.Start:
+	case protocol.StartRequest:
 		if r.Shed {
-			return order.Reply{Code: 503}
+			return agent.RunnerResponse{StatusCode: 503}
 		}
-		if b.FenceNumber < r.fence {
+		if b.Fence < r.fence {
 			return r.no("fence")
 		}
-		r.fence = b.FenceNumber
-		if b.UntilMs <= r.clock() {
+		r.fence = b.Fence
+		if b.LeaseUntilMs <= r.clock() {
 			return r.no("late")
 		}
-		r.until = max(r.until, b.UntilMs)
+		r.until = max(r.until, b.LeaseUntilMs)
 		k := b.TaskID + "/" + strconv.Itoa(b.RunID)
 		if r.runs[k] != nil {
 			return ok
 		}
-		cpu := int64(field(b.JobSpec, "cpu"))
+		cpu := int64(field(b.Spec, "cpu"))
 		for _, x := range r.runs {
 			cpu += int64(field(x.spec, "cpu"))
 		}
@@ -221,15 +221,15 @@
 		if b.RunID <= r.top[b.TaskID] {
 			return r.no("old")
 		}
-		r.runs[k] = &simRun{task: b.TaskID, run: b.RunID, spec: b.JobSpec, need: time.Duration(field(b.JobSpec, "ms")) * time.Millisecond, from: time.Now()}
-		r.h.add(Fact{Kind: "start", Node: r.Node, Life: r.life, Task: b.TaskID, Run: b.RunID, Spec: b.JobSpec, CPU: cpu, Room: r.Room.CPUUnits, Guards: r.Guards})
+		r.runs[k] = &simRun{task: b.TaskID, run: b.RunID, spec: b.Spec, need: time.Duration(field(b.Spec, "ms")) * time.Millisecond, from: time.Now()}
+		r.h.add(Fact{Kind: "start", Node: r.Node, Life: r.life, Task: b.TaskID, Run: b.RunID, Spec: b.Spec, CPU: cpu, Room: r.Room.CPUUnits, Guards: r.Guards})
 		r.started++
 		go r.later(r.runs[k].need)
-	case wire.Stop:
-		if b.FenceNumber < r.fence {
+	case protocol.StopRequest:
+		if b.Fence < r.fence {
 			return r.no("fence")
 		}
-		r.fence = b.FenceNumber
+		r.fence = b.Fence
 		k := b.TaskID + "/" + strconv.Itoa(b.RunID)
 		if x := r.runs[k]; x != nil {
 			r.end(k, x, "stopped")
@@ -248,26 +248,26 @@
 }
 
 // hold is called and returns with r.mu held.
-func (r *Runner) hold(ctx context.Context, life string, h wire.Hold) order.Reply {
+func (r *Runner) hold(ctx context.Context, life string, h protocol.KeepAliveRequest) agent.RunnerResponse {
 	r.tick()
 	if life != r.life {
-		return order.Reply{Code: 421}
+		return agent.RunnerResponse{StatusCode: 421}
 	}
-	if h.FenceNumber < r.fence {
+	if h.Fence < r.fence {
 		return r.no("fence")
 	}
-	r.fence = h.FenceNumber
-	if h.UntilMs > r.until {
-		r.until = min(h.UntilMs, r.clock()+10000)
+	r.fence = h.Fence
+	if h.LeaseUntilMs > r.until {
+		r.until = min(h.LeaseUntilMs, r.clock()+10000)
 	}
-	if h.LastSeen > r.seen {
-		for n := r.seen + 1; n <= h.LastSeen; n++ {
+	if h.AcknowledgedSequence > r.seen {
+		for n := r.seen + 1; n <= h.AcknowledgedSequence; n++ {
 			r.h.add(Fact{Kind: "note", Node: r.Node, Life: r.life, N: n})
 		}
-		r.seen = h.LastSeen
+		r.seen = h.AcknowledgedSequence
 		keep := r.ended[:0:0]
 		for _, e := range r.ended {
-			if e.N > r.seen {
+			if e.Sequence > r.seen {
 				keep = append(keep, e)
 			}
 		}
@@ -286,33 +286,33 @@
 		r.mu.Lock()
 		r.tick()
 		if ctx.Err() != nil || life != r.life || r.Dark {
-			return order.Reply{}
+			return agent.RunnerResponse{}
 		}
 	}
-	out := order.Reply{Code: 200}
-	out.Lists.ClockMs = r.clock()
-	out.Clock.ClockMs = r.clock()
+	out := agent.RunnerResponse{StatusCode: 200}
+	out.KeepAlive.ClockMs = r.clock()
+	out.Run.ClockMs = r.clock()
 	for _, x := range r.runs {
-		out.Lists.Running = append(out.Lists.Running, []any{x.task, float64(x.run), "", float64(min(99, 100*x.did/max(x.need, 1)))})
+		out.KeepAlive.Running = append(out.KeepAlive.Running, []any{x.task, float64(x.run), "", float64(min(99, 100*x.did/max(x.need, 1)))})
 	}
 	for _, e := range r.ended {
-		r.h.add(Fact{Kind: "listed", Node: r.Node, Life: r.life, Task: e.Task, Run: e.Run, N: e.N})
-		out.Lists.Ended = append(out.Lists.Ended, []any{float64(e.N), e.Task, float64(e.Run), e.How, e.Saved})
+		r.h.add(Fact{Kind: "listed", Node: r.Node, Life: r.life, Task: e.Task, Run: e.Run, N: e.Sequence})
+		out.KeepAlive.Ended = append(out.KeepAlive.Ended, []any{float64(e.Sequence), e.Task, float64(e.Run), e.Result, e.Checkpoint})
 	}
 	return out
 }
 
 // beat is the runner's account of itself.
-func (r *Runner) beat() (string, wire.Beat) {
+func (r *Runner) beat() (string, protocol.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
 	r.seq++
-	b := wire.Beat{TargetService: r.Service, Address: "x:1", Zone: r.Zone, State: "ready", FreeRoom: r.Room, Labels: r.Labels, ClockMs: r.clock(), CallSeq: r.seq}
+	b := protocol.Heartbeat{Service: r.Service, Address: "x:1", Zone: r.Zone, State: "ready", FreeResources: r.Room, Labels: r.Labels, ClockMs: r.clock(), Sequence: r.seq}
 	if r.Drain {
 		b.State = "draining"
 		left := int64(5000)
-		b.LeavesAtMs = &left
+		b.LeavesInMs = &left
 	}
 	return r.life, b
 }
--- a/internal/store/book.go
+++ b/internal/store/book.go
@@ -91,7 +91,7 @@
 	if !w.Bookable() || w.Service != j.Service {
 		return false
 	}
-	for _, l := range j.Steps[step].NeededLabels {
+	for _, l := range j.Steps[step].RequiredLabels {
 		if !w.Has(l) {
 			return false
 		}
@@ -128,7 +128,7 @@
 	if w == nil || w.Ver != it.Ver || !s.Fits(j, step, w) {
 		return false
 	}
-	if st.ApartFrom > 0 && s.Apart(j.ID, in.K, step, w.ID) >= st.ApartFrom {
+	if st.MaxPerWorker > 0 && s.Apart(j.ID, in.K, step, w.ID) >= st.MaxPerWorker {
 		return false
 	}
 	turn := s.Devices[turnID(TaskName(j.ID, in.K, step, it.Index), it.Copy)]
@@ -137,7 +137,7 @@
 	}
 	s.Last++
 	id := s.Last
-	if !s.book(turn, id, s.Clock, Forever) || !s.claim(w, st.CPUUnits, st.MemMb) {
+	if !s.book(turn, id, s.Clock, Forever) || !s.claim(w, st.CPUUnits, st.MemoryMB) {
 		return false
 	}
 	var gpus []string
@@ -153,7 +153,7 @@
 		run = t.Run + 1
 	}
 	a := &Alloc{ID: id, Worker: w.ID, Job: j.ID, K: in.K, Step: step, Index: it.Index, Copy: it.Copy, Run: run,
-		CPU: st.CPUUnits, Mem: st.MemMb, GPUs: gpus, From: s.Clock}
+		CPU: st.CPUUnits, Mem: st.MemoryMB, GPUs: gpus, From: s.Clock}
 	// Why only as steps ask: a text must belong to the task.
 	if st.Checkpoints {
 		a.Saved = t.Saved
--- a/internal/store/digest_test.go
+++ b/internal/store/digest_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // TestChainTellsReplicasApart: by an entry, by an outcome, by a count of rows;
@@ -11,7 +11,7 @@
 func TestChainTellsReplicasApart(t *testing.T) {
 	build := func() *world {
 		w := newWorld(t)
-		w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
+		w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 		if w.s.Chain != 0 {
 			t.Fatal("a chain before the log began one")
 		}
--- a/internal/store/ends.go
+++ b/internal/store/ends.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"strings"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/tune"
-	"tealpond/internal/wire"
 )
 
 // Ends commits what a worker listed: ends, and progress that was saved.
@@ -21,8 +21,8 @@
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Fence  int64
-	Ends   []wire.End // as listed, one right after the other
-	Saved  []wire.Run
+	Ends   []protocol.Completion // as listed, one right after the other
+	Saved  []protocol.RunProgress
 	// First tells that Ends begins with the first end that the runner still
 	// holds: what it numbered below is forgotten there for good.
 	First bool
@@ -52,12 +52,12 @@
 	}
 	for _, r := range c.Saved {
 		if a := s.find(c.Worker, r.Task, r.Run); a != nil {
-			s.keep(a, r.Saved)
+			s.keep(a, r.Checkpoint)
 		}
 	}
 	fault := ""
 	for _, e := range c.Ends {
-		if e.N > w.Seen+1 && !c.First {
+		if e.Sequence > w.Seen+1 && !c.First {
 			break
 		}
 		if f := s.takeEnd(w, e); f != "" {
@@ -68,13 +68,13 @@
 }
 
 // takeEnd applies one end; it returns what is wrong about it, if anything.
-func (s *Store) takeEnd(w *Worker, e wire.End) string {
+func (s *Store) takeEnd(w *Worker, e protocol.Completion) string {
 	fault := ""
-	known := e.N > 0 && e.N <= w.Seen
-	if e.N > w.Seen+1 {
-		fault = EndsLost + ": " + strconv.FormatInt(w.Seen+1, 10) + " to " + strconv.FormatInt(e.N-1, 10)
+	known := e.Sequence > 0 && e.Sequence <= w.Seen
+	if e.Sequence > w.Seen+1 {
+		fault = EndsLost + ": " + strconv.FormatInt(w.Seen+1, 10) + " to " + strconv.FormatInt(e.Sequence-1, 10)
 	}
-	w.Seen = max(w.Seen, e.N)
+	w.Seen = max(w.Seen, e.Sequence)
 	a := s.find(w.ID, e.Task, e.Run)
 	if a == nil {
 		if !known && !s.wasBooked(e.Task, e.Run) {
@@ -85,10 +85,10 @@
 	if known {
 		fault = EndReopened + ": " + e.Task + "/" + itoa(e.Run)
 	}
-	if e.How == "refused" {
+	if e.Result == "refused" {
 		w.ShunTill = s.Clock + tune.RefusedPause.Milliseconds()
 	}
-	s.endRun(a, e.How, e.Saved)
+	s.endRun(a, e.Result, e.Checkpoint)
 	return fault
 }
 
@@ -184,7 +184,7 @@
 	}
 	if st := &in.Steps[a.Step]; a.Saved == "" {
 		took := float64(s.Clock - a.From)
-		if w := s.Workers[a.Worker]; w != nil && w.FarFrom(j.Steps[a.Step].NearTo) {
+		if w := s.Workers[a.Worker]; w != nil && w.FarFrom(j.Steps[a.Step].PreferredRack) {
 			took /= s.Far()
 		}
 		st.Took += int64(took)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -11,25 +11,25 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/golden"
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // rows encodes commands and the rows of tables.
 var rows = golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}
 
 // filledJob gives a job, as clients send it, whose fields differ.
-func filledJob() wire.Job {
-	return wire.Job{JobSpec: "spec", RunTimes: 101, FirstRunMs: 102, IntervalMs: 103, Steps: []wire.Step{{
-		TaskCount: 1, CPUUnits: 112, MemMb: 113, GPUs: 114, EstimateMs: 115, DependsOn: []int{116}, Checkpoints: true, SameRack: true,
-		NeededLabels: wire.Labels{"label"}, NearTo: "rack", ApartFrom: 117, LongRunning: true}}}
+func filledJob() protocol.Job {
+	return protocol.Job{Spec: "spec", PeriodicInstances: 101, FirstRunMs: 102, IntervalMs: 103, Steps: []protocol.Step{{
+		TaskCount: 1, CPUUnits: 112, MemoryMB: 113, GPUs: 114, EstimateMs: 115, DependsOn: []int{116}, Checkpoints: true, SameRack: true,
+		RequiredLabels: protocol.Labels{"label"}, PreferredRack: "rack", MaxPerWorker: 117, LongRunning: true}}}
 }
 
 // filledCommands gives commands whose fields differ, by their registered names;
 // what follows a slash tells several of one kind apart.
 func filledCommands() []golden.Case {
-	job, resources := filledJob(), wire.Room{CPUUnits: 121, MemMb: 122, GPUs: 123}
+	job, resources := filledJob(), protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123}
 	return []golden.Case{
 		{Name: "accept", Value: &Accept{Peer: "peer", No: 1, ID: "id", Lane: "route", Loan: "loan", Job: job}},
 		{Name: "agree", Value: &Agree{Index: 1, Sum: 2, Program: "program"}},
@@ -39,8 +39,8 @@
 		{Name: "eligible/draining", Value: &Eligible{ID: "id", Draining: true, LeavesIn: 1}},
 		{Name: "eligible/gone", Value: &Eligible{ID: "id", Gone: true, LeavesIn: 1}},
 		{Name: "eligible/sick", Value: &Eligible{ID: "id", Sick: true, LeavesIn: 1}},
-		{Name: "ends", Value: &Ends{Worker: "worker", Fence: 1, Ends: []wire.End{{N: 2, Task: "task", Run: 3, How: "how", Saved: "saved"}},
-			Saved: []wire.Run{{Task: "task", Run: 4, Saved: "saved", Percent: 5}}, First: true}},
+		{Name: "ends", Value: &Ends{Worker: "worker", Fence: 1, Ends: []protocol.Completion{{Sequence: 2, Task: "task", Run: 3, Result: "how", Checkpoint: "saved"}},
+			Saved: []protocol.RunProgress{{Task: "task", Run: 4, Checkpoint: "saved", Percent: 5}}, First: true}},
 		{Name: "halt", Value: &Halt{Allocs: []uint64{1, 2}, Why: "why"}},
 		{Name: "handin", Value: &HandIn{Host: "host", Path: "path", ID: "id", Job: job, Bucket: 1}},
 		{Name: "lapse", Value: &Lapse{Workers: []Fenced{{ID: "id", Fence: 1}}}},
@@ -102,7 +102,7 @@
 // TestRowBytes holds the rows of the tables against the golden bytes.
 func TestRowBytes(t *testing.T) {
 	worker := func(set func(*Worker)) *Worker {
-		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Room: wire.Room{CPUUnits: 121, MemMb: 122, GPUs: 123},
+		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Room: protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123},
 			UsedCPU: 1, UsedMem: 2, Fence: 3, Life: "life", LeavesAt: 4, Ver: 5, Seen: 6, ShunTill: 7}
 		set(w)
 		return w
@@ -142,12 +142,12 @@
 func TestStateBytes(t *testing.T) {
 	s := New(Limits{KeepJobMs: 1, Replans: 2, Far: 3.5})
 	s.Applied, s.Clock, s.Wall, s.Origin, s.Last, s.LastSeq, s.Epoch, s.Chain, s.ChainFrom = 11, 12, 13, 14, 15, 16, "epoch", 17, 18
-	route, service := desire.Lane{Name: "route", HostName: "host", PathPrefix: "/path/", TargetService: "service"}, desire.Service{Name: "service", Guards: true}
-	s.Desired = desire.State{Version: 21, Lanes: []desire.Lane{route}, Services: []desire.Service{service}, Raw: []byte("text")}
+	route, service := clusterconfig.Route{Name: "route", HostName: "host", PathPrefix: "/path/", TargetService: "service"}, clusterconfig.Service{Name: "service", EnforcesResources: true}
+	s.Desired = clusterconfig.Config{Version: 21, Routes: []clusterconfig.Route{route}, Services: []clusterconfig.Service{service}, Raw: []byte("text")}
 	s.Taken.accept(22, 23, TakenDigest{24})
 	s.Taken.refuse(25, TakenDigest{26})
 	s.Lanes["route"], s.Services["service"] = &route, service
-	s.Workers["worker"] = &Worker{ID: "worker", Service: "service", Room: wire.Room{CPUUnits: 31, MemMb: 32, GPUs: 33}}
+	s.Workers["worker"] = &Worker{ID: "worker", Service: "service", Room: protocol.Resources{CPUUnits: 31, MemoryMB: 32, GPUs: 33}}
 	s.Devices["device"] = &Device{ID: "device", Class: ClassGPU, Worker: "worker", Books: []Booking{{Alloc: 34, From: 35, To: 36}}}
 	s.Allocs[34] = &Alloc{ID: 34, Worker: "worker", Job: "job", CPU: 37, Mem: 38}
 	s.Jobs["job"] = &Job{ID: "job", Lane: "route", Service: "service", Steps: filledJob().Steps,
--- a/internal/store/handin.go
+++ b/internal/store/handin.go
@@ -1,6 +1,6 @@
 package store
 
-import "tealpond/internal/wire"
+import "tealpond/internal/protocol"
 
 // HandIn takes a job.
 type HandIn struct {
@@ -8,7 +8,7 @@
 	Host string
 	Path string
 	ID   string
-	Job  wire.Job
+	Job  protocol.Job
 	// Bucket of the true time, for the record of demand; 0: none is kept.
 	Bucket int64
 }
@@ -31,8 +31,8 @@
 	}
 	s.LastSeq++
 	j := &Job{ID: c.ID, Seq: s.LastSeq, Lane: lane.Name, Service: lane.TargetService, Priority: lane.Priority,
-		MaxRounds: max(lane.MaxTries, 1), Stretch: lane.Stretch, TargetMs: lane.TargetMs, Spec: c.Job.JobSpec, Steps: c.Job.Steps,
-		RunTimes: c.Job.RunTimes, FirstRunMs: c.Job.FirstRunMs, IntervalMs: c.Job.IntervalMs, Born: s.Clock}
+		MaxRounds: max(lane.MaxAttempts, 1), Stretch: lane.Stretch, TargetMs: lane.TargetMs, Spec: c.Job.Spec, Steps: c.Job.Steps,
+		RunTimes: c.Job.PeriodicInstances, FirstRunMs: c.Job.FirstRunMs, IntervalMs: c.Job.IntervalMs, Born: s.Clock}
 	if c.Bucket > 0 {
 		s.asked(lane.Name, c.Bucket, j.work())
 	}
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -85,7 +85,7 @@
 	p := &w.spot
 	want := w.Bookable()
 	class := classOf(w.FreeCPU())
-	same := p.in && want && p.service == w.Service && p.room == Sum{w.Room.CPUUnits, w.Room.MemMb} && sameWords(p.labels, w.Labels)
+	same := p.in && want && p.service == w.Service && p.room == Sum{w.Room.CPUUnits, w.Room.MemoryMB} && sameWords(p.labels, w.Labels)
 	if same && p.class == class {
 		return
 	}
@@ -108,7 +108,7 @@
 	if !want {
 		return
 	}
-	p.service, p.class, p.room = w.Service, class, Sum{w.Room.CPUUnits, w.Room.MemMb}
+	p.service, p.class, p.room = w.Service, class, Sum{w.Room.CPUUnits, w.Room.MemoryMB}
 	s.on(w)
 	for _, l := range w.Labels {
 		m := s.idx.labels[p.service]
--- a/internal/store/job.go
+++ b/internal/store/job.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // Task is one task of a step.
@@ -51,7 +51,7 @@
 	Stretch    float64
 	TargetMs   int64
 	Spec       string
-	Steps      []wire.Step
+	Steps      []protocol.Step
 	RunTimes   int
 	FirstRunMs int64
 	IntervalMs int64
@@ -93,7 +93,7 @@
 }
 
 // Gang tells whether a step's tasks run jointly.
-func (j *Job) Gang(step int) bool { return j.Steps[step].AllTogether }
+func (j *Job) Gang(step int) bool { return j.Steps[step].Gang }
 
 func (s *Store) addInst(j *Job) {
 	in := &Inst{K: j.NextK, Born: s.Clock, Left: len(j.Steps), Steps: make([]StepState, len(j.Steps))}
@@ -131,7 +131,7 @@
 
 func (s *Store) addTurn(j *Job, k, step, index int) {
 	copies := 1
-	if j.Steps[step].Twice {
+	if j.Steps[step].Speculative {
 		copies = 2
 	}
 	for c := 0; c < copies; c++ {
--- a/internal/store/move.go
+++ b/internal/store/move.go
@@ -1,6 +1,6 @@
 package store
 
-import "tealpond/internal/wire"
+import "tealpond/internal/protocol"
 
 // States of a job's move, as its source sees them.
 const (
@@ -157,7 +157,7 @@
 	ID   string
 	Lane string
 	Loan string
-	Job  wire.Job
+	Job  protocol.Job
 }
 
 func voidKey(peer, id string) string { return peer + "/" + id }
@@ -183,7 +183,7 @@
 	}
 	s.LastSeq++
 	j := &Job{ID: c.ID, Seq: s.LastSeq, Lane: lane.Name, Service: lane.TargetService, Priority: lane.Priority,
-		MaxRounds: max(lane.MaxTries, 1), Stretch: lane.Stretch, TargetMs: lane.TargetMs, Spec: c.Job.JobSpec, Steps: c.Job.Steps, Born: s.Clock,
+		MaxRounds: max(lane.MaxAttempts, 1), Stretch: lane.Stretch, TargetMs: lane.TargetMs, Spec: c.Job.Spec, Steps: c.Job.Steps, Born: s.Clock,
 		Move: Move{Peer: c.Peer, No: c.No, Guest: true, Loan: c.Loan}}
 	s.Jobs[j.ID], s.open[j.ID] = j, j
 	s.addInst(j)
--- a/internal/store/move_test.go
+++ b/internal/store/move_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 func guestWorld(t *testing.T) *world {
 	w := newWorld(t)
-	w.worker("a", wire.Room{CPUUnits: 1000, MemMb: 1000})
+	w.worker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	if o := w.run("lend", &Lend{ID: "l", Peer: "p", Service: "s", CPU: 100, Least: 50, For: 1000, Slices: 4, Slice: 25}); o.Code != 200 || o.N != 100 {
 		t.Fatalf("loan: %+v", o)
 	}
@@ -16,7 +16,7 @@
 }
 
 func (w *world) accept(no int64, loan string) Outcome {
-	return w.run("accept", &Accept{Peer: "p", No: no, ID: "j", Lane: "a", Loan: loan, Job: wire.Job{Steps: []wire.Step{{TaskCount: 4, CPUUnits: 50}}}})
+	return w.run("accept", &Accept{Peer: "p", No: no, ID: "j", Lane: "a", Loan: loan, Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 4, CPUUnits: 50}}}})
 }
 
 func TestRoomIsLentOnce(t *testing.T) {
@@ -87,8 +87,8 @@
 
 func TestOfferedJobStartsNowhereHere(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 1000, MemMb: 1000})
-	w.job("j", wire.Step{TaskCount: 1})
+	a := w.worker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+	w.job("j", protocol.Step{TaskCount: 1})
 	no := w.run("offer", &Offer{Job: "j", Peer: "p"}).N
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
 	if len(w.s.Allocs) != 0 {
@@ -120,8 +120,8 @@
 
 func TestVoidedJobIsHomeAgain(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 1000, MemMb: 1000})
-	w.job("j", wire.Step{TaskCount: 1})
+	a := w.worker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+	w.job("j", protocol.Step{TaskCount: 1})
 	no := w.run("offer", &Offer{Job: "j", Peer: "p"}).N
 	w.run("settle", &SettleMove{Job: "j", No: no, Peer: "p", Epoch: "e", Index: 1, What: "voided"})
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
--- a/internal/store/replace.go
+++ b/internal/store/replace.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 )
 
 // Replace puts a configuration in force that was built on version Base. Raw is
@@ -33,7 +33,7 @@
 	if answer, settled := c.settled(s); settled {
 		return answer
 	}
-	next, err := desire.Read(c.Raw)
+	next, err := clusterconfig.Parse(c.Raw)
 	if err != nil {
 		return Outcome{Code: 400, Text: err.Error()}
 	}
@@ -78,18 +78,18 @@
 	if len(s.Taken.Accepted) == 0 && bytes.Equal(c.Raw, s.Desired.Raw) {
 		return Outcome{Code: 200, Text: textKnown, N: s.Desired.Version}
 	}
-	if order, err := desire.Read(c.Raw); err != nil || order.Version > forgotten {
+	if order, err := clusterconfig.Parse(c.Raw); err != nil || order.Version > forgotten {
 		return notCurrent
 	}
 	return Outcome{Code: 504, Text: textForgotten, N: s.Desired.Version}
 }
 
 // configure puts a configuration in force; open jobs follow it.
-func (s *Store) configure(next *desire.State) {
+func (s *Store) configure(next *clusterconfig.Config) {
 	s.Desired = *next
-	s.table = desire.NewTable(&s.Desired)
-	for i := range s.Desired.Lanes {
-		l := s.Desired.Lanes[i]
+	s.table = clusterconfig.NewRouteTable(&s.Desired)
+	for i := range s.Desired.Routes {
+		l := s.Desired.Routes[i]
 		s.Lanes[l.Name] = &l
 	}
 	for _, v := range s.Desired.Services {
@@ -97,7 +97,7 @@
 	}
 	for _, j := range s.open {
 		if l := s.Lanes[j.Lane]; l != nil {
-			j.Service, j.Priority, j.MaxRounds = l.TargetService, l.Priority, max(l.MaxTries, 1)
+			j.Service, j.Priority, j.MaxRounds = l.TargetService, l.Priority, max(l.MaxAttempts, 1)
 			j.Stretch, j.TargetMs = l.Stretch, l.TargetMs
 		}
 	}
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 	_ "tealpond/internal/place" // plans anew inside a command
+	"tealpond/internal/protocol"
 	"tealpond/internal/store"
-	"tealpond/internal/wire"
 )
 
 var replicaSeeds = flag.Int("replica.seeds", 40, "sequences of commands that the replicas are compared over")
@@ -69,8 +69,8 @@
 	return g.s.Allocs[ids[g.Intn(len(ids))]]
 }
 
-func (g *generator) labels() wire.Labels {
-	var out wire.Labels
+func (g *generator) labels() protocol.Labels {
+	var out protocol.Labels
 	for _, l := range []string{"fast", "r1", "r2"} {
 		if g.Intn(4) == 0 {
 			out = append(out, l)
@@ -79,16 +79,16 @@
 	return out
 }
 
-func (g *generator) job() wire.Job {
-	j := wire.Job{JobSpec: fmt.Sprint("spec", g.Intn(100))}
+func (g *generator) job() protocol.Job {
+	j := protocol.Job{Spec: fmt.Sprint("spec", g.Intn(100))}
 	for i := range 1 + g.Intn(3) {
-		st := wire.Step{TaskCount: 1 + g.Intn(3), CPUUnits: int64(g.Intn(60)), MemMb: int64(g.Intn(40)), GPUs: g.Intn(8) / 7, EstimateMs: int64(g.Intn(500)),
-			Checkpoints: g.Intn(2) == 0, AllTogether: g.Intn(3) == 0, SameRack: g.Intn(3) == 0, ApartFrom: g.Intn(3), Twice: g.Intn(4) == 0, LongRunning: g.Intn(12) == 0}
+		st := protocol.Step{TaskCount: 1 + g.Intn(3), CPUUnits: int64(g.Intn(60)), MemoryMB: int64(g.Intn(40)), GPUs: g.Intn(8) / 7, EstimateMs: int64(g.Intn(500)),
+			Checkpoints: g.Intn(2) == 0, Gang: g.Intn(3) == 0, SameRack: g.Intn(3) == 0, MaxPerWorker: g.Intn(3), Speculative: g.Intn(4) == 0, LongRunning: g.Intn(12) == 0}
 		if g.Intn(5) == 0 {
-			st.NeededLabels = g.labels()
+			st.RequiredLabels = g.labels()
 		}
 		if g.Intn(3) == 0 {
-			st.NearTo = g.one("r1", "r2")
+			st.PreferredRack = g.one("r1", "r2")
 		}
 		for d := range i {
 			if g.Intn(2) == 0 {
@@ -98,21 +98,21 @@
 		j.Steps = append(j.Steps, st)
 	}
 	if g.Intn(6) == 0 {
-		j.RunTimes, j.FirstRunMs, j.IntervalMs = 1+g.Intn(4), g.s.Wall+int64(g.Intn(500)), int64(1+g.Intn(300))
+		j.PeriodicInstances, j.FirstRunMs, j.IntervalMs = 1+g.Intn(4), g.s.Wall+int64(g.Intn(500)), int64(1+g.Intn(300))
 	}
 	return j
 }
 
 func (g *generator) desired() []byte {
-	st := desire.State{Version: g.version + int64(g.Intn(3))}
+	st := clusterconfig.Config{Version: g.version + int64(g.Intn(3))}
 	for i := range lanes {
 		if g.Intn(6) == 0 {
 			continue
 		}
-		st.Lanes = append(st.Lanes, desire.Lane{Name: fmt.Sprint("l", i), HostName: g.one("h", "H2"), PathPrefix: fmt.Sprintf("/%s%d/", g.one("p", "q"), i), Kind: "writing",
-			TimeoutMs: 1000, TargetMs: int64(g.Intn(500)), Priority: g.Intn(3), TargetService: g.one("s", "t"), MaxTries: g.Intn(3), Stretch: 1 + g.Float64()})
+		st.Routes = append(st.Routes, clusterconfig.Route{Name: fmt.Sprint("l", i), HostName: g.one("h", "H2"), PathPrefix: fmt.Sprintf("/%s%d/", g.one("p", "q"), i), Kind: "writing",
+			TimeoutMs: 1000, TargetMs: int64(g.Intn(500)), Priority: g.Intn(3), TargetService: g.one("s", "t"), MaxAttempts: g.Intn(3), Stretch: 1 + g.Float64()})
 	}
-	st.Services = []desire.Service{{Name: "s", Guards: true}, {Name: "t"}}
+	st.Services = []clusterconfig.Service{{Name: "s", EnforcesResources: true}, {Name: "t"}}
 	raw, err := json.Marshal(st)
 	if err != nil {
 		panic(err)
@@ -141,7 +141,7 @@
 	for x := range j.Steps[step].TaskCount {
 		w := g.worker()
 		p.Items = append(p.Items, store.Item{Index: x, Worker: w.ID, Ver: w.Ver - uint64(g.Intn(4)/3)})
-		if j.Steps[step].Twice && g.Intn(2) == 0 {
+		if j.Steps[step].Speculative && g.Intn(2) == 0 {
 			o := g.worker()
 			p.Items = append(p.Items, store.Item{Index: x, Copy: 1, Worker: o.ID, Ver: o.Ver})
 		}
@@ -188,12 +188,12 @@
 		}
 		c := &store.Ends{Worker: w.ID, Fence: w.Fence - int64(g.Intn(12)/11)}
 		for i := range 1 + g.Intn(2) {
-			c.Ends = append(c.Ends, wire.End{N: w.Seen + int64(i) + 1, Task: a.Task(), Run: a.Run - g.Intn(12)/11,
-				How: g.one("done", "done", "done", "failed", "stopped", "refused", "lapsed", "crashed"), Saved: g.one("", "text")})
+			c.Ends = append(c.Ends, protocol.Completion{Sequence: w.Seen + int64(i) + 1, Task: a.Task(), Run: a.Run - g.Intn(12)/11,
+				Result: g.one("done", "done", "done", "failed", "stopped", "refused", "lapsed", "crashed"), Checkpoint: g.one("", "text")})
 			a = g.alloc()
 		}
 		if g.Intn(3) == 0 {
-			c.Saved = []wire.Run{{Task: a.Task(), Run: a.Run, Saved: fmt.Sprint("s", g.Intn(9))}}
+			c.Saved = []protocol.RunProgress{{Task: a.Task(), Run: a.Run, Checkpoint: fmt.Sprint("s", g.Intn(9))}}
 		}
 		return c
 	}},
@@ -214,7 +214,7 @@
 			node = w.Node
 		}
 		return &store.TakeUp{ID: id, Node: node, Life: fmt.Sprint(g.lives), Service: g.one("s", "s", "t"), Zone: g.one("z1", "z2"), Labels: append(g.labels(), g.one("r1", "r2")),
-			Room: wire.Room{CPUUnits: 200, MemMb: 200, GPUs: 2}, Draining: g.Intn(12) == 0, LeavesIn: int64(g.Intn(500) - 250)}
+			Room: protocol.Resources{CPUUnits: 200, MemoryMB: 200, GPUs: 2}, Draining: g.Intn(12) == 0, LeavesIn: int64(g.Intn(500) - 250)}
 	}},
 	"halt": {2, func(g *generator) store.Cmd {
 		return &store.Halt{Allocs: []uint64{g.alloc().ID, g.alloc().ID}, Why: g.one("pushed", "stuck")}
@@ -242,7 +242,7 @@
 	"accept": {3, func(g *generator) store.Cmd {
 		g.jobs++
 		j := g.job()
-		j.RunTimes = 0
+		j.PeriodicInstances = 0
 		c := &store.Accept{Peer: g.one("p1", "p2"), No: int64(1 + g.Intn(30)), ID: g.id(), Lane: g.lane(), Loan: fmt.Sprint("loan", g.Intn(6)), Job: j}
 		if l := g.s.Loans[c.Loan]; l != nil {
 			c.Peer = l.Peer
--- a/internal/store/rollup.go
+++ b/internal/store/rollup.go
@@ -48,7 +48,7 @@
 		r := s.rollup(w.Service)
 		r.At = s.Clock
 		r.CPUTotal += w.Room.CPUUnits
-		r.MemTotal += w.Room.MemMb
+		r.MemTotal += w.Room.MemoryMB
 		r.GPUTotal += w.Room.GPUs
 		switch {
 		case w.Lost:
@@ -57,7 +57,7 @@
 			r.Draining++
 		default:
 			r.CPUFree += w.Room.CPUUnits
-			r.MemFree += w.Room.MemMb
+			r.MemFree += w.Room.MemoryMB
 		}
 	}
 	for _, a := range s.Allocs {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -7,7 +7,7 @@
 	"sort"
 	"strconv"
 
-	"tealpond/internal/desire"
+	"tealpond/internal/clusterconfig"
 )
 
 // Forever is the end of a booking that closes when the worker lists its end.
@@ -27,29 +27,29 @@
 // snapshots hold, under the names of their tags, which stay when a field is
 // renamed. Freeze copies each of them.
 type Store struct {
-	Applied  uint64                       `cbor:"Applied"` // the index of the last entry of the log that was applied
-	Clock    int64                        `cbor:"Clock"`
-	Wall     int64                        `cbor:"Wall"`
-	Desired  desire.State                 `cbor:"Desired"`
-	Taken    TakenLog                     `cbor:"Taken"`
-	Origin   uint64                       `cbor:"Origin"`
-	Lanes    map[string]*desire.Lane      `cbor:"Lanes"`
-	Services map[string]desire.Service    `cbor:"Services"`
-	Workers  map[string]*Worker           `cbor:"Workers"`
-	Devices  map[string]*Device           `cbor:"Devices"`
-	Allocs   map[uint64]*Alloc            `cbor:"Allocs"`
-	Jobs     map[string]*Job              `cbor:"Jobs"`
-	Rollups  map[string]*Rollup           `cbor:"Rollups"`
-	Last     uint64                       `cbor:"Last"`
-	LastSeq  int64                        `cbor:"LastSeq"`
-	Epoch    string                       `cbor:"Epoch"`
-	Peers    map[string]*PeerSeen         `cbor:"Peers"`
-	Voids    map[string]int64             `cbor:"Voids"`
-	Loans    map[string]*Loan             `cbor:"Loans"`
-	Demand   map[string]map[int64]float64 `cbor:"Demand"` // core-ms asked, by lane and bucket
-	Duties   map[string]Duty              `cbor:"Duties"` // by zone
-	Flaps    map[string]Flap              `cbor:"Flaps"`  // by node
-	Limits   Limits                       `cbor:"Limits"`
+	Applied  uint64                           `cbor:"Applied"` // the index of the last entry of the log that was applied
+	Clock    int64                            `cbor:"Clock"`
+	Wall     int64                            `cbor:"Wall"`
+	Desired  clusterconfig.Config             `cbor:"Desired"`
+	Taken    TakenLog                         `cbor:"Taken"`
+	Origin   uint64                           `cbor:"Origin"`
+	Lanes    map[string]*clusterconfig.Route  `cbor:"Lanes"`
+	Services map[string]clusterconfig.Service `cbor:"Services"`
+	Workers  map[string]*Worker               `cbor:"Workers"`
+	Devices  map[string]*Device               `cbor:"Devices"`
+	Allocs   map[uint64]*Alloc                `cbor:"Allocs"`
+	Jobs     map[string]*Job                  `cbor:"Jobs"`
+	Rollups  map[string]*Rollup               `cbor:"Rollups"`
+	Last     uint64                           `cbor:"Last"`
+	LastSeq  int64                            `cbor:"LastSeq"`
+	Epoch    string                           `cbor:"Epoch"`
+	Peers    map[string]*PeerSeen             `cbor:"Peers"`
+	Voids    map[string]int64                 `cbor:"Voids"`
+	Loans    map[string]*Loan                 `cbor:"Loans"`
+	Demand   map[string]map[int64]float64     `cbor:"Demand"` // core-ms asked, by lane and bucket
+	Duties   map[string]Duty                  `cbor:"Duties"` // by zone
+	Flaps    map[string]Flap                  `cbor:"Flaps"`  // by node
+	Limits   Limits                           `cbor:"Limits"`
 	// Chain covers all entries from ChainFrom on, see digest.go; 0: none yet.
 	Chain     uint64 `cbor:"Chain"`
 	ChainFrom uint64 `cbor:"ChainFrom"`
@@ -59,7 +59,7 @@
 
 // derived follows from the tables and is never saved.
 type derived struct {
-	table  *desire.Table
+	table  *clusterconfig.RouteTable
 	open   map[string]*Job
 	timed  map[string]*Job
 	byWork map[string]map[uint64]*Alloc
@@ -73,7 +73,7 @@
 
 // New gives an empty state.
 func New(l Limits) *Store {
-	s := &Store{Lanes: map[string]*desire.Lane{}, Services: map[string]desire.Service{}, Workers: map[string]*Worker{},
+	s := &Store{Lanes: map[string]*clusterconfig.Route{}, Services: map[string]clusterconfig.Service{}, Workers: map[string]*Worker{},
 		Devices: map[string]*Device{}, Allocs: map[uint64]*Alloc{}, Jobs: map[string]*Job{}, Rollups: map[string]*Rollup{}}
 	s.Limits = l
 	s.derive()
@@ -82,7 +82,7 @@
 
 // derive rebuilds what follows from the tables.
 func (s *Store) derive() {
-	s.table = desire.NewTable(&s.Desired)
+	s.table = clusterconfig.NewRouteTable(&s.Desired)
 	s.open, s.timed = map[string]*Job{}, map[string]*Job{}
 	s.byWork = map[string]map[uint64]*Alloc{}
 	for id, j := range s.Jobs {
@@ -112,7 +112,7 @@
 func (s *Store) Far() float64 { return max(s.Limits.Far, 1) }
 
 // Table looks lanes up.
-func (s *Store) Table() *desire.Table { return s.table }
+func (s *Store) Table() *clusterconfig.RouteTable { return s.table }
 
 // Open lists the jobs that are not over, by age.
 func (s *Store) Open() []*Job {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 const testDesire = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],"serviceList":[{"name":"s","guards":true}]}`
@@ -37,14 +37,14 @@
 	return w.s.Run(w.s.Applied+1, pack(b))[0]
 }
 
-func (w *world) worker(id string, room wire.Room) *Worker {
+func (w *world) worker(id string, room protocol.Resources) *Worker {
 	w.run("takeup", &TakeUp{ID: id, Node: "n-" + id, Service: "s", Labels: []string{"a", "r1"}, Room: room, LeavesIn: -1})
 	return w.s.Workers[id]
 }
 
-func (w *world) job(id string, steps ...wire.Step) *Job {
+func (w *world) job(id string, steps ...protocol.Step) *Job {
 	w.t.Helper()
-	if o := w.run("handin", &HandIn{Host: "h", Path: "/p/" + id, ID: id, Job: wire.Job{JobSpec: "x", Steps: steps}}); o.Code != 200 {
+	if o := w.run("handin", &HandIn{Host: "h", Path: "/p/" + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}); o.Code != 200 {
 		w.t.Fatalf("hand-in: %v", o)
 	}
 	return w.s.Jobs[id]
@@ -55,13 +55,13 @@
 }
 
 func (w *world) end(worker, task string, run int, how string) {
-	w.run("ends", &Ends{Worker: worker, Fence: w.s.Workers[worker].Fence, Ends: []wire.End{{N: 1, Task: task, Run: run, How: how}}})
+	w.run("ends", &Ends{Worker: worker, Fence: w.s.Workers[worker].Fence, Ends: []protocol.Completion{{Sequence: 1, Task: task, Run: run, Result: how}}})
 }
 
 func TestTurnRefusesASecondRun(t *testing.T) {
 	w := newWorld(t)
-	a, b := w.worker("a", wire.Room{CPUUnits: 1000, MemMb: 1000}), w.worker("b", wire.Room{CPUUnits: 1000, MemMb: 1000})
-	w.job("j", wire.Step{TaskCount: 1, CPUUnits: 10})
+	a, b := w.worker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}), w.worker("b", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+	w.job("j", protocol.Step{TaskCount: 1, CPUUnits: 10})
 	if n := w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver}); n != 0 {
 		t.Fatal("the first was refused")
 	}
@@ -75,8 +75,8 @@
 
 func TestStoppingKeepsTurnAndRoom(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 20, MemMb: 10})
-	w.job("j", wire.Step{TaskCount: 1, CPUUnits: 15})
+	a := w.worker("a", protocol.Resources{CPUUnits: 20, MemoryMB: 10})
+	w.job("j", protocol.Step{TaskCount: 1, CPUUnits: 15})
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
 	for id := range w.s.Allocs {
 		w.run("halt", &Halt{Allocs: []uint64{id}, Why: "test"})
@@ -92,8 +92,8 @@
 
 func TestDrainBeatsAnOlderPlan(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-	w.job("j", wire.Step{TaskCount: 1})
+	a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+	w.job("j", protocol.Step{TaskCount: 1})
 	ver := a.Ver
 	w.run("eligible", &Eligible{ID: "a", Draining: true, LeavesIn: 5000})
 	if n := w.book("j", 0, false, Item{Worker: "a", Ver: ver}); n != 1 {
@@ -103,9 +103,9 @@
 
 func TestGangIsBookedWholeOrNotAtAll(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-	b := w.worker("b", wire.Room{CPUUnits: 10, MemMb: 100})
-	w.job("j", wire.Step{TaskCount: 2, CPUUnits: 50, AllTogether: true})
+	a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+	b := w.worker("b", protocol.Resources{CPUUnits: 10, MemoryMB: 100})
+	w.job("j", protocol.Step{TaskCount: 2, CPUUnits: 50, Gang: true})
 	if w.book("j", 0, true, Item{Index: 0, Worker: "a", Ver: a.Ver}, Item{Index: 1, Worker: "b", Ver: b.Ver}) != 1 {
 		t.Fatal("booked beyond the room")
 	}
@@ -123,8 +123,8 @@
 
 func TestBudgetAndOrder(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-	w.job("j", wire.Step{TaskCount: 1}, wire.Step{TaskCount: 1, DependsOn: []int{0}})
+	a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+	w.job("j", protocol.Step{TaskCount: 1}, protocol.Step{TaskCount: 1, DependsOn: []int{0}})
 	w.book("j", 1, false, Item{Worker: "a", Ver: a.Ver})
 	if len(w.s.Allocs) != 0 {
 		t.Fatal("a step ran before the one it waits for")
@@ -144,8 +144,8 @@
 
 func TestSameIDFirstStands(t *testing.T) {
 	w := newWorld(t)
-	w.job("j", wire.Step{TaskCount: 1})
-	w.job("j", wire.Step{TaskCount: 7})
+	w.job("j", protocol.Step{TaskCount: 1})
+	w.job("j", protocol.Step{TaskCount: 7})
 	if n := w.s.Jobs["j"].Steps[0].TaskCount; n != 1 {
 		t.Fatalf("the second body stands: %d", n)
 	}
@@ -167,8 +167,8 @@
 
 func TestDeadLifeDoesNotComeBack(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-	w.job("j", wire.Step{TaskCount: 1})
+	a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+	w.job("j", protocol.Step{TaskCount: 1})
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
 	// The take-up of a life of which the newer one knows nothing came late.
 	if o := w.run("takeup", &TakeUp{ID: "a0", Node: "n-a", Service: "s", LeavesIn: -1, Replaces: a.Fence - 1}); o.Code != 412 || o.N != a.Fence || len(w.s.Allocs) != 1 || w.s.Workers["a0"] != nil {
@@ -185,12 +185,12 @@
 
 func TestSavedTextGoesToTheNextRun(t *testing.T) {
 	w := newWorld(t)
-	a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-	w.job("j", wire.Step{TaskCount: 1, Checkpoints: true})
+	a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+	w.job("j", protocol.Step{TaskCount: 1, Checkpoints: true})
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
-	w.run("ends", &Ends{Worker: "a", Fence: a.Fence, Saved: []wire.Run{{Task: "j.0.0.0", Run: 1, Saved: "abc"}}})
+	w.run("ends", &Ends{Worker: "a", Fence: a.Fence, Saved: []protocol.RunProgress{{Task: "j.0.0.0", Run: 1, Checkpoint: "abc"}}})
 	w.run("lapse", &Lapse{Workers: []Fenced{{ID: "a", Fence: w.s.Workers["a"].Fence}}})
-	a = w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
+	a = w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
 	for _, x := range w.s.Allocs {
 		if x.Saved != "abc" || x.Run != 2 {
@@ -201,7 +201,7 @@
 
 func TestTimedJobFallsDue(t *testing.T) {
 	w := newWorld(t)
-	w.run("handin", &HandIn{Host: "h", Path: "/p/j", ID: "j", Job: wire.Job{Steps: []wire.Step{{TaskCount: 1}}, RunTimes: 3, FirstRunMs: 1000, IntervalMs: 500}})
+	w.run("handin", &HandIn{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}, PeriodicInstances: 3, FirstRunMs: 1000, IntervalMs: 500}})
 	j := w.s.Jobs["j"]
 	for _, c := range []struct{ wall, insts int64 }{{999, 0}, {1000, 1}, {1400, 1}, {2100, 3}} {
 		w.s.Advance(w.now, c.wall)
@@ -226,7 +226,7 @@
 		}
 	}
 	for id, w := range s.Workers {
-		if w.UsedCPU != cpu[id] || w.UsedMem != mem[id] || w.UsedCPU > w.Room.CPUUnits || w.UsedMem > w.Room.MemMb {
+		if w.UsedCPU != cpu[id] || w.UsedMem != mem[id] || w.UsedCPU > w.Room.CPUUnits || w.UsedMem > w.Room.MemoryMB {
 			return fmt.Sprintf("%s: counter %d of %d, claims %d", id, w.UsedCPU, w.Room.CPUUnits, cpu[id])
 		}
 	}
@@ -272,7 +272,7 @@
 		r := rand.New(rand.NewSource(seed))
 		w := newWorld(t)
 		for i := range 4 {
-			w.worker(fmt.Sprint("w", i), wire.Room{CPUUnits: 100, MemMb: 100, GPUs: i % 3})
+			w.worker(fmt.Sprint("w", i), protocol.Resources{CPUUnits: 100, MemoryMB: 100, GPUs: i % 3})
 		}
 		var jobs []string
 		for i := range 400 {
@@ -281,8 +281,8 @@
 			switch r.Intn(8) {
 			case 0:
 				j := fmt.Sprint("j", i)
-				w.job(j, wire.Step{TaskCount: 1 + r.Intn(3), CPUUnits: int64(r.Intn(60)), MemMb: int64(r.Intn(60)), GPUs: r.Intn(2), Twice: r.Intn(3) == 0, ApartFrom: r.Intn(2)},
-					wire.Step{TaskCount: 2, CPUUnits: int64(r.Intn(60)), AllTogether: r.Intn(2) == 0, DependsOn: []int{0}})
+				w.job(j, protocol.Step{TaskCount: 1 + r.Intn(3), CPUUnits: int64(r.Intn(60)), MemoryMB: int64(r.Intn(60)), GPUs: r.Intn(2), Speculative: r.Intn(3) == 0, MaxPerWorker: r.Intn(2)},
+					protocol.Step{TaskCount: 2, CPUUnits: int64(r.Intn(60)), Gang: r.Intn(2) == 0, DependsOn: []int{0}})
 				jobs = append(jobs, j)
 			case 1, 2, 3, 4:
 				if len(jobs) == 0 {
@@ -342,8 +342,8 @@
 		},
 	} {
 		w := newWorld(t)
-		a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-		w.job("j", wire.Step{TaskCount: 1, CPUUnits: 10})
+		a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+		w.job("j", protocol.Step{TaskCount: 1, CPUUnits: 10})
 		w.book("j", 0, false, Item{Worker: "a", Ver: a.Ver})
 		check(t, w.s)
 		plant(w)
@@ -399,7 +399,7 @@
 		want := 0
 		if w.Bookable() {
 			want = 1
-			rooms[w.Service] = Sum{rooms[w.Service].CPU + w.Room.CPUUnits, rooms[w.Service].Mem + w.Room.MemMb}
+			rooms[w.Service] = Sum{rooms[w.Service].CPU + w.Room.CPUUnits, rooms[w.Service].Mem + w.Room.MemoryMB}
 			count[w.Service]++
 		}
 		if on[w] != want {
@@ -468,8 +468,8 @@
 		"nobody": func(s *Store) { s.Workers["a"].spot.at = 7 },
 	} {
 		w := newWorld(t)
-		w.worker("a", wire.Room{CPUUnits: 1000, MemMb: 1000})
-		w.job("j", wire.Step{TaskCount: 2, CPUUnits: 10})
+		w.worker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+		w.job("j", protocol.Step{TaskCount: 2, CPUUnits: 10})
 		if why := indexFault(w.s); why != "" {
 			t.Fatal(why)
 		}
@@ -488,7 +488,7 @@
 	lose := func() int64 {
 		life++
 		id := fmt.Sprint("l", life)
-		w.run("takeup", &TakeUp{ID: id, Node: "n", Service: "s", Room: wire.Room{CPUUnits: 10}, LeavesIn: -1, Replaces: int64(w.s.Last)})
+		w.run("takeup", &TakeUp{ID: id, Node: "n", Service: "s", Room: protocol.Resources{CPUUnits: 10}, LeavesIn: -1, Replaces: int64(w.s.Last)})
 		return max(w.s.Workers[id].ShunTill-w.s.Clock, 0)
 	}
 	last := int64(-1)
@@ -555,8 +555,8 @@
 func TestCopiesOfAGangEndInOrder(t *testing.T) {
 	for range 30 {
 		w := newWorld(t)
-		a := w.worker("a", wire.Room{CPUUnits: 100, MemMb: 100})
-		w.job("j", wire.Step{TaskCount: 1, CPUUnits: 10, AllTogether: true, Twice: true})
+		a := w.worker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+		w.job("j", protocol.Step{TaskCount: 1, CPUUnits: 10, Gang: true, Speculative: true})
 		w.book("j", 0, true, Item{Worker: "a", Ver: a.Ver}, Item{Copy: 1, Worker: "a", Ver: a.Ver})
 		if len(w.s.Allocs) != 2 {
 			t.Fatal("the copies were not booked")
--- a/internal/store/takeup.go
+++ b/internal/store/takeup.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"tealpond/internal/wire"
+	"tealpond/internal/protocol"
 )
 
 // TakeUp binds a runner's life to the side daemon that orders it and gives
@@ -16,7 +16,7 @@
 	Service  string
 	Zone     string
 	Labels   []string
-	Room     wire.Room
+	Room     protocol.Resources
 	Draining bool
 	LeavesIn int64 // ms from now, below 0 if it stays
 	// Replaces is the fence of the node's life before this one, as the side
--- a/internal/store/worker.go
+++ b/internal/store/worker.go
@@ -1,6 +1,6 @@
 package store
 
-import "tealpond/internal/wire"
+import "tealpond/internal/protocol"
 
 // Worker is the row of one life of a runner; eligibility writes and bookings
 // meet on it through Ver.
@@ -11,7 +11,7 @@
 	Service  string
 	Zone     string
 	Labels   []string
-	Room     wire.Room
+	Room     protocol.Resources
 	UsedCPU  int64
 	UsedMem  int64
 	Fence    int64
@@ -63,12 +63,12 @@
 
 // FreeCPU and FreeMem are max(0, allocatable - allocated).
 func (w *Worker) FreeCPU() int64 { return max(0, w.Room.CPUUnits-w.UsedCPU) }
-func (w *Worker) FreeMem() int64 { return max(0, w.Room.MemMb-w.UsedMem) }
+func (w *Worker) FreeMem() int64 { return max(0, w.Room.MemoryMB-w.UsedMem) }
 
 // claim is the guarded counter: false changes nothing.
 func (s *Store) claim(w *Worker, cpu, mem int64) bool {
 	// Why a ratio of 1: rooms are not overcommitted until a bench shows gain.
-	if w.UsedCPU+cpu > w.Room.CPUUnits || w.UsedMem+mem > w.Room.MemMb {
+	if w.UsedCPU+cpu > w.Room.CPUUnits || w.UsedMem+mem > w.Room.MemoryMB {
 		return false
 	}
 	w.UsedCPU += cpu
