--- a/internal/sim/tools_test.go
+++ b/internal/sim/tools_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"tealpond/internal/fleet"
+	"tealpond/internal/admin"
 	"tealpond/internal/transport"
 )
 
@@ -24,7 +24,7 @@
 		c.Until("done", 5*time.Second, func() bool { return c.State("edge-4", id(0)) == "done" })
 		time.Sleep(time.Second)
 		// A diskless daemon is asked: it knows the core and, by it, all.
-		p, err := fleet.Follow(c.tool(), []string{c.IP("edge-4") + ":7720"}, id(0))
+		p, err := admin.TraceChange(c.tool(), []string{c.IP("edge-4") + ":7720"}, id(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,24 +41,24 @@
 				t.Errorf("%q was noted by %d daemons, want %d", what, len(who[what]), n)
 			}
 		}
-		if len(p.Silent) > 0 {
-			t.Errorf("silent: %v", p.Silent)
+		if len(p.Unreachable) > 0 {
+			t.Errorf("silent: %v", p.Unreachable)
 		}
-		p, err = fleet.Follow(c.tool(), []string{c.IP("edge-1") + ":7720"}, "desired/1")
+		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, "desired/1")
 		if err != nil || len(p.Steps) < 4 {
 			t.Errorf("desired/1: %d steps, %v", len(p.Steps), err)
 		}
-		p, err = fleet.Follow(c.tool(), []string{c.IP("edge-1") + ":7720"}, "ffffffffffffffff")
+		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, "ffffffffffffffff")
 		if err != nil || len(p.Steps) != 0 {
 			t.Errorf("an unknown id: %d steps, %v", len(p.Steps), err)
 		}
 		c.Kill("side-1")
-		p, err = fleet.Follow(c.tool(), []string{c.IP("edge-1") + ":7720"}, id(0))
-		if err != nil || len(p.Silent) != 1 || p.Silent[0] != "side-1" {
-			t.Errorf("a lost daemon isn't named: %v, %v", p.Silent, err)
+		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, id(0))
+		if err != nil || len(p.Unreachable) != 1 || p.Unreachable[0] != "side-1" {
+			t.Errorf("a lost daemon isn't named: %v, %v", p.Unreachable, err)
 		}
 		c.Start("side-1", 1)
-		if _, err = fleet.Follow(c.tool(), []string{"10.9.9.9:7720"}, id(0)); !errors.Is(err, fleet.ErrNobody) {
+		if _, err = admin.TraceChange(c.tool(), []string{"10.9.9.9:7720"}, id(0)); !errors.Is(err, admin.ErrUnreachable) {
 			t.Errorf("nobody there: %v", err)
 		}
 	})
@@ -71,9 +71,9 @@
 		c.Ready()
 		c.HandIn(id(0), job(10000, 500, 2))
 		time.Sleep(2 * time.Second)
-		f, err := fleet.Fetch(c.tool(), []string{c.IP("edge-1") + ":7720"})
-		if err != nil || f.Leads {
-			t.Fatalf("leads %v, %v", f.Leads, err)
+		f, err := admin.FetchState(c.tool(), []string{c.IP("edge-1") + ":7720"})
+		if err != nil || f.IsLeader {
+			t.Fatalf("leads %v, %v", f.IsLeader, err)
 		}
 		n := map[string]int{}
 		for _, x := range f.Tables {
