--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -18,10 +18,10 @@
 
 	_ "tealpond/internal/agent"
 	_ "tealpond/internal/api"
-	"tealpond/internal/kernel"
+	"tealpond/internal/daemon"
 	"tealpond/internal/settings"
 	"tealpond/internal/tracing"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // version is set at release.
@@ -44,12 +44,12 @@
 	app.Terminate(func(int) { panic(parserExit{}) })
 	app.HelpFlag.Short('h')
 	commands := map[string]func() int{}
-	for _, role := range kernel.Roles() {
-		command := app.Command(role.Role, "Run the role: "+role.About+".")
+	for _, role := range daemon.Roles() {
+		command := app.Command(role.Name, "Run the role: "+role.Description+".")
 		path := command.Flag("settings", "The settings file.").Envar(settings.PathEnvVar).String()
 		level := command.Flag("log", "The least level that is logged: debug, info, warn or error.").Default("info").Enum("debug", "info", "warn", "error")
 		moves := new(string)
-		if role.Moves {
+		if role.AcceptsFederationFile {
 			moves = command.Flag("moves", "The file that turns moving jobs between clusters on (docs/foresee.md); off without it.").String()
 		}
 		commands[command.FullCommand()] = func() int { return runDaemon(role, *path, *level, *moves, stderr) }
@@ -99,20 +99,20 @@
 	return l.next.Log(kv...)
 }
 
-func runDaemon(role kernel.Maker, path, level, moves string, stderr io.Writer) int {
+func runDaemon(role daemon.RoleSpec, path, level, moves string, stderr io.Writer) int {
 	file, err := settings.Load(path)
 	if err != nil {
 		fmt.Fprintln(stderr, "tealpond:", err)
 		return exitFault
 	}
-	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMb) * tune.MemShare * (1 << 20)))
-	debug.SetGCPercent(tune.GCPercent)
+	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMb) * tuning.MemoryLimitFraction * (1 << 20)))
+	debug.SetGCPercent(tuning.GCPercent)
 	var processID [6]byte
 	_, _ = rand.Read(processID[:])
-	logger := log.With(levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(stderr)), logLevels[level]}, "node", file.NodeName, "role", role.Role)
-	environment := kernel.Base{Setting: file, Log: logger, Life: hex.EncodeToString(processID[:]), Reload: make(chan settings.File, 1),
-		Trace: tracing.NewRing(tune.TraceMarks), Moves: moves, Debug: level == "debug"}
-	process, err := role.Make(environment)
+	logger := log.With(levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(stderr)), logLevels[level]}, "node", file.NodeName, "role", role.Name)
+	environment := daemon.Environment{Settings: file, Log: logger, Incarnation: hex.EncodeToString(processID[:]), Reload: make(chan settings.File, 1),
+		Trace: tracing.NewRing(tuning.TraceRingLength), FederationFile: moves, Debug: level == "debug"}
+	process, err := role.New(environment)
 	if err != nil {
 		fmt.Fprintln(stderr, "tealpond:", err)
 		return exitFault
@@ -120,7 +120,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	go watchSettings(ctx, path, file, environment, logger)
-	_ = logger.Log("level", "info", "event", "start", "version", version, "life", environment.Life)
+	_ = logger.Log("level", "info", "event", "start", "version", version, "life", environment.Incarnation)
 	if err := process.Run(ctx); err != nil {
 		_ = logger.Log("level", "error", "event", "end", "why", err)
 		return exitFault
@@ -131,10 +131,10 @@
 
 // watchSettings takes over a changed settings file: after a SIGHUP, or when its time
 // changes without one.
-func watchSettings(ctx context.Context, path string, file settings.File, environment kernel.Base, logger log.Logger) {
+func watchSettings(ctx context.Context, path string, file settings.File, environment daemon.Environment, logger log.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	ticker := time.NewTicker(tune.Reread)
+	ticker := time.NewTicker(tuning.SettingsPollInterval)
 	defer ticker.Stop()
 	last := modTime(path)
 	for {
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -17,7 +17,7 @@
 	"tealpond/internal/clusterconfig"
 	"tealpond/internal/rpc"
 	"tealpond/internal/settings"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Exit codes of tools.
@@ -78,7 +78,7 @@
 }
 
 func traceChange(addresses []string, id string, stdout, stderr io.Writer) int {
-	ctx, cancel := context.WithTimeout(context.Background(), tune.ToolTime)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	change, err := admin.TraceChange(ctx, addresses, id)
 	if err != nil {
@@ -106,7 +106,7 @@
 }
 
 func showRecords(addresses map[string]string, inboxes []string, stdout, stderr io.Writer) int {
-	ctx, cancel := context.WithTimeout(context.Background(), tune.ToolTime)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	clusters := map[string]rpc.ClusterState{}
 	for name, address := range addresses {
@@ -130,7 +130,7 @@
 }
 
 func runQuery(addresses []string, query string, limit int, stdout, stderr io.Writer) int {
-	ctx, cancel := context.WithTimeout(context.Background(), tune.ToolTime)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	cluster, err := admin.FetchState(ctx, addresses)
 	if err != nil {
--- a/internal/admin/members.go
+++ b/internal/admin/members.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/discovery"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Error is the class of faults of tools.
@@ -27,7 +27,7 @@
 	seen := map[string]bool{}
 	answered := false
 	for _, address := range addresses {
-		response, callErr := rpc.Call(ctx, address, rpc.KindLeader, nil, tune.ToolRound)
+		response, callErr := rpc.Call(ctx, address, rpc.KindLeader, nil, tuning.ToolRequestTimeout)
 		var info rpc.LeaderInfo
 		if callErr != nil || transport.Decode(response.Body, &info) != nil {
 			continue
@@ -47,7 +47,7 @@
 	defer stop()
 	client := discovery.NewClient(log.NewNopLogger(), "", append(append([]string(nil), addresses...), servers...), nil, nil, nil)
 	go func() { _ = client.Run(runCtx) }()
-	callCtx, done := context.WithTimeout(ctx, tune.ToolRound)
+	callCtx, done := context.WithTimeout(ctx, tuning.ToolRequestTimeout)
 	defer done()
 	if response := client.Call(callCtx, rpc.KindListMembers, struct{}{}); response.Code == 200 {
 		_ = transport.Decode(response.Body, &members)
@@ -64,7 +64,7 @@
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			response, err := rpc.Call(ctx, address, kind, body, tune.ToolRound)
+			response, err := rpc.Call(ctx, address, kind, body, tuning.ToolRequestTimeout)
 			if err != nil {
 				return
 			}
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -10,7 +10,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Result is a bounded answer to a query.
@@ -33,7 +33,7 @@
 	}
 	var leaderState *rpc.ClusterState
 	for _, address := range servers {
-		response, err := rpc.Call(ctx, address, rpc.KindClusterState, nil, tune.ToolRound)
+		response, err := rpc.Call(ctx, address, rpc.KindClusterState, nil, tuning.ToolRequestTimeout)
 		var fetched rpc.ClusterState
 		if err != nil || transport.Decode(response.Body, &fetched) != nil {
 			continue
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -7,13 +7,13 @@
 
 	"github.com/go-kit/log"
 
+	"tealpond/internal/daemon"
 	"tealpond/internal/discovery"
-	"tealpond/internal/kernel"
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/settings"
 	"tealpond/internal/tracing"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // event is an input of the side daemon's loop.
@@ -61,9 +61,9 @@
 func runKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
 
 // newAgent builds a side daemon that turns to the leader through a seeker.
-func newAgent(env kernel.Base, runner RunnerClient) *Agent {
-	a := &Agent{settings: env.Setting, log: env.Log, process: env.Life, events: make(chan event, 1024), runner: runner, trace: env.Trace}
-	a.discovery = discovery.NewClient(env.Log, "", env.Setting.SeedAddresses(),
+func newAgent(env daemon.Environment, runner RunnerClient) *Agent {
+	a := &Agent{settings: env.Settings, log: env.Log, process: env.Incarnation, events: make(chan event, 1024), runner: runner, trace: env.Trace}
+	a.discovery = discovery.NewClient(env.Log, "", env.Settings.SeedAddresses(),
 		func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} }, nil, func() {
 			go func() { a.events <- event{renew: true} }()
 		})
@@ -120,16 +120,16 @@
 		return 0
 	}
 	if session.fence == 0 || session.registering {
-		if !session.registering && now.Sub(session.lastRenewalAt) > tune.Renew {
+		if !session.registering && now.Sub(session.lastRenewalAt) > tuning.LeaseRenewInterval {
 			a.registerRunner(session)
 		}
-		return tune.Renew
+		return tuning.LeaseRenewInterval
 	}
-	wake := tune.Renew
-	if !session.renewingLease && (session.lastRenewalAt.IsZero() || now.Sub(session.lastRenewalAt) >= tune.Renew) {
+	wake := tuning.LeaseRenewInterval
+	if !session.renewingLease && (session.lastRenewalAt.IsZero() || now.Sub(session.lastRenewalAt) >= tuning.LeaseRenewInterval) {
 		a.renewLease(session)
 	} else if !session.renewingLease {
-		wake = min(wake, max(tune.Renew-now.Sub(session.lastRenewalAt), time.Millisecond))
+		wake = min(wake, max(tuning.LeaseRenewInterval-now.Sub(session.lastRenewalAt), time.Millisecond))
 	}
 	if session.fence == 0 {
 		return wake
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -6,8 +6,8 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
-	"tealpond/internal/tune"
+	"tealpond/internal/state"
+	"tealpond/internal/tuning"
 )
 
 // completedRun is a run that is over here: its end as listed, or, with N = 0, as
@@ -25,7 +25,7 @@
 	if len(completions) > 0 {
 		session.reportsInFlight++
 	}
-	a.requestLeader(rpc.KindReportCompletions, &store.Ends{Worker: session.id, Fence: fence, Ends: completions, First: startsList, Saved: checkpoints}, 20*time.Second, func(response rpc.Response) {
+	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: completions, FromOldest: startsList, Checkpoints: checkpoints}, 20*time.Second, func(response rpc.Response) {
 		if a.session != session {
 			return
 		}
@@ -97,7 +97,7 @@
 	}
 	done.reporting = true
 	fence, committedBefore := session.fence, session.committedSequence
-	a.requestLeader(rpc.KindReportCompletions, &store.Ends{Worker: session.id, Fence: fence, Ends: []protocol.Completion{done.completion}}, 20*time.Second, func(response rpc.Response) {
+	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{done.completion}}, 20*time.Second, func(response rpc.Response) {
 		done.reporting = false
 		if a.session != session {
 			return
@@ -129,9 +129,9 @@
 		}
 		return
 	}
-	if len(session.completed) >= tune.EndedKept {
+	if len(session.completed) >= tuning.MaxCompletedRunsKept {
 		for otherKey, done := range session.completed {
-			if now.Sub(done.notedAt) > tune.EndedTime && done.completion.Sequence <= session.committedSequence {
+			if now.Sub(done.notedAt) > tuning.CompletedRunRetention && done.completion.Sequence <= session.committedSequence {
 				delete(session.completed, otherKey)
 			}
 		}
@@ -159,9 +159,9 @@
 	run.reporting = true
 	fence, committedBefore, key := session.fence, session.committedSequence, runKey(run.assignment.Task, run.assignment.Run)
 	completion := protocol.Completion{Task: run.assignment.Task, Run: run.assignment.Run, Result: run.declaredResult}
-	a.requestLeader(rpc.KindReportCompletions, &store.Ends{Worker: session.id, Fence: fence, Ends: []protocol.Completion{completion}}, 20*time.Second, func(response rpc.Response) {
+	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{completion}}, 20*time.Second, func(response rpc.Response) {
 		run.reporting = false
-		run.notBefore = a.now.Add(tune.Renew)
+		run.notBefore = a.now.Add(tuning.LeaseRenewInterval)
 		if a.session != session || session.runs[key] != run {
 			return
 		}
--- a/internal/agent/completions_test.go
+++ b/internal/agent/completions_test.go
@@ -12,7 +12,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 	"tealpond/internal/tracing"
 	"tealpond/internal/transport"
 )
@@ -23,50 +23,50 @@
 type fixture struct {
 	t          *testing.T
 	mu         sync.Mutex // asks come side by side
-	state      *store.Store
+	state      *state.Store
 	agent      *Agent
 	session    *runnerSession
-	dropReport func(*store.Ends) bool // what never reaches the state, nor an answer
-	reports    int                    // asks with ends that reached the state
+	dropReport func(*state.ReportCompletions) bool // what never reaches the state, nor an answer
+	reports    int                                 // asks with ends that reached the state
 }
 
-func (f *fixture) execute(kind string, c store.Cmd) store.Outcome {
-	return f.state.Run(f.state.Applied+1, transport.Encode(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
+func (f *fixture) execute(kind string, c state.Command) state.Outcome {
+	return f.state.ApplyEntry(f.state.AppliedIndex+1, transport.Encode(state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}))[0]
 }
 
 // newFixture gives a worker w on which n tasks of job j are booked as run 1.
 func newFixture(t *testing.T, n int) *fixture {
-	f := &fixture{t: t, state: store.New(store.Limits{KeepJobMs: 1e6, Replans: 2})}
-	f.execute("replace", &store.Replace{Raw: []byte(testConfig)})
-	fence := f.execute("takeup", &store.TakeUp{ID: "w", Node: "n", Service: "s", Room: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, LeavesIn: -1}).N
-	f.execute("handin", &store.HandIn{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: n, EstimateMs: 100}}}})
-	var items []store.Item
+	f := &fixture{t: t, state: state.New(state.Limits{JobRetentionMs: 1e6, MaxReplans: 2})}
+	f.execute("replace", &state.ReplaceConfiguration{Raw: []byte(testConfig)})
+	fence := f.execute("takeup", &state.RegisterWorker{ID: "w", Node: "n", Service: "s", Capacity: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, LeavesInMs: -1}).Value
+	f.execute("handin", &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: n, EstimateMs: 100}}}})
+	var items []state.Placement
 	for i := range n {
-		items = append(items, store.Item{Index: i, Worker: "w", Ver: f.state.Workers["w"].Ver})
+		items = append(items, state.Placement{TaskIndex: i, Worker: "w", WorkerVersion: f.state.Workers["w"].Version})
 	}
-	f.execute("book", &store.Book{Plans: []store.Plan{{Job: "j", Items: items}}})
+	f.execute("book", &state.ApplyPlans{Plans: []state.Plan{{Job: "j", Placements: items}}})
 	f.agent = &Agent{log: log.NewNopLogger(), now: time.Now(), trace: tracing.NewRing(64), events: make(chan event, 64), ctx: t.Context()}
 	f.agent.callLeader = func(x context.Context, kind string, body any) rpc.Response {
-		e, ok := body.(*store.Ends)
+		e, ok := body.(*state.ReportCompletions)
 		if ok && f.dropReport != nil && f.dropReport(e) {
 			<-x.Done()
 			return rpc.Response{Code: rpc.CodeTimeout}
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		var o store.Outcome
+		var o state.Outcome
 		switch c := body.(type) {
-		case *store.Ends:
+		case *state.ReportCompletions:
 			f.reports++
 			o = f.execute("ends", c)
-		case *store.TakeUp:
+		case *state.RegisterWorker:
 			o = f.execute("takeup", c)
-		case *store.Eligible:
+		case *state.SetEligibility:
 			o = f.execute("eligible", c)
 		default:
 			t.Errorf("ask %s", kind)
 		}
-		return rpc.Response{Code: o.Code, Text: o.Text, Value: o.N}
+		return rpc.Response{Code: o.Code, Text: o.Text, Value: o.Value}
 	}
 	f.session = &runnerSession{id: "w", fence: fence, listed: true, runs: map[string]*taskRun{}}
 	f.agent.session = f.session
@@ -103,11 +103,11 @@
 
 func (f *fixture) check(seen int64, open int) {
 	f.t.Helper()
-	if w := f.state.Workers["w"]; w.Seen != seen || f.session.committedSequence != seen {
-		f.t.Errorf("the state holds ends up to %d and the runner is told %d, want %d", w.Seen, f.session.committedSequence, seen)
+	if w := f.state.Workers["w"]; w.LastCompletion != seen || f.session.committedSequence != seen {
+		f.t.Errorf("the state holds ends up to %d and the runner is told %d, want %d", w.LastCompletion, f.session.committedSequence, seen)
 	}
-	if len(f.state.Allocs) != open {
-		f.t.Errorf("%d bookings are open, want %d", len(f.state.Allocs), open)
+	if len(f.state.Allocations) != open {
+		f.t.Errorf("%d bookings are open, want %d", len(f.state.Allocations), open)
 	}
 }
 
@@ -115,7 +115,9 @@
 func TestLostBatchOfCompletionsIsReportedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, 3)
-		f.dropReport = func(e *store.Ends) bool { return len(e.Ends) == 1 && e.Ends[0].Sequence == 1 }
+		f.dropReport = func(e *state.ReportCompletions) bool {
+			return len(e.Completions) == 1 && e.Completions[0].Sequence == 1
+		}
 		f.listCompletions(0)
 		f.settle()
 		f.listCompletions(0, 1)
@@ -140,7 +142,7 @@
 func TestCompletionsUnderAnOldFenceAreReportedAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, 2)
-		f.execute("takeup", &store.TakeUp{ID: "w", Node: "n", Service: "s", LeavesIn: -1})
+		f.execute("takeup", &state.RegisterWorker{ID: "w", Node: "n", Service: "s", LeavesInMs: -1})
 		f.listCompletions(0, 1)
 		f.settle()
 		f.check(0, 2)
@@ -167,7 +169,7 @@
 		if len(f.session.runs) != 1 {
 			t.Fatal("the order was not taken")
 		}
-		f.dropReport = func(e *store.Ends) bool { return true }
+		f.dropReport = func(e *state.ReportCompletions) bool { return true }
 		f.listCompletions(0)
 		f.settle()
 		f.assign(0)
--- a/internal/agent/keepalive.go
+++ b/internal/agent/keepalive.go
@@ -7,7 +7,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // runtimeSample is how long a run took, in hundredths of its estimate.
@@ -32,18 +32,18 @@
 		}
 		return 0
 	}
-	wait := tune.HoldWait
+	wait := tuning.RunnerPollWait
 	if session.reportsInFlight > 0 && !unanswered {
 		// Why not while ends are unacknowledged: the look would return at
 		// once with the same ends; only a newer grant is worth it.
-		extension := min(session.leaseUntilMs, a.estimatedClockMs(session)+tune.HoldReach.Milliseconds()) - session.confirmedUntilMs
-		if remaining := tune.HoldReach.Milliseconds()/2 - extension; remaining > 0 {
+		extension := min(session.leaseUntilMs, a.estimatedClockMs(session)+tuning.MaxRunLeaseAhead.Milliseconds()) - session.confirmedUntilMs
+		if remaining := tuning.MaxRunLeaseAhead.Milliseconds()/2 - extension; remaining > 0 {
 			return max(time.Duration(remaining)*time.Millisecond, 50*time.Millisecond)
 		}
 		wait = 0
 	}
 	if len(session.runs) == 0 {
-		wait = tune.HoldQuiet
+		wait = tuning.RunnerIdlePollWait
 	}
 	if !session.listed || session.leaseUntilMs > 0 && session.confirmedUntilMs == 0 || unanswered {
 		wait = 0
@@ -54,7 +54,7 @@
 		}
 		if overdue := a.now.Sub(run.startedAt).Milliseconds() > 3*run.assignment.EstimateMs/2+100; run.phase == runRunning && overdue && !run.assignment.LongRunning {
 			// Why sooner: it may stand still, and nothing would end the wait.
-			wait = min(wait, tune.HoldLate)
+			wait = min(wait, tuning.OverdueRunPollWait)
 		}
 	}
 	if session.unansweredCalls > 0 {
@@ -82,7 +82,7 @@
 	request := protocol.KeepAliveRequest{Fence: session.fence, AcknowledgedSequence: session.committedSequence, WaitMs: wait.Milliseconds()}
 	// Why short: when the runner falls silent, all that it held is over so
 	// much sooner, and a grant is there to prolong it.
-	if until := min(session.leaseUntilMs, a.estimatedClockMs(session)+tune.HoldReach.Milliseconds()); session.clockMs > 0 && until > session.confirmedUntilMs && session.unansweredCalls == 0 {
+	if until := min(session.leaseUntilMs, a.estimatedClockMs(session)+tuning.MaxRunLeaseAhead.Milliseconds()); session.clockMs > 0 && until > session.confirmedUntilMs && session.unansweredCalls == 0 {
 		request.LeaseUntilMs = until
 		session.longestUntilMs = max(session.longestUntilMs, until)
 	}
@@ -90,7 +90,7 @@
 	session.lastPoll++
 	poll, fence := session.lastPoll, session.fence
 	go func() {
-		ctx, cancel := context.WithTimeout(a.ctx, wait+tune.HoldSlack)
+		ctx, cancel := context.WithTimeout(a.ctx, wait+tuning.RunnerPollSlack)
 		response := a.runner.Call(ctx, session.id, pathKeepAlive, request)
 		cancel()
 		a.post(func() {
@@ -127,7 +127,7 @@
 		running[runKey(listed.Task, listed.Run)] = listed
 	}
 	completions := response.KeepAlive.Completions()
-	complete := len(completions) < tune.EndsListed
+	complete := len(completions) < tuning.MaxCompletionsListed
 	var unreported []protocol.Completion
 	ended := map[string]bool{}
 	for _, completion := range completions {
@@ -222,7 +222,7 @@
 	if run.percent == run.firstPercent {
 		timePerPercent = time.Duration(run.assignment.EstimateMs) * time.Millisecond / 100
 	}
-	stuckAfter := tune.StuckAfter
+	stuckAfter := tuning.StalledRunTimeout
 	if run.assignment.Checkpoint != "" {
 		// Why more: it makes no progress while it reads its saved text.
 		stuckAfter += 2 * time.Duration(a.settings.Bounds.RestoreMs) * time.Millisecond
@@ -239,7 +239,7 @@
 func (a *Agent) medianRuntime(session *runnerSession) int64 {
 	recent := session.runtimeSamples[:0]
 	for _, sample := range session.runtimeSamples {
-		if a.now.Sub(sample.takenAt) < tune.SpeedSpan {
+		if a.now.Sub(sample.takenAt) < tuning.SpeedSampleDecay {
 			recent = append(recent, sample)
 		}
 	}
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -8,7 +8,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 )
 
 // testDrain is how long a runner of these tests serves on after its sign-off.
@@ -56,7 +56,7 @@
 func (f *fixture) leaving(id string, in int64) {
 	f.t.Helper()
 	w := f.state.Workers[id]
-	if w == nil || !w.Draining || w.Bookable() {
+	if w == nil || !w.Draining || w.Schedulable() {
 		f.t.Fatalf("%s is not leaving: %+v", id, w)
 	}
 	if left := w.LeavesAt - time.Now().UnixMilli(); left != in {
@@ -145,7 +145,7 @@
 func TestSignOffBeforeItsTakeUpIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b, _ := newLeaving(t)
-		b.execute("eligible", &store.Eligible{ID: "w", Draining: true, LeavesIn: -1})
+		b.execute("eligible", &state.SetEligibility{ID: "w", Draining: true, LeavesInMs: -1})
 		b.agent.session = nil
 		b.signOff("w2")
 		b.beat("w2", "ready", 1)
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -12,13 +12,13 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/kernel"
+	"tealpond/internal/daemon"
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 	"tealpond/internal/tracing"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 var modelSeeds = flag.Int("model-seeds", 6, "how many seeds the model test plays")
@@ -31,7 +31,7 @@
 	mu               sync.Mutex
 	t                *testing.T
 	random           *rand.Rand
-	state            *store.Store
+	state            *state.Store
 	leaderAway       bool // nobody answers asks
 	granted          map[string]time.Time
 	workers          []*modelWorker
@@ -91,34 +91,34 @@
 	f()
 }
 
-func (m *model) execute(kind string, c store.Cmd) store.Outcome {
-	return m.state.Run(m.state.Applied+1, transport.Encode(store.Batch{Clock: time.Now().UnixMilli(), Cmds: []store.Raw{store.Encode(kind, c)}}))[0]
+func (m *model) execute(kind string, c state.Command) state.Outcome {
+	return m.state.ApplyEntry(m.state.AppliedIndex+1, transport.Encode(state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}))[0]
 }
 
 // apply is what the leader does with one ask.
 func (m *model) apply(kind string, body any) (response rpc.Response) {
 	m.locked(func() {
-		var outcome store.Outcome
+		var outcome state.Outcome
 		switch c := body.(type) {
 		case *rpc.LeaseRenewal:
 			worker := m.state.Workers[c.Worker]
-			if outcome.Code = 409; worker != nil && worker.Fence == c.Fence && !worker.Dead && !worker.Lost {
+			if outcome.Code = 409; worker != nil && worker.Fence == c.Fence && !worker.Dead && !worker.LeaseExpired {
 				m.granted[c.Worker] = time.Now()
-				outcome = store.Outcome{Code: 200, N: tune.Hold.Milliseconds()}
+				outcome = state.Outcome{Code: 200, Value: tuning.MaxLeaseDuration.Milliseconds()}
 			}
-		case *store.TakeUp:
+		case *state.RegisterWorker:
 			if outcome = m.execute(kind, c); outcome.Code == 200 && m.granted[c.ID].IsZero() {
 				m.granted[c.ID] = time.Now()
 			}
-		case *store.Ends:
+		case *state.ReportCompletions:
 			outcome = m.execute(kind, c)
 			if outcome.Code == 200 && outcome.Text != "" {
 				m.reportedFaults = append(m.reportedFaults, outcome.Text)
 			}
-		case *store.Eligible:
+		case *state.SetEligibility:
 			outcome = m.execute(kind, c)
 		}
-		response = rpc.Response{Code: outcome.Code, Text: outcome.Text, Value: outcome.N}
+		response = rpc.Response{Code: outcome.Code, Text: outcome.Text, Value: outcome.Value}
 	})
 	return response
 }
@@ -134,10 +134,10 @@
 			if late := m.between(time.Second, 12*time.Second); m.chance(0.5) && !away {
 				time.AfterFunc(late, func() { m.apply(kind, body) })
 			}
-			wait = tune.AskRound
+			wait = tuning.RequestAttemptTimeout
 		case m.chance(0.04): // done, but the answer is lost
 			m.apply(kind, body)
-			wait = tune.AskRound
+			wait = tuning.RequestAttemptTimeout
 		default:
 			time.Sleep(wait)
 			if ctx.Err() == nil {
@@ -299,8 +299,8 @@
 		w.ended = w.ended[1:]
 	}
 	w.acknowledged = max(w.acknowledged, seen)
-	if x := w.m.state.Workers[w.incarnation]; x != nil && w.acknowledged > x.Seen {
-		w.m.t.Errorf("%s was told to forget ends up to %d, the state holds %d", w.incarnation, w.acknowledged, x.Seen)
+	if x := w.m.state.Workers[w.incarnation]; x != nil && w.acknowledged > x.LastCompletion {
+		w.m.t.Errorf("%s was told to forget ends up to %d, the state holds %d", w.incarnation, w.acknowledged, x.LastCompletion)
 	}
 }
 
@@ -310,7 +310,7 @@
 	agent := &Agent{log: log.NewNopLogger(), process: fmt.Sprint(time.Now().UnixNano()), events: make(chan event, 1024), runner: w, callLeader: w.m.callLeader, trace: tracing.NewRing(16), ctx: agentCtx}
 	agent.settings.NodeName = w.node
 	w.agent, w.stop = agent, cancel
-	go kernel.Loop(agentCtx, agent.events, agent.handle, agent.advance)
+	go daemon.Loop(agentCtx, agent.events, agent.handle, agent.advance)
 }
 
 // deliver gives an event to the present side daemon.
@@ -334,29 +334,29 @@
 		if m.leaderAway {
 			return
 		}
-		hold := time.Duration(float64(tune.Hold)*tune.HoldDrift) + tune.HoldMargin
+		hold := time.Duration(float64(tuning.MaxLeaseDuration)*tuning.LeaseClockDriftFactor) + tuning.LeaseExpiryMargin
 		for id, at := range m.granted {
 			if time.Since(at) > hold {
 				delete(m.granted, id)
-				m.execute("lapse", &store.Lapse{Workers: []store.Fenced{{ID: id, Fence: m.state.Workers[id].Fence}}})
+				m.execute("lapse", &state.ExpireLeases{Workers: []state.FencedWorker{{ID: id, Fence: m.state.Workers[id].Fence}}})
 			}
 		}
-		var items []store.Item
+		var items []state.Placement
 		for i := range tasks {
 			if w := m.state.Workers[m.workers[m.random.Intn(2)].incarnation]; w != nil && m.random.Intn(4) == 0 {
-				items = append(items, store.Item{Index: i, Worker: w.ID, Ver: w.Ver})
+				items = append(items, state.Placement{TaskIndex: i, Worker: w.ID, WorkerVersion: w.Version})
 			}
 		}
-		m.execute("book", &store.Book{Plans: []store.Plan{{Job: "j", Items: items}}})
+		m.execute("book", &state.ApplyPlans{Plans: []state.Plan{{Job: "j", Placements: items}}})
 		fresh := map[uint64]bool{}
-		for _, id := range m.state.Fresh() {
+		for _, id := range m.state.TakeChangedRuns() {
 			fresh[id] = true
 		}
 		for _, w := range m.workers {
-			for _, a := range m.state.On(w.incarnation) {
+			for _, a := range m.state.AllocationsOn(w.incarnation) {
 				// Every second all is told anew, as to a new stream.
 				if n%50 == 0 || fresh[a.ID] && m.random.Intn(10) > 0 {
-					w.deliver(event{assignment: &rpc.Assignment{Worker: w.incarnation, Fence: m.state.Workers[w.incarnation].Fence, Stop: a.Stopping, Task: a.Task(), Run: a.Run, EstimateMs: 200}})
+					w.deliver(event{assignment: &rpc.Assignment{Worker: w.incarnation, Fence: m.state.Workers[w.incarnation].Fence, Stop: a.Stopping, Task: a.TaskName(), Run: a.Run, EstimateMs: 200}})
 				}
 			}
 		}
@@ -372,10 +372,10 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				m := &model{t: t, random: rand.New(rand.NewSource(int64(seed))), state: store.New(store.Limits{KeepJobMs: 1e9, Replans: 2}),
+				m := &model{t: t, random: rand.New(rand.NewSource(int64(seed))), state: state.New(state.Limits{JobRetentionMs: 1e9, MaxReplans: 2}),
 					granted: map[string]time.Time{}, running: map[string]string{}, acknowledgedDone: map[string]bool{}}
-				m.execute("replace", &store.Replace{Raw: []byte(testConfig)})
-				m.execute("handin", &store.HandIn{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: tasks, CPUUnits: 1000, EstimateMs: 200}}}})
+				m.execute("replace", &state.ReplaceConfiguration{Raw: []byte(testConfig)})
+				m.execute("handin", &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: tasks, CPUUnits: 1000, EstimateMs: 200}}}})
 				for _, node := range []string{"a", "b"} {
 					w := &modelWorker{m: m, node: node}
 					m.workers = append(m.workers, w)
@@ -401,12 +401,12 @@
 							m.leaderAway = true
 							time.AfterFunc(time.Duration(200+m.random.Intn(8000))*time.Millisecond, func() { m.locked(func() { m.leaderAway = false }) })
 						}
-						word, _ := m.state.Status("j")
+						word, _ := m.state.JobStatus("j")
 						over = word == "done"
 					})
 				}
 				if !over {
-					t.Errorf("the job is not done; %d starts, %d bookings", m.starts, len(m.state.Allocs))
+					t.Errorf("the job is not done; %d starts, %d bookings", m.starts, len(m.state.Allocations))
 				}
 				for _, f := range m.reportedFaults {
 					t.Errorf("fault: %s", f)
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -7,27 +7,27 @@
 
 	"github.com/labstack/echo/v4"
 
-	"tealpond/internal/kernel"
+	"tealpond/internal/daemon"
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 func init() {
-	kernel.Register(kernel.Maker{Role: "side", About: "orders the runner on its machine", Make: func(b kernel.Base) (kernel.Plug, error) {
-		return New(b, newHTTPRunnerClient(b.Setting.RunnerAddress)), nil
+	daemon.Register(daemon.RoleSpec{Name: "side", Description: "orders the runner on its machine", New: func(b daemon.Environment) (daemon.Role, error) {
+		return New(b, newHTTPRunnerClient(b.Settings.RunnerAddress)), nil
 	}})
 }
 
 // New builds the side daemon's plug over a way to call its runner.
-func New(env kernel.Base, runner RunnerClient) kernel.Plug {
+func New(env daemon.Environment, runner RunnerClient) daemon.Role {
 	return &role{Agent: newAgent(env, runner), env: env}
 }
 
 type role struct {
 	*Agent
-	env kernel.Base
+	env daemon.Environment
 }
 
 // Run serves the runner's calls and turns the loop.
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	httpServer := &http.Server{Handler: router, ReadHeaderTimeout: tune.HeadTime, IdleTimeout: time.Minute}
+	httpServer := &http.Server{Handler: router, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: time.Minute}
 	go func() { _ = httpServer.Serve(listener) }()
 	go func() { _ = agent.discovery.Run(ctx) }()
 	if err := transport.Serve(ctx, agent.settings.AgentAddress(), agent.handleFrame); err != nil {
@@ -60,7 +60,7 @@
 			}
 		}
 	}()
-	kernel.Loop(ctx, agent.events, agent.handle, agent.advance)
+	daemon.Loop(ctx, agent.events, agent.handle, agent.advance)
 	_ = httpServer.Close()
 	return nil
 }
@@ -80,10 +80,10 @@
 
 // renewMembership renews this daemon's membership.
 func (a *Agent) renewMembership(ctx context.Context) {
-	ticker := time.NewTicker(tune.SideClaim)
+	ticker := time.NewTicker(tuning.AgentMembershipRenewInterval)
 	defer ticker.Stop()
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, tune.SideClaim)
+		callCtx, cancel := context.WithTimeout(ctx, tuning.AgentMembershipRenewInterval)
 		a.discovery.Call(callCtx, rpc.KindMembership, rpc.MembershipLease{Node: a.settings.NodeName, Role: "side", Zone: a.settings.Zone, Addr: a.settings.AgentAddress(), Process: a.process})
 		cancel()
 		select {
--- a/internal/agent/runner_client.go
+++ b/internal/agent/runner_client.go
@@ -13,7 +13,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // RunnerResponse is what came of one call to the runner.
@@ -45,7 +45,7 @@
 }
 
 func newHTTPRunnerClient(address string) *httpRunnerClient {
-	dialer := &net.Dialer{Timeout: tune.OrderRound, Control: transport.UserTimeoutControl(tune.UserTimeout), KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: tuning.RunnerRequestTimeout, Control: transport.UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
 	return &httpRunnerClient{baseURL: "http://" + address, client: &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConns: 16, MaxIdleConnsPerHost: 16, MaxConnsPerHost: 16,
 		IdleConnTimeout: time.Minute, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 4096,
@@ -75,7 +75,7 @@
 		return RunnerResponse{}
 	}
 	defer response.Body.Close()
-	payload, err := io.ReadAll(io.LimitReader(response.Body, tune.ControlBytes))
+	payload, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxControlBodyBytes))
 	if err != nil {
 		return RunnerResponse{}
 	}
--- a/internal/agent/runner_silence_test.go
+++ b/internal/agent/runner_silence_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tealpond/internal/protocol"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 )
 
 // scriptedRunner is a runner whose answers a test gives; a path without one leaves
@@ -167,9 +167,9 @@
 		f.check(0, 1)
 		f.advance(2 * time.Second)
 		f.check(0, 0)
-		for _, c := range f.state.Closed() {
-			if c.How != "lapsed" {
-				t.Errorf("closed as %s", c.How)
+		for _, c := range f.state.TakeClosedRuns() {
+			if c.Result != "lapsed" {
+				t.Errorf("closed as %s", c.Result)
 			}
 		}
 	})
@@ -180,7 +180,7 @@
 func TestReportedRefusalIsFinal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, runner := newFixtureWithRunner(t, 1)
-		f.dropReport = func(*store.Ends) bool { return true }
+		f.dropReport = func(*state.ReportCompletions) bool { return true }
 		f.session.drainingCommitted = true
 		f.assign(0)
 		f.advance(100 * time.Millisecond)
@@ -201,7 +201,7 @@
 func TestTruncatedListOfCompletionsRulesNothingOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, runner := newFixtureWithRunner(t, 1)
-		f.dropReport = func(*store.Ends) bool { return true }
+		f.dropReport = func(*state.ReportCompletions) bool { return true }
 		full := listRunning()
 		for i := range 500 {
 			full.KeepAlive.Ended = append(full.KeepAlive.Ended, []any{float64(i + 1), fmt.Sprintf("k.0.0.%d", i), float64(1), "done", ""})
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -6,7 +6,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // runPhase is how far a run is, as this daemon sees it.
@@ -121,10 +121,10 @@
 	if session.leaseUntilMs < nowMs+300 {
 		return 50 * time.Millisecond
 	}
-	if a.callsInFlight >= tune.OrderHands {
+	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
 	}
-	untilMs := min(session.leaseUntilMs, nowMs+tune.HoldReach.Milliseconds())
+	untilMs := min(session.leaseUntilMs, nowMs+tuning.MaxRunLeaseAhead.Milliseconds())
 	session.longestUntilMs = max(session.longestUntilMs, untilMs)
 	run.phase = runStarting
 	run.attempts++
@@ -140,7 +140,7 @@
 	a.callsInFlight++
 	fence := session.fence
 	go func() {
-		ctx, cancel := context.WithTimeout(a.ctx, tune.OrderRound)
+		ctx, cancel := context.WithTimeout(a.ctx, tuning.RunnerRequestTimeout)
 		response := a.runner.Call(ctx, session.id, path, body)
 		cancel()
 		a.post(func() {
@@ -226,7 +226,7 @@
 
 // stopRun stops a run; it is over once a later look doesn't list it.
 func (a *Agent) stopRun(session *runnerSession, run *taskRun) time.Duration {
-	if a.callsInFlight >= tune.OrderHands {
+	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
 	}
 	a.callRunner(session, run, pathStop, protocol.StopRequest{TaskID: run.assignment.Task, RunID: run.assignment.Run, Fence: session.fence}, func(session *runnerSession, run *taskRun, response RunnerResponse) {
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -6,8 +6,8 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
-	"tealpond/internal/tune"
+	"tealpond/internal/state"
+	"tealpond/internal/tuning"
 )
 
 // runnerSession is what is known of the runner's present life.
@@ -121,8 +121,8 @@
 	}
 	session.registering = true
 	heartbeat, drain := session.heartbeat, a.leaves(session)
-	a.requestLeader(rpc.KindBindRunner, &store.TakeUp{ID: session.id, Node: a.settings.NodeName, Life: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
-		Labels: heartbeat.Labels, Room: heartbeat.FreeResources, Draining: drain, LeavesIn: a.leavesInMs(session), Replaces: session.replacedFence}, 10*time.Second, func(response rpc.Response) {
+	a.requestLeader(rpc.KindBindRunner, &state.RegisterWorker{ID: session.id, Node: a.settings.NodeName, AgentProcess: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
+		Labels: heartbeat.Labels, Capacity: heartbeat.FreeResources, Draining: drain, LeavesInMs: a.leavesInMs(session), ReplacesFence: session.replacedFence}, 10*time.Second, func(response rpc.Response) {
 		if a.session != session {
 			return
 		}
@@ -149,7 +149,7 @@
 		session.reportedUnhealthy, session.unansweredCalls, session.lastResponseAt = false, 0, a.now
 		// Why so far: a daemon that ordered this runner before us may have
 		// held it up to there.
-		session.longestUntilMs = max(session.longestUntilMs, a.estimatedClockMs(session)+tune.HoldReach.Milliseconds())
+		session.longestUntilMs = max(session.longestUntilMs, a.estimatedClockMs(session)+tuning.MaxRunLeaseAhead.Milliseconds())
 		session.lastRenewalAt = time.Time{}
 		session.leaseUntilMs = 0
 		session.pollFailures = 0
@@ -164,7 +164,7 @@
 // the state knows on this machine is ended: a heartbeat may have come late.
 func (a *Agent) confirmIncarnation(session *runnerSession, fence int64) {
 	go func() {
-		ctx, cancel := context.WithTimeout(a.ctx, tune.OrderRound)
+		ctx, cancel := context.WithTimeout(a.ctx, tuning.RunnerRequestTimeout)
 		response := a.runner.Call(ctx, session.id, pathKeepAlive, protocol.KeepAliveRequest{})
 		cancel()
 		a.post(func() {
@@ -202,7 +202,7 @@
 // commitDraining has the runner's draining committed, and then acknowledged.
 func (a *Agent) commitDraining(session *runnerSession, status chan int) {
 	_ = a.log.Log("level", "info", "event", "runner.drains", "runner", session.id, "leaves_in_ms", a.leavesInMs(session), "clock_ms", session.heartbeat.ClockMs)
-	a.requestLeader(rpc.KindSetEligibility, &store.Eligible{ID: session.id, Draining: true, LeavesIn: a.leavesInMs(session), Sick: session.reportedUnhealthy}, 950*time.Millisecond, func(response rpc.Response) {
+	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: true, LeavesInMs: a.leavesInMs(session), Unhealthy: session.reportedUnhealthy}, 950*time.Millisecond, func(response rpc.Response) {
 		if response.Code == 200 {
 			session.drainingCommitted = true
 			status <- 200
@@ -235,7 +235,7 @@
 		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{true, request.status})
 		return
 	}
-	a.requestLeader(rpc.KindSetEligibility, &store.Eligible{ID: request.id, Draining: true, LeavesIn: a.leavesInMs(session), Gone: true, Sick: session.reportedUnhealthy}, 950*time.Millisecond, func(response rpc.Response) {
+	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: request.id, Draining: true, LeavesInMs: a.leavesInMs(session), Leaving: true, Unhealthy: session.reportedUnhealthy}, 950*time.Millisecond, func(response rpc.Response) {
 		if response.Code == 200 || response.Code == 410 {
 			session.drainingCommitted = true
 			request.status <- 200
@@ -308,25 +308,25 @@
 
 // runnerSilent tells whether the runner has fallen silent.
 func (a *Agent) runnerSilent(session *runnerSession) bool {
-	return session.unansweredCalls >= 2 && a.now.Sub(session.lastResponseAt) > tune.Dark
+	return session.unansweredCalls >= 2 && a.now.Sub(session.lastResponseAt) > tuning.RunnerSilenceTimeout
 }
 
 // leasesExpired tells whether all that was ever held at the silent runner has lapsed:
 // its clock may run slow, and never shows less than this.
 func (a *Agent) leasesExpired(session *runnerSession) bool {
-	lowestClockMs := session.clockMs + int64(float64(a.now.Sub(session.clockReadAt).Milliseconds())/tune.HoldDrift)
-	return session.clockMs > 0 && lowestClockMs > session.longestUntilMs+tune.LapseMargin.Milliseconds()
+	lowestClockMs := session.clockMs + int64(float64(a.now.Sub(session.clockReadAt).Milliseconds())/tuning.LeaseClockDriftFactor)
+	return session.clockMs > 0 && lowestClockMs > session.longestUntilMs+tuning.RunLeaseExpiryMargin.Milliseconds()
 }
 
 // superviseHealth tells the leader when the runner is sick or well again, and closes
 // what a silent runner can no longer be running.
 func (a *Agent) superviseHealth(session *runnerSession) time.Duration {
 	silent := a.runnerSilent(session)
-	unhealthy := silent || a.now.Sub(session.lastStuckAt) < tune.StuckPause
+	unhealthy := silent || a.now.Sub(session.lastStuckAt) < tuning.StalledRunnerExclusion
 	if unhealthy != session.reportedUnhealthy && !session.reportingHealth {
 		session.reportingHealth = true
 		_ = a.log.Log("level", "warn", "event", "runner.sick", "runner", session.id, "sick", unhealthy, "dark", silent)
-		a.requestLeader(rpc.KindSetEligibility, &store.Eligible{ID: session.id, Draining: session.drainingCommitted, LeavesIn: a.leavesInMs(session), Sick: unhealthy}, time.Second, func(response rpc.Response) {
+		a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: session.drainingCommitted, LeavesInMs: a.leavesInMs(session), Unhealthy: unhealthy}, time.Second, func(response rpc.Response) {
 			session.reportingHealth = false
 			if response.Code == 200 {
 				session.reportedUnhealthy = unhealthy
--- a/internal/aggregator/batcher.go
+++ b/internal/aggregator/batcher.go
@@ -11,7 +11,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Reply carries the answer back to one side daemon; it is called once.
@@ -83,7 +83,7 @@
 
 // Enqueue takes any other request; false if too many wait already.
 func (b *Batcher) Enqueue(request rpc.Request, reply Reply) bool {
-	if len(b.requests) >= tune.AggInbox {
+	if len(b.requests) >= tuning.AggregatorQueueLength {
 		// The new one is refused: older ones hold ends that jobs wait for, and
 		// its client tries again.
 		return false
@@ -102,14 +102,14 @@
 		}
 	}
 	if len(b.renewals) > 0 {
-		if remaining := tune.AggGrants - now.Sub(b.renewalsSince); remaining > 0 {
+		if remaining := tuning.AggregatorGrantInterval - now.Sub(b.renewalsSince); remaining > 0 {
 			wakeIn(remaining)
 		} else {
 			batches = append(batches, b.renewalBatch())
 		}
 	}
 	if len(b.requests) > 0 {
-		if remaining := tune.AggCalls - now.Sub(b.requestsSentAt); remaining > 0 {
+		if remaining := tuning.AggregatorBatchInterval - now.Sub(b.requestsSentAt); remaining > 0 {
 			wakeIn(remaining)
 		} else {
 			b.requestsSentAt = now
@@ -178,7 +178,7 @@
 		members = append(members, rpc.BatchMember{Worker: worker, Fence: waiting.request.Fence})
 	}
 	for _, member := range b.members {
-		if _, ok := b.renewals[member.Worker]; !ok && b.missedBatches[member.Worker] < tune.AggMissed {
+		if _, ok := b.renewals[member.Worker]; !ok && b.missedBatches[member.Worker] < tuning.AggregatorMaxMissedBatches {
 			members = append(members, member)
 			missed[member.Worker] = b.missedBatches[member.Worker]
 		}
@@ -203,7 +203,7 @@
 			// answer, so a later grant is still counted from an earlier time.
 			if _, ok := b.renewals[worker]; !ok {
 				b.renewals[worker] = waiting
-				b.renewalsSince = now.Add(-tune.AggGrants)
+				b.renewalsSince = now.Add(-tuning.AggregatorGrantInterval)
 			} else {
 				waiting.reply(rpc.Response{Code: rpc.CodeNotLeader})
 			}
--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -8,7 +8,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // leaderModel is a plain model of the leader: it grants what asks under the right
@@ -140,7 +140,7 @@
 			for i := range n {
 				batcher.Renew(rpc.LeaseRenewal{Worker: fmt.Sprintf("i-%010d", i)}, func(rpc.Response) {}, leader.now)
 			}
-			leader.now = leader.now.Add(tune.AggGrants + time.Millisecond)
+			leader.now = leader.now.Add(tuning.AggregatorGrantInterval + time.Millisecond)
 			batches, _ := batcher.DueBatches(leader.now)
 			if len(batches) != 1 {
 				t.Fatalf("%d batches for %d asks", len(batches), n)
@@ -175,10 +175,10 @@
 	first, _ := batcher.DueBatches(leader.now)
 	enqueue("2")
 	enqueue("3")
-	if batches, wake := batcher.DueBatches(leader.now); len(batches) != 0 || wake <= 0 || wake > tune.AggCalls {
+	if batches, wake := batcher.DueBatches(leader.now); len(batches) != 0 || wake <= 0 || wake > tuning.AggregatorBatchInterval {
 		t.Fatalf("%d batches, back in %v", len(batches), wake)
 	}
-	leader.now = leader.now.Add(tune.AggCalls)
+	leader.now = leader.now.Add(tuning.AggregatorBatchInterval)
 	second, _ := batcher.DueBatches(leader.now)
 	if len(first) != 1 || len(second) != 1 || len(second[0].Requests.Requests) != 2 {
 		t.Fatalf("%v, %v", first, second)
@@ -190,7 +190,7 @@
 			t.Errorf("%s: %+v", id, r)
 		}
 	}
-	for i := range tune.AggInbox {
+	for i := range tuning.AggregatorQueueLength {
 		if !batcher.Enqueue(rpc.Request{}, func(rpc.Response) {}) {
 			t.Fatalf("refused at %d", i)
 		}
--- a/internal/api/history_test.go
+++ b/internal/api/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 )
 
 // plantedFault is a break that is planted to see that the check finds it.
@@ -38,7 +38,7 @@
 	random         *rand.Rand
 	fault          plantedFault
 	log            [][]byte
-	replicas       []*store.Store
+	replicas       []*state.Store
 	applied        []int
 	leader         int
 	configsInForce []string // all that were ever in force
@@ -51,7 +51,7 @@
 func newTestCluster(seed int64, fault plantedFault) *testCluster {
 	c := &testCluster{random: rand.New(rand.NewSource(seed)), fault: fault, applied: make([]int, 3)}
 	for range c.applied {
-		c.replicas = append(c.replicas, store.New(store.Limits{}))
+		c.replicas = append(c.replicas, state.New(state.Limits{}))
 	}
 	return c
 }
@@ -68,10 +68,10 @@
 }
 
 // catchUp applies what a replica lacks and gives the last outcome.
-func (c *testCluster) catchUp(replica int) store.Outcome {
-	var last store.Outcome
+func (c *testCluster) catchUp(replica int) state.Outcome {
+	var last state.Outcome
 	for _, entry := range c.log[c.applied[replica]:] {
-		last = c.replicas[replica].Run(c.replicas[replica].Applied+1, entry)[0]
+		last = c.replicas[replica].ApplyEntry(c.replicas[replica].AppliedIndex+1, entry)[0]
 	}
 	c.applied[replica] = len(c.log)
 	return last
@@ -81,13 +81,13 @@
 func (c *testCluster) commit(replace rpc.ConfigUpdate) rpc.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entry, err := cbor.Marshal(store.Batch{Cmds: []store.Raw{store.Encode("replace", &store.Replace{Base: replace.BaseVersion, Raw: replace.Raw})}})
+	entry, err := cbor.Marshal(state.Batch{Commands: []state.EncodedCommand{state.EncodeCommand("replace", &state.ReplaceConfiguration{BaseVersion: replace.BaseVersion, Raw: replace.Raw})}})
 	if err != nil {
 		panic(err)
 	}
 	c.log = append(c.log, entry)
 	if c.fault == rejectedAccepted {
-		c.replicas[c.leader].Taken.Refused = nil
+		c.replicas[c.leader].ConfigurationHistory.Refused = nil
 	}
 	outcome := c.catchUp(c.leader)
 	switch {
@@ -98,7 +98,7 @@
 	if outcome.Code == 200 {
 		c.configsInForce = append(c.configsInForce, string(replace.Raw))
 	}
-	return rpc.Response{Code: outcome.Code, Text: outcome.Text, Value: outcome.N}
+	return rpc.Response{Code: outcome.Code, Text: outcome.Text, Value: outcome.Value}
 }
 
 // read answers from the leader's replica.
@@ -106,13 +106,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	state := c.replicas[c.leader]
-	if state.Desired.Version == 0 {
+	if state.Configuration.Version == 0 {
 		return rpc.Response{Code: 503, RetryAfterMs: 1000}
 	}
 	if c.fault == staleRead && c.random.Intn(20) == 0 {
 		return rpc.Response{Code: 200, Body: []byte(c.configsInForce[0])}
 	}
-	return rpc.Response{Code: 200, Body: state.Desired.Raw}
+	return rpc.Response{Code: 200, Body: state.Configuration.Raw}
 }
 
 // changeLeader changes the leader; the new one caught up from its own copy, or from a
@@ -123,9 +123,9 @@
 	next := c.random.Intn(len(c.replicas))
 	if from := c.random.Intn(len(c.replicas)); c.applied[from] >= c.applied[next] {
 		if c.fault == recordsLost {
-			c.replicas[from].Taken = store.TakenLog{}
+			c.replicas[from].ConfigurationHistory = state.ConfigurationHistory{}
 		}
-		state, err := store.Load(c.replicas[from].Save(), store.Limits{})
+		state, err := state.DecodeSnapshot(c.replicas[from].EncodeSnapshot(), state.Limits{})
 		if err != nil {
 			panic(err)
 		}
@@ -315,7 +315,7 @@
 	}
 	for i := range c.replicas {
 		c.catchUp(i)
-		if !reflect.DeepEqual(c.replicas[i].Desired, c.replicas[0].Desired) || !reflect.DeepEqual(c.replicas[i].Taken, c.replicas[0].Taken) {
+		if !reflect.DeepEqual(c.replicas[i].Configuration, c.replicas[0].Configuration) || !reflect.DeepEqual(c.replicas[i].ConfigurationHistory, c.replicas[0].ConfigurationHistory) {
 			return fmt.Sprintf("replica %d differs from the first", i)
 		}
 	}
@@ -330,8 +330,8 @@
 		if why := c.check(); why != "" {
 			t.Errorf("seed %d: %s", seed, why)
 		}
-		if c.replicas[0].Desired.Version < 10 || len(c.history) < 150 {
-			t.Errorf("seed %d: only %d calls, version %d", seed, len(c.history), c.replicas[0].Desired.Version)
+		if c.replicas[0].Configuration.Version < 10 || len(c.history) < 150 {
+			t.Errorf("seed %d: only %d calls, version %d", seed, len(c.history), c.replicas[0].Configuration.Version)
 		}
 	}
 }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -14,7 +14,7 @@
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // phase is a named state of a request's way through this process.
@@ -72,13 +72,13 @@
 
 // remainingTime is the time left to the client, less what an answer takes to arrive.
 func remainingTime(request *http.Request) time.Duration {
-	left := tune.Budget
+	left := tuning.DefaultRequestBudget
 	if header := request.Header.Get(protocol.HeaderTimeLeft); header != "" {
 		if ms, err := strconv.ParseFloat(header, 64); err == nil && ms > 0 {
 			left = min(left, time.Duration(ms*float64(time.Millisecond)))
 		}
 	}
-	return left - min(left/10, tune.AnswerTime)
+	return left - min(left/10, tuning.ResponseReserve)
 }
 
 func (r *jobRequest) fail(code int, text string) phase {
@@ -213,8 +213,8 @@
 
 // JobProblem tells why a job can't be taken, or nothing.
 func JobProblem(job *protocol.Job) string {
-	if len(job.Spec) > tune.SpecBytes {
-		return fmt.Sprintf("jobSpec: over %d bytes", tune.SpecBytes)
+	if len(job.Spec) > tuning.MaxJobSpecBytes {
+		return fmt.Sprintf("jobSpec: over %d bytes", tuning.MaxJobSpecBytes)
 	}
 	if len(job.Steps) == 0 {
 		return "steps: missing"
--- a/internal/api/leader.go
+++ b/internal/api/leader.go
@@ -7,7 +7,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // leaderContact remembers when the leader was last known to be in reach, on the
@@ -55,7 +55,7 @@
 	if s.replica == nil {
 		return s.discovery.Do(ctx, request)
 	}
-	return callLocalThenLeader(ctx, request, s.replica.Handle, s.discovery.Do)
+	return callLocalThenLeader(ctx, request, s.replica.HandleLocal, s.discovery.Do)
 }
 
 // callLocalThenLeader asks the own core first and then the leader elsewhere. If the own
@@ -69,7 +69,7 @@
 		default:
 		}
 	})
-	timer := time.NewTimer(tune.AskRound)
+	timer := time.NewTimer(tuning.RequestAttemptTimeout)
 	defer timer.Stop()
 	maybeLogged := true
 	select {
--- a/internal/api/limits.go
+++ b/internal/api/limits.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/clusterconfig"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // sizeLimits are the bounds of the newest configuration that this daemon knows of,
@@ -20,7 +20,7 @@
 
 // newSizeLimits fills in the defaults where a configuration says nothing.
 func newSizeLimits(version int64, configured clusterconfig.Limits) *sizeLimits {
-	limits := &sizeLimits{version: version, headerBytes: tune.HeadBytes, bodyBytes: tune.BodyBytes}
+	limits := &sizeLimits{version: version, headerBytes: tuning.DefaultMaxHeaderBytes, bodyBytes: tuning.DefaultMaxBodyBytes}
 	if configured.MaxHeaderBytes > 0 {
 		limits.headerBytes = configured.MaxHeaderBytes
 	}
@@ -89,7 +89,7 @@
 		if s.knownLimits().version >= wanted {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, tune.LimitsTime)
+		callCtx, cancel := context.WithTimeout(ctx, tuning.LimitsRequestTimeout)
 		_, response := s.fetchLimits(callCtx)
 		cancel()
 		if response.Code != http.StatusOK {
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -13,19 +13,19 @@
 	"tealpond/internal/discovery"
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // serveConfigReplace: POST /-/Config.Replace with a configuration on a base.
 func (s *Server) serveConfigReplace(c echo.Context) error {
-	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, tune.ControlBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, tuning.MaxControlBodyBytes+1))
 	if err != nil {
 		return c.String(http.StatusBadRequest, "the body ended early")
 	}
-	if len(raw) > tune.ControlBytes {
+	if len(raw) > tuning.MaxControlBodyBytes {
 		return c.String(http.StatusRequestEntityTooLarge, "the configuration is too large")
 	}
-	if len(raw) > tune.RedirectBytes && s.redirectToLeader(c) {
+	if len(raw) > tuning.MinRedirectBodyBytes && s.redirectToLeader(c) {
 		return nil
 	}
 	base, err := strconv.ParseInt(c.Request().Header.Get(protocol.HeaderBasedOn), 10, 64)
@@ -71,12 +71,12 @@
 // go on to another daemon after a second of silence; one that has no leader in
 // reach says so well before, and sooner if it has had none for long.
 func (s *Server) operatorContext(ctx context.Context, size int) (context.Context, context.CancelFunc) {
-	wait := tune.ControlNoLeader
-	if !s.leaderContact.heardWithin(tune.Fresh) {
-		wait = tune.ControlCutOff
+	wait := tuning.ControlLeaderWait
+	if !s.leaderContact.heardWithin(tuning.LeaderContactTimeout) {
+		wait = tuning.IsolatedControlLeaderWait
 	}
 	ctx = discovery.WithLeaderTimeout(ctx, wait)
-	return context.WithTimeout(ctx, tune.PutTime+time.Duration(size/1024)*tune.PutTimeKB)
+	return context.WithTimeout(ctx, tuning.ControlRequestTimeout+time.Duration(size/1024)*tuning.ControlRequestTimeoutPerKB)
 }
 
 // respondToOperator answers an operator's call that brought nothing back. Refusals come
--- a/internal/api/operators_test.go
+++ b/internal/api/operators_test.go
@@ -16,7 +16,7 @@
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // serveWith runs a handler on one request.
@@ -125,7 +125,7 @@
 		replace := func() *httptest.ResponseRecorder { return replaceConfig(s, "5", validConfig) }
 		call("order", 600*time.Millisecond, replace)
 		call("read", 600*time.Millisecond, func() *httptest.ResponseRecorder { return readConfig(s) })
-		time.Sleep(tune.Fresh)
+		time.Sleep(tuning.LeaderContactTimeout)
 		call("order, cut off for long", 200*time.Millisecond, replace)
 		call("read, cut off for long", 200*time.Millisecond, func() *httptest.ResponseRecorder { return readConfig(s) })
 		if s.ready() {
--- a/internal/api/redirect.go
+++ b/internal/api/redirect.go
@@ -6,7 +6,7 @@
 
 	"github.com/labstack/echo/v4"
 
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // redirectToLeader answers an operator's call by 307 to the leader itself; false where
@@ -15,7 +15,7 @@
 // without a disk may have a tenth of a core and a link of 2 Mbit/s, on which
 // checking it and passing it on take longer than an operator waits.
 func (s *Server) redirectToLeader(c echo.Context) bool {
-	if !s.leaderContact.heardWithin(tune.RedirectFresh) {
+	if !s.leaderContact.heardWithin(tuning.RedirectLeaderContactTimeout) {
 		return false
 	}
 	host, _, err := net.SplitHostPort(s.leaderAddress())
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -12,26 +12,26 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/bootstrap"
-	"tealpond/internal/core"
+	"tealpond/internal/daemon"
 	"tealpond/internal/discovery"
 	"tealpond/internal/federation"
-	"tealpond/internal/kernel"
 	"tealpond/internal/rpc"
+	"tealpond/internal/server"
 	"tealpond/internal/settings"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 func init() {
-	kernel.Register(kernel.Maker{Role: "edge", About: "takes clients' and operators' calls; holds state where it has a disk", Moves: true, Make: newServer})
+	daemon.Register(daemon.RoleSpec{Name: "edge", Description: "takes clients' and operators' calls; holds state where it has a disk", AcceptsFederationFile: true, New: newServer})
 }
 
 // Server is the plug of the edge role.
 type Server struct {
 	settings   settings.File
 	log        log.Logger
-	env        kernel.Base
-	replica    *core.Core
+	env        daemon.Environment
+	replica    *server.Replica
 	mover      *federation.Offloader
 	discovery  *discovery.Client
 	bootstraps chan bootstrapRequest
@@ -52,31 +52,31 @@
 	reply   chan rpc.BootstrapProposal
 }
 
-func newServer(env kernel.Base) (kernel.Plug, error) {
-	s := &Server{settings: env.Setting, log: env.Log, env: env, bootstraps: make(chan bootstrapRequest), leaderContact: newLeaderContact(), limitsStale: make(chan struct{}, 1)}
+func newServer(env daemon.Environment) (daemon.Role, error) {
+	s := &Server{settings: env.Settings, log: env.Log, env: env, bootstraps: make(chan bootstrapRequest), leaderContact: newLeaderContact(), limitsStale: make(chan struct{}, 1)}
 	s.callLeader = s.forward
 	s.leaderAddress = func() string { return "" }
 	selfAddress := ""
-	if env.Setting.HoldsState() {
+	if env.Settings.HoldsState() {
 		// Why only then: others need not know those that hold no state.
-		selfAddress = env.Setting.InternalAddress()
+		selfAddress = env.Settings.InternalAddress()
 	}
-	s.discovery = discovery.NewClient(env.Log, selfAddress, env.Setting.SeedAddresses(), nil, s.noteVersion, nil)
-	if !env.Setting.HoldsState() {
+	s.discovery = discovery.NewClient(env.Log, selfAddress, env.Settings.SeedAddresses(), nil, s.noteVersion, nil)
+	if !env.Settings.HoldsState() {
 		s.leaderAddress = s.discovery.CurrentAddress
 	}
-	if env.Setting.HoldsState() {
-		replica, err := core.New(env, s.discovery)
+	if env.Settings.HoldsState() {
+		replica, err := server.New(env, s.discovery)
 		if err != nil {
 			return nil, err
 		}
 		s.replica = replica
-		if env.Moves != "" {
-			routes, err := federation.Load(env.Moves)
+		if env.FederationFile != "" {
+			routes, err := federation.Load(env.FederationFile)
 			if err != nil {
 				return nil, err
 			}
-			replica.SetMoves(routes)
+			replica.EnableFederation(routes)
 			s.mover = federation.New(routes, env.Log, replica)
 		}
 	}
@@ -89,7 +89,7 @@
 	defer cancel()
 	handleFrame := s.handleFrame
 	if s.replica != nil {
-		handleFrame = s.replica.Give
+		handleFrame = s.replica.Deliver
 	}
 	if err := transport.Serve(serveCtx, s.settings.InternalAddress(), handleFrame); err != nil {
 		return err
@@ -114,14 +114,14 @@
 		case reloaded := <-s.env.Reload:
 			s.discovery.SetSeeds(reloaded.SeedAddresses())
 			if s.replica != nil {
-				s.replica.Seeds(reloaded.SeedAddresses())
+				s.replica.SetSeeds(reloaded.SeedAddresses())
 			}
 			continue
 		case <-ctx.Done():
 		}
 		break
 	}
-	if context.Cause(ctx) == kernel.Killed {
+	if context.Cause(ctx) == daemon.ErrKilled {
 		for _, httpServer := range httpServers {
 			_ = httpServer.Close()
 		}
@@ -175,7 +175,7 @@
 
 func (s *Server) runBootstrap(ctx context.Context) {
 	founder := bootstrap.Coordinator{MinVoters: 2*s.settings.Tolerance.LostMachines + 1}
-	kernel.Loop(ctx, s.bootstraps, func(request bootstrapRequest) {
+	daemon.Loop(ctx, s.bootstraps, func(request bootstrapRequest) {
 		request.reply <- founder.HandleAnnouncement(request.message, time.Now())
 	}, func(time.Time) time.Duration { return 0 })
 }
@@ -183,11 +183,11 @@
 // renewMembership renews this daemon's membership, which also tests the way to the
 // leader and brings the newest version.
 func (s *Server) renewMembership(ctx context.Context) {
-	ticker := time.NewTicker(tune.Claim)
+	ticker := time.NewTicker(tuning.MembershipRenewInterval)
 	defer ticker.Stop()
 	for {
-		callCtx, cancel := context.WithTimeout(ctx, tune.Claim)
-		s.Call(callCtx, rpc.KindMembership, rpc.MembershipLease{Node: s.settings.NodeName, Role: "edge", Zone: s.settings.Zone, Addr: s.settings.InternalAddress(), Process: s.env.Life})
+		callCtx, cancel := context.WithTimeout(ctx, tuning.MembershipRenewInterval)
+		s.Call(callCtx, rpc.KindMembership, rpc.MembershipLease{Node: s.settings.NodeName, Role: "edge", Zone: s.settings.Zone, Addr: s.settings.InternalAddress(), Process: s.env.Incarnation})
 		cancel()
 		select {
 		case <-ticker.C:
@@ -199,10 +199,10 @@
 
 // ready tells whether this daemon should be given new callers.
 func (s *Server) ready() bool {
-	if s.replica != nil && !s.replica.Opened() {
+	if s.replica != nil && !s.replica.StorageOpened() {
 		return false
 	}
-	return !s.leaving.Load() && s.leaderContact.heardWithin(tune.Fresh)
+	return !s.leaving.Load() && s.leaderContact.heardWithin(tuning.LeaderContactTimeout)
 }
 
 func (s *Server) listen(ctx context.Context) ([]*http.Server, error) {
@@ -216,7 +216,7 @@
 		addr string
 		echo *echo.Echo
 		idle time.Duration
-	}{{s.settings.ListenAddresses.FrontHTTP, clients, tune.IdleStream}, {s.settings.ListenAddresses.Readiness, readiness, time.Minute}, {s.settings.ListenAddresses.Control, operators, tune.IdleStream}} {
+	}{{s.settings.ListenAddresses.FrontHTTP, clients, tuning.DefaultIdleTimeout}, {s.settings.ListenAddresses.Readiness, readiness, time.Minute}, {s.settings.ListenAddresses.Control, operators, tuning.DefaultIdleTimeout}} {
 		if listener.addr == "" {
 			continue
 		}
@@ -225,7 +225,7 @@
 		if err != nil {
 			return nil, err
 		}
-		httpServer := &http.Server{Handler: listener.echo, ReadHeaderTimeout: tune.HeadTime, IdleTimeout: listener.idle, MaxHeaderBytes: tune.HeadMost}
+		httpServer := &http.Server{Handler: listener.echo, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: listener.idle, MaxHeaderBytes: tuning.MaxHeaderBytes}
 		httpServers = append(httpServers, httpServer)
 		go func() { _ = httpServer.Serve(socket) }()
 	}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -8,17 +8,17 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/kernel"
+	"tealpond/internal/daemon"
 	"tealpond/internal/rpc"
 	"tealpond/internal/tracing"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // leaderStub stands in for the way to the leader.
 type leaderStub = func(context.Context, rpc.Request) rpc.Response
 
 func newTestServer(leader leaderStub) *Server {
-	return &Server{log: log.NewNopLogger(), env: kernel.Base{Trace: tracing.NewRing(64)}, leaderContact: newLeaderContact(),
+	return &Server{log: log.NewNopLogger(), env: daemon.Environment{Trace: tracing.NewRing(64)}, leaderContact: newLeaderContact(),
 		limitsStale: make(chan struct{}, 1), callLeader: leader, leaderAddress: func() string { return "" }}
 }
 
@@ -43,7 +43,7 @@
 		if !s.ready() {
 			t.Error("not ready after an answer")
 		}
-		time.Sleep(tune.Fresh - time.Millisecond)
+		time.Sleep(tuning.LeaderContactTimeout - time.Millisecond)
 		if !s.ready() {
 			t.Error("not ready soon after an answer")
 		}
@@ -62,7 +62,7 @@
 			t.Error("not ready again")
 		}
 		s.callLeader = respondByKind(map[string]rpc.Response{rpc.KindMembership: {Code: rpc.CodeNoLeader}})
-		time.Sleep(tune.Fresh)
+		time.Sleep(tuning.LeaderContactTimeout)
 		s.Call(t.Context(), rpc.KindMembership, struct{}{})
 		if s.ready() {
 			t.Error("ready by an answer that no leader gave")
--- a/internal/bootstrap/coordinator.go
+++ b/internal/bootstrap/coordinator.go
@@ -7,14 +7,14 @@
 
 	"tealpond/internal/raft"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // SeedSelector chooses the seed to which a candidate for the first core announces
 // itself. All candidates turn to the same one, the lowest of the seeds: two
 // seeds that gather at the same time could each propose a set, and found a core
 // of its own or block each other. Another seed is turned to only after the
-// present one was silent for tune.FoundPatience.
+// present one was silent for tuning.BootstrapSeedTimeout.
 type SeedSelector struct {
 	respondedAt time.Time // the last answer, or when the present seed was turned to
 	rotations   int
@@ -28,7 +28,7 @@
 	if s.respondedAt.IsZero() {
 		s.respondedAt = now
 	}
-	if now.Sub(s.respondedAt) >= tune.FoundPatience {
+	if now.Sub(s.respondedAt) >= tuning.BootstrapSeedTimeout {
 		s.respondedAt = now
 		s.rotations++
 	}
@@ -64,8 +64,8 @@
 	firstStart := false
 	for _, entry := range c.announcements {
 		switch silence := now.Sub(entry.receivedAt); {
-		case silence >= tune.FoundFresh:
-		case silence >= tune.Gather:
+		case silence >= tuning.BootstrapCandidateTTL:
+		case silence >= tuning.BootstrapStablePeriod:
 			// It may be lost, and a core that named it would wait for it; or only
 			// some of its announcements are. Wait until that is known.
 			return nil
@@ -122,7 +122,7 @@
 		// seed may have forgotten, or be another than the one that proposed.
 		c.proposed = announcement.BoundVoters
 	}
-	if c.proposed == nil && now.Sub(c.unchangedSince) >= tune.Gather {
+	if c.proposed == nil && now.Sub(c.unchangedSince) >= tuning.BootstrapStablePeriod {
 		c.proposed = c.propose(now)
 	}
 	if c.proposed == nil {
--- a/internal/bootstrap/coordinator_test.go
+++ b/internal/bootstrap/coordinator_test.go
@@ -9,7 +9,7 @@
 
 	"tealpond/internal/raft"
 	"tealpond/internal/rpc"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // seedNode is a seed of the model: a founder that listens from a time on, and
@@ -95,11 +95,11 @@
 		candidate.turns, candidate.selector = 0, SeedSelector{}
 		return
 	}
-	candidate.nextAt = m.now.Add(tune.Announce)
+	candidate.nextAt = m.now.Add(tuning.BootstrapAnnounceInterval)
 	candidate.turns++
 	announcement := rpc.BootstrapAnnouncement{Voter: candidate.voter, BoundVoters: candidate.bound, NotFirstStart: candidate.restarted && len(candidate.bound) == 0}
 	if candidate.member {
-		if candidate.turns < tune.FoundTold && candidate.turns%4 == 1 {
+		if candidate.turns < tuning.BootstrapAnnounceRounds && candidate.turns%4 == 1 {
 			for _, addr := range m.addresses {
 				m.announce(addr, announcement)
 			}
@@ -109,7 +109,7 @@
 	addr := candidate.selector.Select(m.addresses, m.now)
 	proposal, ok := m.announce(addr, announcement)
 	if !ok {
-		candidate.nextAt = m.now.Add(tune.Dial)
+		candidate.nextAt = m.now.Add(tuning.DialTimeout)
 		return
 	}
 	candidate.selector.OnResponse(m.now)
@@ -175,16 +175,16 @@
 		if x, y := first.Select([]string{"s2", "s1", "s3"}, now), second.Select([]string{"s1", "s3", "s2"}, now); x != "s1" || y != "s1" {
 			t.Fatalf("%s and %s", x, y)
 		}
-		now = now.Add(tune.FoundPatience - 2*tune.Announce)
+		now = now.Add(tuning.BootstrapSeedTimeout - 2*tuning.BootstrapAnnounceInterval)
 		second.OnResponse(now)
 		if x := first.Select([]string{"s2", "s1"}, now); x != "s1" {
-			t.Fatalf("silent for less than %v: %s", tune.FoundPatience, x)
+			t.Fatalf("silent for less than %v: %s", tuning.BootstrapSeedTimeout, x)
 		}
 		first.OnResponse(now)
 	}
-	now = now.Add(tune.FoundPatience)
+	now = now.Add(tuning.BootstrapSeedTimeout)
 	if x := first.Select([]string{"s2", "s1"}, now); x != "s2" {
-		t.Errorf("after the first was silent for %v: %s", tune.FoundPatience, x)
+		t.Errorf("after the first was silent for %v: %s", tuning.BootstrapSeedTimeout, x)
 	}
 	second.OnResponse(now)
 	if x := second.Select([]string{"s2", "s1"}, now); x != "s1" {
@@ -204,7 +204,7 @@
 	announce := func(machines ...[2]string) rpc.BootstrapProposal {
 		var proposal rpc.BootstrapProposal
 		for range 20 {
-			now = now.Add(tune.Announce)
+			now = now.Add(tuning.BootstrapAnnounceInterval)
 			for _, machine := range machines {
 				proposal = coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{Node: machine[0], ID: machine[1]}}, now)
 			}
@@ -227,7 +227,7 @@
 	now := time.Unix(1000, 0)
 	coordinator := Coordinator{MinVoters: 3}
 	for range 100 {
-		now = now.Add(tune.Announce)
+		now = now.Add(tuning.BootstrapAnnounceInterval)
 		for i := range 6 {
 			if proposal := coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: fmt.Sprint("d", i)}, NotFirstStart: true}, now); len(proposal.Voters) != 0 {
 				t.Fatalf("a core of %d", len(proposal.Voters))
@@ -244,7 +244,7 @@
 	coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: "gone"}}, now)
 	var proposal rpc.BootstrapProposal
 	for range 20 {
-		now = now.Add(tune.Announce)
+		now = now.Add(tuning.BootstrapAnnounceInterval)
 		for i := range 2 {
 			proposal = coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: fmt.Sprint("d", i)}}, now)
 		}
@@ -253,7 +253,7 @@
 		t.Fatalf("a core of %d, two of them there", len(proposal.Voters))
 	}
 	for range 20 {
-		now = now.Add(tune.Announce)
+		now = now.Add(tuning.BootstrapAnnounceInterval)
 		for i := range 3 {
 			proposal = coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: fmt.Sprint("d", i)}}, now)
 		}
--- a/internal/kernel/loop.go
+++ b/internal/daemon/loop.go
@@ -1,4 +1,4 @@
-package kernel
+package daemon
 
 import (
 	"context"
@@ -8,36 +8,36 @@
 // Loop is the one select loop: it hands each input to take, then all that
 // wait behind it, then calls rest once, which returns when it wants to be
 // woken at the latest (0: only by an input).
-func Loop[T any](ctx context.Context, in <-chan T, take func(T), rest func(now time.Time) time.Duration) {
-	wake := time.NewTimer(time.Hour)
-	defer wake.Stop()
+func Loop[T any](ctx context.Context, events <-chan T, handle func(T), afterBatch func(now time.Time) time.Duration) {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
-		pause := rest(time.Now())
-		if pause <= 0 {
-			pause = time.Hour
+		wait := afterBatch(time.Now())
+		if wait <= 0 {
+			wait = time.Hour
 		}
-		wake.Reset(pause)
+		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
-		case v, ok := <-in:
+		case event, ok := <-events:
 			if !ok {
 				return
 			}
-			take(v)
+			handle(event)
 			// Why drained: one rest for many inputs lets them share a write.
 			for more := true; more; {
 				select {
-				case v, ok := <-in:
+				case event, ok := <-events:
 					if !ok {
 						return
 					}
-					take(v)
+					handle(event)
 				default:
 					more = false
 				}
 			}
-		case <-wake.C:
+		case <-timer.C:
 		}
 	}
 }
--- a/internal/discovery/aggregator.go
+++ b/internal/discovery/aggregator.go
@@ -6,7 +6,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // backoff is a daemon that failed to answer, and the backoff before it is tried
@@ -30,11 +30,11 @@
 		return
 	}
 	for other, entry := range c.backoffs {
-		if c.now.Sub(entry.until) > tune.AvoidMost {
+		if c.now.Sub(entry.until) > tuning.MaxRetryAvoidance {
 			delete(c.backoffs, other)
 		}
 	}
-	delay := min(max(2*c.backoffs[addr].delay, tune.Avoid), tune.AvoidMost)
+	delay := min(max(2*c.backoffs[addr].delay, tuning.RetryAvoidance), tuning.MaxRetryAvoidance)
 	c.backoffs[addr] = backoff{c.now.Add(delay), delay}
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/kernel"
+	"tealpond/internal/daemon"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Client finds the leader, keeps one connection to it and carries requests. All
@@ -107,7 +107,7 @@
 // Run is the seeker's loop.
 func (c *Client) Run(ctx context.Context) error {
 	c.disconnectedAt = time.Now()
-	kernel.Loop(ctx, c.events, func(event clientEvent) { c.handle(ctx, event) }, func(now time.Time) time.Duration { return c.tick(ctx, now) })
+	daemon.Loop(ctx, c.events, func(event clientEvent) { c.handle(ctx, event) }, func(now time.Time) time.Duration { return c.tick(ctx, now) })
 	return nil
 }
 
@@ -216,7 +216,7 @@
 			wake = delay
 		}
 	}
-	if remaining := tune.Election - now.Sub(c.disconnectedAt); c.stream == nil && remaining > 0 {
+	if remaining := tuning.ExpectedElectionTime - now.Sub(c.disconnectedAt); c.stream == nil && remaining > 0 {
 		wakeIn(remaining)
 	}
 	c.expireRequests(wakeIn)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -12,9 +12,9 @@
 
 	"tealpond/internal/discovery"
 	"tealpond/internal/rpc"
-	"tealpond/internal/sim"
+	"tealpond/internal/simulation"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // fakeServer is a stand-in for a core daemon: it tells who leads, and answers what
@@ -50,7 +50,7 @@
 // fixture is a network with one seeker and some daemons.
 type fixture struct {
 	t        *testing.T
-	net      *sim.Net
+	net      *simulation.Network
 	servers  []*fakeServer
 	client   *discovery.Client
 	clientIP string
@@ -75,9 +75,9 @@
 func (f *fixture) cut(server *fakeServer, cut bool) {
 	for _, pair := range [][2]string{{f.clientIP, server.ip}, {server.ip, f.clientIP}} {
 		if cut {
-			f.net.Cut(pair[0], pair[1])
+			f.net.Block(pair[0], pair[1])
 		} else {
-			f.net.Join(pair[0], pair[1])
+			f.net.Unblock(pair[0], pair[1])
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		f := &fixture{t: t, net: sim.NewNet(), clientIP: "10.0.0.100"}
+		f := &fixture{t: t, net: simulation.NewNetwork(), clientIP: "10.0.0.100"}
 		var seeds []string
 		for i := range n {
 			ip := fmt.Sprint("10.0.0.", i+1)
@@ -112,7 +112,7 @@
 		test(f)
 		cancel()
 		for _, server := range f.servers {
-			f.net.Down(server.ip)
+			f.net.TakeDown(server.ip)
 		}
 		time.Sleep(10 * time.Second)
 	})
@@ -138,7 +138,7 @@
 		if code, _ := f.call(rpc.KindPutConfig, time.Second); code != rpc.CodeTimeout {
 			t.Errorf("sent into the cut: code %d", code)
 		}
-		if code, took := f.call(rpc.KindPutConfig, time.Second); code != rpc.CodeNoLeader || took > tune.OperatorWait+10*time.Millisecond {
+		if code, took := f.call(rpc.KindPutConfig, time.Second); code != rpc.CodeNoLeader || took > tuning.OperatorLeaderWait+10*time.Millisecond {
 			t.Errorf("an operator, soon after the loss: code %d after %v", code, took)
 		}
 		time.Sleep(2 * time.Second)
@@ -146,10 +146,10 @@
 			if code, took := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeNoLeader || took > 20*time.Millisecond {
 				t.Errorf("an operator, long after the loss: code %d after %v", code, took)
 			}
-			if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeNoLeader || took > tune.NoLeaderKnown+10*time.Millisecond {
+			if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeNoLeader || took > tuning.KnownNoLeaderWait+10*time.Millisecond {
 				t.Errorf("a client, long after the loss: code %d after %v", code, took)
 			}
-			if code, took := f.call(rpc.KindMembership, 3*time.Second); code != rpc.CodeNoLeader || took < tune.NoLeaderWait {
+			if code, took := f.call(rpc.KindMembership, 3*time.Second); code != rpc.CodeNoLeader || took < tuning.LeaderWaitTimeout {
 				t.Errorf("a daemon's own ask: code %d after %v", code, took)
 			}
 		}
@@ -214,7 +214,7 @@
 	withServers(t, 2, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
 		old, successor := f.servers[0], f.servers[1]
-		f.net.Down(old.ip)
+		f.net.TakeDown(old.ip)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		requests := 0
@@ -243,7 +243,7 @@
 			f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		}()
 		code, took := f.call(rpc.KindSubmitJob, 3*time.Second)
-		if code != 200 || took > tune.AskRound+400*time.Millisecond {
+		if code != 200 || took > tuning.RequestAttemptTimeout+400*time.Millisecond {
 			t.Errorf("code %d after %v", code, took)
 		}
 		f.cut(f.servers[0], false)
@@ -253,7 +253,7 @@
 // TestLateProbeResultIsUsed: what a look didn't wait for counts when it comes.
 func TestLateProbeResultIsUsed(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
-		f.net.Slow(f.servers[0].ip, tune.LookRest*2/3)
+		f.net.SetDelay(f.servers[0].ip, tuning.DiscoveryStragglerWait*2/3)
 		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != 200 || took > time.Second {
 			t.Errorf("code %d after %v", code, took)
 		}
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -6,7 +6,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // pendingRequest is a request whose client waits for the answer.
@@ -39,11 +39,11 @@
 // leaderTimeoutsByKind holds it by the kind of request: clients lose more by being
 // turned away in an election than operators, who go on to the next daemon.
 var leaderTimeoutsByKind = map[string]leaderTimeouts{
-	rpc.KindSubmitJob: {tune.NoLeaderWait, tune.NoLeaderKnown},
-	rpc.KindJobStatus: {tune.NoLeaderWait, tune.NoLeaderKnown},
-	rpc.KindCancelJob: {tune.NoLeaderWait, tune.NoLeaderKnown},
-	rpc.KindPutConfig: {tune.OperatorWait, 0},
-	rpc.KindGetConfig: {tune.OperatorWait, 0},
+	rpc.KindSubmitJob: {tuning.LeaderWaitTimeout, tuning.KnownNoLeaderWait},
+	rpc.KindJobStatus: {tuning.LeaderWaitTimeout, tuning.KnownNoLeaderWait},
+	rpc.KindCancelJob: {tuning.LeaderWaitTimeout, tuning.KnownNoLeaderWait},
+	rpc.KindPutConfig: {tuning.OperatorLeaderWait, 0},
+	rpc.KindGetConfig: {tuning.OperatorLeaderWait, 0},
 }
 
 // Call carries a request to the leader, again if need be, until ctx ends. All
@@ -68,7 +68,7 @@
 	}
 	timeouts, ok := leaderTimeoutsByKind[request.Kind]
 	if !ok {
-		timeouts = leaderTimeouts{tune.NoLeaderWait, tune.NoLeaderWait}
+		timeouts = leaderTimeouts{tuning.LeaderWaitTimeout, tuning.LeaderWaitTimeout}
 	}
 	if ctx.Value(leaderTimeoutKey{}) != nil {
 		timeouts.any = leaderTimeout(ctx)
@@ -167,7 +167,7 @@
 // long; soon takes when to check again.
 func (c *Client) leaderSilent(wakeIn func(time.Duration)) bool {
 	silent := false
-	timeout := tune.AskRound + c.transferTime()
+	timeout := tuning.RequestAttemptTimeout + c.transferTime()
 	for _, pending := range c.pending {
 		if pending.sentAt.IsZero() {
 			continue
@@ -178,7 +178,7 @@
 		if c.lastFrameAt.After(silentSince) {
 			silentSince = c.lastFrameAt
 		}
-		if c.now.Sub(silentSince) > timeout || c.now.Sub(pending.sentAt) > max(timeout, tune.AskMost) {
+		if c.now.Sub(silentSince) > timeout || c.now.Sub(pending.sentAt) > max(timeout, tuning.MaxRequestAttemptTimeout) {
 			silent = true
 		} else {
 			wakeIn(timeout - c.now.Sub(silentSince) + time.Millisecond)
@@ -200,5 +200,5 @@
 			bytes += c.largestResponse
 		}
 	}
-	return time.Duration(bytes) * time.Second / tune.SlowLink
+	return time.Duration(bytes) * time.Second / tuning.MinLinkBytesPerSecond
 }
--- a/internal/discovery/search.go
+++ b/internal/discovery/search.go
@@ -6,7 +6,7 @@
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // searchResult is the outcome of a search for the leader, or of the rest of one.
@@ -88,7 +88,7 @@
 // for longer than an election takes, and a search at all addresses has just
 // failed.
 func (c *Client) leaderless(now time.Time) bool {
-	return c.stream == nil && now.Sub(c.disconnectedAt) >= tune.Election && !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < tune.LookFresh
+	return c.stream == nil && now.Sub(c.disconnectedAt) >= tuning.ExpectedElectionTime && !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < tuning.NoLeaderFindingTTL
 }
 
 // candidateAddresses are those to try, the likeliest first.
@@ -118,16 +118,16 @@
 }
 
 // sample gives some of the addresses, others each time: the likeliest always, and
-// of the rest as many as tune.SeekPlaces allows. Hundreds of side daemons search
+// of the rest as many as tuning.DiscoveryFanout allows. Hundreds of side daemons search
 // at once after a loss, and any daemon that they ask names the leader.
 func sample(addresses []string, round int) []string {
-	if len(addresses) <= tune.SeekPlaces {
+	if len(addresses) <= tuning.DiscoveryFanout {
 		return addresses
 	}
 	sampled := append([]string(nil), addresses[:2]...)
 	rest := addresses[2:]
-	for i := range tune.SeekPlaces - 2 {
-		sampled = append(sampled, rest[(round*(tune.SeekPlaces-2)+i)%len(rest)])
+	for i := range tuning.DiscoveryFanout - 2 {
+		sampled = append(sampled, rest[(round*(tuning.DiscoveryFanout-2)+i)%len(rest)])
 	}
 	return sampled
 }
@@ -141,11 +141,11 @@
 	}
 	pause := time.Duration(0)
 	if c.failedSearches > 0 {
-		pause = tune.Seek * time.Duration(min(c.failedSearches, 2))
+		pause = tuning.DiscoveryInterval * time.Duration(min(c.failedSearches, 2))
 	}
-	patience := tune.LookRest
-	if c.failedSearches >= tune.LookHasty {
-		patience = tune.LookFresh
+	patience := tuning.DiscoveryStragglerWait
+	if c.failedSearches >= tuning.MaxShortDiscoveryRounds {
+		patience = tuning.NoLeaderFindingTTL
 	}
 	go func() {
 		if pause > 0 {
@@ -278,7 +278,7 @@
 		return nil, rpc.LeaderInfo{}, false
 	}
 	stream.Send(transport.Frame{Kind: rpc.FrameRequest, Body: transport.Encode(rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.selfAddress)})})
-	timer := time.NewTimer(tune.Vitals)
+	timer := time.NewTimer(tuning.LeaderProbeInterval)
 	defer timer.Stop()
 	select {
 	case info := <-infos:
--- a/internal/discovery/search_test.go
+++ b/internal/discovery/search_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // TestSampleIsBoundedAndCoversAllAddresses: each look asks a bounded number of places, the
@@ -18,7 +18,7 @@
 		seen := map[string]bool{}
 		for round := range 6 {
 			got := sample(all, round)
-			if len(got) > tune.SeekPlaces || n > 0 && got[0] != "p0" {
+			if len(got) > tuning.DiscoveryFanout || n > 0 && got[0] != "p0" {
 				t.Fatalf("%d places, round %d: %v", n, round, got)
 			}
 			for _, addr := range got {
--- a/internal/federation/offloader.go
+++ b/internal/federation/offloader.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/discovery"
 	"tealpond/internal/forecast"
 	"tealpond/internal/rpc"
-	"tealpond/internal/store"
+	"tealpond/internal/state"
 	"tealpond/internal/transport"
 )
 
@@ -23,7 +23,7 @@
 	FederationWork(ctx context.Context) PendingWork
 	// Propose puts a command into the log and waits for its outcome; false if it
 	// is unclear whether it was.
-	Propose(ctx context.Context, kind string, c store.Cmd) (store.Outcome, bool)
+	Propose(ctx context.Context, kind string, c state.Command) (state.Outcome, bool)
 }
 
 // Offloader is the task on each core daemon; only that of the leader acts.
@@ -104,7 +104,7 @@
 	switch lent, ok := o.loans[open.Peer]; {
 	case open.Finished:
 		request = Call{Kind: CallRelease, JobID: open.JobID, OfferNumber: open.OfferNumber}
-	case open.CancelRequested || open.State == store.MoveTaken:
+	case open.CancelRequested || open.State == state.TransferAccepted:
 		// Why void also to ask: it leaves what was taken as it is.
 		request = Call{Kind: CallVoidOffer, JobID: open.JobID, OfferNumber: open.OfferNumber, Cancel: open.CancelRequested}
 	case ok && time.Now().Before(lent.expiresAt):
@@ -119,12 +119,12 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	outcome, ok := o.local.Propose(callCtx, "settle", &store.SettleMove{Job: open.JobID, No: open.OfferNumber, Peer: open.Peer, Epoch: response.Epoch, Index: response.Index, What: response.Status})
+	outcome, ok := o.local.Propose(callCtx, "settle", &state.SettleTransfer{Job: open.JobID, OfferID: open.OfferNumber, Peer: open.Peer, Epoch: response.Epoch, Index: response.Index, Answer: response.Status})
 	if ok && outcome.Code == 409 {
 		_ = o.log.Log("level", "error", "event", "move.distrusted", "job", open.JobID, "peer", open.Peer, "why", outcome.Text)
 		return
 	}
-	if ok && (open.State != store.MoveTaken || response.Status != "taken") {
+	if ok && (open.State != state.TransferAccepted || response.Status != "taken") {
 		_ = o.log.Log("level", "info", "event", "move.settled", "job", open.JobID, "peer", open.Peer, "no", open.OfferNumber, "word", response.Status)
 	}
 }
@@ -183,11 +183,11 @@
 		lent.remainingMilliCPU -= candidate.MilliCPU
 		o.loans[route.Peer] = lent
 		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		outcome, ok := o.local.Propose(callCtx, "offer", &store.Offer{Job: candidate.JobID, Peer: route.Peer})
+		outcome, ok := o.local.Propose(callCtx, "offer", &state.OfferJob{Job: candidate.JobID, Peer: route.Peer})
 		cancel()
 		if ok && outcome.Code == 200 {
 			offered++
-			_ = o.log.Log("level", "info", "event", "move.offered", "job", candidate.JobID, "peer", route.Peer, "no", outcome.N)
+			_ = o.log.Log("level", "info", "event", "move.offered", "job", candidate.JobID, "peer", route.Peer, "no", outcome.Value)
 		}
 	}
 }
--- /dev/null
+++ b/internal/server/aggregation_test.go
@@ -0,0 +1,64 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/transport"
+)
+
+// leaderWithWorkers is as much of a leader as answers an aggregator, with workers
+// that were taken up; fences by worker.
+func leaderWithWorkers(workers ...string) (*Replica, map[string]int64) {
+	replica := &Replica{memberSets: map[string]memberSet{}, leases: map[string]*workerLease{}, state: state.New(state.Limits{}), leaseDuration: time.Second}
+	fences := map[string]int64{}
+	for _, w := range workers {
+		fences[w] = (&state.RegisterWorker{ID: w, Node: "node-" + w}).Apply(replica.state).Value
+		replica.leases[w] = &workerLease{}
+	}
+	return replica, fences
+}
+
+// renewedWorkers sends a batch and gives the code and who was granted by it.
+func renewedWorkers(replica *Replica, request rpc.LeaseBatch) (int, string) {
+	for _, lease := range replica.leases {
+		lease.grantedAt = time.Time{}
+	}
+	code := 0
+	replica.handleLeaseBatch(transport.Encode(&request), nil, func(response rpc.Response) { code = response.Code })
+	renewed := ""
+	for _, w := range []string{"a", "b", "c"} {
+		if lease := replica.leases[w]; lease != nil && !lease.grantedAt.IsZero() {
+			renewed += w
+		}
+	}
+	return code, renewed
+}
+
+// TestLeaseBatchOfLaterIncarnationDoesNotUseEarlierSet: an aggregator is started anew and
+// numbers its sets from 1 again; a late batch of its earlier life brings another
+// set of that number. A worker that asked nothing must not be granted in the
+// place of one that did: the leader would hold that one for silent, and start
+// its runs elsewhere while the aggregator tells it to go on.
+func TestLeaseBatchOfLaterIncarnationDoesNotUseEarlierSet(t *testing.T) {
+	replica, fences := leaderWithWorkers("a", "b", "c")
+	seat := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
+	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "1", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("b")}, Requested: []byte{3}}
+	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "2", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("c")}, Requested: []byte{3}}
+	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "ac" {
+		t.Fatalf("the set told whole: %d, granted %q", code, renewed)
+	}
+	if code, renewed := renewedWorkers(replica, old); code != 200 || renewed != "ab" {
+		t.Fatalf("the late batch: %d, granted %q", code, renewed)
+	}
+	current.Members, current.Requested = nil, []byte{2}
+	if code, renewed := renewedWorkers(replica, current); code != 428 || renewed != "" {
+		t.Errorf("c asked by the number of its set: %d, granted %q; wanted 428 and nobody", code, renewed)
+	}
+	current.Members = []rpc.BatchMember{seat("a"), seat("c")}
+	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "c" {
+		t.Errorf("told whole again: %d, granted %q", code, renewed)
+	}
+}
--- /dev/null
+++ b/internal/server/apply.go
@@ -0,0 +1,156 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/state"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// pendingEntry holds the callers whose commands are in one entry of the log.
+type pendingEntry struct {
+	term    uint64
+	replies []func(state.Outcome, bool)
+}
+
+// replyUnknown answers the callers of an entry that will not be applied here as it was
+// proposed: whether it takes effect isn't known.
+func (p pendingEntry) replyUnknown() {
+	for _, reply := range p.replies {
+		if reply != nil {
+			reply(state.Outcome{}, false)
+		}
+	}
+}
+
+// abandonEntry ends the wait for an entry without an outcome.
+func (r *Replica) abandonEntry(index uint64) {
+	entry, ok := r.pending[index]
+	if ok {
+		delete(r.pending, index)
+		entry.replyUnknown()
+	}
+}
+
+// apply applies the settled entries to the state; false if there were none, or
+// the state is found to be wrong.
+func (r *Replica) apply(ctx context.Context) bool {
+	defer r.metrics.startTimer("apply")()
+	entries := r.node.NextCommittedEntries()
+	for _, entry := range entries {
+		r.applyEntry(entry)
+		r.takeDigestIfDue(ctx, entry.Index)
+		r.takeSnapshotIfDue(ctx, entry.Index)
+		if r.digests.divergedAt > 0 {
+			return false
+		}
+	}
+	return len(entries) > 0
+}
+
+func (r *Replica) applyEntry(entry raft.Entry) {
+	if entry.Kind != raft.EntryNormal {
+		r.state.SkipEntry(entry.Index)
+		if entry.Kind == raft.EntryConfChange {
+			_ = r.log.Log("level", "info", "event", "core.conf", "index", entry.Index, "voters", len(r.node.VotersAt(entry.Index)))
+		}
+		// A caller may wait here too: its proposal was replaced by the
+		// entry of a later leader.
+		r.abandonEntry(entry.Index)
+		return
+	}
+	outcomes := r.state.ApplyEntry(entry.Index, entry.Data)
+	r.planDue = true
+	if !r.leading {
+		// Only a leader plans, and a new one looks at all.
+		r.state.TakeBookedRuns()
+	}
+	r.recordCompletions(entry)
+	r.replyToEntry(entry, outcomes)
+	for _, agreed := range r.state.TakeConfirmedDigests() {
+		r.compareAgreed(agreed)
+	}
+}
+
+// replyToEntry answers those who wait for an entry. One of another term is not what
+// they proposed, and has outcomes of its own.
+func (r *Replica) replyToEntry(entry raft.Entry, outcomes []state.Outcome) {
+	pending, ok := r.pending[entry.Index]
+	if !ok {
+		return
+	}
+	if pending.term != entry.Term {
+		r.abandonEntry(entry.Index)
+		return
+	}
+	delete(r.pending, entry.Index)
+	for i, reply := range pending.replies {
+		if reply != nil {
+			reply(outcomes[i], true)
+		}
+	}
+}
+
+// recordCompletions records the runs and jobs that ended by an entry.
+func (r *Replica) recordCompletions(entry raft.Entry) {
+	for _, completed := range r.state.TakeClosedRuns() {
+		r.trace.Record(completed.Allocation.TaskName(), "end applied", int64(completed.Allocation.Run), completed.Result)
+		if r.leading && completed.Result == "done" {
+			r.planner.RecordCompletion(r.state, completed.Allocation, completed.ClosedAt)
+		}
+		if r.leading && r.debug {
+			r.logRun(completed)
+		}
+	}
+	for _, job := range r.state.TakeEndedJobs() {
+		r.trace.Record(job.ID, "over", int64(entry.Index), job.Status())
+		if r.leading && r.debug {
+			r.logJob(job)
+		}
+	}
+}
+
+// enqueueCommand puts a command into the next entry.
+func (r *Replica) enqueueCommand(kind string, cmd state.Command, reply func(state.Outcome, bool)) {
+	r.commands = append(r.commands, state.EncodeCommand(kind, cmd))
+	r.replies = append(r.replies, reply)
+}
+
+// proposeQueued puts the waiting commands into the log as one entry. They are
+// gathered for a while since an entry costs a message to and from each other
+// voter: the pause between two grows with their number. It returns when to
+// come back.
+func (r *Replica) proposeQueued(now time.Time) time.Duration {
+	if len(r.commands) == 0 {
+		return 0
+	}
+	if wait := tuning.GroupCommitIntervalPerVoter*time.Duration(len(r.node.Voters())-1) - now.Sub(r.proposedAt); wait > 0 {
+		return wait
+	}
+	r.proposedAt = now
+	commands, replies := r.commands, r.replies
+	r.metrics.count("proposals", 1)
+	r.metrics.count("commands", len(commands))
+	r.commands, r.replies = nil, nil
+	index, ok := uint64(0), false
+	if r.node.LeaderReady() && !r.writeQueueFull() {
+		index, ok = r.node.Propose(transport.Encode(state.Batch{Clock: r.clock(now), WallClock: r.wallClock(now), Commands: commands}))
+	}
+	pending := pendingEntry{term: r.node.Term(), replies: replies}
+	if !ok {
+		pending.replyUnknown()
+		return 0
+	}
+	// One may wait for this index since an earlier term of this leader.
+	r.abandonEntry(index)
+	r.pending[index] = pending
+	return 0
+}
+
+// clock is the store's clock: it goes on from the newest stamp in the log.
+func (r *Replica) clock(now time.Time) int64 {
+	return r.clockBase + now.Sub(r.leadingSince).Milliseconds()
+}
--- /dev/null
+++ b/internal/server/config_test.go
@@ -0,0 +1,62 @@
+package server
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"tealpond/internal/clusterconfig"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/transport"
+)
+
+// responseTo gives the answer to an ask that is answered at once.
+func responseTo(handler func(*Replica, []byte, *transport.Stream, replyFunc), replica *Replica) rpc.Response {
+	var received rpc.Response
+	handler(replica, nil, nil, replica.withAppliedVersions(func(response rpc.Response) { received = response }))
+	return received
+}
+
+// TestConfigurationIsReadAsSent: before there is one, callers are told to come back;
+// then it is given as sent, and each answer names its version.
+func TestConfigurationIsReadAsSent(t *testing.T) {
+	replica := &Replica{state: state.New(state.Limits{})}
+	for name, handler := range map[string]func(*Replica, []byte, *transport.Stream, replyFunc){"read": (*Replica).handleGetConfig, "limits": (*Replica).handleGetLimits} {
+		if response := responseTo(handler, replica); response.Code != 503 || response.RetryAfterMs == 0 {
+			t.Errorf("%s before the first: %d, come back in %d ms", name, response.Code, response.RetryAfterMs)
+		}
+	}
+	raw := []byte(`{"configVersion":7,"routeList":[],"serviceList":[],"limits":{"maxBodyBytes":99}}`)
+	if outcome := (&state.ReplaceConfiguration{Raw: raw}).Apply(replica.state); outcome.Code != 200 {
+		t.Fatal(outcome)
+	}
+	if response := responseTo((*Replica).handleGetConfig, replica); response.Code != 200 || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
+		t.Errorf("read: %+v", response)
+	}
+	var limits clusterconfig.Limits
+	if response := responseTo((*Replica).handleGetLimits, replica); response.Code != 200 || transport.Decode(response.Body, &limits) != nil || limits.MaxBodyBytes != 99 || response.Value != 7 || response.ConfigVersion != 7 {
+		t.Errorf("limits: %+v, %+v", response, limits)
+	}
+}
+
+// TestLimitsResponseDoesNotGrowWithRoutes: what a daemon without state pulls at a change
+// doesn't grow with the number of routes.
+func TestLimitsResponseDoesNotGrowWithRoutes(t *testing.T) {
+	for _, routes := range []int{10, 100, 1000} {
+		var list []string
+		for i := range routes {
+			list = append(list, fmt.Sprintf(`{"name":"r-%07d","hostName":"nony%d.example","pathPrefix":"/lohu%d/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"s","maxTries":4,"stretch":1.5}`, i, i/10, i))
+		}
+		replica := &Replica{state: state.New(state.Limits{})}
+		raw := `{"configVersion":7,"routeList":[` + strings.Join(list, ",") + `],"serviceList":[{"name":"s"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
+		if outcome := (&state.ReplaceConfiguration{Raw: []byte(raw)}).Apply(replica.state); outcome.Code != 200 {
+			t.Fatal(outcome)
+		}
+		limitsBytes, configBytes := len(transport.Encode(responseTo((*Replica).handleGetLimits, replica))), len(transport.Encode(responseTo((*Replica).handleGetConfig, replica)))
+		t.Logf("%d routes: %d bytes, the whole configuration %d", routes, limitsBytes, configBytes)
+		if limitsBytes > 200 {
+			t.Errorf("%d routes: %d bytes", routes, limitsBytes)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/connections.go
@@ -0,0 +1,133 @@
+package server
+
+import (
+	"context"
+	"maps"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/rpc"
+	"tealpond/internal/transport"
+)
+
+// handleTransport takes a frame from a stream, or the end of the stream.
+func (r *Replica) handleTransport(ctx context.Context, event *transport.Event) {
+	if event.Closed {
+		for request, stream := range r.connections {
+			if stream == event.Stream {
+				delete(r.connections, request)
+			}
+		}
+		maps.DeleteFunc(r.inbound, func(_ string, stream *transport.Stream) bool { return stream == event.Stream })
+		r.dropSessions(event.Stream)
+		return
+	}
+	r.metrics.count("bytes_in", len(event.Frame.Body))
+	switch event.Frame.Kind {
+	case rpc.FrameRaft:
+		r.metrics.count("raft_in", 1)
+		if r.writeQueueFull() {
+			return
+		}
+		var message raft.Message
+		if transport.Decode(event.Frame.Body, &message) != nil || message.To != r.self.ID {
+			// Addresses are reused: this message is meant for another disk.
+			return
+		}
+		if r.node == nil {
+			if len(r.persisted.Founders) == 0 {
+				return
+			}
+			r.startNode(r.persisted.Snapshot)
+		}
+		r.inbound[message.From] = event.Stream
+		r.node.Step(message, time.Now())
+	case frameSnapshotChunk:
+		r.handleSnapshotChunk(ctx, event.Frame.Body, event.Stream)
+	case frameSnapshotAck:
+		r.handleSnapshotAck(ctx, event.Frame.Body)
+	case frameDigest:
+		r.handleDigestReport(event.Frame.Body)
+	case rpc.FrameRequest:
+		var request rpc.Request
+		if transport.Decode(event.Frame.Body, &request) != nil {
+			event.Stream.Close()
+			return
+		}
+		stream, id := event.Stream, event.Frame.ID
+		r.metrics.count("ask_"+request.Kind, 1)
+		r.handleRequest(request, stream, r.withAppliedVersions(func(response rpc.Response) {
+			stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(response)})
+		}))
+	}
+}
+
+// sendRaftMessages sends messages of the consensus protocol to other members.
+func (r *Replica) sendRaftMessages(ctx context.Context, messages []raft.Message) {
+	for _, message := range messages {
+		if message.Kind == raft.MsgSnapshot && message.Snapshot != nil && len(message.Snapshot.Data) > 0 {
+			r.sendSnapshot(ctx, message)
+			continue
+		}
+		raw := transport.Encode(message)
+		if r.sendFrame(ctx, message.To, transport.Frame{Kind: rpc.FrameRaft, Body: raw}) {
+			r.metrics.count("raft_out", 1)
+			r.metrics.count("raft_bytes_out", len(raw))
+		}
+	}
+}
+
+// sendFrame sends a frame to another member; false if there is no connection yet, and
+// the frame is lost.
+func (r *Replica) sendFrame(ctx context.Context, to string, frame transport.Frame) bool {
+	address := r.addressOf(to)
+	if address == "" {
+		return r.sendOnInbound(to, frame)
+	}
+	stream := r.connections[address]
+	if stream == nil {
+		r.dial(ctx, address)
+		return r.sendOnInbound(to, frame)
+	}
+	if !stream.Send(frame) {
+		// Here too, since a stream may have ended before it was noted.
+		delete(r.connections, address)
+		r.dial(ctx, address)
+		return r.sendOnInbound(to, frame)
+	}
+	return true
+}
+
+// sendOnInbound answers a member on the stream by which it was last heard: a
+// candidate knows no addresses yet, and the first answer after a snapshot, which
+// names them, must not be lost while a new connection is being made.
+func (r *Replica) sendOnInbound(to string, frame transport.Frame) bool {
+	stream := r.inbound[to]
+	return stream != nil && stream.Send(frame)
+}
+
+// addressOf is the address of the member with a disk; empty if unknown.
+func (r *Replica) addressOf(diskID string) string {
+	for _, voter := range r.node.Voters() {
+		if voter.ID == diskID {
+			return voter.Addr
+		}
+	}
+	return r.addresses[diskID]
+}
+
+// dial connects to a peer in the background, unless that is under way or failed
+// a moment ago.
+func (r *Replica) dial(ctx context.Context, address string) {
+	if retryAt, ok := r.dialing[address]; ok && (retryAt.IsZero() || time.Now().Before(retryAt)) {
+		return
+	}
+	r.dialing[address] = time.Time{}
+	go func() {
+		stream, err := transport.Dial(ctx, address, r.Deliver)
+		if err != nil {
+			stream = nil
+		}
+		r.events <- Event{PeerDialed: &dialedPeer{address, stream}}
+	}()
+}
--- /dev/null
+++ b/internal/server/debug_log.go
@@ -0,0 +1,61 @@
+package server
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"tealpond/internal/state"
+)
+
+// logJob tells how a job went: each step as width, wait, placing and work.
+func (r *Replica) logJob(job *state.Job) {
+	var steps strings.Builder
+	for _, instance := range job.Instances {
+		for i := range instance.Steps {
+			step := &instance.Steps[i]
+			fmt.Fprintf(&steps, "%dx%d:%d+%d+%d ", job.Steps[i].TaskCount, job.Steps[i].CPUUnits, step.ReadyAt-instance.CreatedAt, step.LastBookedAt-step.ReadyAt, step.CompletedAt-step.LastBookedAt)
+		}
+	}
+	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "lane", job.Route, "priority", job.Priority, "state", job.Status(),
+		"took_ms", job.EndedAt-job.CreatedAt, "aim_ms", job.TargetTurnaroundMs(), "steps", strings.TrimSpace(steps.String()))
+}
+
+// logCapacity tells, once a second, how full the workers are.
+func (r *Replica) logCapacity(now time.Time) {
+	if now.Sub(r.capacityLoggedAt) < time.Second {
+		return
+	}
+	r.capacityLoggedAt = now
+	var totalCPU, usedCPU, totalMemory, usedMemory int64
+	workers := 0
+	for _, worker := range r.state.Workers {
+		if worker.Schedulable() {
+			workers++
+			totalCPU += worker.Capacity.CPUUnits
+			usedCPU += worker.UsedMilliCPU
+			totalMemory += worker.Capacity.MemoryMB
+			usedMemory += worker.UsedMemoryMB
+		}
+	}
+	cpuByPriority := map[int]int64{}
+	for _, allocation := range r.state.Allocations {
+		if job := r.state.Jobs[allocation.Job]; job != nil {
+			cpuByPriority[job.Priority] += allocation.MilliCPU
+		}
+	}
+	_ = r.log.Log("level", "debug", "event", "room", "workers", workers, "cpu", totalCPU, "used", usedCPU, "mem", totalMemory, "used_mem", usedMemory,
+		"waiting", r.state.PendingWork()/1000, "p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
+}
+
+// logRun tells how a run went.
+func (r *Replica) logRun(completed state.ClosedRun) {
+	allocation := completed.Allocation
+	job, worker := r.state.Jobs[allocation.Job], r.state.Workers[allocation.Worker]
+	if job == nil || worker == nil {
+		return
+	}
+	step := job.Steps[allocation.Step]
+	_ = r.log.Log("level", "debug", "event", "run.ended", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy, "how", completed.Result, "why", allocation.StopReason, "worker", worker.Node,
+		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt, "estimate_ms", step.EstimateMs, "far", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
+}
--- /dev/null
+++ b/internal/server/digests_test.go
@@ -0,0 +1,218 @@
+package server
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/storage"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// handleEvents takes what other tasks of the core have sent to its loop.
+func (h *harness) handleEvents() {
+	synctest.Wait()
+	for len(h.replica.events) > 0 {
+		h.replica.handleEvent(h.t.Context(), <-h.replica.events)
+	}
+}
+
+// reportDigest has another replica report its sum.
+func (h *harness) reportDigest(from string, index, sum uint64) {
+	h.replica.handleEvent(h.t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, sum, programVersion})}}})
+}
+
+// applyUpTo settles entries until the state has applied one.
+func (h *harness) applyUpTo(index uint64) {
+	h.t.Helper()
+	for i := 0; h.replica.state.AppliedIndex < index && i < 20000; i++ {
+		if h.replica.node.LastIndex() < index {
+			h.replica.enqueueCommand("sweep", &state.CollectGarbage{}, nil)
+		}
+		time.Sleep(3 * time.Millisecond)
+		h.endTurn()
+		h.acknowledge("b")
+		h.acknowledge("c")
+		h.endTurn()
+	}
+	if h.replica.state.AppliedIndex < index {
+		h.t.Fatalf("it stands at %d", h.replica.state.AppliedIndex)
+	}
+}
+
+// useDataDir gives the core a real disk, which can be put aside.
+func (h *harness) useDataDir(dir string) {
+	h.replica.settings.DataDir = dir
+	h.replica.stopWriter = func() {}
+}
+
+// TestLeaderLogsDigestOfMajority, and takes its state anew if it is the
+// one that differs.
+func TestLeaderLogsDigestOfMajority(t *testing.T) {
+	const at = tuning.DigestInterval
+	for name, test := range map[string]struct {
+		b, c      uint64 // what the others report, against this one's sum
+		reports   int
+		agreed    bool
+		retires   bool
+		disagrees bool
+	}{
+		"all equal":             {0, 0, 2, true, false, false},
+		"one equal, one silent": {0, 0, 1, true, false, false},
+		"one equal, one not":    {0, 5, 2, true, false, false},
+		"the leader differs":    {5, 5, 2, false, true, false},
+		"none equal":            {5, 6, 2, false, false, true},
+		"one differs, one lags": {5, 0, 1, false, false, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				h := newHarness(t)
+				h.useDataDir(t.TempDir())
+				h.becomeLeader()
+				h.applyUpTo(at)
+				own, ok := h.replica.digests.own[at]
+				if !ok || own == 0 {
+					t.Fatalf("no sum at %d", at)
+				}
+				h.reportDigest("b", at, own+test.b)
+				if test.reports > 1 {
+					h.reportDigest("c", at, own+test.c)
+				}
+				agreed := false
+				for _, r := range h.replica.commands {
+					agreed = agreed || r.Name == "agree"
+				}
+				if agreed != test.agreed || (h.replica.digests.divergedAt > 0) != test.retires || h.replica.digests.decided[at] != (test.agreed || test.retires || test.disagrees) {
+					t.Errorf("agreed %v, differs at %d, dealt with %v", agreed, h.replica.digests.divergedAt, h.replica.digests.decided[at])
+				}
+				h.endTurn()
+				if (h.replica.node == nil) != test.retires {
+					t.Errorf("its node: %v", h.replica.node)
+				}
+			})
+		})
+	}
+}
+
+// TestDivergedReplicaRejoinsWithNewIdentity: it hears of the majority's sum by the
+// log, votes and answers no more, puts its disk aside, and comes back under a
+// new identity with an empty state.
+func TestDivergedReplicaRejoinsWithNewIdentity(t *testing.T) {
+	dir := t.TempDir()
+	opened, persisted, _, err := storage.Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended, end := context.WithCancel(t.Context())
+	end()
+	opened.Run(ended, make(chan storage.WriteRequest), nil) // closes it
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t)
+		h.useDataDir(dir)
+		follow := func(index uint64, data []byte) {
+			last := index - 1
+			logTerm, _ := h.replica.node.TermAt(last)
+			h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: logTerm, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
+			h.endTurn()
+		}
+		entry := func(kind string, command state.Command) []byte {
+			return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand(kind, command)}})
+		}
+		follow(2, entry("limits", &state.SetLimits{}))
+		for i := uint64(3); i <= tuning.DigestInterval; i++ {
+			follow(i, appointmentEntry("z"))
+		}
+		own, ok := h.replica.digests.own[tuning.DigestInterval]
+		if !ok {
+			t.Fatal("it has no sum")
+		}
+		follow(tuning.DigestInterval+1, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own, ProgramVersion: programVersion}))
+		follow(tuning.DigestInterval+2, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own + 1, ProgramVersion: "another"}))
+		follow(tuning.DigestInterval+3, entry("agree", &state.ConfirmDigest{Index: 7, Digest: own + 1, ProgramVersion: programVersion}))
+		if h.replica.node == nil {
+			t.Fatal("retired without a cause")
+		}
+		unknown := 0
+		h.replica.pending[tuning.DigestInterval+9] = pendingEntry{term: 3, replies: []func(state.Outcome, bool){func(state.Outcome, bool) { unknown++ }}}
+		follow(tuning.DigestInterval+4, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own + 1, ProgramVersion: programVersion}))
+		if h.replica.node != nil || unknown != 1 || h.replica.self.ID != "" {
+			t.Fatalf("it goes on as %q, callers heard %d answers", h.replica.self.ID, unknown)
+		}
+		h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
+		h.replica.handleEvent(t.Context(), Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
+		if h.endTurn(); h.replica.node != nil {
+			t.Fatal("it takes part again with its old state")
+		}
+		code := 0
+		h.replica.handleRequest(rpc.Request{Kind: rpc.KindGetConfig}, nil, func(response rpc.Response) { code = response.Code })
+		if code != rpc.CodeNotLeader {
+			t.Errorf("it answers %d", code)
+		}
+		for h.replica.node == nil {
+			h.handleEvents()
+			time.Sleep(time.Millisecond)
+		}
+		if h.replica.self.ID == "" || h.replica.self.ID == persisted.ID || h.replica.self.ID == "a" || h.replica.state.AppliedIndex != 0 || h.replica.node.IsVoter(h.replica.self.ID) {
+			t.Errorf("it came back as %q, state at %d", h.replica.self.ID, h.replica.state.AppliedIndex)
+		}
+		if _, err := os.Stat(filepath.Join(dir, "tealpond.db.differs")); err != nil {
+			t.Error(err)
+		}
+		// The writes of the identity before count no more.
+		h.replica.handleEvent(t.Context(), Event{Written: []storage.WriteRequest{{}}})
+		if h.replica.writesInFlight != 0 {
+			t.Error("a write of the old disk was counted")
+		}
+		h.replica.stopWriter()
+	})
+}
+
+// TestSnapshotsAreTakenAtFixedIndexes: at the same ones on each replica, however
+// many entries settle in one turn; and one that a received snapshot overtook is
+// dropped.
+func TestSnapshotsAreTakenAtFixedIndexes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t)
+		var entries []raft.Entry
+		for i := uint64(2); i <= tuning.SnapshotInterval+200; i++ {
+			zone := "z"
+			if i > tuning.SnapshotInterval {
+				zone = "late"
+			}
+			entries = append(entries, raft.Entry{Index: i, Term: 3, Data: appointmentEntry(zone)})
+		}
+		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: tuning.SnapshotInterval + 200, Entries: entries})
+		h.endTurn()
+		h.endTurn()
+		if h.replica.state.AppliedIndex != tuning.SnapshotInterval+200 || !h.replica.encodingSnapshot {
+			t.Fatalf("at %d, cutting: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
+		}
+		h.handleEvents()
+		jobs := h.endTurn()
+		if h.replica.latestSnapshot == nil || h.replica.latestSnapshot.Index != tuning.SnapshotInterval || h.replica.digests.own[tuning.SnapshotInterval] != state.SnapshotDigest(h.replica.latestSnapshot.Data) {
+			t.Fatalf("the snapshot: %v", h.replica.latestSnapshot)
+		}
+		store, err := state.DecodeSnapshot(h.replica.latestSnapshot.Data, state.Limits{})
+		if err != nil || store.BindSnapshotIndex(tuning.SnapshotInterval) != nil || store.Aggregators["z"].Revision != 1 || store.Aggregators["late"].Revision != 0 || h.replica.state.Aggregators["late"].Revision != 1 {
+			t.Errorf("it holds what came after it: %v", err)
+		}
+		if len(jobs) != 1 || jobs[0].LocalSnapshot != h.replica.latestSnapshot {
+			t.Errorf("the disk was given %v", jobs)
+		}
+
+		stale := &encodedSnapshot{h.replica.node, &raft.Snapshot{Index: tuning.SnapshotInterval * 2, Data: []byte{1}}, 1}
+		h.receive(raft.Message{Kind: raft.MsgSnapshot, From: "b", Term: 3, Snapshot: snapshotOf(t, tuning.SnapshotInterval*3, "y")})
+		h.endTurn()
+		h.replica.handleSnapshotEncoded(t.Context(), stale)
+		if h.replica.latestSnapshot.Index != tuning.SnapshotInterval*3 || len(h.replica.writeQueue) > 0 || len(h.replica.digests.own) > 0 {
+			t.Error("a snapshot replaced a newer one")
+		}
+	})
+}
--- a/internal/core/golden_test.go
+++ b/internal/server/golden_test.go
@@ -1,4 +1,4 @@
-package core
+package server
 
 import (
 	"fmt"
@@ -17,9 +17,9 @@
 			OutgoingVoters: []raft.Member{{Node: "old-node", ID: "old-disk", Addr: "old-address"}}}}
 	golden.Check(t, "frames.txt", codec, []golden.Case{
 		{Name: "digest", Value: &digestReport{From: "from", To: "to", Index: 11, Sum: 12, Program: "program"}},
-		{Name: "snapshot-part", Value: &piece{Msg: message, Total: 21, Offset: 22, Data: []byte("part")}},
-		{Name: "snapshot-part-received", Value: &pieceGot{From: "from", To: "to", Index: 31, Have: 32}},
+		{Name: "snapshot-part", Value: &snapshotChunk{Msg: message, Total: 21, Offset: 22, Data: []byte("part")}},
+		{Name: "snapshot-part-received", Value: &snapshotAck{From: "from", To: "to", Index: 31, Have: 32}},
 	})
 	golden.Text(t, "kinds.txt", fmt.Sprintf("frame digest %d\nframe snapshot-part %d\nframe snapshot-part-received %d\ncode stay %d\n",
-		frameDigest, framePiece, framePieceGot, stayOn))
+		frameDigest, frameSnapshotChunk, frameSnapshotAck, codeStillNeeded))
 }
--- /dev/null
+++ b/internal/server/leave.go
@@ -0,0 +1,143 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"tealpond/internal/rpc"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// codeStillNeeded answers KindReleaseZones where the others can't do without the disk yet; the
+// asker comes again after RetryAfterMs.
+const codeStillNeeded = 425
+
+// leaveTimeout is the longest that a daemon waits before it ends.
+func (r *Replica) leaveTimeout() time.Duration {
+	return max(tuning.LeadershipTransferTimeout, time.Duration(r.settings.Bounds.GraceS*tuning.ShutdownWaitFraction*float64(time.Second)))
+}
+
+// Leave hands over leadership or aggregation before the process ends, and waits,
+// up to a bound, while the others could not do without this disk.
+func (r *Replica) Leave() {
+	done := make(chan struct{})
+	r.events <- Event{Leave: done}
+	select {
+	case <-done:
+	case <-time.After(r.leaveTimeout() + tuning.ShutdownWaitSlack):
+	}
+}
+
+// beginLeave begins to leave.
+func (r *Replica) beginLeave(ctx context.Context, done chan struct{}) {
+	r.leaveWaiters = append(r.leaveWaiters, done)
+	if len(r.leaveWaiters) > 1 {
+		return
+	}
+	r.leaveDeadline = time.Now().Add(r.leaveTimeout())
+	switch {
+	case r.node == nil:
+		r.finishLeaving()
+	case !r.node.IsLeader():
+		r.requestLeave(ctx)
+	}
+}
+
+// requestLeave has this daemon's zones given to their standbys, and asks the leader
+// until it may end.
+func (r *Replica) requestLeave(ctx context.Context) {
+	r.leaveRequested = true
+	r.aggregator.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
+	if !r.node.IsVoter(r.self.ID) {
+		r.finishLeaving()
+		return
+	}
+	deadline := r.leaveDeadline
+	go func() {
+		callCtx, cancel := context.WithDeadline(ctx, deadline)
+		defer cancel()
+		for callCtx.Err() == nil {
+			response := r.leaderClient.Call(callCtx, rpc.KindReleaseZones, &rpc.ZoneRelease{Disk: r.self.ID})
+			if response.Code == 200 {
+				break
+			}
+			select {
+			case <-time.After(max(tuning.ShutdownPollInterval, time.Duration(response.RetryAfterMs)*time.Millisecond)):
+			case <-callCtx.Done():
+			}
+		}
+		select {
+		case r.events <- Event{LeaveGranted: true}:
+		case <-ctx.Done():
+		}
+	}()
+}
+
+// finishLeaving lets the process end.
+func (r *Replica) finishLeaving() {
+	for _, done := range r.leaveWaiters {
+		close(done)
+	}
+	r.leaveWaiters = nil
+}
+
+// continueLeave takes the next step of leaving; it returns when to come back, or 0.
+func (r *Replica) continueLeave(ctx context.Context, now time.Time) time.Duration {
+	switch {
+	case len(r.leaveWaiters) == 0:
+		return 0
+	case now.After(r.leaveDeadline) || r.transferringLeadership && !r.node.IsLeader():
+		// The transfer is over once another leads.
+		r.finishLeaving()
+		return 0
+	case r.node.IsLeader():
+		r.transferLeadership(now)
+	case !r.leaveRequested:
+		// Leadership was lost without a transfer.
+		r.requestLeave(ctx)
+	}
+	return 20 * time.Millisecond
+}
+
+// transferLeadership transfers leadership once the others can do without this disk, or
+// when there is just enough time left for it. Until then this daemon goes on
+// leading, and may itself put a candidate in its place.
+func (r *Replica) transferLeadership(now time.Time) {
+	if len(r.node.Voters()) == 1 {
+		r.finishLeaving()
+		return
+	}
+	noTimeLeft := r.leaveDeadline.Sub(now) <= tuning.LeadershipTransferTimeout
+	if r.transferringLeadership || !noTimeLeft && r.node.LeaderReady() && r.reasonToStay(r.self.ID) != "" {
+		return
+	}
+	if r.node.TransferLeadership() {
+		r.transferringLeadership = true
+		r.leaveDeadline = now.Add(tuning.LeadershipTransferTimeout)
+	}
+}
+
+// handleReleaseZones takes the duties from a daemon that ends; its standbys take over.
+// Whoever waits for a voter's place may have its.
+func (r *Replica) handleReleaseZones(raw []byte, _ *transport.Stream, reply replyFunc) {
+	var request rpc.ZoneRelease
+	if transport.Decode(raw, &request) != nil {
+		reply(rpc.Response{Code: 400})
+		return
+	}
+	now := time.Now()
+	r.appointments.leavingUntil[request.Disk] = now.Add(tuning.ShutdownExclusionPeriod)
+	r.appointAggregators(now)
+	reason := r.reasonToStay(request.Disk)
+	for zone, aggregator := range r.state.Aggregators {
+		if aggregator.Member == request.Disk && r.appointments.changePending[zone] {
+			reason = "its zones are being given to others"
+		}
+	}
+	if reason != "" {
+		reply(rpc.Response{Code: codeStillNeeded, Text: reason, RetryAfterMs: tuning.ShutdownPollInterval.Milliseconds()})
+		return
+	}
+	reply(rpc.Response{Code: 200})
+}
--- /dev/null
+++ b/internal/server/membership_test.go
@@ -0,0 +1,167 @@
+package server
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/tuning"
+)
+
+// cluster is a core that leads as "a", with other members on a network and a
+// clock of the test's own.
+type cluster struct {
+	t       *testing.T
+	replica *Replica
+	now     time.Time
+	nodes   map[string]*raft.Node
+	down    map[string]bool
+}
+
+func testVoter(node, disk string) raft.Member { return raft.Member{Node: node, ID: disk, Addr: disk} }
+
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*raft.Node{}, down: map[string]bool{}}
+	var voters []raft.Member
+	for _, name := range []string{"a", "b", "c"} {
+		voters = append(voters, testVoter("node-"+name, name))
+	}
+	for _, name := range []string{"a", "b", "c"} {
+		c.start(name, raft.Snapshot{Index: 1, Voters: voters})
+	}
+	c.replica = &Replica{log: log.NewNopLogger(), self: voters[0], node: c.nodes["a"], addresses: map[string]string{}, appointments: newAppointments()}
+	c.replica.bootstrap.MinVoters = 3
+	c.now = c.now.Add(3 * time.Second)
+	c.replica.node.Tick(c.now)
+	c.run(time.Second)
+	if !c.replica.node.LeaderReady() {
+		t.Fatal("a does not lead")
+	}
+	return c
+}
+
+func (c *cluster) start(disk string, snapshot raft.Snapshot) {
+	node := raft.New(disk, raft.HardState{Term: 1}, snapshot, nil, c.now, raft.Config{HeartbeatInterval: tuning.HeartbeatInterval, ElectionTimeout: tuning.ElectionTimeout, ElectionJitter: tuning.ElectionTimeoutJitter,
+		CheckQuorumTimeout: tuning.QuorumLossTimeout, LeaseFraction: tuning.LeaderLeaseFraction, MaxInflightEntries: tuning.MaxInflightEntries, MaxAppendBytes: tuning.MaxAppendBytes}, int64(disk[0]))
+	node.SetSnapshotSource(func() *raft.Snapshot {
+		i := node.AppliedIndex()
+		term, _ := node.TermAt(i)
+		return &raft.Snapshot{Index: i, Term: term, Voters: node.VotersAt(i), OutgoingVoters: node.OutgoingVotersAt(i)}
+	})
+	c.nodes[disk] = node
+}
+
+// run plays some time; of those that are up, only a looks at its clock, so that
+// it leads on.
+func (c *cluster) run(duration time.Duration) {
+	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(10 * time.Millisecond) {
+		c.replica.node.Tick(c.now)
+		for busy := true; busy; {
+			busy = false
+			for _, name := range []string{"a", "b", "c", "d", "e"} {
+				busy = c.nodes[name] != nil && !c.down[name] && c.deliver(c.nodes[name]) || busy
+			}
+		}
+	}
+}
+
+func (c *cluster) deliver(node *raft.Node) bool {
+	output := node.Ready()
+	if output.IsEmpty() {
+		return false
+	}
+	if output.MustSync() {
+		node.WriteSynced(output.WriteToken)
+	}
+	node.NextCommittedEntries()
+	for _, message := range append(output.Messages, output.MessagesAfterSync...) {
+		if to := c.nodes[message.To]; to != nil && !c.down[message.To] {
+			to.Step(message, c.now)
+		}
+	}
+	return true
+}
+
+// addCandidate starts a daemon with an empty disk that asks for a place.
+func (c *cluster) addCandidate(node, disk string) {
+	c.start(disk, raft.Snapshot{})
+	c.replica.candidatesByDisk()[disk] = testVoter(node, disk)
+}
+
+func (c *cluster) voterDisks() string {
+	voters, old := c.replica.node.VoterSets()
+	var names []string
+	for _, voter := range slices.Concat(voters, old) {
+		names = append(names, voter.ID)
+	}
+	return fmt.Sprint(names)
+}
+
+// reconcileTwice gives the candidate time to catch up, and shows the voters right
+// after the swap (with those before it) and once the change is over.
+func (c *cluster) reconcileTwice() (during, after string) {
+	c.replica.reconcileVoters(c.now)
+	c.run(time.Second)
+	c.replica.reconcileVoters(c.now)
+	during = c.voterDisks()
+	c.run(time.Second)
+	return during, c.voterDisks()
+}
+
+func TestCandidateReplacesVoterInOneChange(t *testing.T) {
+	for _, test := range []struct {
+		why         string
+		node        string
+		fault       func(c *cluster)
+		during, end string
+	}{
+		{"nobody is gone", "node-d", func(c *cluster) {}, "[a b c]", "[a b c]"},
+		{"c is frozen for a moment", "node-d", func(c *cluster) { c.down["c"] = true }, "[a b c]", "[a b c]"},
+		{"c is silent", "node-d", func(c *cluster) { c.down["c"] = true; c.run(tuning.VoterReplacementTimeout) }, "[a b d a b c]", "[a b d]"},
+		{"b came back with another disk", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
+		{"its own old disk first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
+		{"c said that it leaves", "node-d", func(c *cluster) { c.replica.appointments.leavingUntil["c"] = c.now.Add(tuning.ShutdownExclusionPeriod) }, "[a b d a b c]", "[a b d]"},
+		{"the leader leaves", "node-d", func(c *cluster) { c.replica.leaveWaiters = []chan struct{}{nil} }, "[d b c a b c]", "[d b c]"},
+	} {
+		c := newCluster(t)
+		c.addCandidate(test.node, "d")
+		test.fault(c)
+		if during, end := c.reconcileTwice(); during != test.during || end != test.end {
+			t.Errorf("%s: voters %s, then %s", test.why, during, end)
+		}
+	}
+}
+
+func TestLeavingVoterStaysWhileOthersAreNotHealthy(t *testing.T) {
+	for _, test := range []struct {
+		why   string
+		fault func(c *cluster)
+		want  string
+	}{
+		{"all are well", func(c *cluster) {}, ""},
+		{"a candidate catches up", func(c *cluster) { c.addCandidate("node-d", "d"); c.replica.reconcileVoters(c.now) }, "a candidate is about to take a place"},
+		{"the other voter is silent", func(c *cluster) { c.down["c"] = true; c.run(tuning.ElectionTimeout + tuning.AggregatorSilenceTimeout) }, "another voter is silent or lags"},
+		{"a change is under way", func(c *cluster) {
+			c.addCandidate("node-c", "d")
+			c.down["c"] = true
+			c.replica.reconcileVoters(c.now)
+			c.run(time.Second)
+			c.replica.reconcileVoters(c.now)
+		}, "a change of the voters is under way"},
+		{"it was replaced", func(c *cluster) {
+			c.addCandidate("node-d", "d")
+			c.replica.appointments.leavingUntil["b"] = c.now.Add(time.Hour)
+			c.reconcileTwice()
+		}, ""},
+	} {
+		c := newCluster(t)
+		test.fault(c)
+		if why := c.replica.reasonToStay("b"); why != test.want {
+			t.Errorf("%s: %q", test.why, why)
+		}
+	}
+}
--- /dev/null
+++ b/internal/server/sessions.go
@@ -0,0 +1,147 @@
+package server
+
+import (
+	"time"
+
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/transport"
+)
+
+// agentSession is a side daemon connected to this replica, leader or not: its
+// orders are read from this replica's applied state and go down this stream.
+type agentSession struct {
+	stream *transport.Stream
+	fence  int64
+	// knownIndex is the log index of the newest state that the side daemon was told
+	// of. Orders are held back until this replica has applied it: an older state
+	// may name a run that is over, and which runs elsewhere by now.
+	knownIndex uint64
+	synced     bool
+}
+
+// openSession notes the stream by which a side daemon renews its lease.
+func (r *Replica) openSession(request rpc.LeaseRenewal, stream *transport.Stream) {
+	if stream == nil {
+		return
+	}
+	session := r.sessions[request.Worker]
+	if session == nil || session.stream != stream || session.fence != request.Fence {
+		session = &agentSession{stream: stream, fence: request.Fence, knownIndex: request.KnownIndex}
+		r.sessions[request.Worker] = session
+		r.sessionsUnsynced = true
+	}
+	// A side daemon that is synced again may have learnt of a newer state.
+	session.knownIndex = max(session.knownIndex, request.KnownIndex)
+}
+
+// syncSessions tells side daemons that connected anew all that is booked on
+// their workers: orders of their previous connection may be lost.
+func (r *Replica) syncSessions() {
+	if !r.sessionsUnsynced {
+		return
+	}
+	r.sessionsUnsynced = false
+	for workerID, session := range r.sessions {
+		if session.synced {
+			continue
+		}
+		worker := r.state.Workers[workerID]
+		if worker == nil || worker.Dead || worker.Fence != session.fence || r.state.AppliedIndex < session.knownIndex {
+			r.sessionsUnsynced = true
+			continue
+		}
+		session.synced = true
+		for _, allocation := range r.state.AllocationsOn(workerID) {
+			r.queueAssignment(allocation)
+		}
+	}
+}
+
+// resyncSessions has all sessions synced again, after this replica's state was
+// replaced as a whole.
+func (r *Replica) resyncSessions() {
+	for _, session := range r.sessions {
+		session.synced = false
+		r.sessionsUnsynced = true
+	}
+}
+
+// dropSessions forgets the side daemons of a stream that ended.
+func (r *Replica) dropSessions(stream *transport.Stream) {
+	for workerID, session := range r.sessions {
+		if session.stream == stream {
+			delete(r.sessions, workerID)
+		}
+	}
+}
+
+// queueAssignment queues a start or a stop for the side daemon of its worker, if that is
+// connected to this replica.
+func (r *Replica) queueAssignment(allocation *state.Allocation) {
+	session := r.sessions[allocation.Worker]
+	worker := r.state.Workers[allocation.Worker]
+	if session == nil || !session.synced || worker == nil || worker.Fence != session.fence {
+		return
+	}
+	if lease := r.leases[allocation.Worker]; r.leading && (lease == nil || lease.expiring) {
+		return
+	}
+	assignment := rpc.Assignment{Worker: allocation.Worker, Fence: worker.Fence, Stop: allocation.Stopping, Task: allocation.TaskName(), Run: allocation.Run}
+	if !allocation.Stopping {
+		job := r.state.Jobs[allocation.Job]
+		if job == nil {
+			return
+		}
+		assignment.JobSpec, assignment.Checkpoint = job.Spec, allocation.Checkpoint
+		step := job.Steps[allocation.Step]
+		assignment.EstimateMs, assignment.LongRunning = step.EstimateMs, step.LongRunning
+		if worker.RemoteFrom(step.PreferredRack) {
+			assignment.EstimateMs = int64(float64(assignment.EstimateMs) * r.state.RemoteFactor())
+		}
+	}
+	event := "start ordered"
+	if assignment.Stop {
+		event = "stop ordered"
+	}
+	r.trace.Record(assignment.Task, event, int64(assignment.Run), worker.Node)
+	r.pendingAssignments[session.stream] = append(r.pendingAssignments[session.stream], assignment)
+}
+
+// sendAssignments sends the orders of this turn, one frame for each stream.
+func (r *Replica) sendAssignments() {
+	for _, id := range r.state.TakeChangedRuns() {
+		if allocation := r.state.Allocations[id]; allocation != nil {
+			r.queueAssignment(allocation)
+		}
+	}
+	r.syncSessions()
+	for stream, assignments := range r.pendingAssignments {
+		r.metrics.count("orders", len(assignments))
+		r.metrics.count("order_frames", 1)
+		stream.Send(transport.Frame{Kind: rpc.FrameAssignments, Body: transport.Encode(assignments)})
+		delete(r.pendingAssignments, stream)
+	}
+}
+
+// aggregatorAddresses gives the addresses of the aggregator of a worker's zone and of its
+// standby; the first is empty if it is this daemon.
+func (r *Replica) aggregatorAddresses(workerID string) (string, string) {
+	worker := r.state.Workers[workerID]
+	if worker == nil {
+		return "", ""
+	}
+	aggregator := r.state.Aggregators[worker.Zone]
+	if aggregator.Member == r.self.ID {
+		return "", aggregator.StandbyAddress
+	}
+	return aggregator.Address, aggregator.StandbyAddress
+}
+
+// leaderlessFor is for how long no leader has been known here.
+func (r *Replica) leaderlessFor(now time.Time) time.Duration {
+	if r.node.Leader() != "" || r.leaderSeenAt.IsZero() {
+		r.leaderSeenAt = now
+	}
+	return now.Sub(r.leaderSeenAt)
+}
--- /dev/null
+++ b/internal/server/snapshot.go
@@ -0,0 +1,123 @@
+package server
+
+import (
+	"context"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/storage"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// encodedSnapshot is a snapshot that was encoded outside the loop.
+type encodedSnapshot struct {
+	node     *raft.Node // whose entries it covers
+	snapshot *raft.Snapshot
+	digest   uint64
+}
+
+// beginSnapshot begins a snapshot at the last entry applied.
+func (r *Replica) beginSnapshot() (*raft.Snapshot, *state.Snapshot) {
+	index := r.state.AppliedIndex
+	term, ok := r.node.TermAt(index)
+	if !ok {
+		panic("core: a snapshot at an entry that the log does not know")
+	}
+	return &raft.Snapshot{Index: index, Term: term, Voters: r.node.VotersAt(index), OutgoingVoters: r.node.OutgoingVotersAt(index)}, r.state.Snapshot()
+}
+
+// snapshotForFollower is a snapshot for a member that lags: the newest one, since
+// the log holds what follows it. If there is none yet it is taken at once.
+func (r *Replica) snapshotForFollower() *raft.Snapshot {
+	if r.latestSnapshot == nil {
+		snapshot, frozen := r.beginSnapshot()
+		snapshot.Data = frozen.Encode()
+		r.latestSnapshot = snapshot
+	}
+	return r.latestSnapshot
+}
+
+// takeSnapshotIfDue begins a snapshot at indexes that are the same on all replicas, so
+// that their digests can be compared. Only the copy is made on the loop: to encode the
+// state of a large cluster takes longer than followers wait for a heartbeat.
+func (r *Replica) takeSnapshotIfDue(ctx context.Context, index uint64) {
+	if index%tuning.SnapshotInterval != 0 || r.encodingSnapshot {
+		return
+	}
+	r.encodingSnapshot = true
+	snapshot, frozen := r.beginSnapshot()
+	node := r.node
+	go func() {
+		snapshot.Data = frozen.Encode()
+		select {
+		case r.events <- Event{SnapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}}:
+		case <-ctx.Done():
+		}
+	}()
+}
+
+// handleSnapshotEncoded has a snapshot written, unless a newer one was received. The one
+// before stays valid until it is synced: the disk replaces it in one step.
+func (r *Replica) handleSnapshotEncoded(ctx context.Context, encoded *encodedSnapshot) {
+	if encoded.node != r.node {
+		return
+	}
+	r.encodingSnapshot = false
+	if encoded.snapshot.Index <= r.lastSnapshotIndex {
+		return
+	}
+	r.recordDigest(ctx, encoded.snapshot.Index, encoded.digest)
+	r.lastSnapshotIndex, r.latestSnapshot = encoded.snapshot.Index, encoded.snapshot
+	r.writesInFlight++
+	r.writeQueue <- storage.WriteRequest{LocalSnapshot: encoded.snapshot}
+}
+
+// drainNode carries out what the node has ready until nothing is left. A received
+// snapshot is installed before any entry is applied.
+func (r *Replica) drainNode(ctx context.Context) {
+	for {
+		output := r.node.Ready()
+		if !output.IsEmpty() {
+			r.sendRaftMessages(ctx, output.Messages)
+			if output.Snapshot != nil {
+				r.installSnapshot(output.Snapshot)
+			}
+			if output.MustSync() || len(output.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
+				r.writesInFlight++
+				r.writeQueue <- storage.WriteRequest{Ready: output}
+			} else {
+				r.sendRaftMessages(ctx, output.MessagesAfterSync)
+			}
+		}
+		if !r.apply(ctx) && output.IsEmpty() {
+			return
+		}
+	}
+}
+
+// installSnapshot replaces the state by a received snapshot, and with it all that was
+// derived from the state before.
+func (r *Replica) installSnapshot(snapshot *raft.Snapshot) {
+	store, err := state.DecodeSnapshot(snapshot.Data, state.Limits{})
+	if err == nil {
+		err = store.BindSnapshotIndex(snapshot.Index)
+	}
+	if err != nil {
+		panic("core: unreadable snapshot: " + err.Error())
+	}
+	r.state = store
+	r.lastSnapshotIndex, r.latestSnapshot = snapshot.Index, snapshot
+	r.planDue = true
+	r.digests.own = map[uint64]uint64{} // they were of the state before
+	// Nobody will apply the entries that these wait for: they are part of
+	// the snapshot, if anywhere.
+	for index := range r.pending {
+		if index <= snapshot.Index {
+			r.abandonEntry(index)
+		}
+	}
+	r.pendingAssignments = map[*transport.Stream][]rpc.Assignment{}
+	r.resyncSessions()
+}
--- /dev/null
+++ b/internal/server/snapshot_transfer_test.go
@@ -0,0 +1,130 @@
+package server
+
+import (
+	"bytes"
+	"math/rand"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// TestSnapshotTransferCompletesOverLossyLink: pieces and answers are lost and doubled by lot, and
+// the receiver is started anew in the middle.
+func TestSnapshotTransferCompletesOverLossyLink(t *testing.T) {
+	for seed := range int64(200) {
+		random := rand.New(rand.NewSource(seed))
+		data := make([]byte, []int{1, tuning.SnapshotChunkBytes - 1, tuning.SnapshotChunkBytes, tuning.SnapshotChunkBytes + 1, 5*tuning.SnapshotChunkBytes + 7}[random.Intn(5)])
+		random.Read(data)
+		now := time.Unix(0, 0)
+		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "a", To: "b", Term: 3, Snapshot: &raft.Snapshot{Index: 9, Term: 2, Data: data}}, now)
+		fresh := func() *snapshotReceiver { return &snapshotReceiver{index: 9, term: 2, total: len(data)} }
+		receiver, restarts, complete := fresh(), random.Intn(3), false
+		for step := 0; !complete; step++ {
+			if step > 10000 {
+				t.Fatalf("seed %d: it does not arrive", seed)
+			}
+			now = now.Add(tuning.SnapshotChunkRetryInterval)
+			chunk := sender.nextChunk(now)
+			if len(chunk.Data) > tuning.SnapshotChunkBytes {
+				t.Fatalf("a piece of %d bytes", len(chunk.Data))
+			}
+			if random.Intn(5) == 0 {
+				continue // the piece is lost
+			}
+			if restarts > 0 && random.Intn(6) == 0 {
+				receiver, restarts = fresh(), restarts-1
+			}
+			for range 1 + random.Intn(6)/5 {
+				have := 0
+				if have, complete = receiver.add(chunk); random.Intn(5) == 0 {
+					continue // the answer is lost
+				}
+				sender.acknowledge(snapshotAck{"b", "a", 9, have}, now)
+			}
+		}
+		if !bytes.Equal(receiver.data, data) {
+			t.Fatalf("seed %d: other bytes arrived", seed)
+		}
+		sender.acknowledge(snapshotAck{"b", "a", 9, len(data)}, now)
+		again := raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 9}}
+		if chunk := sender.nextChunk(now); !sender.serves(again, now.Add(time.Hour)) || len(chunk.Data) > 0 || chunk.Offset != len(data) {
+			t.Fatal("what has arrived is sent again")
+		}
+		if sender.serves(raft.Message{Term: 4, Snapshot: again.Snapshot}, now) || sender.serves(raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 10}}, now) {
+			t.Fatal("it stands for another leader's, or a newer snapshot")
+		}
+		// The receiver was started anew, without it.
+		if sender.acknowledge(snapshotAck{"b", "a", 9, 0}, now); !sender.serves(again, now) || sender.serves(again, now.Add(tuning.SnapshotTransferStallTimeout)) {
+			t.Fatal("a transfer that gets on is begun anew, or one that does not isn't")
+		}
+	}
+}
+
+// TestSnapshotIsInstalledOnceComplete: a received snapshot is installed once it is whole; a
+// piece for another identity, or a transfer that is overtaken, changes nothing.
+func TestSnapshotIsInstalledOnceComplete(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t)
+		point := snapshotOf(t, 10, "z")
+		whole := point.Data
+		give := func(to string, offset, end int) {
+			point := *point
+			point.Data = nil
+			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(snapshotChunk{
+				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &point}, len(whole), offset, whole[offset:end]})}}})
+			h.endTurn()
+		}
+		half := len(whole) / 2
+		give("a", 0, half)
+		give("other", half, len(whole))
+		give("a", 0, half)
+		if h.replica.state.AppliedIndex != 1 {
+			t.Fatalf("half a snapshot was installed: %d", h.replica.state.AppliedIndex)
+		}
+		give("a", half, len(whole))
+		if h.replica.state.AppliedIndex != 10 || len(h.replica.incomingSnapshots) != 0 {
+			t.Fatalf("the state is at %d, %d transfers left", h.replica.state.AppliedIndex, len(h.replica.incomingSnapshots))
+		}
+		give("a", 0, half)
+		if h.replica.state.AppliedIndex != 10 || len(h.replica.incomingSnapshots) != 0 {
+			t.Error("a snapshot that is no longer wanted is taken")
+		}
+	})
+}
+
+// TestLostSnapshotResponseIsRepeated: all pieces have arrived, the answer of
+// the agreement was lost. When the agreement repeats the message, it goes without
+// the bytes, and the receiver answers by what it holds.
+func TestLostSnapshotResponseIsRepeated(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := newHarness(t)
+		point := snapshotOf(t, 10, "z")
+		now := time.Now()
+		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "b", To: "a", Term: 3, Snapshot: point}, now)
+		give := func(chunk snapshotChunk) {
+			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}}})
+		}
+		for !sender.complete() {
+			chunk := sender.nextChunk(now)
+			give(chunk)
+			sender.acknowledge(snapshotAck{"a", "b", point.Index, chunk.Offset + len(chunk.Data)}, now)
+		}
+		h.endTurn()
+		if h.replica.state.AppliedIndex != 10 {
+			t.Fatalf("the state is at %d", h.replica.state.AppliedIndex)
+		}
+		again := sender.nextChunk(now)
+		if len(again.Data) != 0 {
+			t.Errorf("%d bytes are sent again", len(again.Data))
+		}
+		give(again)
+		out := h.replica.node.Ready()
+		if len(out.Messages)+len(out.MessagesAfterSync) != 1 {
+			t.Errorf("%d answers", len(out.Messages)+len(out.MessagesAfterSync))
+		}
+	})
+}
--- /dev/null
+++ b/internal/server/storage_lag_test.go
@@ -0,0 +1,115 @@
+package server
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"tealpond/internal/daemon"
+	"tealpond/internal/discovery"
+	"tealpond/internal/raft"
+	"tealpond/internal/settings"
+	"tealpond/internal/state"
+	"tealpond/internal/tracing"
+	"tealpond/internal/tuning"
+)
+
+// electLeader makes the node of c the leader of three, with one follower that
+// answers.
+func electLeader(t *testing.T, replica *Replica) {
+	t.Helper()
+	voters := []raft.Member{{Node: "a", ID: replica.self.ID}, {Node: "b", ID: "b"}, {Node: "d", ID: "d"}}
+	replica.startNode(raft.Snapshot{Index: 1, Voters: voters})
+	time.Sleep(10 * time.Second)
+	replica.node.Tick(time.Now())
+	answer := func(message raft.Message) {
+		message.From, message.To = "b", replica.self.ID
+		replica.node.Step(message, time.Now())
+	}
+	synced := func() raft.Ready {
+		output := replica.node.Ready()
+		replica.node.WriteSynced(output.WriteToken)
+		return output
+	}
+	answer(raft.Message{Kind: raft.MsgPreVoteResponse, Term: replica.node.Term() + 1})
+	synced()
+	answer(raft.Message{Kind: raft.MsgVoteResponse, Term: replica.node.Term()})
+	output := synced()
+	for _, message := range append(output.Messages, output.MessagesAfterSync...) {
+		if message.To == "b" && message.Kind == raft.MsgAppend {
+			answer(raft.Message{Kind: raft.MsgAppendResponse, Term: message.Term, Index: replica.node.LastIndex(), SendStamp: message.SendStamp})
+		}
+	}
+	replica.node.Ready()
+	replica.node.NextCommittedEntries()
+	if !replica.node.LeaderReady() {
+		t.Fatal("it does not lead")
+	}
+}
+
+func newTestReplica(t *testing.T, dir string) *Replica {
+	t.Helper()
+	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
+		Log: log.NewNopLogger(), Trace: tracing.NewRing(16)}
+	replica, err := New(env, discovery.NewClient(env.Log, "", nil, nil, func(int64) {}, nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return replica
+}
+
+// newTestLeader gives a core that leads, with the identity "a".
+func newTestLeader(t *testing.T, dir string) *Replica {
+	t.Helper()
+	replica := newTestReplica(t, dir)
+	replica.self.ID = "a"
+	electLeader(t, replica)
+	return replica
+}
+
+// A leader whose disk syncs nothing hands the lead on, once a second as long as
+// it leads; one whose disk keeps up does not.
+func TestLeaderWithStalledStorageTransfersLeadership(t *testing.T) {
+	dir := t.TempDir()
+	synctest.Test(t, func(t *testing.T) {
+		replica := newTestLeader(t, dir)
+		for _, test := range []struct {
+			behind time.Duration
+			want   int
+		}{{0, 0}, {tuning.StorageStallTimeout - 1, 0}, {tuning.StorageStallTimeout, 1}, {tuning.StorageStallTimeout, 0}} {
+			replica.handleStorageLag(time.Now(), test.behind)
+			sent := 0
+			for _, message := range replica.node.Ready().Messages {
+				if message.Kind == raft.MsgTimeoutNow {
+					sent++
+				}
+			}
+			if sent != test.want {
+				t.Fatalf("%v behind: handed on %d times, want %d", test.behind, sent, test.want)
+			}
+		}
+	})
+}
+
+// With too many writes under way no command is taken on.
+func TestFullWriteQueueRefusesProposals(t *testing.T) {
+	dir := t.TempDir()
+	synctest.Test(t, func(t *testing.T) {
+		replica := newTestLeader(t, dir)
+		for _, test := range []struct {
+			writes int
+			taken  bool
+		}{{tuning.MaxPendingStorageWrites - 1, true}, {tuning.MaxPendingStorageWrites, false}} {
+			replica.writesInFlight = test.writes
+			last, answered := replica.node.LastIndex(), false
+			replica.commands, replica.replies = []state.EncodedCommand{{}}, []func(state.Outcome, bool){func(_ state.Outcome, ok bool) { answered = !ok }}
+			time.Sleep(time.Second)
+			replica.proposeQueued(time.Now())
+			if taken := replica.node.LastIndex() > last; taken != test.taken || answered == test.taken {
+				t.Errorf("%d writes under way: taken %v, refused %v", test.writes, taken, answered)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/server/storage_open.go
@@ -0,0 +1,73 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"tealpond/internal/aggregator"
+	"tealpond/internal/state"
+	"tealpond/internal/storage"
+	"tealpond/internal/tuning"
+)
+
+// openedStorage is the opened disk, what it holds, and the state of its snapshot.
+type openedStorage struct {
+	disk           *storage.Store
+	persisted      storage.Recovered
+	store          *state.Store
+	setAsideReason string // why an earlier file was put aside
+}
+
+// StorageOpened tells whether the disk has been opened. Until then this daemon has no
+// identity: it neither votes nor acknowledges, forwards what it can and is not
+// ready.
+func (r *Replica) StorageOpened() bool { return r.storageOpened.Load() }
+
+// openStorage opens the disk beside the loop, for as long as it takes, and hands
+// it to the loop.
+func (r *Replica) openStorage(ctx context.Context) {
+	dir := r.settings.DataDir
+	logWaiting := func(err error) {
+		_ = r.log.Log("level", "error", "event", "disk.waits", "dir", dir, "why", err)
+	}
+	opened, persisted, setAsideReason, err := storage.OpenWithRetry(ctx, dir, logWaiting)
+	if err != nil {
+		return
+	}
+	store, err := state.DecodeSnapshot(persisted.Snapshot.Data, state.Limits{})
+	for err != nil {
+		// The record on disk is whole, so it is this program that can't read it.
+		// To take another identity would give up what was acknowledged for a
+		// fault that a newer program may not have.
+		logWaiting(err)
+		select {
+		case <-ctx.Done():
+			_ = opened.Close()
+			return
+		case <-time.After(tuning.StorageWarningInterval):
+		}
+		store, err = state.DecodeSnapshot(persisted.Snapshot.Data, state.Limits{})
+	}
+	select {
+	case r.events <- Event{StorageOpened: &openedStorage{opened, persisted, store, setAsideReason}}:
+	case <-ctx.Done():
+		_ = opened.Close()
+	}
+}
+
+// handleStorageOpened takes the identity and what the disk holds, and starts the node.
+func (r *Replica) handleStorageOpened(ctx context.Context, opened *openedStorage) {
+	if opened.setAsideReason != "" {
+		_ = r.log.Log("level", "warn", "event", "disk.foreign", "why", opened.setAsideReason, "disk", opened.persisted.ID)
+	}
+	r.disk, r.persisted, r.state, r.self.ID = opened.disk, opened.persisted, opened.store, opened.persisted.ID
+	r.aggregator = aggregator.New(r.self.ID)
+	r.lastSnapshotIndex = r.persisted.Snapshot.Index
+	r.storageOpened.Store(true)
+	r.startWriter(ctx)
+	// A node that is only bound is not started: the other founders may be bound
+	// to nothing yet. A message from one of them, or the seed's answer, starts it.
+	if r.persisted.HardState.Term > 0 || len(r.persisted.Founders) == 0 && (r.persisted.Snapshot.Index > 0 || !r.settings.FirstStart) {
+		r.startNode(r.persisted.Snapshot)
+	}
+}
--- /dev/null
+++ b/internal/server/storage_open_test.go
@@ -0,0 +1,92 @@
+package server
+
+import (
+	"context"
+	"path/filepath"
+	"testing"
+
+	"github.com/go-kit/log"
+	bolt "go.etcd.io/bbolt"
+
+	"tealpond/internal/daemon"
+	"tealpond/internal/discovery"
+	"tealpond/internal/rpc"
+	"tealpond/internal/settings"
+	"tealpond/internal/storage"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
+)
+
+// eventLog is a log that hands out the event of each line.
+type eventLog chan string
+
+func (e eventLog) Log(kv ...any) error {
+	for i := 0; i+1 < len(kv); i += 2 {
+		if kv[i] == "event" {
+			e <- kv[i+1].(string)
+		}
+	}
+	return nil
+}
+
+// A disk that does not serve must not end the daemon, cost it its identity or
+// keep it from answering; it says so, and starts once the disk serves.
+func TestReplicaWaitsForItsStorage(t *testing.T) {
+	dir := t.TempDir()
+	opened, persisted, _, err := storage.Open(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = opened.Close()
+	other, err := bolt.Open(filepath.Join(dir, "tealpond.db"), 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	logged := make(eventLog, 1000)
+	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
+		Log: log.Logger(logged), Trace: tracing.NewRing(16)}
+	leaderClient := discovery.NewClient(env.Log, "", nil, nil, func(int64) {}, nil)
+	replica, err := New(env, leaderClient)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	done := make(chan struct{})
+	go func() {
+		_ = replica.Run(ctx)
+		close(done)
+	}()
+	wait := func(event string) {
+		for e := range logged {
+			if e == event {
+				return
+			}
+		}
+	}
+	ask := func(kind string) rpc.Response {
+		got := make(chan rpc.Response, 1)
+		replica.HandleLocal(rpc.Request{Kind: kind}, func(response rpc.Response) { got <- response })
+		return <-got
+	}
+	wait("disk.waits")
+	var info rpc.LeaderInfo
+	if response := ask(rpc.KindLeader); response.Code != 200 || transport.Decode(response.Body, &info) != nil || info.IsLeader {
+		t.Errorf("%+v %+v", response, info)
+	}
+	if response := ask(rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
+		t.Errorf("%+v", response)
+	}
+	if replica.StorageOpened() {
+		t.Error("ready without a disk")
+	}
+	_ = other.Close()
+	wait("core.start")
+	got := make(chan string, 1)
+	replica.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(rpc.Response) { got <- replica.self.ID })
+	if id := <-got; id != persisted.ID || !replica.StorageOpened() {
+		t.Errorf("identity %s, was %s", id, persisted.ID)
+	}
+	stop()
+	<-done
+}
--- a/internal/sim/tools_test.go
+++ b/internal/simulation/admin_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -11,20 +11,20 @@
 	"tealpond/internal/transport"
 )
 
-func (c *Cluster) tool() context.Context {
-	return transport.WithNetwork(context.Background(), c.Net.Host(c.ip(252)))
+func (c *Cluster) adminContext() context.Context {
+	return transport.WithNetwork(context.Background(), c.Network.Host(c.hostIP(252)))
 }
 
 func TestTraceFollowsAJobThroughAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Build(t, three)
-		defer c.End()
-		c.Ready()
-		c.HandIn(id(0), job(300, 500, 2))
-		c.Until("done", 5*time.Second, func() bool { return c.State("edge-4", id(0)) == "done" })
+		c := NewCluster(t, threeServers)
+		defer c.Shutdown()
+		c.WaitReady()
+		c.SubmitJob(jobID(0), newJob(300, 500, 2))
+		c.WaitUntil("done", 5*time.Second, func() bool { return c.JobState("edge-4", jobID(0)) == "done" })
 		time.Sleep(time.Second)
 		// A diskless daemon is asked: it knows the core and, by it, all.
-		p, err := admin.TraceChange(c.tool(), []string{c.IP("edge-4") + ":7720"}, id(0))
+		p, err := admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-4") + ":7720"}, jobID(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,34 +44,34 @@
 		if len(p.Unreachable) > 0 {
 			t.Errorf("silent: %v", p.Unreachable)
 		}
-		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, "desired/1")
+		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, "desired/1")
 		if err != nil || len(p.Steps) < 4 {
 			t.Errorf("desired/1: %d steps, %v", len(p.Steps), err)
 		}
-		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, "ffffffffffffffff")
+		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, "ffffffffffffffff")
 		if err != nil || len(p.Steps) != 0 {
 			t.Errorf("an unknown id: %d steps, %v", len(p.Steps), err)
 		}
 		c.Kill("side-1")
-		p, err = admin.TraceChange(c.tool(), []string{c.IP("edge-1") + ":7720"}, id(0))
+		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, jobID(0))
 		if err != nil || len(p.Unreachable) != 1 || p.Unreachable[0] != "side-1" {
 			t.Errorf("a lost daemon isn't named: %v, %v", p.Unreachable, err)
 		}
 		c.Start("side-1", 1)
-		if _, err = admin.TraceChange(c.tool(), []string{"10.9.9.9:7720"}, id(0)); !errors.Is(err, admin.ErrUnreachable) {
+		if _, err = admin.TraceChange(c.adminContext(), []string{"10.9.9.9:7720"}, jobID(0)); !errors.Is(err, admin.ErrUnreachable) {
 			t.Errorf("nobody there: %v", err)
 		}
 	})
 }
 
-func TestFleetIsReadFromAFollower(t *testing.T) {
+func TestTablesAreReadFromAFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Build(t, three)
-		defer c.End()
-		c.Ready()
-		c.HandIn(id(0), job(10000, 500, 2))
+		c := NewCluster(t, threeServers)
+		defer c.Shutdown()
+		c.WaitReady()
+		c.SubmitJob(jobID(0), newJob(10000, 500, 2))
 		time.Sleep(2 * time.Second)
-		f, err := admin.FetchState(c.tool(), []string{c.IP("edge-1") + ":7720"})
+		f, err := admin.FetchState(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"})
 		if err != nil || f.IsLeader {
 			t.Fatalf("leads %v, %v", f.IsLeader, err)
 		}
--- a/internal/sim/differs_test.go
+++ b/internal/simulation/divergence_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"context"
@@ -9,29 +9,29 @@
 	"time"
 
 	"tealpond/internal/raft"
+	"tealpond/internal/state"
 	"tealpond/internal/storage"
-	"tealpond/internal/store"
 )
 
-// Corrupt changes a number in the saved state of a core daemon that isn't
+// CorruptState changes a number in the saved state of a core daemon that isn't
 // running, as a fault in its memory might.
-func (c *Cluster) Corrupt(name string) {
+func (c *Cluster) CorruptState(name string) {
 	// Awaited: the daemon that was killed may not have let go of it yet.
 	d, held, _, err := storage.OpenWithRetry(context.Background(), filepath.Join(c.dir, name), func(error) {})
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	s, err := store.Load(held.Snapshot.Data, store.Limits{})
+	s, err := state.DecodeSnapshot(held.Snapshot.Data, state.Limits{})
 	if err == nil {
-		err = s.StartAt(held.Snapshot.Index)
+		err = s.BindSnapshotIndex(held.Snapshot.Index)
 	}
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	s.LastSeq += 1000000
+	s.LastJobSequence += 1000000
 	ctx, stop := context.WithCancel(context.Background())
 	in, done := make(chan storage.WriteRequest, 1), make(chan struct{})
-	in <- storage.WriteRequest{LocalSnapshot: &raft.Snapshot{Index: held.Snapshot.Index, Term: held.Snapshot.Term, Voters: held.Snapshot.Voters, Data: s.Save()}}
+	in <- storage.WriteRequest{LocalSnapshot: &raft.Snapshot{Index: held.Snapshot.Index, Term: held.Snapshot.Term, Voters: held.Snapshot.Voters, Data: s.EncodeSnapshot()}}
 	go func() {
 		d.Run(ctx, in, func(_ []storage.WriteRequest, err error) {
 			if err != nil {
@@ -44,14 +44,14 @@
 	<-done
 }
 
-// TestReplicaDiffers: a replica whose state differs from that of the majority
+// TestDivergedReplicaReplacesItsState: a replica whose state differs from that of the majority
 // notices, gives its identity up, and votes again once it has the state anew;
 // the same for the one that leads.
-func TestReplicaDiffers(t *testing.T) {
+func TestDivergedReplicaReplacesItsState(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		t.Run(map[bool]string{false: "follower", true: "leader"}[leads], func(t *testing.T) {
 			var differs, anew atomic.Int32
-			run(t, three, func(c *Cluster) {
+			runWithFault(t, threeServers, func(c *Cluster) {
 				note := func(line string) {
 					if strings.Contains(line, "event=replica.differs") {
 						differs.Add(1)
@@ -62,19 +62,19 @@
 				}
 				c.onLog.Store(&note)
 				bad := ""
-				for _, n := range c.names("edge")[:3] {
+				for _, n := range c.nodeNames("edge")[:3] {
 					if n != c.Leader() {
 						bad = n
 					}
 				}
 				c.Kill(bad)
-				c.Corrupt(bad)
+				c.CorruptState(bad)
 				c.Start(bad, 1)
 				if leads {
-					c.Until("the corrupted one leads", 20*time.Second, func() bool {
+					c.WaitUntil("the corrupted one leads", 20*time.Second, func() bool {
 						l := c.Leader()
 						if l != "" && l != bad {
-							c.Term(l)
+							c.Terminate(l)
 							c.Start(l, 1)
 						}
 						return l == bad || differs.Load() > 0
@@ -82,9 +82,9 @@
 				}
 			}, func(c *Cluster) {
 				for i := 0; i < 200 && anew.Load() == 0; i++ {
-					c.HandIn(id(1000+i), job(50, 100, 1))
+					c.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
 				}
-				c.Until("it took its state anew", 30*time.Second, func() bool { return anew.Load() > 0 })
+				c.WaitUntil("it took its state anew", 30*time.Second, func() bool { return anew.Load() > 0 })
 				// It must count again by now, or the loss of another ends all.
 				time.Sleep(6 * time.Second)
 				o := c.Leader()
--- a/internal/sim/move_test.go
+++ b/internal/simulation/federation_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"time"
 )
 
-const key = "0123456789abcdef"
+const peerKey = "0123456789abcdef"
 
-// movesFile: short days, so that a record of several fits into a test.
-func movesFile(name, peer string, base int, crowded, bucket, day float64, lanes string) string {
+// federationFile: short days, so that a record of several fits into a test.
+func federationFile(name, peer string, base int, crowded, bucket, day float64, lanes string) string {
 	return fmt.Sprintf(`name = %q
 bucketS = %g
 dayS = %g
@@ -27,51 +27,51 @@
 name = %q
 key = %q
 seeds = ["10.%d.0.1:7720", "10.%d.0.2:7720", "10.%d.0.3:7720"]
-%s`, name, bucket, day, crowded, peer, key, base, base, base, lanes)
+%s`, name, bucket, day, crowded, peer, peerKey, base, base, base, lanes)
 }
 
-const slowLane = `,{"name":"slow","hostName":"h","pathPrefix":"/slow/","kind":"writing","timeoutMs":3000,"targetMs":3000,"priority":2,"targetService":"svc","maxTries":3,"stretch":3}`
+const slowRoute = `,{"name":"slow","hostName":"h","pathPrefix":"/slow/","kind":"writing","timeoutMs":3000,"targetMs":3000,"priority":2,"targetService":"svc","maxTries":3,"stretch":3}`
 
-// pairOf builds two clusters that share a network and one history, so that a
+// newFederatedPair builds two clusters that share a network and one history, so that a
 // task that ran in both is seen.
-func pairOf(t *testing.T, crowded, bucket, day float64, on bool) (*Cluster, *Cluster) {
-	n := NewNet()
+func newFederatedPair(t *testing.T, crowded, bucket, day float64, on bool) (*Cluster, *Cluster) {
+	n := NewNetwork()
 	lanes := ""
 	if on {
 		lanes = "[[lanes]]\nhere = \"slow\"\npeer = \"b\"\nthere = \"slow\"\n"
 	}
-	a := Build(t, Shape{Core: 3, Side: 2, Net: n, Base: 1, Name: "a-", Moves: movesFile("a", "b", 2, crowded, bucket, day, lanes)})
-	b := Build(t, Shape{Core: 3, Side: 2, Net: n, Base: 2, Name: "b-", Hist: a.Hist, Moves: movesFile("b", "a", 1, 1, bucket, day, "")})
+	a := NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: n, Subnet: 1, Name: "a-", Federation: federationFile("a", "b", 2, crowded, bucket, day, lanes)})
+	b := NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: n, Subnet: 2, Name: "b-", History: a.History, Federation: federationFile("b", "a", 1, 1, bucket, day, "")})
 	for _, c := range []*Cluster{a, b} {
-		c.Until("the first desired state is taken", 20*time.Second, func() bool { return c.Put(c.Name+"edge-1", 1, 0, slowLane) == 200 })
+		c.WaitUntil("the first desired state is taken", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, slowRoute) == 200 })
 	}
 	time.Sleep(3 * time.Second)
 	return a, b
 }
 
-// cutAll cuts or joins two clusters.
-func cutAll(a, b *Cluster, cut bool) {
-	for _, x := range a.names("edge") {
-		for _, y := range b.names("edge") {
-			for _, p := range [][2]string{{a.IP(x), b.IP(y)}, {b.IP(y), a.IP(x)}} {
+// setPartitionBetween cuts or joins two clusters.
+func setPartitionBetween(a, b *Cluster, cut bool) {
+	for _, x := range a.nodeNames("edge") {
+		for _, y := range b.nodeNames("edge") {
+			for _, p := range [][2]string{{a.NodeIP(x), b.NodeIP(y)}, {b.NodeIP(y), a.NodeIP(x)}} {
 				if cut {
-					a.Net.Cut(p[0], p[1])
+					a.Network.Block(p[0], p[1])
 				} else {
-					a.Net.Join(p[0], p[1])
+					a.Network.Unblock(p[0], p[1])
 				}
 			}
 		}
 	}
 }
 
-// moving plays deferrable jobs that all want to move, with a fault at the
+// runFederated plays deferrable jobs that all want to move, with a fault at the
 // first line of a log that holds mark, and demands that each ends once.
-func moving(t *testing.T, mark string, fault func(a, b *Cluster), cancel, must bool) {
+func runFederated(t *testing.T, mark string, fault func(a, b *Cluster), cancel, must bool) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pairOf(t, 0.001, 1, 3, true)
-		defer a.End()
-		defer b.End()
+		a, b := newFederatedPair(t, 0.001, 1, 3, true)
+		defer a.Shutdown()
+		defer b.Shutdown()
 		struck := make(chan struct{})
 		var once sync.Once
 		see := func(line string) {
@@ -87,23 +87,23 @@
 		}()
 		// A record of some days in both; b must know that it stays free.
 		for i := range 12 {
-			a.HandIn(id(1000+i), job(50, 100, 1))
-			b.HandIn(id(2000+i), job(50, 100, 1))
+			a.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
+			b.SubmitJob(jobID(2000+i), newJob(50, 100, 1))
 			time.Sleep(500 * time.Millisecond)
 		}
 		// Fill a, so that deferrable jobs wait there and can move.
 		for i := range 8 {
-			a.HandIn(id(3000+i), job(6000, 4000, 1))
+			a.SubmitJob(jobID(3000+i), newJob(6000, 4000, 1))
 		}
 		const n = 6
 		for i := range n {
-			a.HandInAt("/slow/", id(i), job(400, 2000, 2))
+			a.SubmitJobUnder("/slow/", jobID(i), newJob(400, 2000, 2))
 			time.Sleep(100 * time.Millisecond)
 		}
 		if cancel {
 			for i := range n {
 				if i%2 == 0 {
-					go a.CancelAt("/slow/", "a-edge-1", id(i))
+					go a.CancelJobUnder("/slow/", "a-edge-1", jobID(i))
 				}
 			}
 		}
@@ -112,15 +112,15 @@
 			once.Do(func() { close(struck) })
 		}
 		for i := range n {
-			a.Until("job "+id(i)+" is over", 90*time.Second, func() bool {
-				st := a.StateAt("/slow/", "a-edge-2", id(i))
+			a.WaitUntil("job "+jobID(i)+" is over", 90*time.Second, func() bool {
+				st := a.JobStateUnder("/slow/", "a-edge-2", jobID(i))
 				return st == "done" || st == "called_off"
 			})
 		}
-		ran, moved := a.where(), 0
+		ran, moved := a.completedOn(), 0
 		for i := range n {
 			for x := range 2 {
-				task := fmt.Sprintf("%s.0.0.%d", id(i), x)
+				task := fmt.Sprintf("%s.0.0.%d", jobID(i), x)
 				if strings.HasPrefix(ran[task], "b-") {
 					moved++
 				}
@@ -134,32 +134,32 @@
 		if moved == 0 && must {
 			t.Error("nothing moved, so nothing was tried")
 		}
-		for _, w := range a.Hist.Broken() {
+		for _, w := range a.History.Violations() {
 			t.Error(w)
 		}
 	})
 }
 
-// where tells on which node each task was done.
-func (c *Cluster) where() map[string]string {
-	c.Hist.mu.Lock()
-	defer c.Hist.mu.Unlock()
+// completedOn tells on which node each task was done.
+func (c *Cluster) completedOn() map[string]string {
+	c.History.mu.Lock()
+	defer c.History.mu.Unlock()
 	out := map[string]string{}
-	for _, f := range c.Hist.Facts {
-		if f.Kind == "end" && f.How == "done" {
+	for _, f := range c.History.Events {
+		if f.Kind == "end" && f.Outcome == "done" {
 			out[f.Task] = f.Node
 		}
 	}
 	return out
 }
 
-// mean is how long jobs took from hand-in to the last end of their tasks.
-func (c *Cluster) mean(handed map[string]time.Time) time.Duration {
-	c.Hist.mu.Lock()
-	defer c.Hist.mu.Unlock()
+// meanCompletionTime is how long jobs took from hand-in to the last end of their tasks.
+func (c *Cluster) meanCompletionTime(handed map[string]time.Time) time.Duration {
+	c.History.mu.Lock()
+	defer c.History.mu.Unlock()
 	last := map[string]time.Time{}
-	for _, f := range c.Hist.Facts {
-		if j, _, _ := jobOf(f.Task); f.Kind == "end" && f.How == "done" {
+	for _, f := range c.History.Events {
+		if j, _, _ := splitTaskID(f.Task); f.Kind == "end" && f.Outcome == "done" {
 			last[j] = f.At
 		}
 	}
@@ -170,15 +170,15 @@
 	return sum / time.Duration(max(len(handed), 1))
 }
 
-func cutFor(d time.Duration) func(a, b *Cluster) {
+func partitionFor(d time.Duration) func(a, b *Cluster) {
 	return func(a, b *Cluster) {
-		cutAll(a, b, true)
+		setPartitionBetween(a, b, true)
 		time.Sleep(d)
-		cutAll(a, b, false)
+		setPartitionBetween(a, b, false)
 	}
 }
 
-func killLeader(of int) func(a, b *Cluster) {
+func killLeaderOf(of int) func(a, b *Cluster) {
 	return func(a, b *Cluster) {
 		c := []*Cluster{a, b}[of]
 		l := c.Leader()
@@ -191,43 +191,43 @@
 	}
 }
 
-// moveMarks are the lines of the log at which TestMoveAtEveryStep strikes.
-var moveMarks = []string{"move.borrowed", "move.offered", "word=taken", "word=done"}
+// moveEvents are the lines of the log at which TestMoveAtEveryStep strikes.
+var moveEvents = []string{"move.borrowed", "move.offered", "word=taken", "word=done"}
 
 // TestMoveAtEveryStep strikes at each step of a hand-over: room lent, offered,
 // taken, ended, with cuts of two lengths and the loss of either leader.
 func TestMoveAtEveryStep(t *testing.T) {
-	for _, mark := range moveMarks {
-		for name, f := range map[string]func(a, b *Cluster){"cut": cutFor(3 * time.Second), "long cut": cutFor(25 * time.Second), "source": killLeader(0), "target": killLeader(1)} {
-			t.Run(mark+"/"+name, func(t *testing.T) { moving(t, mark, f, false, strings.HasPrefix(mark, "word=")) })
+	for _, mark := range moveEvents {
+		for name, f := range map[string]func(a, b *Cluster){"cut": partitionFor(3 * time.Second), "long cut": partitionFor(25 * time.Second), "source": killLeaderOf(0), "target": killLeaderOf(1)} {
+			t.Run(mark+"/"+name, func(t *testing.T) { runFederated(t, mark, f, false, strings.HasPrefix(mark, "word=")) })
 		}
 	}
 }
 
-func TestMoveWithoutFault(t *testing.T) { moving(t, "", func(a, b *Cluster) {}, false, true) }
+func TestMoveWithoutFault(t *testing.T) { runFederated(t, "", func(a, b *Cluster) {}, false, true) }
 
 func TestCancelInMidMove(t *testing.T) {
-	for name, f := range map[string]func(a, b *Cluster){"calm": func(a, b *Cluster) {}, "cut": cutFor(5 * time.Second), "target": killLeader(1)} {
-		t.Run(name, func(t *testing.T) { moving(t, "move.offered", f, true, false) })
+	for name, f := range map[string]func(a, b *Cluster){"calm": func(a, b *Cluster) {}, "cut": partitionFor(5 * time.Second), "target": killLeaderOf(1)} {
+		t.Run(name, func(t *testing.T) { runFederated(t, "move.offered", f, true, false) })
 	}
 }
 
 // peak plays some short days whose rush has urgent and deferrable work, and
 // gives what urgent senders saw on the last one.
-type seen struct {
+type peakResult struct {
 	median, worst time.Duration
 	late, urgent  int
-	done, twice   int
+	done, doubled int
 	lost, away    int
 	deferred      time.Duration // mean, from hand-in to its last end
 }
 
-func peak(t *testing.T, on, both, wrong bool) seen {
-	var out seen
+func playPeak(t *testing.T, on, both, wrong bool) peakResult {
+	var out peakResult
 	synctest.Test(t, func(t *testing.T) {
-		a, b := pairOf(t, 0.5, 2, 40, on)
-		defer a.End()
-		defer b.End()
+		a, b := newFederatedPair(t, 0.5, 2, 40, on)
+		defer a.Shutdown()
+		defer b.Shutdown()
 		var mu sync.Mutex
 		var took []time.Duration
 		var slow []string
@@ -241,14 +241,14 @@
 				at := time.Since(begin)
 				rush := at > 14*time.Second && at < 24*time.Second && !(wrong && day == 3)
 				next++
-				urgent := id(next)
+				urgent := jobID(next)
 				for _, c := range []*Cluster{a, b} {
 					if c == b {
 						if !(both && rush) {
-							b.HandIn(id(100000+next), job(200, 300, 1))
+							b.SubmitJob(jobID(100000+next), newJob(200, 300, 1))
 							continue
 						}
-						b.HandIn(id(100000+next), job(400, 2000, 12))
+						b.SubmitJob(jobID(100000+next), newJob(400, 2000, 12))
 						continue
 					}
 					n := 1
@@ -259,8 +259,8 @@
 					go func() {
 						defer all.Done()
 						from := time.Now()
-						a.HandIn(urgent, job(400, 1500, n))
-						for a.State("a-edge-1", urgent) != "done" && time.Since(from) < 30*time.Second {
+						a.SubmitJob(urgent, newJob(400, 1500, n))
+						for a.JobState("a-edge-1", urgent) != "done" && time.Since(from) < 30*time.Second {
 							time.Sleep(50 * time.Millisecond)
 						}
 						if day == 3 && rush {
@@ -273,8 +273,8 @@
 				if at > 6*time.Second && at < 22*time.Second && time.Since(last) >= time.Second {
 					next++
 					last = time.Now()
-					d := id(next)
-					a.HandInAt("/slow/", d, job(3000, 2500, 2))
+					d := jobID(next)
+					a.SubmitJobUnder("/slow/", d, newJob(3000, 2500, 2))
 					if day == 3 {
 						slow = append(slow, d)
 						handed[d] = time.Now()
@@ -295,9 +295,9 @@
 			}
 		}
 		for _, d := range slow {
-			a.Until(d+" ends", 90*time.Second, func() bool { return a.StateAt("/slow/", "a-edge-2", d) == "done" })
+			a.WaitUntil(d+" ends", 90*time.Second, func() bool { return a.JobStateUnder("/slow/", "a-edge-2", d) == "done" })
 		}
-		ran := a.where()
+		ran := a.completedOn()
 		for _, d := range slow {
 			for x := range 2 {
 				switch n := ran[fmt.Sprintf("%s.0.0.%d", d, x)]; {
@@ -311,10 +311,10 @@
 				}
 			}
 		}
-		out.deferred = a.mean(handed)
-		for _, w := range a.Hist.Broken() {
+		out.deferred = a.meanCompletionTime(handed)
+		for _, w := range a.History.Violations() {
 			if strings.HasPrefix(w, "TWICE") {
-				out.twice++
+				out.doubled++
 			}
 			t.Error(w)
 		}
@@ -324,18 +324,18 @@
 
 // TestPeakWithAndWithoutMoving is the measurement of docs/foresee.md.
 func TestPeakWithAndWithoutMoving(t *testing.T) {
-	off, on := peak(t, false, false, false), peak(t, true, false, false)
+	off, on := playPeak(t, false, false, false), playPeak(t, true, false, false)
 	for _, x := range []struct {
 		name string
-		s    seen
+		s    peakResult
 	}{{"off", off}, {"on", on}} {
 		t.Logf("moving %s: urgent median %v, worst tenth %v, late %d of %d; deferred tasks done %d, away %d, doubled %d, lost %d, mean time %v",
-			x.name, x.s.median, x.s.worst, x.s.late, x.s.urgent, x.s.done, x.s.away, x.s.twice, x.s.lost, x.s.deferred)
+			x.name, x.s.median, x.s.worst, x.s.late, x.s.urgent, x.s.done, x.s.away, x.s.doubled, x.s.lost, x.s.deferred)
 	}
 	if on.away == 0 {
 		t.Error("nothing moved")
 	}
-	if off.away != 0 || off.lost+on.lost+off.twice+on.twice > 0 {
+	if off.away != 0 || off.lost+on.lost+off.doubled+on.doubled > 0 {
 		t.Error("moved while off, lost or doubled")
 	}
 	// Why a fifth: urgent work is kept whole by priorities either way; moving
@@ -350,19 +350,19 @@
 
 // TestPeakOnBothMovesNothing: a peer that is about to be crowded lends nothing.
 func TestPeakOnBothMovesNothing(t *testing.T) {
-	s := peak(t, true, true, false)
-	t.Logf("peak on both: away %d, late %d of %d, lost %d, doubled %d", s.away, s.late, s.urgent, s.lost, s.twice)
-	if s.lost > 0 || s.twice > 0 || s.away > 0 {
-		t.Errorf("lost %d, doubled %d, away %d", s.lost, s.twice, s.away)
+	s := playPeak(t, true, true, false)
+	t.Logf("peak on both: away %d, late %d of %d, lost %d, doubled %d", s.away, s.late, s.urgent, s.lost, s.doubled)
+	if s.lost > 0 || s.doubled > 0 || s.away > 0 {
+		t.Errorf("lost %d, doubled %d, away %d", s.lost, s.doubled, s.away)
 	}
 }
 
 // TestPeakThatDoesNotCome: a wrong forecast moves jobs for nothing, and loses
 // none.
 func TestPeakThatDoesNotCome(t *testing.T) {
-	s := peak(t, true, false, true)
-	t.Logf("peak that does not come: away %d, lost %d, doubled %d", s.away, s.lost, s.twice)
-	if s.lost > 0 || s.twice > 0 {
-		t.Errorf("lost %d, doubled %d", s.lost, s.twice)
+	s := playPeak(t, true, false, true)
+	t.Logf("peak that does not come: away %d, lost %d, doubled %d", s.away, s.lost, s.doubled)
+	if s.lost > 0 || s.doubled > 0 {
+		t.Errorf("lost %d, doubled %d", s.lost, s.doubled)
 	}
 }
--- a/internal/sim/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -15,20 +15,20 @@
 // acknowledged; it gives the life that leaves.
 func (c *Cluster) SignOff(name string) string {
 	c.T.Helper()
-	life, _ := c.Runners[name].beat()
-	c.Until("the sign-off of "+name+" is acknowledged", 3*time.Second, func() bool {
-		code, _, _ := c.call(http.MethodPost, "http://"+c.IP(name)+":8166/-/Runners.SignOff/"+life, "", "", nil)
+	life, _ := c.Runners[name].heartbeat()
+	c.WaitUntil("the sign-off of "+name+" is acknowledged", 3*time.Second, func() bool {
+		code, _, _ := c.request(http.MethodPost, "http://"+c.NodeIP(name)+":8166/-/Runners.SignOff/"+life, "", "", nil)
 		return code == 200
 	})
 	return life
 }
 
 // seen gives the facts of a kind about a life, after a moment.
-func (h *History) seen(kind, life string, after time.Time) (out []Fact) {
+func (h *History) seen(kind, life string, after time.Time) (out []Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, f := range h.Facts {
-		if f.Kind == kind && f.Life == life && f.At.After(after) {
+	for _, f := range h.Events {
+		if f.Kind == kind && f.Incarnation == life && f.At.After(after) {
 			out = append(out, f)
 		}
 	}
@@ -52,38 +52,38 @@
 // signsOff has a runner that is full of tasks of so many ms sign off and end.
 func signsOff(t *testing.T, ms int, how string, bounce bool) {
 	t.Helper()
-	c := Build(t, three)
-	defer c.End()
-	c.Ready()
+	c := NewCluster(t, threeServers)
+	defer c.Shutdown()
+	c.WaitReady()
 	// They fill the room of all three runners.
-	c.HandIn(id(0), job(ms, 2000, 12))
+	c.SubmitJob(jobID(0), newJob(ms, 2000, 12))
 	time.Sleep(500 * time.Millisecond)
 	signed := time.Now()
 	life := c.SignOff("side-1")
-	c.HandIn(id(1), job(300, 1000, 6))
+	c.SubmitJob(jobID(1), newJob(300, 1000, 6))
 	if bounce {
 		c.Kill("side-1")
 		time.Sleep(200 * time.Millisecond)
 		c.Start("side-1", 1)
 	}
 	time.Sleep(drainTime - time.Since(signed))
-	ends := c.Hist.seen("end", life, signed)
+	ends := c.History.seen("end", life, signed)
 	if len(ends) != 4 {
 		t.Errorf("%d runs ended before the runner did, want 4", len(ends))
 	}
 	for _, f := range ends {
-		if after := f.At.Sub(signed); f.How != how || how == "stopped" && after < drainTime/2 {
-			t.Errorf("%s ended %s %v after the sign-off, want %s", f.Task, f.How, after, how)
+		if after := f.At.Sub(signed); f.Outcome != how || how == "stopped" && after < drainTime/2 {
+			t.Errorf("%s ended %s %v after the sign-off, want %s", f.Task, f.Outcome, after, how)
 		}
 	}
-	for _, f := range c.Hist.seen("start", life, signed.Add(50*time.Millisecond)) {
+	for _, f := range c.History.seen("start", life, signed.Add(50*time.Millisecond)) {
 		t.Errorf("%s is started on a runner that signed off", f.Task)
 	}
 	c.Runners["side-1"].Crash()
 	for i := range 2 {
-		c.Until("job "+id(i)+" is done", 30*time.Second, func() bool { return c.State("edge-4", id(i)) == "done" })
+		c.WaitUntil("job "+jobID(i)+" is done", 30*time.Second, func() bool { return c.JobState("edge-4", jobID(i)) == "done" })
 	}
-	for _, b := range c.Hist.Broken() {
+	for _, b := range c.History.Violations() {
 		t.Error(b)
 	}
 }
--- a/internal/sim/main_test.go
+++ b/internal/simulation/main_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// child is set in the environment of the process that plays one test.
-const child = "TEALPOND_SIM_CHILD"
+// childEnvironment is set in the environment of the process that plays one test.
+const childEnvironment = "TEALPOND_SIM_CHILD"
 
 // TestMain plays each test in a process of its own that runs on one P, several
 // side by side. Why: under the race detector the timers of a synctest bubble
@@ -30,24 +30,24 @@
 	for _, f := range []string{"test.run", "test.list", "test.bench", "test.fuzz", "test.cpuprofile"} {
 		named = named || flag.Lookup(f).Value.String() != ""
 	}
-	if os.Getenv(child) != "" || named {
+	if os.Getenv(childEnvironment) != "" || named {
 		os.Exit(m.Run())
 	}
-	os.Exit(each())
+	os.Exit(runEachTest())
 }
 
-// parts splits a test whose subtests are many into processes by their first
+// splitTests splits a test whose subtests are many into processes by their first
 // names.
-var parts = map[string][]string{
-	"TestMoveAtEveryStep": moveMarks,
+var splitTests = map[string][]string{
+	"TestMoveAtEveryStep": moveEvents,
 	"TestStormyDay":       {"1", "2", "3", "4", "5"},
 	"TestFarBehind":       {"1", "2"},
-	"TestLeaderCutOff":    harms,
-	"TestFollowerCutOff":  harms,
+	"TestLeaderCutOff":    isolations,
+	"TestFollowerCutOff":  isolations,
 }
 
-// each plays all tests and gives the exit code: 1 if one failed, or none ran.
-func each() int {
+// runEachTest plays all tests and gives the exit code: 1 if one failed, or none ran.
+func runEachTest() int {
 	raw, err := exec.Command(os.Args[0], "-test.list", ".").Output()
 	if err != nil {
 		fmt.Println("FAIL: the tests can't be listed:", err)
@@ -58,7 +58,7 @@
 		if !strings.HasPrefix(n, "Test") {
 			continue
 		}
-		if ps := parts[n]; len(ps) > 0 {
+		if ps := splitTests[n]; len(ps) > 0 {
 			for _, p := range ps {
 				names = append(names, "^"+n+"$/^"+regexp.QuoteMeta(p)+"$")
 			}
@@ -71,7 +71,7 @@
 		return 1
 	}
 	// Why the longest first: the whole then ends soonest.
-	sort.SliceStable(names, func(a, b int) bool { return weight(names[a]) > weight(names[b]) })
+	sort.SliceStable(names, func(a, b int) bool { return startRank(names[a]) > startRank(names[b]) })
 	var mu sync.Mutex
 	bad := 0
 	gate := make(chan struct{}, max(runtime.NumCPU()/2, 1))
@@ -81,7 +81,7 @@
 		gate <- struct{}{}
 		go func() {
 			defer func() { <-gate; all.Done() }()
-			out, took, err := play(n)
+			out, took, err := runChild(n)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -101,8 +101,8 @@
 	return 0
 }
 
-// weight tells roughly how long a test takes.
-func weight(n string) int {
+// startRank tells roughly how long a test takes.
+func startRank(n string) int {
 	for i, s := range []string{"TestFarBehind", "TestMoveAtEveryStep", "TestCancelInMidMove", "TestPeak", "TestStormyDay"} {
 		if strings.Contains(n, s) {
 			return i + 1
@@ -111,14 +111,14 @@
 	return 0
 }
 
-// skipped is the pattern of tests that are passed over, as -skip says.
-func skipped() string { return flag.Lookup("test.skip").Value.String() }
+// skipPattern is the pattern of tests that are passed over, as -skip says.
+func skipPattern() string { return flag.Lookup("test.skip").Value.String() }
 
-func play(name string) ([]byte, time.Duration, error) {
+func runChild(name string) ([]byte, time.Duration, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer stop()
-	q := exec.CommandContext(ctx, os.Args[0], "-test.run", name, "-test.skip", skipped(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
-	q.Env = append(os.Environ(), child+"=1", "GOMAXPROCS=1")
+	q := exec.CommandContext(ctx, os.Args[0], "-test.run", name, "-test.skip", skipPattern(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
+	q.Env = append(os.Environ(), childEnvironment+"=1", "GOMAXPROCS=1")
 	var out bytes.Buffer
 	q.Stdout, q.Stderr = &out, &out
 	from := time.Now()
--- a/internal/sim/operator_test.go
+++ b/internal/simulation/operator_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// TestOperatorsMeetACutOffDaemon: for 20 s a daemon is cut off while changes are
+// TestOperatorsUseAnIsolatedServer: for 20 s a daemon is cut off while changes are
 // made elsewhere. Operators that meet it are answered within the second, later
 // at once; they are given nothing old and refused nothing. It isn't ready, and
 // soon is again.
-func TestOperatorsMeetACutOffDaemon(t *testing.T) {
+func TestOperatorsUseAnIsolatedServer(t *testing.T) {
 	leader := func(c *Cluster) string { return c.Leader() }
 	follower := func(c *Cluster) string {
 		l := c.Leader()
-		for _, n := range c.names("edge")[:3] {
+		for _, n := range c.nodeNames("edge")[:3] {
 			if n != l {
 				return n
 			}
@@ -25,8 +25,8 @@
 		return ""
 	}
 	diskless := func(c *Cluster) string { return "edge-4" }
-	all := func(c *Cluster) []string { return c.names("") }
-	core := func(c *Cluster) []string { return c.names("edge")[:3] }
+	all := func(c *Cluster) []string { return c.nodeNames("") }
+	core := func(c *Cluster) []string { return c.nodeNames("edge")[:3] }
 	for _, k := range []struct {
 		name string
 		who  func(*Cluster) string
@@ -35,9 +35,9 @@
 		{"follower from the core", follower, core}, {"daemon without a disk from the core", diskless, core}} {
 		t.Run(k.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := Build(t, three)
-				defer c.End()
-				c.Ready()
+				c := NewCluster(t, threeServers)
+				defer c.Shutdown()
+				c.WaitReady()
 				who := k.who(c)
 				var others, edges []string
 				for _, n := range k.from(c) {
@@ -45,44 +45,44 @@
 						others = append(others, n)
 					}
 				}
-				for _, n := range c.names("edge") {
+				for _, n := range c.nodeNames("edge") {
 					if n != who {
 						edges = append(edges, n)
 					}
 				}
-				c.Island(who, true, others...)
+				c.SetPartition(who, true, others...)
 				newest := 1
 				for begun := time.Now(); time.Since(begun) < 20*time.Second; time.Sleep(300 * time.Millisecond) {
-					if try := edges[newest%len(edges)]; c.Put(try, newest+1, newest, "") == http.StatusOK {
+					if try := edges[newest%len(edges)]; c.PutConfiguration(try, newest+1, newest, "") == http.StatusOK {
 						newest++
 					}
 					// What was sent to a leader that fell silent takes longer.
 					most := 900 * time.Millisecond
 					if time.Since(begun) > 4*time.Second {
 						most = 400 * time.Millisecond
-						if c.readiness(who) == http.StatusOK {
+						if c.readinessStatus(who) == http.StatusOK {
 							t.Errorf("ready after %v", time.Since(begun))
 						}
 					}
-					c.meetsNothingOld(who, newest, most)
+					c.requireNoStaleAnswer(who, newest, most)
 				}
 				if newest < 5 {
 					t.Errorf("only %d changes were made meanwhile", newest-1)
 				}
-				c.Island(who, false, others...)
-				c.Until("the newest is read", 3*time.Second, func() bool { return c.readAt(who) == newest })
-				c.Until("ready again", 3*time.Second, func() bool { return c.readiness(who) == http.StatusOK })
+				c.SetPartition(who, false, others...)
+				c.WaitUntil("the newest is read", 3*time.Second, func() bool { return c.configurationVersionAt(who) == newest })
+				c.WaitUntil("ready again", 3*time.Second, func() bool { return c.readinessStatus(who) == http.StatusOK })
 			})
 		})
 	}
 }
 
-// meetsNothingOld has operators read from a daemon and send to it; answers may
+// requireNoStaleAnswer has operators read from a daemon and send to it; answers may
 // take so long.
-func (c *Cluster) meetsNothingOld(at string, newest int, most time.Duration) {
+func (c *Cluster) requireNoStaleAnswer(at string, newest int, most time.Duration) {
 	c.T.Helper()
 	begun := time.Now()
-	if got := c.readAt(at); got >= 100 && got < 500 || got > 0 && got < 100 && got != newest {
+	if got := c.configurationVersionAt(at); got >= 100 && got < 500 || got > 0 && got < 100 && got != newest {
 		c.T.Errorf("a read gives %d, the newest is %d", got, newest)
 	}
 	if took := time.Since(begun); took > most {
@@ -90,7 +90,7 @@
 	}
 	begun = time.Now()
 	// What was taken at first: a leader says so again, all others say nothing.
-	if got := c.Put(at, 1, 0, ""); got != http.StatusOK && got < 500 {
+	if got := c.PutConfiguration(at, 1, 0, ""); got != http.StatusOK && got < 500 {
 		c.T.Errorf("what was taken is answered with %d", got)
 	}
 	if took := time.Since(begun); took > most {
@@ -98,9 +98,9 @@
 	}
 }
 
-// readAt gives the version that a daemon's read brings, or the code, or 0.
-func (c *Cluster) readAt(at string) int {
-	code, raw, _ := c.call(http.MethodGet, "http://"+c.IP(at)+":8166/-/Config.Read", "", "", nil)
+// configurationVersionAt gives the version that a daemon's read brings, or the code, or 0.
+func (c *Cluster) configurationVersionAt(at string) int {
+	code, raw, _ := c.request(http.MethodGet, "http://"+c.NodeIP(at)+":8166/-/Config.Read", "", "", nil)
 	if code != http.StatusOK {
 		return code
 	}
@@ -111,36 +111,36 @@
 	return version
 }
 
-func (c *Cluster) readiness(at string) int {
-	code, _, _ := c.call(http.MethodGet, "http://"+c.IP(at)+":8167/-/readiness", "", "", nil)
+func (c *Cluster) readinessStatus(at string) int {
+	code, _, _ := c.request(http.MethodGet, "http://"+c.NodeIP(at)+":8167/-/readiness", "", "", nil)
 	return code
 }
 
-// TestOrdersSentAgainLongAfter: each of many changes is confirmed again by every
+// TestChangesResentLongAfter: each of many changes is confirmed again by every
 // daemon, after others, after a change of leader, and after all were killed; no
 // second change on a used version is.
-func TestOrdersSentAgainLongAfter(t *testing.T) {
+func TestChangesResentLongAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := Build(t, three)
-		defer c.End()
-		c.Ready()
+		c := NewCluster(t, threeServers)
+		defer c.Shutdown()
+		c.WaitReady()
 		const changes = 60
-		edges := c.names("edge")
+		edges := c.nodeNames("edge")
 		for v := 1; v < changes; v++ {
-			c.Until("a change is taken", 5*time.Second, func() bool { return c.Put(edges[v%len(edges)], v+1, v, "") == http.StatusOK })
+			c.WaitUntil("a change is taken", 5*time.Second, func() bool { return c.PutConfiguration(edges[v%len(edges)], v+1, v, "") == http.StatusOK })
 		}
 		again := func(when string) {
 			t.Helper()
 			for v := 0; v < changes; v += 7 {
 				for _, at := range edges {
-					c.Until(when, 10*time.Second, func() bool {
-						got := c.Put(at, v+1, v, "")
+					c.WaitUntil(when, 10*time.Second, func() bool {
+						got := c.PutConfiguration(at, v+1, v, "")
 						if got != http.StatusOK && got > 0 && got < 500 {
 							t.Errorf("%s: change %d at %s: %d", when, v+1, at, got)
 						}
 						return got == http.StatusOK
 					})
-					if got := c.Put(at, changes+1, v, ""); got == http.StatusOK {
+					if got := c.PutConfiguration(at, changes+1, v, ""); got == http.StatusOK {
 						t.Errorf("%s: a second change on %d was confirmed at %s", when, v, at)
 					}
 				}
@@ -151,13 +151,13 @@
 		c.Kill(l)
 		edges = without(edges, l)
 		again("after a change of leader")
-		for _, n := range without(c.names(""), l) {
+		for _, n := range without(c.nodeNames(""), l) {
 			c.Kill(n)
 		}
-		for _, n := range c.names("") {
+		for _, n := range c.nodeNames("") {
 			c.Start(n, 1)
 		}
-		edges = c.names("edge")
+		edges = c.nodeNames("edge")
 		again("after all were killed")
 	})
 }
--- a/internal/store/cancel.go
+++ b/internal/state/cancel_job.go
@@ -1,4 +1,4 @@
-package store
+package state
 
 // Cancel calls a job off.
 type Cancel struct {
@@ -6,7 +6,7 @@
 	ID string
 }
 
-func init() { register("cancel", func() Cmd { return &Cancel{} }) }
+func init() { registerCommand("cancel", func() Command { return &Cancel{} }) }
 
 // Apply stops all its runs; a job that is over stays as it ended.
 func (c *Cancel) Apply(s *Store) Outcome {
@@ -14,14 +14,14 @@
 	if j == nil {
 		return Outcome{Code: 410}
 	}
-	if j.Off || j.ended() {
+	if j.Canceled || j.ended() {
 		return Outcome{Code: 200}
 	}
-	if j.away() {
+	if j.atPeer() {
 		// Why not yet: the peer may run it, and must have stopped first.
-		j.Move.Cancel = true
+		j.Transfer.CancelRequested = true
 		return Outcome{Code: 202}
 	}
-	s.callOff(j)
+	s.cancelJob(j)
 	return Outcome{Code: 200}
 }
