--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,190 @@
+package state
+
+import (
+	"bytes"
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpond/internal/clusterconfig"
+	"tealpond/internal/golden"
+	"tealpond/internal/protocol"
+)
+
+// rows encodes commands and the rows of tables.
+var rows = golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}
+
+// filledJob gives a job, as clients send it, whose fields differ.
+func filledJob() protocol.Job {
+	return protocol.Job{Spec: "spec", PeriodicInstances: 101, FirstRunMs: 102, IntervalMs: 103, Steps: []protocol.Step{{
+		TaskCount: 1, CPUUnits: 112, MemoryMB: 113, GPUs: 114, EstimateMs: 115, DependsOn: []int{116}, Checkpoints: true, SameRack: true,
+		RequiredLabels: protocol.Labels{"label"}, PreferredRack: "rack", MaxPerWorker: 117, LongRunning: true}}}
+}
+
+// filledCommands gives commands whose fields differ, by their registered names;
+// what follows a slash tells several of one kind apart.
+func filledCommands() []golden.Case {
+	job, resources := filledJob(), protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123}
+	return []golden.Case{
+		{Name: "accept", Value: &AcceptJob{Peer: "peer", OfferID: 1, ID: "id", Route: "route", Loan: "loan", Job: job}},
+		{Name: "agree", Value: &ConfirmDigest{Index: 1, Digest: 2, ProgramVersion: "program"}},
+		{Name: "appoint", Value: &AppointAggregator{Aggregator: ZoneAggregator{Zone: "zone", Revision: 1, Member: "disk", Address: "address", Standby: "next", StandbyAddress: "next-address"}, BaseRevision: 2}},
+		{Name: "book", Value: &ApplyPlans{Plans: []Plan{{Job: "job", Instance: 1, Step: 2, AllOrNothing: true, Placements: []Placement{{TaskIndex: 3, Copy: 4, Worker: "worker", WorkerVersion: 5}}}}}},
+		{Name: "cancel", Value: &Cancel{ID: "id"}},
+		{Name: "eligible/draining", Value: &SetEligibility{ID: "id", Draining: true, LeavesInMs: 1}},
+		{Name: "eligible/gone", Value: &SetEligibility{ID: "id", Leaving: true, LeavesInMs: 1}},
+		{Name: "eligible/sick", Value: &SetEligibility{ID: "id", Unhealthy: true, LeavesInMs: 1}},
+		{Name: "ends", Value: &ReportCompletions{Worker: "worker", Fence: 1, Completions: []protocol.Completion{{Sequence: 2, Task: "task", Run: 3, Result: "how", Checkpoint: "saved"}},
+			Checkpoints: []protocol.RunProgress{{Task: "task", Run: 4, Checkpoint: "saved", Percent: 5}}, FromOldest: true}},
+		{Name: "halt", Value: &StopRuns{Allocations: []uint64{1, 2}, Reason: "why"}},
+		{Name: "handin", Value: &SubmitJob{Host: "host", Path: "path", ID: "id", Job: job, DemandBucket: 1}},
+		{Name: "lapse", Value: &ExpireLeases{Workers: []FencedWorker{{ID: "id", Fence: 1}}}},
+		{Name: "lend", Value: &LendCapacity{ID: "id", Peer: "peer", Service: "service", MilliCPU: 1, MinMilliCPU: 2, DurationMs: 3, Slices: 4, SliceMilliCPU: 5}},
+		{Name: "limits", Value: &SetLimits{Limits: Limits{JobRetentionMs: 1, MaxReplans: 2, RemoteFactor: 3.5}}},
+		{Name: "mint", Value: &SetEpoch{Epoch: "epoch"}},
+		{Name: "offer", Value: &OfferJob{Job: "job", Peer: "peer"}},
+		{Name: "release", Value: &ReleaseJob{Peer: "peer", OfferID: 1, ID: "id"}},
+		{Name: "replace", Value: &ReplaceConfiguration{BaseVersion: 1, Raw: []byte("text")}},
+		{Name: "settle", Value: &SettleTransfer{Job: "job", OfferID: 1, Peer: "peer", Epoch: "epoch", Index: 2, Answer: "what"}},
+		{Name: "sweep", Value: &CollectGarbage{RebuildRollups: true}},
+		{Name: "takeup", Value: &RegisterWorker{ID: "id", Node: "node", AgentProcess: "life", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: resources,
+			Draining: true, LeavesInMs: 1, ReplacesFence: 2}},
+		{Name: "void", Value: &VoidOffer{Peer: "peer", OfferID: 1, ID: "id", Cancel: true}},
+	}
+}
+
+// TestCommandBytes holds each registered command against the golden bytes.
+func TestCommandBytes(t *testing.T) {
+	commands := filledCommands()
+	golden.Check(t, "commands.txt", rows, commands)
+	covered := map[string]bool{}
+	for _, c := range commands {
+		kind, _, _ := strings.Cut(c.Name, "/")
+		covered[kind] = true
+		if commandConstructors[kind] == nil || reflect.TypeOf(commandConstructors[kind]()) != reflect.TypeOf(c.Value) {
+			t.Errorf("%T is not what is registered as %s", c.Value, kind)
+		}
+	}
+	for _, kind := range CommandNames() {
+		if !covered[kind] {
+			t.Errorf("no bytes of the command %s", kind)
+		}
+	}
+}
+
+// TestCommandNames holds the names under which commands stand in the log, and the
+// version of the state, against the golden list.
+func TestCommandNames(t *testing.T) {
+	names := CommandNames()
+	slices.Sort(names)
+	golden.Text(t, "names.txt", fmt.Sprintf("version %d\ncommand %s\n", FormatVersion, strings.Join(names, "\ncommand ")))
+}
+
+// TestEntryBytes holds an entry of the log with all commands, and an outcome,
+// against the golden bytes.
+func TestEntryBytes(t *testing.T) {
+	entry := Batch{Clock: 1, WallClock: 2}
+	for _, c := range filledCommands() {
+		kind, _, _ := strings.Cut(c.Name, "/")
+		entry.Commands = append(entry.Commands, EncodeCommand(kind, c.Value.(Command)))
+	}
+	golden.Check(t, "entries.txt", rows, []golden.Case{
+		{Name: "entry", Value: &entry},
+		{Name: "outcome", Value: &Outcome{Code: 200, Text: "text", Value: 1}},
+	})
+}
+
+// TestRowBytes holds the rows of the tables against the golden bytes.
+func TestRowBytes(t *testing.T) {
+	worker := func(set func(*Worker)) *Worker {
+		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123},
+			UsedMilliCPU: 1, UsedMemoryMB: 2, Fence: 3, AgentProcess: "life", LeavesAt: 4, Version: 5, LastCompletion: 6, BackoffUntil: 7}
+		set(w)
+		return w
+	}
+	job := func(set func(*Job)) *Job {
+		j := &Job{ID: "id", Sequence: 1, Route: "route", Service: "service", Priority: 2, MaxAttempts: 3, Stretch: 4.5, TargetMs: 5, Spec: "spec", Steps: filledJob().Steps,
+			PeriodicInstances: 6, FirstRunMs: 7, IntervalMs: 8, CreatedAt: 9, NextInstance: 10, EndedAt: 11,
+			Instances: []*JobInstance{{Number: 12, CreatedAt: 13, StepsLeft: 14, Failed: true, Steps: []StepState{{Ready: true, ReadyAt: 15, LastBookedAt: 16, CompletedAt: 17, TasksLeft: 18, GangFailures: 19, LastFailedRun: 20,
+				DoneRunsMs: 21, DoneRuns: 22, Tasks: []Task{{LastRun: 23, Failures: 24, Done: true, Checkpoint: "saved", Allocations: []uint64{25}}}}}}},
+			Transfer: JobTransfer{Peer: "peer", OfferID: 26, State: TransferAccepted, CancelRequested: true, Loan: "loan", OfferCount: 27}}
+		set(j)
+		return j
+	}
+	golden.Check(t, "rows.txt", rows, []golden.Case{
+		{Name: "worker-draining", Value: worker(func(w *Worker) { w.Draining = true })},
+		{Name: "worker-sick", Value: worker(func(w *Worker) { w.Unhealthy = true })},
+		{Name: "worker-lost", Value: worker(func(w *Worker) { w.LeaseExpired = true })},
+		{Name: "worker-dead", Value: worker(func(w *Worker) { w.Dead = true })},
+		{Name: "device", Value: &Device{ID: "id", Class: "class", Worker: "worker", Healthy: true, Reservations: []Reservation{{Allocation: 31, From: 32, To: 33}}}},
+		{Name: "allocation", Value: &Allocation{ID: 41, Worker: "worker", Job: "job", Instance: 42, Step: 43, TaskIndex: 44, Copy: 45, Run: 46, MilliCPU: 47, MemoryMB: 48, GPUs: []string{"gpu"},
+			BookedAt: 49, Stopping: true, StopReason: "why", Checkpoint: "saved"}},
+		{Name: "job-canceled", Value: job(func(j *Job) { j.Canceled = true })},
+		{Name: "job-failed", Value: job(func(j *Job) { j.Failed = true })},
+		{Name: "job-begun", Value: job(func(j *Job) { j.Started = true })},
+		{Name: "job-done", Value: job(func(j *Job) { j.Done = true })},
+		{Name: "move-guest", Value: &JobTransfer{Peer: "peer", OfferID: 51, State: TransferReleased, Incoming: true, Loan: "loan", OfferCount: 52}},
+		{Name: "peer", Value: &PeerProgress{Epoch: "epoch", Index: 61}},
+		{Name: "loan", Value: &Loan{ID: "id", Peer: "peer", Service: "service", Slices: []string{"slice"}, MilliCPU: 71, From: 72, To: 73}},
+		{Name: "rollup", Value: &Rollup{TotalMilliCPU: 81, AllocatableMilliCPU: 82, UsedMilliCPU: 83, TotalMemoryMB: 84, AllocatableMemoryMB: 85, UsedMemoryMB: 86, TotalGPUs: 87, UsedGPUs: 88, Draining: 89, Unreachable: 90, RebuiltAt: 91}},
+		{Name: "flaps", Value: &CrashBackoff{Crashes: 1.5, UpdatedAt: 92}},
+		{Name: "configurations", Value: &ConfigurationHistory{Accepted: []ConfigurationRecord{{BaseVersion: 93, Version: 94, Digest: ConfigurationDigest{95}}}, Refused: []ConfigurationRecord{{BaseVersion: 96, Version: 97, Digest: ConfigurationDigest{98}}}}},
+	})
+}
+
+// TestStateBytes holds a saved state, with a row in each table, against the
+// golden bytes, and reads it again.
+func TestStateBytes(t *testing.T) {
+	s := New(Limits{JobRetentionMs: 1, MaxReplans: 2, RemoteFactor: 3.5})
+	s.AppliedIndex, s.Clock, s.WallClock, s.Origin, s.LastID, s.LastJobSequence, s.Epoch, s.DigestChain, s.DigestChainFrom = 11, 12, 13, 14, 15, 16, "epoch", 17, 18
+	route, service := clusterconfig.Route{Name: "route", HostName: "host", PathPrefix: "/path/", TargetService: "service"}, clusterconfig.Service{Name: "service", EnforcesResources: true}
+	s.Configuration = clusterconfig.Config{Version: 21, Routes: []clusterconfig.Route{route}, Services: []clusterconfig.Service{service}, Raw: []byte("text")}
+	s.ConfigurationHistory.recordAccepted(22, 23, ConfigurationDigest{24})
+	s.ConfigurationHistory.recordRefused(25, ConfigurationDigest{26})
+	s.Routes["route"], s.Services["service"] = &route, service
+	s.Workers["worker"] = &Worker{ID: "worker", Service: "service", Capacity: protocol.Resources{CPUUnits: 31, MemoryMB: 32, GPUs: 33}}
+	s.Devices["device"] = &Device{ID: "device", Class: ClassGPU, Worker: "worker", Reservations: []Reservation{{Allocation: 34, From: 35, To: 36}}}
+	s.Allocations[34] = &Allocation{ID: 34, Worker: "worker", Job: "job", MilliCPU: 37, MemoryMB: 38}
+	s.Jobs["job"] = &Job{ID: "job", Route: "route", Service: "service", Steps: filledJob().Steps,
+		Instances: []*JobInstance{{StepsLeft: 1, Steps: []StepState{{Ready: true, TasksLeft: 1, Tasks: []Task{{LastRun: 39, Allocations: []uint64{34}}}}}}}}
+	s.Rollups["service"] = &Rollup{TotalMilliCPU: 41}
+	s.Peers, s.VoidedOffers = map[string]*PeerProgress{"peer": {Epoch: "peer-epoch", Index: 42}}, map[string]int64{"peer/job": 43}
+	s.Loans = map[string]*Loan{"loan": {ID: "loan", Peer: "peer", MilliCPU: 44}}
+	s.Demand = map[string]map[int64]float64{"route": {45: 46.5}}
+	s.Aggregators, s.CrashBackoffs = map[string]ZoneAggregator{"zone": {Zone: "zone", Revision: 47}}, map[string]CrashBackoff{"node": {Crashes: 1.5, UpdatedAt: 48}}
+
+	tables := reflect.ValueOf(*s)
+	for i := range tables.NumField() {
+		if field := tables.Type().Field(i); field.IsExported() && tables.Field(i).IsZero() {
+			t.Errorf("%s is empty", field.Name)
+		}
+	}
+	saved := s.EncodeSnapshot()
+	golden.Text(t, "state.txt", fmt.Sprintf("state %s\n", hex.EncodeToString(saved)))
+	loaded, err := DecodeSnapshot(saved, Limits{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(loaded.EncodeSnapshot(), saved) {
+		t.Error("what was saved and loaded is not saved alike")
+	}
+}
+
+// TestStoredWords holds the numbers and words that stand in rows against the
+// golden list.
+func TestStoredWords(t *testing.T) {
+	golden.Text(t, "words.txt", fmt.Sprintf(`device gpu %s
+device turn %s
+device loan %s
+move none %d
+move offered %d
+move taken %d
+move released %d
+booking open-end %d
+`, ClassGPU, ClassTaskLock, ClassLoanSlice, TransferNone, TransferOffered, TransferAccepted, TransferReleased, Forever))
+}
--- /dev/null
+++ b/internal/state/replace_configuration.go
@@ -0,0 +1,105 @@
+package state
+
+import (
+	"bytes"
+
+	"tealpond/internal/clusterconfig"
+)
+
+// ReplaceConfiguration puts a configuration in force that was built on version Base. Raw is
+// the text as the operator sent it.
+type ReplaceConfiguration struct {
+	_           struct{} `cbor:",toarray"`
+	BaseVersion int64
+	Raw         []byte
+}
+
+func init() { registerCommand("replace", func() Command { return &ReplaceConfiguration{} }) }
+
+// Texts of the answers to orders that aren't put in force.
+const (
+	textKnown           = "known"
+	textNotCurrent      = "another version is in place"
+	textVersionNotAbove = "configVersion is not above the current one"
+	textForgotten       = "too long ago to tell whether it was taken: read the configuration"
+)
+
+// Apply decides in the order of the log: of two changes on the same version
+// only the first is accepted. The very same order (base and text, which holds
+// its version) has the same answer each time: 200 if it was accepted, a refusal
+// if it was refused, and 504, which is no clear answer, if it is older than
+// what is remembered.
+func (c *ReplaceConfiguration) Apply(s *Store) Outcome {
+	if outcome, decided := c.alreadyDecided(s); decided {
+		return outcome
+	}
+	next, err := clusterconfig.Parse(c.Raw)
+	if err != nil {
+		return Outcome{Code: 400, Text: err.Error()}
+	}
+	if next.Version <= s.Configuration.Version {
+		return Outcome{Code: 400, Text: textVersionNotAbove, Value: s.Configuration.Version}
+	}
+	s.ConfigurationHistory.recordAccepted(c.BaseVersion, next.Version, configurationDigest(c.Raw))
+	s.applyConfiguration(next)
+	return Outcome{Code: 200, Value: next.Version}
+}
+
+// alreadyDecided answers an order that was decided before or lost its race; all that
+// is left is built on the current version.
+func (c *ReplaceConfiguration) alreadyDecided(s *Store) (Outcome, bool) {
+	current := s.Configuration.Version
+	digest := configurationDigest(c.Raw)
+	notCurrent := Outcome{Code: 412, Text: textNotCurrent, Value: current}
+	if record, ok := s.ConfigurationHistory.acceptedOn(c.BaseVersion); ok {
+		if record.Digest == digest {
+			return Outcome{Code: 200, Text: textKnown, Value: record.Version}, true
+		}
+		return notCurrent, true
+	}
+	if forgotten := s.ConfigurationHistory.forgottenVersion(current); c.BaseVersion < forgotten {
+		return c.decideForgotten(s, forgotten, notCurrent), true
+	}
+	switch {
+	case c.BaseVersion > current:
+		// It is refused for good: if its base comes into force later, a copy
+		// that was late on its way must not be accepted after all.
+		s.ConfigurationHistory.recordRefused(c.BaseVersion, digest)
+		return notCurrent, true
+	case c.BaseVersion < current || s.ConfigurationHistory.wasRefused(c.BaseVersion, digest):
+		return notCurrent, true
+	}
+	return Outcome{}, false
+}
+
+// decideForgotten answers an order on a base older than all that is
+// remembered. It was accepted only if its version isn't above that.
+func (c *ReplaceConfiguration) decideForgotten(s *Store, forgotten int64, notCurrent Outcome) Outcome {
+	if len(s.ConfigurationHistory.Accepted) == 0 && bytes.Equal(c.Raw, s.Configuration.Raw) {
+		return Outcome{Code: 200, Text: textKnown, Value: s.Configuration.Version}
+	}
+	if order, err := clusterconfig.Parse(c.Raw); err != nil || order.Version > forgotten {
+		return notCurrent
+	}
+	return Outcome{Code: 504, Text: textForgotten, Value: s.Configuration.Version}
+}
+
+// applyConfiguration puts a configuration in force; open jobs follow it.
+func (s *Store) applyConfiguration(next *clusterconfig.Config) {
+	s.Configuration = *next
+	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
+	for i := range s.Configuration.Routes {
+		route := s.Configuration.Routes[i]
+		s.Routes[route.Name] = &route
+	}
+	for _, service := range s.Configuration.Services {
+		s.Services[service.Name] = service
+	}
+	for _, job := range s.openJobs {
+		if route := s.Routes[job.Route]; route != nil {
+			job.Service, job.Priority, job.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
+			job.Stretch, job.TargetMs = route.Stretch, route.TargetMs
+		}
+	}
+	s.rebuildIndex()
+}
--- a/internal/store/limits.go
+++ b/internal/state/set_limits.go
@@ -1,4 +1,4 @@
-package store
+package state
 
 // SetLimits puts a leader's limits in force, on all replicas at one index, and
 // begins the chain of sums if the state has none.
@@ -7,14 +7,14 @@
 	Limits Limits
 }
 
-func init() { register("limits", func() Cmd { return &SetLimits{} }) }
+func init() { registerCommand("limits", func() Command { return &SetLimits{} }) }
 
 // Apply keeps the newest.
 func (c *SetLimits) Apply(s *Store) Outcome {
 	// Begun by the log, not by a program's start: a state that was saved
 	// without a chain is loaded at another index on each replica.
-	if s.ChainFrom == 0 {
-		s.ChainFrom = s.Applied
+	if s.DigestChainFrom == 0 {
+		s.DigestChainFrom = s.AppliedIndex
 	}
 	s.Limits = c.Limits
 	return Outcome{Code: 200}
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -14,7 +14,7 @@
 	bolt "go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
 
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 const (
@@ -155,7 +155,7 @@
 			db, err = nil, corrupt("file", "%v", r)
 		}
 	}()
-	db, err = bolt.Open(path, fileMode, &bolt.Options{Timeout: tune.DiskLock, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, OpenFile: fs.openFile})
+	db, err = bolt.Open(path, fileMode, &bolt.Options{Timeout: tuning.StorageLockTimeout, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, OpenFile: fs.openFile})
 	if err != nil {
 		return nil, unavailable("open", err)
 	}
@@ -261,7 +261,7 @@
 }
 
 func (fs fileSystem) openWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
-	pause := tune.DiskRetry
+	pause := tuning.StorageRetryBackoff
 	reason := ""
 	for {
 		results := make(chan openResult, 1)
@@ -284,13 +284,13 @@
 		if sleep(ctx, pause); ctx.Err() != nil {
 			return nil, Recovered{}, reason, ctx.Err()
 		}
-		pause = min(2*pause, tune.DiskRetryMost)
+		pause = min(2*pause, tuning.MaxStorageRetryBackoff)
 	}
 }
 
 // awaitOpen waits for one attempt. An attempt that outlives ctx closes what it got.
 func awaitOpen(ctx context.Context, results chan openResult, onWait func(error)) (openResult, error) {
-	ticker := time.NewTicker(tune.DiskSay)
+	ticker := time.NewTicker(tuning.StorageWarningInterval)
 	defer ticker.Stop()
 	startedAt := time.Now()
 	for {
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -17,7 +17,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // newStoreFile makes a folder with a file that holds a vote and entries.
@@ -304,7 +304,7 @@
 		if err != nil || why != "" || h.ID != id {
 			t.Fatalf("%v %q %+v", err, why, h)
 		}
-		if said < 19+2 || widest > tune.DiskSay+tune.DiskRetryMost {
+		if said < 19+2 || widest > tuning.StorageWarningInterval+tuning.MaxStorageRetryBackoff {
 			t.Errorf("said %d times, once %v apart", said, widest)
 		}
 		_ = d.Close()
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -7,7 +7,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // A snapshot is written in frames under a number of its own, its generation: a
@@ -37,7 +37,7 @@
 
 func newSnapshotWriter(snapshot *raft.Snapshot, generation uint64) *snapshotWriter {
 	size := uint64(len(snapshot.Data))
-	header := snapshotHeader{Snapshot: *snapshot, Generation: generation, FrameCount: (size + tune.SnapshotFrame - 1) / tune.SnapshotFrame,
+	header := snapshotHeader{Snapshot: *snapshot, Generation: generation, FrameCount: (size + tuning.SnapshotFrameBytes - 1) / tuning.SnapshotFrameBytes,
 		Size: size, Checksum: crc32.Checksum(snapshot.Data, castagnoli)}
 	header.Snapshot.Data = nil
 	return &snapshotWriter{snapshot: snapshot, header: header}
@@ -46,7 +46,7 @@
 // nextBatch is the end of the frames that the next transaction writes, and whether
 // they are the last.
 func (w *snapshotWriter) nextBatch() (uint64, bool) {
-	end := min(w.nextFrame+tune.SnapshotFrames, w.header.FrameCount)
+	end := min(w.nextFrame+tuning.SnapshotFramesPerTransaction, w.header.FrameCount)
 	return end, end == w.header.FrameCount
 }
 
@@ -67,9 +67,9 @@
 	}
 	frames.FillPercent = 1
 	for i := w.nextFrame; i < end; i++ {
-		start := i * tune.SnapshotFrame
+		start := i * tuning.SnapshotFrameBytes
 		frameKey := encodeKey(i)
-		if err := frames.Put(frameKey, withChecksum(frameKey, w.snapshot.Data[start:min(start+tune.SnapshotFrame, w.header.Size)])); err != nil {
+		if err := frames.Put(frameKey, withChecksum(frameKey, w.snapshot.Data[start:min(start+tuning.SnapshotFrameBytes, w.header.Size)])); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/snapshot_test.go
+++ b/internal/storage/snapshot_test.go
@@ -10,7 +10,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 func randomBytes(seed int64, size int) []byte {
@@ -95,7 +95,7 @@
 			if !switched {
 				t.Fatal("the new snapshot was never in force")
 			}
-			if most := len(c.point.Data)/(tune.SnapshotFrame*tune.SnapshotFrames) + 7; steps > most {
+			if most := len(c.point.Data)/(tuning.SnapshotFrameBytes*tuning.SnapshotFramesPerTransaction) + 7; steps > most {
 				t.Errorf("%d transactions, want %d at most", steps, most)
 			}
 			d, h := reopen(t, d, dir)
@@ -126,7 +126,7 @@
 			return b.Put(encodeKey(5), withChecksum(encodeKey(5), []byte("more")))
 		},
 		"of another snapshot": func(b *bolt.Bucket) error {
-			return b.Put(encodeKey(2), withChecksum(encodeKey(2), randomBytes(9, tune.SnapshotFrame)))
+			return b.Put(encodeKey(2), withChecksum(encodeKey(2), randomBytes(9, tuning.SnapshotFrameBytes)))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // inbox takes jobs from the caller at any time, so that a disk that stalls or
@@ -64,7 +64,7 @@
 	var queue writeQueue
 	pending := inbox{ready: make(chan struct{}, 1)}
 	go pending.receive(ctx, requests)
-	pause, lastReport := tune.DiskRetry, time.Time{}
+	pause, lastReport := tuning.StorageRetryBackoff, time.Time{}
 	for ctx.Err() == nil {
 		if queue.empty() {
 			select {
@@ -82,15 +82,15 @@
 		}
 		done, err := s.commitNext(&queue)
 		if err != nil {
-			if now := time.Now(); now.Sub(lastReport) >= tune.DiskSay {
+			if now := time.Now(); now.Sub(lastReport) >= tuning.StorageWarningInterval {
 				lastReport = now
 				report(nil, unavailable("write", err))
 			}
 			sleep(ctx, pause)
-			pause = min(2*pause, tune.DiskRetryMost)
+			pause = min(2*pause, tuning.MaxStorageRetryBackoff)
 			continue
 		}
-		pause, lastReport = tune.DiskRetry, time.Time{}
+		pause, lastReport = tuning.StorageRetryBackoff, time.Time{}
 		s.markProgress()
 		if queue.empty() {
 			s.lastProgress.Store(nil)
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -12,7 +12,7 @@
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // runningStore starts Run on a disk whose transactions end with fault while it is
@@ -31,7 +31,7 @@
 }
 
 func startStore(t *testing.T, d *Store) *runningStore {
-	r := &runningStore{in: make(chan WriteRequest, tune.DiskInbox), store: d}
+	r := &runningStore{in: make(chan WriteRequest, tuning.StorageQueueLength), store: d}
 	d.commit = func(f func(*bolt.Tx) error) error {
 		r.mu.Lock()
 		r.attempts++
@@ -117,7 +117,7 @@
 		r.sendEntries(t, 1, 10)
 		synctest.Wait()
 		r.failWith(syscall.ENOSPC)
-		const most = tune.DiskInbox * 5 / 2
+		const most = tuning.StorageQueueLength * 5 / 2
 		r.sendEntries(t, 11, most)
 		time.Sleep(9*time.Second + 900*time.Millisecond)
 		release := r.quiesce()
@@ -132,7 +132,7 @@
 		}
 		release()
 		r.failWith(nil)
-		time.Sleep(tune.DiskRetryMost)
+		time.Sleep(tuning.MaxStorageRetryBackoff)
 		r.checkAndStop(t, most)
 	})
 }
@@ -143,7 +143,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := startStore(t, d)
 		r.stalled = make(chan struct{})
-		r.sendEntries(t, 1, 3*tune.DiskInbox)
+		r.sendEntries(t, 1, 3*tuning.StorageQueueLength)
 		time.Sleep(4 * time.Second)
 		release := r.quiesce()
 		if b := d.WriteLag(time.Now()); b < 4*time.Second || len(r.completed) != 0 {
@@ -151,7 +151,7 @@
 		}
 		release()
 		close(r.stalled)
-		r.checkAndStop(t, 3*tune.DiskInbox)
+		r.checkAndStop(t, 3*tuning.StorageQueueLength)
 	})
 }
 
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -20,7 +20,7 @@
 	"storj.io/drpc/drpcstream"
 	"storj.io/drpc/drpcwire"
 
-	"tealpond/internal/tune"
+	"tealpond/internal/tuning"
 )
 
 // Error is the class of faults of streams.
@@ -121,7 +121,7 @@
 }
 
 func newStream(addr string, cancel context.CancelFunc) *Stream {
-	return &Stream{Addr: addr, outbox: make(chan *Frame, tune.StreamInbox), done: make(chan struct{}), cancel: cancel}
+	return &Stream{Addr: addr, outbox: make(chan *Frame, tuning.StreamQueueLength), done: make(chan struct{}), cancel: cancel}
 }
 
 // pump moves frames both ways until the stream ends.
@@ -153,8 +153,8 @@
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		WriterBufferSize: 4096,
-		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: tune.FrameBytes},
-		Stream:           drpcstream.Options{SplitSize: 64 << 10, MaximumBufferSize: tune.FrameBytes},
+		Reader:           drpcwire.ReaderOptions{MaximumBufferSize: tuning.MaxFrameBytes},
+		Stream:           drpcstream.Options{SplitSize: 64 << 10, MaximumBufferSize: tuning.MaxFrameBytes},
 	}
 }
 
@@ -265,13 +265,13 @@
 
 // Dial opens a connection that notices a cut.
 func (tcpNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: tune.Dial, Control: UserTimeoutControl(tune.UserTimeout), KeepAlive: -1}
+	dialer := net.Dialer{Timeout: tuning.DialTimeout, Control: UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
 // Listen opens a port.
 func (tcpNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
-	config := net.ListenConfig{Control: UserTimeoutControl(tune.UserTimeout), KeepAlive: -1}
+	config := net.ListenConfig{Control: UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
 	return config.Listen(ctx, "tcp", addr)
 }
 
