--- /dev/null
+++ b/internal/tuning/membership.go
@@ -0,0 +1,25 @@
+package tuning
+
+import "time"
+
+// Membership of daemons without a vote.
+const (
+	// MembershipLeaseDuration is how long a daemon's membership lasts without a
+	// renewal.
+	MembershipLeaseDuration = 15 * time.Second
+	// MembershipRenewInterval is the time between two renewals of the membership
+	// of a daemon that serves clients.
+	MembershipRenewInterval = 1500 * time.Millisecond
+	// AgentMembershipRenewInterval is the time between two renewals of an
+	// agent's membership. The leader hears of agents by their lease renewals
+	// anyway.
+	AgentMembershipRenewInterval = 5 * time.Second
+	// LeaderContactTimeout is how long ago a daemon that reports itself as ready
+	// may have heard the leader. One renewal, and an election during the next,
+	// fit in.
+	LeaderContactTimeout = 3 * time.Second
+	// RedirectLeaderContactTimeout is how long ago the leader may have answered
+	// for operators to be redirected to it. One renewal and its response fit in,
+	// a missed one doesn't.
+	RedirectLeaderContactTimeout = MembershipRenewInterval + RequestAttemptTimeout
+)
--- /dev/null
+++ b/internal/tuning/raft.go
@@ -0,0 +1,59 @@
+package tuning
+
+import "time"
+
+// Elections and the leader's lease.
+const (
+	// HeartbeatInterval is the time between two heartbeats of an idle leader.
+	// Five fit into ElectionTimeout, so a lost one does no harm.
+	HeartbeatInterval = 80 * time.Millisecond
+	// ElectionTimeout is the shortest silence of the leader after which a
+	// follower starts an election. It is far above a time slice of a shared
+	// processor and far below a worker's lease.
+	ElectionTimeout = 400 * time.Millisecond
+	// ElectionTimeoutJitter is the most that is added to ElectionTimeout, at
+	// random, so that two followers rarely start an election together.
+	ElectionTimeoutJitter = 200 * time.Millisecond
+	// LeaderLeaseFraction is the part of ElectionTimeout during which a leader
+	// relies on the last answers of a majority. The rest covers the drift
+	// between monotonic clocks.
+	LeaderLeaseFraction = 0.85
+	// QuorumLossTimeout is the silence of a majority after which a leader steps
+	// down.
+	QuorumLossTimeout = 650 * time.Millisecond
+)
+
+// The log and its replication.
+const (
+	// MaxInflightEntries is the number of entries that may be on their way to
+	// one follower.
+	MaxInflightEntries = 512
+	// MaxAppendBytes is the largest size of one append, in bytes. A larger one
+	// would delay the heartbeat behind it.
+	MaxAppendBytes = 256 << 10
+	// GroupCommitIntervalPerVoter is, for each other voter, the least time
+	// between two entries. Commands that arrive within it share an entry, so
+	// that a voter sends and receives fewer than a thousand messages a second
+	// at any load. Longer groups (12 ms with three voters) delayed responses.
+	GroupCommitIntervalPerVoter = time.Millisecond
+	// SnapshotInterval is the number of entries between two snapshots. Replaying
+	// as many takes well under a second on a small core.
+	SnapshotInterval = 3000
+	// SnapshotTrailingEntries is the number of entries before a snapshot that
+	// stay in the log, so that a voter that was away briefly needs no snapshot.
+	SnapshotTrailingEntries = 1000
+)
+
+// Changes of the voters.
+const (
+	// VoterReplacementTimeout is the silence of a voter after which a candidate
+	// that has caught up may take its place. It is above the time of any restart
+	// and below the operators' bound catchUpS.
+	VoterReplacementTimeout = 2500 * time.Millisecond
+	// CandidateContactTimeout is the longest silence of a candidate that may
+	// still take a voter's place: a dozen heartbeats.
+	CandidateContactTimeout = time.Second
+	// CandidateExpiry is the silence after which a candidate is forgotten. It is
+	// above any pause between its announcements.
+	CandidateExpiry = 10 * time.Second
+)
--- /dev/null
+++ b/internal/tuning/shutdown.go
@@ -0,0 +1,24 @@
+package tuning
+
+import "time"
+
+// Orderly shutdown of a daemon.
+const (
+	// ShutdownWaitFraction is the part of the setting graceS for which a daemon
+	// that was told to end waits while the others need its vote. Requests under
+	// way then have half of graceS, and the process must be gone before all of
+	// it is over.
+	ShutdownWaitFraction = 0.4
+	// ShutdownWaitSlack is added to that time where the event loop itself may be
+	// late.
+	ShutdownWaitSlack = 200 * time.Millisecond
+	// ShutdownPollInterval is the time between two requests for permission to
+	// end.
+	ShutdownPollInterval = 50 * time.Millisecond
+	// LeadershipTransferTimeout is how long a leader that ends waits for another
+	// one to take over.
+	LeadershipTransferTimeout = 300 * time.Millisecond
+	// ShutdownExclusionPeriod is how long a daemon that announced its end is
+	// appointed to nothing.
+	ShutdownExclusionPeriod = 5 * time.Second
+)
