--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -84,7 +84,7 @@
 	defer ticker.Stop()
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, tuning.AgentMembershipRenewInterval)
-		a.discovery.Call(callCtx, rpc.KindMembership, rpc.MembershipLease{Node: a.settings.NodeName, Role: "side", Zone: a.settings.Zone, Addr: a.settings.AgentAddress(), Process: a.process})
+		a.discovery.Call(callCtx, rpc.KindRenewMembership, rpc.MembershipLease{Node: a.settings.NodeName, Role: "side", Zone: a.settings.Zone, Addr: a.settings.AgentAddress(), Process: a.process})
 		cancel()
 		select {
 		case <-ticker.C:
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -121,7 +121,7 @@
 	}
 	session.registering = true
 	heartbeat, drain := session.heartbeat, a.leaves(session)
-	a.requestLeader(rpc.KindBindRunner, &state.RegisterWorker{ID: session.id, Node: a.settings.NodeName, AgentProcess: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
+	a.requestLeader(rpc.KindRegisterWorker, &state.RegisterWorker{ID: session.id, Node: a.settings.NodeName, AgentProcess: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
 		Labels: heartbeat.Labels, Capacity: heartbeat.FreeResources, Draining: drain, LeavesInMs: a.leavesInMs(session), ReplacesFence: session.replacedFence}, 10*time.Second, func(response rpc.Response) {
 		if a.session != session {
 			return
--- a/internal/api/limits_test.go
+++ b/internal/api/limits_test.go
@@ -72,7 +72,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		go s.followLimits(ctx)
 		for _, version = range []int64{8, 8, 9, 8} {
-			s.Call(ctx, rpc.KindMembership, struct{}{})
+			s.Call(ctx, rpc.KindRenewMembership, struct{}{})
 			synctest.Wait()
 		}
 		if got := s.knownLimits(); got.version != 9 || got.bodyBytes != 9 || fetches != 2 {
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -39,7 +39,7 @@
 		if s.ready() {
 			t.Error("ready before any answer")
 		}
-		s.Call(t.Context(), rpc.KindMembership, struct{}{})
+		s.Call(t.Context(), rpc.KindRenewMembership, struct{}{})
 		if !s.ready() {
 			t.Error("not ready after an answer")
 		}
@@ -52,18 +52,18 @@
 			t.Error("ready without an answer for long")
 		}
 		delay = 20 * time.Second
-		s.Call(t.Context(), rpc.KindMembership, struct{}{})
+		s.Call(t.Context(), rpc.KindRenewMembership, struct{}{})
 		if s.ready() {
 			t.Error("ready by an answer to what was asked before a freeze")
 		}
 		delay = 0
-		s.Call(t.Context(), rpc.KindMembership, struct{}{})
+		s.Call(t.Context(), rpc.KindRenewMembership, struct{}{})
 		if !s.ready() {
 			t.Error("not ready again")
 		}
-		s.callLeader = respondByKind(map[string]rpc.Response{rpc.KindMembership: {Code: rpc.CodeNoLeader}})
+		s.callLeader = respondByKind(map[string]rpc.Response{rpc.KindRenewMembership: {Code: rpc.CodeNoLeader}})
 		time.Sleep(tuning.LeaderContactTimeout)
-		s.Call(t.Context(), rpc.KindMembership, struct{}{})
+		s.Call(t.Context(), rpc.KindRenewMembership, struct{}{})
 		if s.ready() {
 			t.Error("ready by an answer that no leader gave")
 		}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -149,7 +149,7 @@
 			if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeNoLeader || took > tuning.KnownNoLeaderWait+10*time.Millisecond {
 				t.Errorf("a client, long after the loss: code %d after %v", code, took)
 			}
-			if code, took := f.call(rpc.KindMembership, 3*time.Second); code != rpc.CodeNoLeader || took < tuning.LeaderWaitTimeout {
+			if code, took := f.call(rpc.KindRenewMembership, 3*time.Second); code != rpc.CodeNoLeader || took < tuning.LeaderWaitTimeout {
 				t.Errorf("a daemon's own ask: code %d after %v", code, took)
 			}
 		}
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -162,10 +162,10 @@
 		after   time.Duration
 		leaves  bool
 	}{
-		{"small ask", []rpc.Request{{Kind: rpc.KindMembership}}, 0, 600 * time.Millisecond, true},
-		{"small ask, answered in time", []rpc.Request{{Kind: rpc.KindMembership}}, 0, 400 * time.Millisecond, false},
+		{"small ask", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 600 * time.Millisecond, true},
+		{"small ask, answered in time", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 400 * time.Millisecond, false},
 		{"large order", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 900 * time.Millisecond, false},
-		{"small ask behind a large order", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}, {Kind: rpc.KindMembership}}, 0, 900 * time.Millisecond, false},
+		{"small ask behind a large order", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}, {Kind: rpc.KindRenewMembership}}, 0, 900 * time.Millisecond, false},
 		{"large order, too long", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 2500 * time.Millisecond, true},
 		{"read of what was large", []rpc.Request{{Kind: rpc.KindGetConfig}}, 190_000, 900 * time.Millisecond, false},
 		{"other ask where that was large", []rpc.Request{{Kind: rpc.KindJobStatus}}, 190_000, 900 * time.Millisecond, true},
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -8,13 +8,17 @@
 	"tealpond/internal/transport"
 )
 
-// Call asks one daemon once, on a connection of its own, and waits for at most
-// that long.
+// callID is the frame ID of the one request of a Call.
+const callID = 1
+
+// Call sends one request to one daemon, on a connection of its own, and waits for
+// the response for at most the timeout. The error is of class transport.Error, or
+// that of the context: whether the request had an effect is then unknown.
 func Call(ctx context.Context, addr, kind string, body []byte, timeout time.Duration) (Response, error) {
 	responses := make(chan Response, 1)
 	stream, err := transport.Dial(ctx, addr, func(event transport.Event) {
 		var response Response
-		if !event.Closed && event.Frame.Kind == FrameResponse && event.Frame.ID == 1 && transport.Decode(event.Frame.Body, &response) == nil {
+		if !event.Closed && event.Frame.Kind == FrameResponse && event.Frame.ID == callID && transport.Decode(event.Frame.Body, &response) == nil {
 			select {
 			case responses <- response:
 			default:
@@ -25,7 +29,7 @@
 		return Response{}, err
 	}
 	defer stream.Close()
-	stream.Send(transport.Frame{Kind: FrameRequest, ID: 1, Body: transport.Encode(Request{Kind: kind, Body: body})})
+	stream.Send(transport.Frame{Kind: FrameRequest, ID: callID, Body: transport.Encode(Request{Kind: kind, Body: body})})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -40,9 +44,10 @@
 	}
 }
 
-// HandleTrace answers KindTrace from a daemon's own ring buffer.
+// HandleTrace answers KindTrace from a daemon's own ring of events; id is the name
+// of the change.
 func HandleTrace(ring *tracing.Ring, node, role string, id []byte) Response {
 	result := TraceResult{Node: node, Role: role}
 	result.Marks, result.Since = ring.History(string(id))
-	return Response{Code: 200, Body: transport.Encode(result)}
+	return Response{Code: CodeOK, Body: transport.Encode(result)}
 }
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -8,8 +8,10 @@
 	"tealpond/internal/transport"
 )
 
-// testRoundTrip: a body that reads as a T is written and read again to the same bytes.
+// testRoundTrip checks that a body that decodes as a T encodes and decodes to the
+// same bytes again.
 func testRoundTrip[T any](t *testing.T, raw []byte) {
+	t.Helper()
 	var value T
 	if transport.Decode(raw, &value) != nil {
 		return
@@ -24,7 +26,7 @@
 	}
 }
 
-// FuzzMessages: the bodies that daemons send one another.
+// FuzzMessages covers the bodies that daemons send one another.
 func FuzzMessages(f *testing.F) {
 	f.Add(transport.Encode(Request{Kind: KindGetConfig, Body: []byte{1}}))
 	f.Add(transport.Encode(Response{Code: 200, Text: "x", Body: []byte{2}, AppliedIndex: 7}))
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -60,9 +60,9 @@
 	}{
 		{"frame consensus", FrameRaft}, {"frame request", FrameRequest}, {"frame response", FrameResponse}, {"frame order", FrameAssignments},
 		{"code not-leader", CodeNotLeader}, {"code unclear", CodeLeadershipLost}, {"code no-leader", CodeNoLeader}, {"code lost", CodeTimeout},
-		{"request leader-view", KindLeader}, {"request candidate", KindBootstrap}, {"request join", KindJoin}, {"request membership-claim", KindMembership},
+		{"request leader-view", KindLeader}, {"request candidate", KindBootstrap}, {"request join", KindJoin}, {"request membership-claim", KindRenewMembership},
 		{"request submit", KindSubmitJob}, {"request status", KindJobStatus}, {"request cancel", KindCancelJob}, {"request change-configuration", KindPutConfig},
-		{"request read-configuration", KindGetConfig}, {"request register-worker", KindBindRunner}, {"request renew-lease", KindRenewLease},
+		{"request read-configuration", KindGetConfig}, {"request register-worker", KindRegisterWorker}, {"request renew-lease", KindRenewLease},
 		{"request report-ends", KindReportCompletions}, {"request set-eligibility", KindSetEligibility}, {"request trace", KindTrace}, {"request tables", KindClusterState},
 		{"request members", KindListMembers}, {"request moves", KindFederationWork}, {"request command", KindPropose}, {"request peer", KindFederationCall},
 		{"request renew-leases", KindLeaseBatch}, {"request batch", KindBatch}, {"request leave", KindReleaseZones}, {"request limits", KindGetLimits},
--- /dev/null
+++ b/internal/rpc/request.go
@@ -0,0 +1,108 @@
+package rpc
+
+// Kinds of frames.
+const (
+	// FrameRaft carries a raft.Message between replicas.
+	FrameRaft = byte(iota + 1)
+	// FrameRequest carries a Request.
+	FrameRequest
+	// FrameResponse carries the Response to the request of the same frame ID.
+	FrameResponse
+	// FrameAssignments carries a list of Assignment from the leader to an agent.
+	FrameAssignments
+)
+
+// Request is a request from one daemon to another.
+type Request struct {
+	_    struct{} `cbor:",toarray"`
+	Kind string   // one of the Kind constants
+	Body []byte   // the encoded body that belongs to the kind
+}
+
+// Response is the answer to a Request.
+type Response struct {
+	_    struct{} `cbor:",toarray"`
+	Code int      // one of the Code constants, or another HTTP status
+	Text string   // the reason of a refusal, which a client may be shown
+	// Value is a number whose meaning depends on the kind: the version of a
+	// configuration, a fence, the length of a lease in ms.
+	Value  int64
+	Leader string // the address of the leader, with CodeNotLeader; empty if unknown
+	// RetryAfterMs is when a refused request may be repeated; 0 if that is not said.
+	RetryAfterMs  int64
+	Body          []byte // the encoded answer that belongs to the kind
+	ConfigVersion int64  // the newest version of the configuration; 0 if not said
+	// AppliedIndex is the log index that the answering replica had applied: a client that
+	// turns to another replica must not be shown an older state.
+	AppliedIndex uint64
+	// Aggregator is the address of the aggregator of the client's zone, and
+	// StandbyAggregator that of its standby; empty: the leader itself.
+	Aggregator        string
+	StandbyAggregator string
+}
+
+// Kinds of requests. Each comment names the bodies of the request and of the
+// response. The texts are those of the first version and stay, since daemons of
+// two versions talk to each other; that is why some differ from the names.
+const (
+	// KindLeader asks any daemon who leads: the caller's address as text,
+	// LeaderInfo.
+	KindLeader = "lead"
+	// KindBootstrap announces a candidate for the first cluster to a seed:
+	// BootstrapAnnouncement, BootstrapProposal.
+	KindBootstrap = "found"
+	// KindJoin asks the leader to make a server a voter or learner: raft.Member.
+	KindJoin = "join"
+	// KindRenewMembership renews a daemon's membership: MembershipLease.
+	KindRenewMembership = "claim"
+	// KindSubmitJob submits a job: JobRequest.
+	KindSubmitJob = "handin"
+	// KindJobStatus asks for the state of a job: JobRequest.
+	KindJobStatus = "status"
+	// KindCancelJob cancels a job: JobRequest.
+	KindCancelJob = "cancel"
+	// KindPutConfig replaces the cluster's configuration: ConfigUpdate.
+	KindPutConfig = "put"
+	// KindGetConfig asks for the cluster's configuration: Value is its version,
+	// the body its text.
+	KindGetConfig = "read"
+	// KindRegisterWorker registers a runner as a worker: state.RegisterWorker;
+	// Value is the worker's fence.
+	KindRegisterWorker = "takeup"
+	// KindRenewLease renews the lease of one worker: LeaseRenewal; Value is its
+	// length in ms.
+	KindRenewLease = "renew"
+	// KindReportCompletions reports runs that have ended: state.ReportCompletions;
+	// Value is the number up to which they are committed.
+	KindReportCompletions = "ends"
+	// KindSetEligibility says whether a worker takes new runs: state.SetEligibility.
+	KindSetEligibility = "eligible"
+	// KindTrace asks a daemon for what it remembers of a change: the change's name
+	// as text, TraceResult.
+	KindTrace = "trace"
+	// KindClusterState asks a server for its tables: ClusterState.
+	KindClusterState = "fleet"
+	// KindListMembers asks the leader for all daemons with a valid membership: a
+	// list of MembershipLease.
+	KindListMembers = "members"
+	// KindFederationWork is used within one process: federation.PendingWork.
+	KindFederationWork = "moves"
+	// KindPropose is used within one process and puts a command into the log:
+	// state.EncodedCommand.
+	KindPropose = "command"
+	// KindFederationCall carries a signed call of another cluster's leader:
+	// federation.Response.
+	KindFederationCall = "peer"
+	// KindLeaseBatch renews the leases of many workers: LeaseBatch, a list of
+	// MemberRefusal.
+	KindLeaseBatch = "grants"
+	// KindBatch carries several requests of agents: Batch, a list of Response in
+	// the same order.
+	KindBatch = "many"
+	// KindReleaseZones hands over the zones that a server aggregates for:
+	// ZoneRelease.
+	KindReleaseZones = "yield"
+	// KindGetLimits asks for the limits of the newest configuration: Value is its
+	// version, the body holds them.
+	KindGetLimits = "limits"
+)
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -13,7 +13,7 @@
 // aggregatedRequests are the requests of side daemons that a follower takes and
 // batches for the leader.
 var aggregatedRequests = map[string]bool{
-	rpc.KindRenewLease: true, rpc.KindBindRunner: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindMembership: true,
+	rpc.KindRenewLease: true, rpc.KindRegisterWorker: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindRenewMembership: true,
 }
 
 // leaderResponse is the leader's answer to one batch.
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -31,14 +31,14 @@
 	// Set here, since some handlers look others up in this table.
 	leaderHandlers = map[string]func(*Replica, []byte, *transport.Stream, replyFunc){
 		rpc.KindJoin:              (*Replica).handleJoin,
-		rpc.KindMembership:        (*Replica).handleRenewMembership,
+		rpc.KindRenewMembership:   (*Replica).handleRenewMembership,
 		rpc.KindSubmitJob:         (*Replica).handleSubmitJob,
 		rpc.KindJobStatus:         (*Replica).handleJobStatus,
 		rpc.KindCancelJob:         (*Replica).handleCancelJob,
 		rpc.KindPutConfig:         (*Replica).handlePutConfig,
 		rpc.KindGetConfig:         (*Replica).handleGetConfig,
 		rpc.KindGetLimits:         (*Replica).handleGetLimits,
-		rpc.KindBindRunner:        (*Replica).handleRegisterWorker,
+		rpc.KindRegisterWorker:    (*Replica).handleRegisterWorker,
 		rpc.KindRenewLease:        (*Replica).handleRenewLease,
 		rpc.KindReportCompletions: (*Replica).handleReportCompletions,
 		rpc.KindSetEligibility:    (*Replica).handleSetEligibility,
