--- a/internal/agent/completions_test.go
+++ b/internal/agent/completions_test.go
@@ -66,7 +66,7 @@
 		default:
 			t.Errorf("ask %s", kind)
 		}
-		return rpc.Response{Code: o.Code, Text: o.Text, Value: o.Value}
+		return rpc.Response{Code: int(o.Code), Text: o.Text, Value: o.Value}
 	}
 	f.session = &runnerSession{id: "w", fence: fence, listed: true, runs: map[string]*taskRun{}}
 	f.agent.session = f.session
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -267,7 +267,7 @@
 	if f.planAndBind(p) != 0 || len(p.Preemptions(f.store)) == 0 {
 		t.Fatal("urgent work that waits pushes nothing")
 	}
-	f.apply("cancel", &state.Cancel{ID: id})
+	f.apply("cancel", &state.CancelJob{ID: id})
 	f.planAndBind(p)
 	if ids := p.Preemptions(f.store); len(ids) > 0 {
 		t.Errorf("%d runs pushed for work that was called off", len(ids))
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -25,7 +25,7 @@
 // Propose puts a command of the mover's into the log.
 func (r *Replica) Propose(ctx context.Context, kind string, cmd state.Command) (state.Outcome, bool) {
 	a, ok := r.sendLocal(ctx, rpc.KindPropose, transport.Encode(state.EncodeCommand(kind, cmd)))
-	return state.Outcome{Code: a.Code, Text: a.Text, Value: a.Value}, ok && a.Code >= 100
+	return state.Outcome{Code: state.Code(a.Code), Text: a.Text, Value: a.Value}, ok && a.Code >= 100
 }
 
 // sendLocal sends a request to the loop of this process.
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -149,7 +149,7 @@
 			reply(rpc.Response{Code: rpc.CodeLeadershipLost})
 			return
 		}
-		reply(rpc.Response{Code: outcome.Code, Text: outcome.Text, Value: outcome.Value})
+		reply(rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value})
 	}
 }
 
@@ -229,7 +229,7 @@
 		return
 	}
 	r.trace.Record(id, "cancel ordered", int64(r.node.LastIndex()+1), "")
-	r.enqueueCommand("cancel", &state.Cancel{ID: id}, r.withTrace(id, "cancel settled", r.cancelReply(id, reply)))
+	r.enqueueCommand("cancel", &state.CancelJob{ID: id}, r.withTrace(id, "cancel settled", r.cancelReply(id, reply)))
 }
 
 // handlePutConfig replaces the configuration, if its base is still in force.
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -25,8 +25,6 @@
 	Plans []Plan
 }
 
-func init() { registerCommand("book", func() Command { return &ApplyPlans{} }) }
-
 // Replan makes a new plan for a step that lost a row; the placer sets it.
 var Replan func(s *Store, p Plan) (Plan, bool)
 
@@ -51,7 +49,7 @@
 			lost++
 		}
 	}
-	return Outcome{Code: 200, Value: int64(lost)}
+	return Outcome{Code: CodeOK, Value: int64(lost)}
 }
 
 func (s *Store) applyPlan(plan Plan) bool {
--- a/internal/state/appoint_aggregator.go
+++ b/internal/state/appoint_aggregator.go
@@ -20,13 +20,11 @@
 	BaseRevision uint64
 }
 
-func init() { registerCommand("appoint", func() Command { return &AppointAggregator{} }) }
-
 // Apply refuses a change made on an older view: of two only the first stands.
 func (c *AppointAggregator) Apply(s *Store) Outcome {
 	current := s.Aggregators[c.Aggregator.Zone]
 	if current.Revision != c.BaseRevision {
-		return Outcome{Code: 412, Value: int64(current.Revision)}
+		return Outcome{Code: CodePreconditionFailed, Value: int64(current.Revision)}
 	}
 	if s.Aggregators == nil {
 		s.Aggregators = map[string]ZoneAggregator{}
@@ -34,5 +32,5 @@
 	aggregator := c.Aggregator
 	aggregator.Revision = current.Revision + 1
 	s.Aggregators[aggregator.Zone] = aggregator
-	return Outcome{Code: 200, Value: int64(aggregator.Revision)}
+	return Outcome{Code: CodeOK, Value: int64(aggregator.Revision)}
 }
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -6,19 +6,64 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Outcome is the value that a command leaves for its caller.
-type Outcome struct {
-	_     struct{} `cbor:",toarray"`
-	Code  int
-	Text  string
-	Value int64
-}
-
-// Command is a command: the only thing that changes the state.
+// Command changes the state. Nothing else does: a command is proposed by the
+// leader, committed to the log and applied by each replica in the log's order.
+// Apply must be deterministic. It reads the state and the command only, never
+// a clock, a setting or a map's order, since replicas must stay equal.
 type Command interface {
 	Apply(s *Store) Outcome
 }
 
+// Names under which commands stand in the log. They were given before the Go
+// types got their present names, and they stay: logs of earlier versions and
+// messages between daemons of two versions hold them.
+const (
+	CommandAcceptJob            = "accept"
+	CommandAppointAggregator    = "appoint"
+	CommandApplyPlans           = "book"
+	CommandCancelJob            = "cancel"
+	CommandCollectGarbage       = "sweep"
+	CommandConfirmDigest        = "agree"
+	CommandExpireLeases         = "lapse"
+	CommandLendCapacity         = "lend"
+	CommandOfferJob             = "offer"
+	CommandRegisterWorker       = "takeup"
+	CommandReleaseJob           = "release"
+	CommandReplaceConfiguration = "replace"
+	CommandReportCompletions    = "ends"
+	CommandSetEligibility       = "eligible"
+	CommandSetEpoch             = "mint"
+	CommandSetLimits            = "limits"
+	CommandSettleTransfer       = "settle"
+	CommandStopRuns             = "halt"
+	CommandSubmitJob            = "handin"
+	CommandVoidOffer            = "void"
+)
+
+// commandConstructors makes an empty command of each name, to decode into.
+var commandConstructors = map[string]func() Command{
+	CommandAcceptJob:            func() Command { return &AcceptJob{} },
+	CommandAppointAggregator:    func() Command { return &AppointAggregator{} },
+	CommandApplyPlans:           func() Command { return &ApplyPlans{} },
+	CommandCancelJob:            func() Command { return &CancelJob{} },
+	CommandCollectGarbage:       func() Command { return &CollectGarbage{} },
+	CommandConfirmDigest:        func() Command { return &ConfirmDigest{} },
+	CommandExpireLeases:         func() Command { return &ExpireLeases{} },
+	CommandLendCapacity:         func() Command { return &LendCapacity{} },
+	CommandOfferJob:             func() Command { return &OfferJob{} },
+	CommandRegisterWorker:       func() Command { return &RegisterWorker{} },
+	CommandReleaseJob:           func() Command { return &ReleaseJob{} },
+	CommandReplaceConfiguration: func() Command { return &ReplaceConfiguration{} },
+	CommandReportCompletions:    func() Command { return &ReportCompletions{} },
+	CommandSetEligibility:       func() Command { return &SetEligibility{} },
+	CommandSetEpoch:             func() Command { return &SetEpoch{} },
+	CommandSetLimits:            func() Command { return &SetLimits{} },
+	CommandSettleTransfer:       func() Command { return &SettleTransfer{} },
+	CommandStopRuns:             func() Command { return &StopRuns{} },
+	CommandSubmitJob:            func() Command { return &SubmitJob{} },
+	CommandVoidOffer:            func() Command { return &VoidOffer{} },
+}
+
 // EncodedCommand is a command as it stands in the log.
 type EncodedCommand struct {
 	_    struct{} `cbor:",toarray"`
@@ -26,117 +71,72 @@
 	Body []byte
 }
 
-// Batch is what one entry of the log holds.
+// Batch is the content of one entry of the log: commands that are applied one
+// after the other, at the times that the leader gave them.
 type Batch struct {
 	_         struct{} `cbor:",toarray"`
-	Clock     int64
-	WallClock int64
+	Clock     int64    // ms, the leader's monotonic clock of the cluster
+	WallClock int64    // ms since 1970
 	Commands  []EncodedCommand
 }
 
-// FormatVersion is the version of the state: of its tables, its commands and what they
-// do. It is raised with any change of these, so that replicas of two versions
-// aren't compared.
-const FormatVersion = 3
-
-var commandConstructors = map[string]func() Command{}
-
-func registerCommand(name string, create func() Command) { commandConstructors[name] = create }
-
-// EncodeCommand makes a command's line in the log.
+// EncodeCommand encodes a command for the log. It panics if no command is
+// registered under the name, since no replica could apply it.
 func EncodeCommand(name string, command Command) EncodedCommand {
 	if commandConstructors[name] == nil {
-		panic("store: unknown command " + name)
+		panic("state: unknown command " + name)
 	}
 	raw, err := cbor.Marshal(command)
 	if err != nil {
-		panic("store: " + err.Error())
+		panic("state: " + err.Error())
 	}
 	return EncodedCommand{Name: name, Body: raw}
 }
 
-// BindSnapshotIndex binds a state to the index of the snapshot that it came from. One
-// that holds no index yet (a new one, or one saved before indexes were kept)
-// takes it; any other must agree with its own.
-func (s *Store) BindSnapshotIndex(index uint64) error {
-	if s.AppliedIndex == 0 {
-		s.AppliedIndex = index
-	}
-	if s.AppliedIndex != index {
-		return fmt.Errorf("store: the state follows entry %d, its snapshot %d", s.AppliedIndex, index)
+// decodeCommand reads a command of the log. It panics if it can't: to pass the
+// command over would make this replica's state differ from the others'.
+func decodeCommand(encoded EncodedCommand) Command {
+	create := commandConstructors[encoded.Name]
+	if create == nil {
+		panic("state: unknown command in the log: " + encoded.Name)
 	}
-	return nil
-}
-
-// SkipEntry passes an entry of the log that holds no commands.
-func (s *Store) SkipEntry(index uint64) {
-	s.advanceIndex(index)
-	s.extendDigestChain(nil, nil)
-}
-
-// advanceIndex moves the state on to an entry, which must be the next.
-func (s *Store) advanceIndex(index uint64) {
-	// A panic, since going on would answer from a state that no log explains:
-	// this daemon must not lead, answer or save it.
-	if index != s.AppliedIndex+1 {
-		panic(fmt.Sprintf("store: entry %d does not follow the state, which has applied %d", index, s.AppliedIndex))
+	command := create()
+	if err := cbor.Unmarshal(encoded.Body, command); err != nil {
+		panic("state: unreadable command " + encoded.Name + ": " + err.Error())
 	}
-	s.AppliedIndex = index
+	return command
 }
 
-// ApplyEntry applies one entry of the log and gives the outcomes in order. The entry
-// must be the one after the last that was applied.
+// ApplyEntry applies one entry of the log and returns the outcomes of its
+// commands in order. It panics unless the entry is the one after the last that
+// was applied.
 func (s *Store) ApplyEntry(index uint64, data []byte) []Outcome {
 	s.advanceIndex(index)
 	var batch Batch
 	if err := cbor.Unmarshal(data, &batch); err != nil {
-		panic("store: unreadable entry: " + err.Error())
+		panic("state: unreadable entry: " + err.Error())
 	}
 	s.AdvanceClock(batch.Clock, batch.WallClock)
 	outcomes := make([]Outcome, len(batch.Commands))
 	for i, encoded := range batch.Commands {
-		create := commandConstructors[encoded.Name]
-		if create == nil {
-			panic("store: unknown command in the log: " + encoded.Name)
-		}
-		command := create()
-		if err := cbor.Unmarshal(encoded.Body, command); err != nil {
-			panic("store: unreadable command " + encoded.Name + ": " + err.Error())
-		}
-		outcomes[i] = command.Apply(s)
+		outcomes[i] = decodeCommand(encoded).Apply(s)
 	}
 	s.extendDigestChain(data, outcomes)
 	return outcomes
 }
 
-// canonicalEncoding is the encoding that is the same, byte for byte, for the same
-// state: the keys of maps are sorted.
-var canonicalEncoding = func() cbor.EncMode {
-	m, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode()
-	if err != nil {
-		panic("store: " + err.Error())
-	}
-	return m
-}()
-
-// EncodeSnapshot encodes the whole state. Two equal states give the same bytes.
-func (s *Store) EncodeSnapshot() []byte {
-	raw, err := canonicalEncoding.Marshal(s)
-	if err != nil {
-		panic("store: " + err.Error())
-	}
-	return raw
+// SkipEntry passes over an entry of the log that holds no commands.
+func (s *Store) SkipEntry(index uint64) {
+	s.advanceIndex(index)
+	s.extendDigestChain(nil, nil)
 }
 
-// DecodeSnapshot reads a state that Save wrote. The limits hold for one that has none:
-// an empty one, or one saved before they were part of the state.
-func DecodeSnapshot(raw []byte, limits Limits) (*Store, error) {
-	s := New(limits)
-	if len(raw) == 0 {
-		return s, nil
-	}
-	if err := s.decodeSnapshot(raw); err != nil {
-		return nil, err
+// advanceIndex moves the state on to an entry, which must be the next. It
+// panics otherwise, since going on would answer from a state that no log
+// explains: this daemon must not lead, answer or save it.
+func (s *Store) advanceIndex(index uint64) {
+	if index != s.AppliedIndex+1 {
+		panic(fmt.Sprintf("state: entry %d does not follow the state, which has applied %d", index, s.AppliedIndex))
 	}
-	return s, nil
+	s.AppliedIndex = index
 }
--- a/internal/state/configuration_history_test.go
+++ b/internal/state/configuration_history_test.go
@@ -24,7 +24,7 @@
 }
 
 // expect runs an order on a state and on a copy from its snapshot.
-func (f *fixture) expect(what string, c *ReplaceConfiguration, code int) {
+func (f *fixture) expect(what string, c *ReplaceConfiguration, code Code) {
 	f.t.Helper()
 	for from, at := range map[string]*fixture{"log": f, "snapshot": f.restored()} {
 		if o := at.apply("replace", c); o.Code != code {
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -53,12 +53,10 @@
 	ProgramVersion string // the version of the program that the sum holds for
 }
 
-func init() { registerCommand("agree", func() Command { return &ConfirmDigest{} }) }
-
 // Apply hands it to the daemon.
 func (c *ConfirmDigest) Apply(s *Store) Outcome {
 	s.confirmedDigests = append(s.confirmedDigests, *c)
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
 
 // TakeConfirmedDigests hands out the sums that were agreed on since.
--- a/internal/state/register_worker.go
+++ b/internal/state/register_worker.go
@@ -25,15 +25,13 @@
 	ReplacesFence int64
 }
 
-func init() { registerCommand("takeup", func() Command { return &RegisterWorker{} }) }
-
 // Apply raises the fence. A new life on a node ends the one before it, if its
 // side daemon knows of it: else 412, and N is the fence that it must name.
 func (c *RegisterWorker) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker != nil && worker.Dead {
 		// Why refused: a late beat of a crashed life must not bring it back.
-		return Outcome{Code: 409, Text: "this life is over"}
+		return Outcome{Code: CodeConflict, Text: "this life is over"}
 	}
 	var earlier []string
 	for id, other := range s.Workers {
@@ -44,7 +42,7 @@
 	sort.Strings(earlier)
 	for _, id := range earlier {
 		if fence := s.Workers[id].Fence; fence > c.ReplacesFence {
-			return Outcome{Code: 412, Text: "another life is here", Value: fence}
+			return Outcome{Code: CodePreconditionFailed, Text: "another life is here", Value: fence}
 		}
 	}
 	backoff := int64(0)
@@ -75,7 +73,7 @@
 	}
 	worker.Version++
 	s.reindexWorker(worker)
-	return Outcome{Code: 200, Value: worker.Fence}
+	return Outcome{Code: CodeOK, Value: worker.Fence}
 }
 
 // retireWorker closes all that a life held; it can't come back.
--- a/internal/state/replace_configuration.go
+++ b/internal/state/replace_configuration.go
@@ -14,8 +14,6 @@
 	Raw         []byte
 }
 
-func init() { registerCommand("replace", func() Command { return &ReplaceConfiguration{} }) }
-
 // Texts of the answers to orders that aren't put in force.
 const (
 	textKnown           = "known"
@@ -35,14 +33,14 @@
 	}
 	next, err := clusterconfig.Parse(c.Raw)
 	if err != nil {
-		return Outcome{Code: 400, Text: err.Error()}
+		return Outcome{Code: CodeInvalid, Text: err.Error()}
 	}
 	if next.Version <= s.Configuration.Version {
-		return Outcome{Code: 400, Text: textVersionNotAbove, Value: s.Configuration.Version}
+		return Outcome{Code: CodeInvalid, Text: textVersionNotAbove, Value: s.Configuration.Version}
 	}
 	s.ConfigurationHistory.recordAccepted(c.BaseVersion, next.Version, configurationDigest(c.Raw))
 	s.applyConfiguration(next)
-	return Outcome{Code: 200, Value: next.Version}
+	return Outcome{Code: CodeOK, Value: next.Version}
 }
 
 // alreadyDecided answers an order that was decided before or lost its race; all that
@@ -50,10 +48,10 @@
 func (c *ReplaceConfiguration) alreadyDecided(s *Store) (Outcome, bool) {
 	current := s.Configuration.Version
 	digest := configurationDigest(c.Raw)
-	notCurrent := Outcome{Code: 412, Text: textNotCurrent, Value: current}
+	notCurrent := Outcome{Code: CodePreconditionFailed, Text: textNotCurrent, Value: current}
 	if record, ok := s.ConfigurationHistory.acceptedOn(c.BaseVersion); ok {
 		if record.Digest == digest {
-			return Outcome{Code: 200, Text: textKnown, Value: record.Version}, true
+			return Outcome{Code: CodeOK, Text: textKnown, Value: record.Version}, true
 		}
 		return notCurrent, true
 	}
@@ -76,12 +74,12 @@
 // remembered. It was accepted only if its version isn't above that.
 func (c *ReplaceConfiguration) decideForgotten(s *Store, forgotten int64, notCurrent Outcome) Outcome {
 	if len(s.ConfigurationHistory.Accepted) == 0 && bytes.Equal(c.Raw, s.Configuration.Raw) {
-		return Outcome{Code: 200, Text: textKnown, Value: s.Configuration.Version}
+		return Outcome{Code: CodeOK, Text: textKnown, Value: s.Configuration.Version}
 	}
 	if order, err := clusterconfig.Parse(c.Raw); err != nil || order.Version > forgotten {
 		return notCurrent
 	}
-	return Outcome{Code: 504, Text: textForgotten, Value: s.Configuration.Version}
+	return Outcome{Code: CodeUnknown, Text: textForgotten, Value: s.Configuration.Version}
 }
 
 // applyConfiguration puts a configuration in force; open jobs follow it.
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -220,7 +220,7 @@
 		return &state.StopRuns{Allocations: []uint64{g.allocation().ID, g.allocation().ID}, Reason: g.oneOf("pushed", "stuck")}
 	}},
 	"sweep":  {2, func(g *generator) state.Command { return &state.CollectGarbage{RebuildRollups: g.Intn(2) == 0} }},
-	"cancel": {1, func(g *generator) state.Command { return &state.Cancel{ID: g.jobID()} }},
+	"cancel": {1, func(g *generator) state.Command { return &state.CancelJob{ID: g.jobID()} }},
 	"appoint": {1, func(g *generator) state.Command {
 		z := g.oneOf("z1", "z2")
 		return &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: z, Member: g.oneOf("a", "b"), Address: "x"}, BaseRevision: g.store.Aggregators[z].Revision}
@@ -346,7 +346,7 @@
 			t.Errorf("no maker for the command %q: add one", k)
 		}
 	}
-	count, codes := map[string]int{}, map[int]int{}
+	count, codes := map[string]int{}, map[state.Code]int{}
 	for seed := range int64(*replicaSeeds) {
 		g := &generator{Rand: rand.New(rand.NewSource(seed))}
 		replicas := []*replica{{limits: state.Limits{}}, {limits: state.Limits{JobRetentionMs: 1, MaxReplans: 1, RemoteFactor: 2}}, {limits: state.Limits{JobRetentionMs: 1000, RemoteFactor: 9}}}
--- a/internal/state/report_completions.go
+++ b/internal/state/report_completions.go
@@ -39,16 +39,14 @@
 	CompletionOfUnknownRun = "end of an unknown run"
 )
 
-func init() { registerCommand("ends", func() Command { return &ReportCompletions{} }) }
-
 // Apply closes the bookings of the runs that ended.
 func (c *ReportCompletions) Apply(s *Store) Outcome {
 	worker := s.Workers[c.Worker]
 	if worker == nil || worker.Dead {
-		return Outcome{Code: 410}
+		return Outcome{Code: CodeGone}
 	}
 	if c.Fence != worker.Fence {
-		return Outcome{Code: 409, Text: "fence"}
+		return Outcome{Code: CodeConflict, Text: "fence"}
 	}
 	for _, checkpoint := range c.Checkpoints {
 		if allocation := s.findAllocation(c.Worker, checkpoint.Task, checkpoint.Run); allocation != nil {
@@ -64,7 +62,7 @@
 			fault = found
 		}
 	}
-	return Outcome{Code: 200, Value: worker.LastCompletion, Text: fault}
+	return Outcome{Code: CodeOK, Value: worker.LastCompletion, Text: fault}
 }
 
 // applyCompletion applies one end; it returns what is wrong about it, if anything.
--- a/internal/state/report_completions_test.go
+++ b/internal/state/report_completions_test.go
@@ -76,7 +76,7 @@
 	})
 	t.Run("called off", func(t *testing.T) {
 		f, a := newRunningFixture(t, 1, protocol.Step{})
-		f.apply("cancel", &Cancel{ID: "j"})
+		f.apply("cancel", &CancelJob{ID: "j"})
 		f.apply("ends", &ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{doneCompletion(1, 0, 1)}})
 		if word, _ := f.store.JobStatus("j"); word != "called_off" || len(f.store.Allocations) != 0 || a.UsedMilliCPU != 0 {
 			t.Errorf("job %s, open %d", word, len(f.store.Allocations))
--- a/internal/state/set_eligibility.go
+++ b/internal/state/set_eligibility.go
@@ -10,14 +10,12 @@
 	Unhealthy  bool // silent or standing still: no new work for now
 }
 
-func init() { registerCommand("eligible", func() Command { return &SetEligibility{} }) }
-
 // Apply touches the worker's row, so that a booking made on an older view of
 // it loses.
 func (c *SetEligibility) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker == nil || worker.Dead {
-		return Outcome{Code: 410}
+		return Outcome{Code: CodeGone}
 	}
 	worker.Version++
 	if c.Draining || c.Leaving {
@@ -25,7 +23,7 @@
 	}
 	worker.Unhealthy = c.Unhealthy
 	s.reindexWorker(worker)
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
 
 // ExpireLeases notes workers whose holds have surely lapsed, each with the fence under
@@ -43,8 +41,6 @@
 	Fence int64
 }
 
-func init() { registerCommand("lapse", func() Command { return &ExpireLeases{} }) }
-
 // Apply frees the tasks: everything that ran there has been killed.
 func (c *ExpireLeases) Apply(s *Store) Outcome {
 	for _, expired := range c.Workers {
@@ -59,5 +55,5 @@
 			s.endRun(a, "lapsed", "")
 		}
 	}
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
--- a/internal/state/set_limits.go
+++ b/internal/state/set_limits.go
@@ -7,8 +7,6 @@
 	Limits Limits
 }
 
-func init() { registerCommand("limits", func() Command { return &SetLimits{} }) }
-
 // Apply keeps the newest.
 func (c *SetLimits) Apply(s *Store) Outcome {
 	// Begun by the log, not by a program's start: a state that was saved
@@ -17,5 +15,5 @@
 		s.DigestChainFrom = s.AppliedIndex
 	}
 	s.Limits = c.Limits
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
--- a/internal/state/stop_runs.go
+++ b/internal/state/stop_runs.go
@@ -7,11 +7,6 @@
 	Reason      string
 }
 
-func init() {
-	registerCommand("halt", func() Command { return &StopRuns{} })
-	registerCommand("sweep", func() Command { return &CollectGarbage{} })
-}
-
 // Apply marks them; they keep room and turn until their ends are listed.
 func (c *StopRuns) Apply(s *Store) Outcome {
 	for _, id := range c.Allocations {
@@ -19,7 +14,7 @@
 			s.stopRun(a, c.Reason)
 		}
 	}
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
 
 // CollectGarbage forgets old jobs and dead workers, moves timed jobs on, and may
@@ -51,5 +46,5 @@
 	if c.RebuildRollups {
 		s.RebuildRollups()
 	}
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -10,6 +10,11 @@
 	"tealpond/internal/clusterconfig"
 )
 
+// FormatVersion is the version of the state: of its tables, its commands and
+// what they do. It is raised with any change of these, so that the digests of
+// replicas that run different versions aren't compared.
+const FormatVersion = 3
+
 // Forever is the end of a booking that closes when the worker lists its end.
 const Forever = int64(1) << 62
 
--- a/internal/state/store_test.go
+++ b/internal/state/store_test.go
@@ -157,7 +157,7 @@
 	for _, c := range []struct {
 		base int64
 		raw  []byte
-		want int
+		want Code
 	}{{1, x, 200}, {1, y, 412}, {1, x, 200}, {3, []byte(fmt.Sprintf(testConfiguration, 2)), 400}, {3, y, 200}} {
 		if o := f.apply("replace", &ReplaceConfiguration{BaseVersion: c.base, Raw: c.raw}); o.Code != c.want {
 			t.Errorf("base %d: %d, want %d", c.base, o.Code, c.want)
@@ -306,7 +306,7 @@
 					f.apply("lapse", &ExpireLeases{Workers: []FencedWorker{{ID: id, Fence: f.store.Workers[id].Fence}}})
 					f.addWorker(id, worker.Capacity)
 				} else if len(jobs) > 0 && random.Intn(3) == 0 {
-					f.apply("cancel", &Cancel{ID: jobs[random.Intn(len(jobs))]})
+					f.apply("cancel", &CancelJob{ID: jobs[random.Intn(len(jobs))]})
 				}
 			case 7:
 				f.apply("eligible", &SetEligibility{ID: id, Draining: random.Intn(2) == 0, LeavesInMs: -1})
--- a/internal/state/submit_job.go
+++ b/internal/state/submit_job.go
@@ -13,21 +13,19 @@
 	DemandBucket int64
 }
 
-func init() { registerCommand("handin", func() Command { return &SubmitJob{} }) }
-
 // Apply keeps the job unless its ID is known: the first one stands.
 func (c *SubmitJob) Apply(s *Store) Outcome {
 	if s.Jobs[c.ID] != nil {
-		return Outcome{Code: 200, Text: "known"}
+		return Outcome{Code: CodeOK, Text: "known"}
 	}
 	if s.Configuration.Version == 0 {
-		return Outcome{Code: 503, Text: "not configured"}
+		return Outcome{Code: CodeUnavailable, Text: "not configured"}
 	}
 	// Why looked up here: the desired state at this place of the log rules,
 	// not the one that the taking daemon knew.
 	route, _ := s.routeTable.Find(c.Host, c.Path)
 	if route == nil {
-		return Outcome{Code: 404, Text: "no such queue"}
+		return Outcome{Code: CodeNotFound, Text: "no such queue"}
 	}
 	s.LastJobSequence++
 	job := &Job{ID: c.ID, Sequence: s.LastJobSequence, Route: route.Name, Service: route.TargetService, Priority: route.Priority,
@@ -44,5 +42,5 @@
 	} else {
 		s.addInstance(job)
 	}
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -42,16 +42,6 @@
 	To       int64
 }
 
-func init() {
-	registerCommand("mint", func() Command { return &SetEpoch{} })
-	registerCommand("offer", func() Command { return &OfferJob{} })
-	registerCommand("settle", func() Command { return &SettleTransfer{} })
-	registerCommand("accept", func() Command { return &AcceptJob{} })
-	registerCommand("void", func() Command { return &VoidOffer{} })
-	registerCommand("release", func() Command { return &ReleaseJob{} })
-	registerCommand("lend", func() Command { return &LendCapacity{} })
-}
-
 // SetEpoch names this store's history once and for all.
 type SetEpoch struct {
 	_     struct{} `cbor:",toarray"`
@@ -63,7 +53,7 @@
 	if s.Epoch == "" {
 		s.Epoch = c.Epoch
 	}
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
 
 // OfferJob begins to hand a job that has not begun to a peer.
@@ -79,13 +69,13 @@
 	job := s.Jobs[c.Job]
 	switch {
 	case job == nil || job.ended():
-		return Outcome{Code: 410}
+		return Outcome{Code: CodeGone}
 	case job.Started || job.PeriodicInstances > 0 || job.Transfer.Incoming || job.Transfer.State != TransferNone:
-		return Outcome{Code: 409, Text: "it has begun or moves already"}
+		return Outcome{Code: CodeConflict, Text: "it has begun or moves already"}
 	}
 	s.LastID++
 	job.Transfer = JobTransfer{Peer: c.Peer, OfferID: int64(s.LastID), State: TransferOffered, OfferCount: job.Transfer.OfferCount + 1}
-	return Outcome{Code: 200, Value: job.Transfer.OfferID}
+	return Outcome{Code: CodeOK, Value: job.Transfer.OfferID}
 }
 
 // SettleTransfer notes at the source what the peer's log says of an offer.
@@ -118,7 +108,7 @@
 func (c *SettleTransfer) Apply(s *Store) Outcome {
 	progress := s.Peers[c.Peer]
 	if progress != nil && (progress.Epoch != c.Epoch || c.Index < progress.Index) {
-		return Outcome{Code: 409, Text: "the peer came back with an older state"}
+		return Outcome{Code: CodeConflict, Text: "the peer came back with an older state"}
 	}
 	if s.Peers == nil {
 		s.Peers = map[string]*PeerProgress{}
@@ -128,16 +118,16 @@
 	settle := settlements[c.Answer]
 	if job != nil && c.Answer == "released" && job.ended() && job.Transfer.State == TransferAccepted && job.Transfer.OfferID == c.OfferID {
 		job.Transfer.State = TransferReleased
-		return Outcome{Code: 200}
+		return Outcome{Code: CodeOK}
 	}
 	if job == nil || settle == nil || job.ended() || job.Transfer.Incoming || job.Transfer.State == TransferNone || job.Transfer.OfferID != c.OfferID || job.Transfer.Peer != c.Peer {
-		return Outcome{Code: 200, Text: "no longer of interest"}
+		return Outcome{Code: CodeOK, Text: "no longer of interest"}
 	}
 	if (c.Answer == "refused" || c.Answer == "voided") && job.Transfer.State == TransferAccepted {
-		return Outcome{Code: 409, Text: "the peer took it and now denies it"}
+		return Outcome{Code: CodeConflict, Text: "the peer took it and now denies it"}
 	}
 	settle(s, job)
-	return Outcome{Code: 200}
+	return Outcome{Code: CodeOK}
 }
 
 func (s *Store) cancelJob(job *Job) {
@@ -166,20 +156,20 @@
 func (c *AcceptJob) Apply(s *Store) Outcome {
 	if job := s.Jobs[c.ID]; job != nil {
 		if job.Transfer.Incoming && job.Transfer.Peer == c.Peer && job.Transfer.OfferID == c.OfferID {
-			return Outcome{Code: 200, Text: "taken"}
+			return Outcome{Code: CodeOK, Text: "taken"}
 		}
 		// Why void too: a later copy must not be taken once that job is gone.
 		s.voidOffer(c.Peer, c.ID, c.OfferID)
-		return Outcome{Code: 409, Text: "refused"}
+		return Outcome{Code: CodeConflict, Text: "refused"}
 	}
 	if c.OfferID <= s.VoidedOffers[offerKey(c.Peer, c.ID)] {
-		return Outcome{Code: 409, Text: "refused"}
+		return Outcome{Code: CodeConflict, Text: "refused"}
 	}
 	route, loan := s.Routes[c.Route], s.Loans[c.Loan]
 	if route == nil || loan == nil || loan.Peer != c.Peer || s.Clock >= loan.To {
 		// Why kept as void: the refusal must hold for each later copy.
 		s.voidOffer(c.Peer, c.ID, c.OfferID)
-		return Outcome{Code: 409, Text: "refused"}
+		return Outcome{Code: CodeConflict, Text: "refused"}
 	}
 	s.LastJobSequence++
 	job := &Job{ID: c.ID, Sequence: s.LastJobSequence, Route: route.Name, Service: route.TargetService, Priority: route.Priority,
@@ -187,7 +177,7 @@
 		Transfer: JobTransfer{Peer: c.Peer, OfferID: c.OfferID, Incoming: true, Loan: c.Loan}}
 	s.Jobs[job.ID], s.openJobs[job.ID] = job, job
 	s.addInstance(job)
-	return Outcome{Code: 200, Text: "taken"}
+	return Outcome{Code: CodeOK, Text: "taken"}
 }
 
 func (s *Store) voidOffer(peer, id string, offerID int64) {
@@ -212,12 +202,12 @@
 	job := s.Jobs[c.ID]
 	if job == nil || !job.Transfer.Incoming || job.Transfer.Peer != c.Peer || job.Transfer.OfferID != c.OfferID {
 		s.voidOffer(c.Peer, c.ID, c.OfferID)
-		return Outcome{Code: 200, Text: "voided"}
+		return Outcome{Code: CodeOK, Text: "voided"}
 	}
 	if c.Cancel && !job.ended() {
 		s.cancelJob(job)
 	}
-	return Outcome{Code: 200, Text: IncomingJobStatus(job)}
+	return Outcome{Code: CodeOK, Text: IncomingJobStatus(job)}
 }
 
 // ReleaseJob lets the target forget a job whose end the source has committed.
@@ -234,7 +224,7 @@
 	if job := s.Jobs[c.ID]; job != nil && job.Transfer.Incoming && job.Transfer.Peer == c.Peer && job.Transfer.OfferID == c.OfferID {
 		job.Transfer.State = TransferReleased
 	}
-	return Outcome{Code: 200, Text: "released"}
+	return Outcome{Code: CodeOK, Text: "released"}
 }
 
 // heldForPeer tells whether a job must be kept for a peer that has not settled.
@@ -270,10 +260,10 @@
 // twice; too few slices mean no loan.
 func (c *LendCapacity) Apply(s *Store) Outcome {
 	if loan := s.Loans[c.ID]; loan != nil {
-		return Outcome{Code: 200, Value: loan.MilliCPU}
+		return Outcome{Code: CodeOK, Value: loan.MilliCPU}
 	}
 	if c.SliceMilliCPU <= 0 || c.MilliCPU <= 0 || c.MinMilliCPU <= 0 || c.DurationMs <= 0 {
-		return Outcome{Code: 400}
+		return Outcome{Code: CodeInvalid}
 	}
 	loan := &Loan{ID: c.ID, Peer: c.Peer, Service: c.Service, From: s.Clock, To: s.Clock + c.DurationMs}
 	s.LastID++
@@ -293,13 +283,13 @@
 		return loan.MilliCPU >= c.MinMilliCPU
 	})
 	if !enough {
-		return Outcome{Code: 409, Text: "full"}
+		return Outcome{Code: CodeConflict, Text: "full"}
 	}
 	if s.Loans == nil {
 		s.Loans = map[string]*Loan{}
 	}
 	s.Loans[c.ID] = loan
-	return Outcome{Code: 200, Value: loan.MilliCPU}
+	return Outcome{Code: CodeOK, Value: loan.MilliCPU}
 }
 
 // dropExpiredReservations drops bookings of a loan slice that are over.
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -97,7 +97,7 @@
 	say := func(what string, index uint64) Outcome {
 		return f.apply("settle", &SettleTransfer{Job: "j", OfferID: no, Peer: "p", Epoch: "e", Index: index, Answer: what})
 	}
-	if o := f.apply("cancel", &Cancel{ID: "j"}); o.Code != 202 {
+	if o := f.apply("cancel", &CancelJob{ID: "j"}); o.Code != 202 {
 		t.Fatalf("called off while the peer may run it: %+v", o)
 	}
 	say("taken", 9)
