--- a/internal/admin/members.go
+++ b/internal/admin/members.go
@@ -4,9 +4,9 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 
-	"github.com/go-kit/log"
 	"github.com/zeebo/errs"
 
 	"tealpond/internal/discovery"
@@ -45,8 +45,8 @@
 	}
 	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	client := discovery.NewClient(log.NewNopLogger(), "", append(append([]string(nil), addresses...), servers...), nil, nil, nil)
-	go func() { _ = client.Run(runCtx) }()
+	client := discovery.NewClient(discovery.Options{Seeds: slices.Concat(addresses, servers)})
+	go client.Run(runCtx)
 	callCtx, done := context.WithTimeout(ctx, tuning.ToolRequestTimeout)
 	defer done()
 	if response := client.Call(callCtx, rpc.KindListMembers, struct{}{}); response.Code == 200 {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -63,11 +63,9 @@
 // newAgent builds a side daemon that turns to the leader through a seeker.
 func newAgent(env daemon.Environment, runner RunnerClient) *Agent {
 	a := &Agent{settings: env.Settings, log: env.Log, process: env.Incarnation, events: make(chan event, 1024), runner: runner, trace: env.Trace}
-	a.discovery = discovery.NewClient(env.Log, "", env.Settings.SeedAddresses(),
-		func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} }, nil, func() {
-			go func() { a.events <- event{renew: true} }()
-		})
-	a.discovery.PreferAggregator()
+	a.discovery = discovery.NewClient(discovery.Options{Seeds: env.Settings.SeedAddresses(), PreferAggregator: true,
+		OnAssignment: func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
+		OnConnected:  func() { go func() { a.events <- event{renew: true} }() }})
 	a.callLeader = a.discovery.Call
 	return a
 }
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -44,7 +44,7 @@
 	}
 	httpServer := &http.Server{Handler: router, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: time.Minute}
 	go func() { _ = httpServer.Serve(listener) }()
-	go func() { _ = agent.discovery.Run(ctx) }()
+	go agent.discovery.Run(ctx)
 	if err := transport.Serve(ctx, agent.settings.AgentAddress(), agent.handleFrame); err != nil {
 		// Why not fatal: only traces need it.
 		_ = agent.log.Log("level", "warn", "event", "trace.unserved", "why", err)
--- a/internal/api/operators_test.go
+++ b/internal/api/operators_test.go
@@ -106,10 +106,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(transport.WithNetwork(t.Context(), noNetwork{}))
 		s := newTestServer(nil)
-		s.discovery = discovery.NewClient(s.log, "", []string{"10.0.0.1:1"}, nil, s.noteVersion, nil)
+		s.discovery = discovery.NewClient(discovery.Options{Seeds: []string{"10.0.0.1:1"}, OnConfigVersion: s.noteVersion})
 		s.callLeader = s.forward
 		done := make(chan struct{})
-		go func() { defer close(done); _ = s.discovery.Run(ctx) }()
+		go func() { defer close(done); s.discovery.Run(ctx) }()
 		s.leaderContact.record(time.Now())
 		call := func(what string, most time.Duration, handle func() *httptest.ResponseRecorder) {
 			t.Helper()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -61,7 +61,7 @@
 		// Why only then: others need not know those that hold no state.
 		selfAddress = env.Settings.InternalAddress()
 	}
-	s.discovery = discovery.NewClient(env.Log, selfAddress, env.Settings.SeedAddresses(), nil, s.noteVersion, nil)
+	s.discovery = discovery.NewClient(discovery.Options{SelfAddress: selfAddress, Seeds: env.Settings.SeedAddresses(), OnConfigVersion: s.noteVersion})
 	if !env.Settings.HoldsState() {
 		s.leaderAddress = s.discovery.CurrentAddress
 	}
@@ -94,7 +94,7 @@
 	if err := transport.Serve(serveCtx, s.settings.InternalAddress(), handleFrame); err != nil {
 		return err
 	}
-	go func() { _ = s.discovery.Run(serveCtx) }()
+	go s.discovery.Run(serveCtx)
 	if s.replica != nil {
 		go func() { _ = s.replica.Run(serveCtx) }()
 		if s.mover != nil {
--- a/internal/discovery/aggregator.go
+++ b/internal/discovery/aggregator.go
@@ -9,8 +9,7 @@
 	"tealpond/internal/tuning"
 )
 
-// backoff is a daemon that failed to answer, and the backoff before it is tried
-// again.
+// backoff is how long a daemon that failed to answer is not tried again.
 type backoff struct {
 	until time.Time
 	delay time.Duration
@@ -26,7 +25,7 @@
 // backOff notes that a daemon failed: it is not tried again for a while, longer
 // each time.
 func (c *Client) backOff(addr string) {
-	if !c.prefersAggregator || addr == "" {
+	if !c.options.PreferAggregator || addr == "" {
 		return
 	}
 	for other, entry := range c.backoffs {
@@ -38,10 +37,10 @@
 	c.backoffs[addr] = backoff{c.now.Add(delay), delay}
 }
 
-// switchToAggregator connects to the aggregator that an answer names, unless it
+// switchToAggregator connects to the aggregator that a response names, unless it
 // is connected already.
 func (c *Client) switchToAggregator(ctx context.Context, response rpc.Response) {
-	if !c.prefersAggregator {
+	if !c.options.PreferAggregator {
 		return
 	}
 	if response.Aggregator != "" || response.StandbyAggregator != "" {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -2,28 +2,44 @@
 
 import (
 	"context"
+	"maps"
 	"slices"
 	"sync/atomic"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"tealpond/internal/daemon"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
 
+// eventQueueLength is how many inputs may wait for the loop.
+const eventQueueLength = 1024
+
+// Options are what a Client is built from. The functions are called in its loop;
+// each may be nil.
+type Options struct {
+	// SelfAddress is this daemon's address for other daemons; empty if they need
+	// not know it.
+	SelfAddress string
+	// Seeds are addresses of daemons that are asked when no other is known.
+	Seeds []string
+	// PreferAggregator connects to the aggregator of the zone, as responses name
+	// it, and back to the leader when that one fails.
+	PreferAggregator bool
+	// OnAssignment gets each assignment that the leader sends.
+	OnAssignment func(rpc.Assignment)
+	// OnConfigVersion gets the version of the configuration that a response names.
+	OnConfigVersion func(version int64)
+	// OnConnected is called after each new connection.
+	OnConnected func()
+}
+
 // Client finds the leader, keeps one connection to it and carries requests. All
 // its state belongs to its loop (Run).
 type Client struct {
-	log         log.Logger
-	events      chan clientEvent
-	selfAddress string // this daemon's address, if others may learn it
-
-	onAssignment    func(rpc.Assignment)
-	onConfigVersion func(int64)
-	onConnected     func()
+	options Options // Seeds as they were at first; see seeds
+	events  chan clientEvent
 
 	now             time.Time
 	stream          *transport.Stream // to the leader, or to the zone's aggregator
@@ -31,28 +47,27 @@
 	lastFrameAt     time.Time         // the last frame of the stream
 	pending         map[uint64]*pendingRequest
 	lastRequestID   uint64 // the number of the newest request
-	largestResponse int    // bytes of the largest answer, which is a whole configuration
+	largestResponse int    // bytes of the largest response, which is a whole configuration
 
 	seeds          []string
-	knownServers   []string  // core daemons heard of, the newest first
+	knownServers   []string  // servers heard of, the newest first
 	leader         string    // who led when last heard of
 	disconnectedAt time.Time // since when there is no stream
 	searchFailedAt time.Time // the last search at all addresses that found none; zero once one is found
 	searching      bool
 	searchID       int
+	failedSearches int // searches in a row that found none
 	// currentAddress is the address of the stream, for readers outside the loop;
 	// empty while there is none.
 	currentAddress atomic.Value
-	failedSearches int // searches in a row that found none
 
-	// prefersAggregator: it connects to the aggregator that the answers name for its zone.
-	prefersAggregator bool
-	standby           string
-	backoffs          map[string]backoff
-	switching         bool
+	// These are used only if options.PreferAggregator is set.
+	standby   string // the aggregator that takes over for the zone
+	backoffs  map[string]backoff
+	switching bool // a connection to an aggregator is being made
 }
 
-// clientEvent is an input of the seeker's loop; one of its fields is set.
+// clientEvent is an input of the client's loop; one of its fields is set.
 type clientEvent struct {
 	frame        *transport.Event
 	request      *pendingRequest
@@ -63,37 +78,39 @@
 	switched     *switchResult
 }
 
-// NewClient builds a seeker; push gets orders, news the newest version of the
-// configuration, attached is called after each new connection to a leader. Each
-// may be nil.
-func NewClient(logger log.Logger, selfAddress string, seeds []string, onAssignment func(rpc.Assignment), onConfigVersion func(int64), onConnected func()) *Client {
-	return &Client{log: logger, selfAddress: selfAddress, seeds: seeds, onAssignment: onAssignment, onConfigVersion: onConfigVersion, onConnected: onConnected,
-		events: make(chan clientEvent, 1024), pending: map[uint64]*pendingRequest{}}
+// NewClient builds a client; it works once Run is called.
+func NewClient(options Options) *Client {
+	return &Client{options: options, seeds: options.Seeds, events: make(chan clientEvent, eventQueueLength),
+		pending: map[uint64]*pendingRequest{}, backoffs: map[string]backoff{}}
 }
 
-// PreferAggregator makes the seeker connect to the aggregator of its zone, as answers name
-// it, and back to the leader when that one fails. It is called before Run.
-func (c *Client) PreferAggregator() { c.prefersAggregator, c.backoffs = true, map[string]backoff{} }
-
-// CurrentAddress is the inner address of the daemon that requests go to now: the
-// leader, where the seeker isn't homing; empty while none is known. It is safe
-// for concurrent use.
+// CurrentAddress is the address of the daemon that requests go to now: the
+// leader, or the aggregator if that is preferred; empty while none is known. It is
+// safe for concurrent use.
 func (c *Client) CurrentAddress() string {
 	addr, _ := c.currentAddress.Load().(string)
 	return addr
 }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the addresses of the seeds. It is safe for concurrent use.
 func (c *Client) SetSeeds(seeds []string) { c.events <- clientEvent{seeds: seeds} }
 
-// AddServer takes note of a core daemon's address.
+// AddServer takes note of a server's address. It is safe for concurrent use.
 func (c *Client) AddServer(addr string) { c.events <- clientEvent{server: addr} }
 
-// Introduce tells the seeds that this core daemon is here. Seeds may hold no
-// state and know nobody after all were started anew.
+// KnownServers are the addresses of servers heard of lately. It is safe for
+// concurrent use, and waits for the loop.
+func (c *Client) KnownServers() []string {
+	servers := make(chan []string, 1)
+	c.events <- clientEvent{knownServers: servers}
+	return <-servers
+}
+
+// Introduce makes this server known to the seeds, which may hold no state and
+// know nobody after all daemons were restarted. It does not wait for them.
 func (c *Client) Introduce(ctx context.Context, seeds []string) {
 	for _, addr := range seeds {
-		if addr == c.selfAddress {
+		if addr == c.options.SelfAddress {
 			continue
 		}
 		go func() {
@@ -104,11 +121,10 @@
 	}
 }
 
-// Run is the seeker's loop.
-func (c *Client) Run(ctx context.Context) error {
+// Run is the client's loop; it returns when ctx ends.
+func (c *Client) Run(ctx context.Context) {
 	c.disconnectedAt = time.Now()
 	daemon.Loop(ctx, c.events, func(event clientEvent) { c.handle(ctx, event) }, func(now time.Time) time.Duration { return c.tick(ctx, now) })
-	return nil
 }
 
 // handle takes one event.
@@ -128,7 +144,7 @@
 	case event.server != "":
 		c.addServer(event.server)
 	case event.knownServers != nil:
-		addresses := append([]string(nil), c.knownServers...)
+		addresses := slices.Clone(c.knownServers)
 		if c.leader != "" {
 			addresses = append(addresses, c.leader)
 		}
@@ -173,9 +189,9 @@
 		c.onResponse(ctx, event.Frame.ID, response)
 	case rpc.FrameAssignments:
 		var assignments []rpc.Assignment
-		if transport.Decode(event.Frame.Body, &assignments) == nil && c.onAssignment != nil {
+		if transport.Decode(event.Frame.Body, &assignments) == nil && c.options.OnAssignment != nil {
 			for _, assignment := range assignments {
-				c.onAssignment(assignment)
+				c.options.OnAssignment(assignment)
 			}
 		}
 	}
@@ -189,24 +205,19 @@
 	if old != nil {
 		old.Close()
 	}
-	ids := make([]uint64, 0, len(c.pending))
-	for id := range c.pending {
-		ids = append(ids, id)
-	}
 	// They are sent in the order in which they were made: of two requests about
 	// one thing the later must win, also if a process was restarted in between.
-	slices.Sort(ids)
-	for _, id := range ids {
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		c.pending[id].sentAt = time.Time{}
 		c.send(id, c.pending[id])
 	}
-	if c.onConnected != nil {
-		c.onConnected()
+	if c.options.OnConnected != nil {
+		c.options.OnConnected()
 	}
 }
 
-// tick gives up what is due, leaves a silent leader and searches for another;
-// it returns when to come back.
+// tick gives up the requests that are due, leaves a silent leader and searches for
+// another; it returns after which time it must be called again, 0 for never.
 func (c *Client) tick(ctx context.Context, now time.Time) time.Duration {
 	c.now = now
 	wake := time.Duration(0)
@@ -229,14 +240,7 @@
 	if c.stream == nil && !c.searching {
 		c.searching = true
 		c.searchID++
-		c.search(ctx, c.searchID)
+		go c.search(ctx, c.planSearch(c.searchID))
 	}
 	return wake
 }
-
-// KnownServers are the addresses of core daemons heard of lately.
-func (c *Client) KnownServers() []string {
-	servers := make(chan []string, 1)
-	c.events <- clientEvent{knownServers: servers}
-	return <-servers
-}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -8,8 +8,6 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"tealpond/internal/discovery"
 	"tealpond/internal/rpc"
 	"tealpond/internal/simulation"
@@ -17,18 +15,19 @@
 	"tealpond/internal/tuning"
 )
 
-// fakeServer is a stand-in for a core daemon: it tells who leads, and answers what
-// it is told to.
+// fakeServer stands in for a server: it says who leads, and responds as the test
+// wants.
 type fakeServer struct {
 	addr string
 	ip   string
 
 	mu      sync.Mutex
 	info    rpc.LeaderInfo
-	respond func(ask rpc.Request) (rpc.Response, bool)
+	respond func(request rpc.Request) (rpc.Response, bool)
 }
 
-// become changes what a daemon says of itself and how it answers.
+// become changes what a server says of itself and, unless respond is nil, how it
+// responds.
 func (s *fakeServer) become(info rpc.LeaderInfo, respond func(request rpc.Request) (rpc.Response, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,12 +41,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if request.Kind == rpc.KindLeader {
-		return rpc.Response{Code: 200, Body: transport.Encode(s.info)}, true
+		return rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(s.info)}, true
 	}
 	return s.respond(request)
 }
 
-// fixture is a network with one seeker and some daemons.
+// fixture is a network with one client and some servers.
 type fixture struct {
 	t        *testing.T
 	net      *simulation.Network
@@ -56,7 +55,9 @@
 	clientIP string
 }
 
+// serve opens a server's port.
 func (f *fixture) serve(ctx context.Context, server *fakeServer) {
+	f.t.Helper()
 	err := transport.Serve(transport.WithNetwork(ctx, f.net.Host(server.ip)), server.addr, func(event transport.Event) {
 		var request rpc.Request
 		if event.Closed || transport.Decode(event.Frame.Body, &request) != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// cut cuts the seeker off from a daemon, both ways, or joins them again.
+// cut cuts the client off from a server, both ways, or joins them again.
 func (f *fixture) cut(server *fakeServer, cut bool) {
 	for _, pair := range [][2]string{{f.clientIP, server.ip}, {server.ip, f.clientIP}} {
 		if cut {
@@ -82,7 +83,7 @@
 	}
 }
 
-// call asks and tells the code of the answer and how long it took.
+// call sends a request and gives the code of the response and how long it took.
 func (f *fixture) call(kind string, timeout time.Duration) (int, time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -91,8 +92,8 @@
 	return response.Code, time.Since(start)
 }
 
-// withServers runs a test with a seeker that knows n daemons as seeds; the first of
-// them leads, and all answer asks with 200 and their number as N.
+// withServers runs a test with a client that knows n servers as seeds; the first of
+// them leads, and all respond with CodeOK and their number as the value.
 func withServers(t *testing.T, n int, test func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,13 +103,13 @@
 		for i := range n {
 			ip := fmt.Sprint("10.0.0.", i+1)
 			server := &fakeServer{ip: ip, addr: ip + ":7720", info: rpc.LeaderInfo{Term: 1, IsLeader: i == 0}}
-			server.respond = func(rpc.Request) (rpc.Response, bool) { return rpc.Response{Code: 200, Value: int64(i)}, true }
+			server.respond = func(rpc.Request) (rpc.Response, bool) { return rpc.Response{Code: rpc.CodeOK, Value: int64(i)}, true }
 			f.servers = append(f.servers, server)
 			f.serve(ctx, server)
 			seeds = append(seeds, server.addr)
 		}
-		f.client = discovery.NewClient(log.NewNopLogger(), "", seeds, nil, nil, nil)
-		go func() { _ = f.client.Run(transport.WithNetwork(ctx, f.net.Host(f.clientIP))) }()
+		f.client = discovery.NewClient(discovery.Options{Seeds: seeds})
+		go f.client.Run(transport.WithNetwork(ctx, f.net.Host(f.clientIP)))
 		test(f)
 		cancel()
 		for _, server := range f.servers {
@@ -122,13 +123,13 @@
 	return rpc.Response{Code: rpc.CodeNotLeader}, true
 }
 
-// TestRequestsFailFastWhileNoLeaderIsReachable: while it is known that no leader is in reach,
-// an operator is told so at once, and a client soon; at first both wait as long
-// as an election takes, the operator less than the second after which it goes
-// on by itself.
+// TestRequestsFailFastWhileNoLeaderIsReachable: while it is known that no leader
+// is in reach, an operator's request ends at once, and a client's soon; at first
+// both wait as long as an election takes, the operator's less than the second
+// after which the operator turns to the next daemon.
 func TestRequestsFailFastWhileNoLeaderIsReachable(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
-		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != 200 {
+		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeOK {
 			t.Fatalf("before the cut: %d", code)
 		}
 		for _, server := range f.servers {
@@ -150,21 +151,21 @@
 				t.Errorf("a client, long after the loss: code %d after %v", code, took)
 			}
 			if code, took := f.call(rpc.KindRenewMembership, 3*time.Second); code != rpc.CodeNoLeader || took < tuning.LeaderWaitTimeout {
-				t.Errorf("a daemon's own ask: code %d after %v", code, took)
+				t.Errorf("a daemon's own request: code %d after %v", code, took)
 			}
 		}
 		for _, server := range f.servers {
 			f.cut(server, false)
 		}
 		time.Sleep(time.Second)
-		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != 200 {
+		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeOK {
 			t.Errorf("after the cut: %d", code)
 		}
 	})
 }
 
 // TestClientRequestWaitsThroughElection: a leader is found a second after the old
-// one was lost, and a client's call has waited for it.
+// one was lost, and a client's request has waited for it.
 func TestClientRequestWaitsThroughElection(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
@@ -173,15 +174,15 @@
 			time.Sleep(800 * time.Millisecond)
 			f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		}()
-		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != 200 {
+		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeOK {
 			t.Errorf("code %d after %v", code, took)
 		}
 	})
 }
 
-// TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken: an ask that a leader said it didn't
-// take may be refused; one that was left without an answer may not, whatever
-// came after, also when its caller's time ends first.
+// TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken: CodeNoLeader may end a request
+// that a leader said it didn't take; it may not end one that was left without a
+// response, whatever came after, also when its caller's time ends first.
 func TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -190,7 +191,7 @@
 		want int
 	}{
 		{"not the leader any more", rpc.CodeNotLeader, true, rpc.CodeNoLeader},
-		{"lost its term with the ask under way", rpc.CodeLeadershipLost, true, rpc.CodeTimeout},
+		{"lost its term with the request under way", rpc.CodeLeadershipLost, true, rpc.CodeTimeout},
 		{"silent", 0, false, rpc.CodeTimeout},
 	} {
 		for _, timeout := range []time.Duration{700 * time.Millisecond, 3 * time.Second} {
@@ -209,31 +210,32 @@
 	}
 }
 
-// TestServerAtReusedLeaderAddressGetsNoRequests: addresses are reused.
+// TestServerAtReusedLeaderAddressGetsNoRequests: addresses are reused, so a server
+// must say that it leads before it gets requests.
 func TestServerAtReusedLeaderAddressGetsNoRequests(t *testing.T) {
 	withServers(t, 2, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
 		old, successor := f.servers[0], f.servers[1]
 		f.net.TakeDown(old.ip)
-		ctx, stop := context.WithCancel(context.Background())
-		defer stop()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		requests := 0
 		old.become(rpc.LeaderInfo{}, func(rpc.Request) (rpc.Response, bool) { requests++; return rpc.Response{}, false })
 		successor.become(rpc.LeaderInfo{Term: 2, IsLeader: true, Leader: old.addr}, nil)
 		f.serve(ctx, old)
 		callCtx, done := context.WithTimeout(context.Background(), 3*time.Second)
 		defer done()
-		if response := f.client.Call(callCtx, rpc.KindSubmitJob, struct{}{}); response.Code != 200 || response.Value != 1 {
+		if response := f.client.Call(callCtx, rpc.KindSubmitJob, struct{}{}); response.Code != rpc.CodeOK || response.Value != 1 {
 			t.Errorf("code %d, answer %d", response.Code, response.Value)
 		}
 		if requests != 0 {
-			t.Error("the ask went to whoever has the old leader's address now")
+			t.Error("the request went to whoever has the old leader's address now")
 		}
 	})
 }
 
-// TestNewLeaderIsFoundWhileOldOneHangs: the old leader says nothing, also
-// not that its port is closed; a look at all places must not wait for it.
+// TestNewLeaderIsFoundWhileOldOneHangs: the old leader says nothing, also not that
+// its port is closed; a search at all addresses must not wait for it.
 func TestNewLeaderIsFoundWhileOldOneHangs(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
@@ -243,18 +245,18 @@
 			f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		}()
 		code, took := f.call(rpc.KindSubmitJob, 3*time.Second)
-		if code != 200 || took > tuning.RequestAttemptTimeout+400*time.Millisecond {
+		if code != rpc.CodeOK || took > tuning.RequestAttemptTimeout+400*time.Millisecond {
 			t.Errorf("code %d after %v", code, took)
 		}
 		f.cut(f.servers[0], false)
 	})
 }
 
-// TestLateProbeResultIsUsed: what a look didn't wait for counts when it comes.
+// TestLateProbeResultIsUsed: what a search didn't wait for counts when it comes.
 func TestLateProbeResultIsUsed(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		f.net.SetDelay(f.servers[0].ip, tuning.DiscoveryStragglerWait*2/3)
-		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != 200 || took > time.Second {
+		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeOK || took > time.Second {
 			t.Errorf("code %d after %v", code, took)
 		}
 	})
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -9,21 +9,64 @@
 	"tealpond/internal/tuning"
 )
 
-// pendingRequest is a request whose client waits for the answer.
+const (
+	// defaultRequestTimeout is how long a request may take if its context has no
+	// deadline.
+	defaultRequestTimeout = time.Minute
+	// lastResponseWait is how long a caller whose context has ended waits for the
+	// loop to say whether the request may have been taken.
+	lastResponseWait = 20 * time.Millisecond
+)
+
+// pendingRequest is a request whose caller waits for the response.
 type pendingRequest struct {
 	request  rpc.Request
 	reply    chan rpc.Response
 	deadline time.Time
-	// noLeaderBy is when a request that was surely never taken is given up,
+	// noLeaderBy is when a request that no leader can have taken is given up,
 	// leaderlessBy the same while it is known that no leader is in reach.
 	noLeaderBy, leaderlessBy time.Time
 	sentAt                   time.Time // zero while not under way
 	// unanswered counts the times that it was sent and may have been taken.
 	unanswered int
-	done       <-chan struct{}
+	done       <-chan struct{} // of the caller's context
+}
+
+// newPendingRequest sets the times by which a request is given up, by its kind and
+// its context.
+func newPendingRequest(ctx context.Context, request rpc.Request) *pendingRequest {
+	now := time.Now()
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		deadline = now.Add(defaultRequestTimeout)
+	}
+	timeouts, ok := leaderTimeoutsByKind[request.Kind]
+	if !ok {
+		timeouts = leaderTimeouts{tuning.LeaderWaitTimeout, tuning.LeaderWaitTimeout}
+	}
+	if timeout, ok := ctx.Value(leaderTimeoutKey{}).(time.Duration); ok {
+		timeouts.any = timeout
+	}
+	return &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: deadline,
+		noLeaderBy: now.Add(timeouts.any), leaderlessBy: now.Add(timeouts.leaderless), done: ctx.Done()}
+}
+
+// wait waits for the response, and a moment longer than the context.
+func (p *pendingRequest) wait(ctx context.Context) rpc.Response {
+	select {
+	case response := <-p.reply:
+		return response
+	case <-ctx.Done():
+	}
+	select {
+	case response := <-p.reply:
+		return response
+	case <-time.After(lastResponseWait):
+		return rpc.Response{Code: rpc.CodeTimeout}
+	}
 }
 
-// fail answers a request that is given up.
+// fail ends a request that is given up.
 func (p *pendingRequest) fail() {
 	code := rpc.CodeNoLeader
 	if p.unanswered > 0 {
@@ -36,7 +79,7 @@
 // is known that none is in reach.
 type leaderTimeouts struct{ any, leaderless time.Duration }
 
-// leaderTimeoutsByKind holds it by the kind of request: clients lose more by being
+// leaderTimeoutsByKind differ by the kind of request: clients lose more by being
 // turned away in an election than operators, who go on to the next daemon.
 var leaderTimeoutsByKind = map[string]leaderTimeouts{
 	rpc.KindSubmitJob: {tuning.LeaderWaitTimeout, tuning.KnownNoLeaderWait},
@@ -46,52 +89,29 @@
 	rpc.KindGetConfig: {tuning.OperatorLeaderWait, 0},
 }
 
-// Call carries a request to the leader, again if need be, until ctx ends. All
-// requests can be repeated without harm.
+// Call encodes the body and carries the request to the leader, again if need be,
+// until ctx ends. It is safe for concurrent use. The response's code is
+// rpc.CodeNoLeader if no leader took the request, rpc.CodeTimeout if one may have,
+// and the leader's otherwise.
 func (c *Client) Call(ctx context.Context, kind string, body any) rpc.Response {
 	return c.Do(ctx, rpc.Request{Kind: kind, Body: transport.Encode(body)})
 }
 
-// Do is Ask with a body that is already packed.
+// Do is Call with a body that is already encoded.
 func (c *Client) Do(ctx context.Context, request rpc.Request) rpc.Response {
 	return c.Enqueue(ctx, request)()
 }
 
-// Enqueue is Do in two steps: the request is queued when Post returns, behind
-// all that were posted before it; the function that it gives waits for the
-// answer.
+// Enqueue is Do in two steps: when it returns, the request is queued behind all
+// that were enqueued before; the function that it returns waits for the response.
 func (c *Client) Enqueue(ctx context.Context, request rpc.Request) func() rpc.Response {
-	now := time.Now()
-	deadline, ok := ctx.Deadline()
-	if !ok {
-		deadline = now.Add(time.Minute)
-	}
-	timeouts, ok := leaderTimeoutsByKind[request.Kind]
-	if !ok {
-		timeouts = leaderTimeouts{tuning.LeaderWaitTimeout, tuning.LeaderWaitTimeout}
-	}
-	if ctx.Value(leaderTimeoutKey{}) != nil {
-		timeouts.any = leaderTimeout(ctx)
-	}
-	pending := &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: deadline, noLeaderBy: now.Add(timeouts.any), leaderlessBy: now.Add(timeouts.leaderless), done: ctx.Done()}
+	pending := newPendingRequest(ctx, request)
 	select {
 	case c.events <- clientEvent{request: pending}:
 	case <-ctx.Done():
 		return func() rpc.Response { return rpc.Response{Code: rpc.CodeNoLeader} }
 	}
-	return func() rpc.Response {
-		select {
-		case response := <-pending.reply:
-			return response
-		case <-ctx.Done():
-			select {
-			case response := <-pending.reply:
-				return response
-			case <-time.After(20 * time.Millisecond):
-				return rpc.Response{Code: rpc.CodeTimeout}
-			}
-		}
-	}
+	return func() rpc.Response { return pending.wait(ctx) }
 }
 
 // send sends a request, if there is a connection.
@@ -105,7 +125,7 @@
 	}
 }
 
-// onResponse takes the answer to a request.
+// onResponse hands a response to its caller, or leaves a daemon that doesn't lead.
 func (c *Client) onResponse(ctx context.Context, id uint64, response rpc.Response) {
 	pending := c.pending[id]
 	if pending == nil {
@@ -125,15 +145,15 @@
 		return
 	}
 	c.switchToAggregator(ctx, response)
-	if response.ConfigVersion != 0 && c.onConfigVersion != nil {
-		c.onConfigVersion(response.ConfigVersion)
+	if response.ConfigVersion != 0 && c.options.OnConfigVersion != nil {
+		c.options.OnConfigVersion(response.ConfigVersion)
 	}
 	delete(c.pending, id)
 	pending.reply <- response
 }
 
-// expireRequests answers the requests whose time is over, and those that wait for a
-// leader in vain; soon takes when to check again.
+// expireRequests ends the requests whose time is over, and those that wait for a
+// leader in vain; wakeIn takes when to check again.
 func (c *Client) expireRequests(wakeIn func(time.Duration)) {
 	leaderless := c.leaderless(c.now)
 	for id, pending := range c.pending {
@@ -163,8 +183,8 @@
 	return !now.Before(p.deadline) || p.unanswered == 0 && (!now.Before(p.noLeaderBy) || leaderless && !now.Before(p.leaderlessBy))
 }
 
-// leaderSilent tells whether the leader left a request without an answer for too
-// long; soon takes when to check again.
+// leaderSilent tells whether the leader left a request without a response for too
+// long; wakeIn takes when to check again.
 func (c *Client) leaderSilent(wakeIn func(time.Duration)) bool {
 	silent := false
 	timeout := tuning.RequestAttemptTimeout + c.transferTime()
--- a/internal/discovery/search.go
+++ b/internal/discovery/search.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"time"
 
 	"tealpond/internal/rpc"
@@ -9,6 +10,14 @@
 	"tealpond/internal/tuning"
 )
 
+const (
+	// maxKnownServers is how many servers' addresses are kept.
+	maxKnownServers = 8
+	// probeFrameID is the frame ID of a probe's request; those of callers count
+	// from 1.
+	probeFrameID = 0
+)
+
 // searchResult is the outcome of a search for the leader, or of the rest of one.
 type searchResult struct {
 	id           int
@@ -71,16 +80,14 @@
 	if addr == "" {
 		return
 	}
-	for i, known := range c.knownServers {
-		if known == addr {
-			copy(c.knownServers[1:i+1], c.knownServers[:i])
-			c.knownServers[0] = addr
-			return
-		}
+	if i := slices.Index(c.knownServers, addr); i >= 0 {
+		copy(c.knownServers[1:i+1], c.knownServers[:i])
+		c.knownServers[0] = addr
+		return
 	}
 	c.knownServers = append([]string{addr}, c.knownServers...)
-	if len(c.knownServers) > 8 {
-		c.knownServers = c.knownServers[:8]
+	if len(c.knownServers) > maxKnownServers {
+		c.knownServers = c.knownServers[:maxKnownServers]
 	}
 }
 
@@ -91,16 +98,11 @@
 	return c.stream == nil && now.Sub(c.disconnectedAt) >= tuning.ExpectedElectionTime && !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < tuning.NoLeaderFindingTTL
 }
 
-// candidateAddresses are those to try, the likeliest first.
+// candidateAddresses are the addresses to try, the likeliest first.
 func (c *Client) candidateAddresses() []string {
 	var addresses []string
 	add := func(addr string) {
-		for _, other := range addresses {
-			if other == addr {
-				return
-			}
-		}
-		if addr != "" {
+		if addr != "" && !slices.Contains(addresses, addr) {
 			addresses = append(addresses, addr)
 		}
 	}
@@ -111,15 +113,15 @@
 	for _, addr := range c.seeds {
 		add(addr)
 	}
-	if c.prefersAggregator {
+	if c.options.PreferAggregator {
 		return sample(addresses, c.failedSearches)
 	}
 	return addresses
 }
 
 // sample gives some of the addresses, others each time: the likeliest always, and
-// of the rest as many as tuning.DiscoveryFanout allows. Hundreds of side daemons search
-// at once after a loss, and any daemon that they ask names the leader.
+// of the rest as many as tuning.DiscoveryFanout allows. Hundreds of agents search at
+// once after a loss, and any daemon that they ask names the leader.
 func sample(addresses []string, round int) []string {
 	if len(addresses) <= tuning.DiscoveryFanout {
 		return addresses
@@ -132,50 +134,59 @@
 	return sampled
 }
 
-// search asks the known addresses concurrently who leads.
-func (c *Client) search(ctx context.Context, id int) {
-	addresses := c.candidateAddresses()
-	standby := ""
-	if c.prefersAggregator && c.failedSearches == 0 && c.standby != "" && c.standby != c.address && c.now.After(c.backoffs[c.standby].until) {
-		standby = c.standby
+// searchPlan is one search for the leader.
+type searchPlan struct {
+	id        int
+	pause     time.Duration // before it begins
+	standby   string        // tried first and alone; empty: none
+	addresses []string
+	patience  time.Duration // how long addresses without an answer are waited for
+}
+
+// planSearch chooses what a search tries, by what became of the last ones.
+func (c *Client) planSearch(id int) searchPlan {
+	plan := searchPlan{id: id, addresses: c.candidateAddresses(), patience: tuning.DiscoveryStragglerWait}
+	if c.options.PreferAggregator && c.failedSearches == 0 && c.standby != "" && c.standby != c.address && c.now.After(c.backoffs[c.standby].until) {
+		plan.standby = c.standby
 	}
-	pause := time.Duration(0)
 	if c.failedSearches > 0 {
-		pause = tuning.DiscoveryInterval * time.Duration(min(c.failedSearches, 2))
+		plan.pause = tuning.DiscoveryInterval * time.Duration(min(c.failedSearches, 2))
 	}
-	patience := tuning.DiscoveryStragglerWait
 	if c.failedSearches >= tuning.MaxShortDiscoveryRounds {
-		patience = tuning.NoLeaderFindingTTL
+		plan.patience = tuning.NoLeaderFindingTTL
 	}
-	go func() {
-		if pause > 0 {
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(pause):
-			}
-		}
-		var result *searchResult
-		if standby != "" {
-			// The standby is tried first and alone: it takes over for the zone,
-			// and the leader is spared a connection from each side daemon.
-			if stream, info := c.probeAggregator(ctx, standby); stream != nil {
-				result = &searchResult{stream: stream, addr: standby, isLeader: info.IsLeader}
-			}
-		}
-		if result == nil {
-			result = c.probeAll(ctx, addresses, patience)
-		}
-		result.id = id
+	return plan
+}
+
+// search carries out a search and reports its outcome to the loop.
+func (c *Client) search(ctx context.Context, plan searchPlan) {
+	if plan.pause > 0 {
 		select {
-		case c.events <- clientEvent{search: result}:
 		case <-ctx.Done():
+			return
+		case <-time.After(plan.pause):
+		}
+	}
+	var result *searchResult
+	if plan.standby != "" {
+		// The standby is tried first and alone: it takes over for the zone, and
+		// the leader is spared a connection from each agent.
+		if stream, info := c.probeAggregator(ctx, plan.standby); stream != nil {
+			result = &searchResult{stream: stream, addr: plan.standby, isLeader: info.IsLeader}
 		}
-	}()
+	}
+	if result == nil {
+		result = c.probeAll(ctx, plan.addresses, plan.patience)
+	}
+	result.id = plan.id
+	select {
+	case c.events <- clientEvent{search: result}:
+	case <-ctx.Done():
+	}
 }
 
 // probeAll asks all addresses at once. The first leader ends it; without one it
-// ends after most if any address has answered: what hangs is likely the leader
+// ends after patience if any address has answered: what hangs is likely the leader
 // that was lost, and the next one may lead by now. The rest, and a leader among
 // them, is reported later.
 func (c *Client) probeAll(ctx context.Context, addresses []string, patience time.Duration) *searchResult {
@@ -258,7 +269,7 @@
 func (c *Client) probe(ctx context.Context, addr string) (*transport.Stream, rpc.LeaderInfo, bool) {
 	infos := make(chan rpc.LeaderInfo, 1)
 	stream, err := transport.Dial(ctx, addr, func(event transport.Event) {
-		if !event.Closed && event.Frame.Kind == rpc.FrameResponse && event.Frame.ID == 0 {
+		if !event.Closed && event.Frame.Kind == rpc.FrameResponse && event.Frame.ID == probeFrameID {
 			var response rpc.Response
 			var info rpc.LeaderInfo
 			if transport.Decode(event.Frame.Body, &response) == nil && transport.Decode(response.Body, &info) == nil {
@@ -277,7 +288,7 @@
 	if err != nil {
 		return nil, rpc.LeaderInfo{}, false
 	}
-	stream.Send(transport.Frame{Kind: rpc.FrameRequest, Body: transport.Encode(rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.selfAddress)})})
+	stream.Send(transport.Frame{Kind: rpc.FrameRequest, ID: probeFrameID, Body: transport.Encode(rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.options.SelfAddress)})})
 	timer := time.NewTimer(tuning.LeaderProbeInterval)
 	defer timer.Stop()
 	select {
--- a/internal/discovery/search_test.go
+++ b/internal/discovery/search_test.go
@@ -3,30 +3,64 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"tealpond/internal/tuning"
 )
 
-// TestSampleIsBoundedAndCoversAllAddresses: each look asks a bounded number of places, the
-// likeliest among them, and a few looks in a row ask every one.
+// TestSampleIsBoundedAndCoversAllAddresses: each search asks a bounded number of
+// addresses, the likeliest among them, and a few searches in a row ask every one.
 func TestSampleIsBoundedAndCoversAllAddresses(t *testing.T) {
 	for n := range 12 {
-		var all []string
+		var addresses []string
 		for i := range n {
-			all = append(all, fmt.Sprint("p", i))
+			addresses = append(addresses, fmt.Sprint("p", i))
 		}
 		seen := map[string]bool{}
 		for round := range 6 {
-			got := sample(all, round)
+			got := sample(addresses, round)
 			if len(got) > tuning.DiscoveryFanout || n > 0 && got[0] != "p0" {
-				t.Fatalf("%d places, round %d: %v", n, round, got)
+				t.Fatalf("%d addresses, round %d: %v", n, round, got)
 			}
 			for _, addr := range got {
 				seen[addr] = true
 			}
 		}
 		if len(seen) != n {
-			t.Errorf("%d of %d places were asked", len(seen), n)
+			t.Errorf("%d of %d addresses were asked", len(seen), n)
+		}
+	}
+}
+
+// TestSearchPlanFollowsEarlierSearches: the standby is tried first, once; searches
+// after failed ones begin later, and wait longer for addresses without an answer.
+func TestSearchPlanFollowsEarlierSearches(t *testing.T) {
+	now := time.Unix(1000, 0)
+	for _, test := range []struct {
+		name     string
+		prefers  bool
+		standby  string
+		failed   int
+		avoided  bool
+		want     string
+		pause    time.Duration
+		patience time.Duration
+	}{
+		{"first", true, "standby", 0, false, "standby", 0, tuning.DiscoveryStragglerWait},
+		{"no aggregator is preferred", false, "standby", 0, false, "", 0, tuning.DiscoveryStragglerWait},
+		{"the standby failed lately", true, "standby", 0, true, "", 0, tuning.DiscoveryStragglerWait},
+		{"the standby was lost itself", true, "lost", 0, false, "", 0, tuning.DiscoveryStragglerWait},
+		{"after one that failed", true, "standby", 1, false, "", tuning.DiscoveryInterval, tuning.DiscoveryStragglerWait},
+		{"after many", true, "standby", 9, false, "", 2 * tuning.DiscoveryInterval, tuning.NoLeaderFindingTTL},
+	} {
+		c := NewClient(Options{Seeds: []string{"seed"}, PreferAggregator: test.prefers})
+		c.now, c.address, c.standby, c.failedSearches = now, "lost", test.standby, test.failed
+		if test.avoided {
+			c.backOff(test.standby)
+		}
+		plan := c.planSearch(7)
+		if plan.id != 7 || plan.standby != test.want || plan.pause != test.pause || plan.patience != test.patience || len(plan.addresses) != 1 {
+			t.Errorf("%s: %+v", test.name, plan)
 		}
 	}
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -7,17 +7,16 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/go-kit/log"
-
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
 )
 
-// pipeNetwork is a network of one process without delay.
+// pipeNetwork is a network within the process, without delay; it holds the open
+// ports.
 type pipeNetwork map[string]chan net.Conn
 
 // Listen opens a port.
-func (p pipeNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
+func (p pipeNetwork) Listen(_ context.Context, addr string) (net.Listener, error) {
 	connections := make(chan net.Conn)
 	p[addr] = connections
 	return &pipeListener{connections: connections, done: make(chan struct{})}, nil
@@ -30,6 +29,7 @@
 	return near, nil
 }
 
+// pipeListener is an open port.
 type pipeListener struct {
 	connections chan net.Conn
 	done        chan struct{}
@@ -37,18 +37,20 @@
 
 func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-p.connections:
-		return c, nil
+	case connection := <-p.connections:
+		return connection, nil
 	case <-p.done:
 		return nil, net.ErrClosed
 	}
 }
+
 func (p *pipeListener) Close() error   { close(p.done); return nil }
 func (p *pipeListener) Addr() net.Addr { return nil }
 
-// withLeaderStream runs a test of a seeker whose loop doesn't run, with streams to a
-// leader at "l" that tells what it is sent.
+// withLeaderStream runs a test of a client whose loop doesn't run, with streams to a
+// leader at "l" that reports what it is sent.
 func withLeaderStream(t *testing.T, test func(ctx context.Context, c *Client, open func() *transport.Stream, sent <-chan transport.Event)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(transport.WithNetwork(context.Background(), pipeNetwork{}))
 		sent := make(chan transport.Event, 64)
@@ -64,9 +66,8 @@
 			streams = append(streams, stream)
 			return stream
 		}
-		c := NewClient(log.NewNopLogger(), "", []string{"l"}, nil, nil, nil)
+		c := NewClient(Options{Seeds: []string{"l"}, PreferAggregator: true})
 		c.now = time.Now()
-		c.PreferAggregator()
 		test(ctx, c, open, sent)
 		for _, stream := range streams {
 			stream.Close()
@@ -76,9 +77,9 @@
 	})
 }
 
-// TestEndedStreamIsNotUsed: a stream that ended between the look and its use
-// tells its end only once, before it is the present one; to use it would leave
-// the seeker with a leader that never answers, and without a search.
+// TestEndedStreamIsNotUsed: a stream that ended between the search and its use
+// reports its end only once, before it is the present one; to use it would leave
+// the client with a leader that never responds, and without a search.
 func TestEndedStreamIsNotUsed(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 		stream := open()
@@ -98,8 +99,8 @@
 	})
 }
 
-// TestPendingRequestsAreResentInOrder: of two asks about one worker the later one
-// must win, also when a new leader is asked all that waits.
+// TestPendingRequestsAreResentInOrder: of two requests about one worker the later
+// one must win, also when a new leader is sent all that waits.
 func TestPendingRequestsAreResentInOrder(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, sent <-chan transport.Event) {
 		const requests = 16
@@ -112,7 +113,7 @@
 				if event := <-sent; event.Closed {
 					continue
 				} else if event.Frame.ID != want {
-					t.Fatalf("ask %d was sent where %d was due", event.Frame.ID, want)
+					t.Fatalf("request %d was sent where %d was due", event.Frame.ID, want)
 				}
 				want++
 			}
@@ -120,8 +121,8 @@
 	})
 }
 
-// TestResponsesAreMatchedByStream: an answer of an earlier stream that is
-// already queued, one that is doubled, and one to no ask reach nobody.
+// TestResponsesAreMatchedByStream: a response of an earlier stream that is already
+// queued, one that is doubled, and one to no request reach nobody.
 func TestResponsesAreMatchedByStream(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 		old, current := open(), open()
@@ -132,54 +133,54 @@
 		}
 		c.useStream(current, "l")
 		respond := func(stream *transport.Stream, id uint64, value int64) {
-			c.onFrame(ctx, &transport.Event{Stream: stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(rpc.Response{Code: 200, Value: value})}})
+			c.onFrame(ctx, &transport.Event{Stream: stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(rpc.Response{Code: rpc.CodeOK, Value: value})}})
 		}
 		respond(old, 1, 66)
 		respond(current, 3, 77)
 		if len(replies[0])+len(replies[1]) != 0 {
-			t.Fatal("an answer of an earlier stream, or to no ask, reached a caller")
+			t.Fatal("a response of an earlier stream, or to no request, reached a caller")
 		}
 		respond(current, 1, 1)
 		respond(current, 1, 88)
 		respond(old, 2, 99)
 		respond(current, 2, 2)
 		for i, reply := range replies {
-			if respond := <-reply; respond.Value != int64(i+1) {
-				t.Errorf("ask %d got the answer %d", i+1, respond.Value)
+			if response := <-reply; response.Value != int64(i+1) {
+				t.Errorf("request %d got the response %d", i+1, response.Value)
 			}
 		}
 	})
 }
 
 // TestLargeRequestOnSlowLinkIsNotSilence: a configuration of 190 KB takes 0.8 s on
-// a link of 2 Mbit/s; to turn away from the leader meanwhile and to send it
-// again would go on for ever. What waits behind it isn't silence either.
+// a link of 2 Mbit/s; to leave the leader meanwhile and to send it again would go
+// on for ever. What waits behind it isn't silence either.
 func TestLargeRequestOnSlowLinkIsNotSilence(t *testing.T) {
 	for _, test := range []struct {
-		name    string
-		asks    []rpc.Request
-		largest int
-		after   time.Duration
-		leaves  bool
+		name            string
+		requests        []rpc.Request
+		largestResponse int // bytes
+		after           time.Duration
+		disconnects     bool
 	}{
-		{"small ask", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 600 * time.Millisecond, true},
-		{"small ask, answered in time", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 400 * time.Millisecond, false},
-		{"large order", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 900 * time.Millisecond, false},
-		{"small ask behind a large order", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}, {Kind: rpc.KindRenewMembership}}, 0, 900 * time.Millisecond, false},
-		{"large order, too long", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 2500 * time.Millisecond, true},
-		{"read of what was large", []rpc.Request{{Kind: rpc.KindGetConfig}}, 190_000, 900 * time.Millisecond, false},
-		{"other ask where that was large", []rpc.Request{{Kind: rpc.KindJobStatus}}, 190_000, 900 * time.Millisecond, true},
+		{"small request", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 600 * time.Millisecond, true},
+		{"small request, not late yet", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 400 * time.Millisecond, false},
+		{"large request", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 900 * time.Millisecond, false},
+		{"small request behind a large one", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}, {Kind: rpc.KindRenewMembership}}, 0, 900 * time.Millisecond, false},
+		{"large request, too late", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 2500 * time.Millisecond, true},
+		{"request whose response was large", []rpc.Request{{Kind: rpc.KindGetConfig}}, 190_000, 900 * time.Millisecond, false},
+		{"other request where a response was large", []rpc.Request{{Kind: rpc.KindJobStatus}}, 190_000, 900 * time.Millisecond, true},
 	} {
 		withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 			c.searching = true
 			c.useStream(open(), "l")
-			c.onFrame(ctx, &transport.Event{Stream: c.stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: 99, Body: transport.Encode(rpc.Response{Body: make([]byte, test.largest)})}})
-			for _, request := range test.asks {
+			c.onFrame(ctx, &transport.Event{Stream: c.stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: 99, Body: transport.Encode(rpc.Response{Body: make([]byte, test.largestResponse)})}})
+			for _, request := range test.requests {
 				c.handle(ctx, clientEvent{request: &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: c.now.Add(time.Minute), leaderlessBy: c.now.Add(time.Minute), noLeaderBy: c.now.Add(time.Minute)}})
 			}
 			c.tick(ctx, c.now.Add(test.after))
-			if disconnected := c.stream == nil; disconnected != test.leaves {
-				t.Errorf("%s, after %v: turned away %v", test.name, test.after, disconnected)
+			if disconnected := c.stream == nil; disconnected != test.disconnects {
+				t.Errorf("%s, after %v: disconnected %v", test.name, test.after, disconnected)
 			}
 		})
 	}
--- a/internal/federation/offloader.go
+++ b/internal/federation/offloader.go
@@ -46,7 +46,7 @@
 func New(config Settings, logger log.Logger, local LocalCluster) *Offloader {
 	offloader := &Offloader{settings: config, log: logger, local: local, peers: map[string]*discovery.Client{}, loans: map[string]loan{}}
 	for _, peer := range config.Peers {
-		offloader.peers[peer.Name] = discovery.NewClient(logger, "", peer.Seeds, nil, nil, nil)
+		offloader.peers[peer.Name] = discovery.NewClient(discovery.Options{Seeds: peer.Seeds})
 	}
 	return offloader
 }
@@ -54,7 +54,7 @@
 // Run turns until ctx ends.
 func (o *Offloader) Run(ctx context.Context) {
 	for _, client := range o.peers {
-		go func() { _ = client.Run(ctx) }()
+		go client.Run(ctx)
 	}
 	ticker := time.NewTicker(time.Duration(o.settings.IntervalMs) * time.Millisecond)
 	defer ticker.Stop()
--- a/internal/server/storage_lag_test.go
+++ b/internal/server/storage_lag_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
 		Log: log.NewNopLogger(), Trace: tracing.NewRing(16)}
-	replica, err := New(env, discovery.NewClient(env.Log, "", nil, nil, func(int64) {}, nil))
+	replica, err := New(env, discovery.NewClient(discovery.Options{}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -45,7 +45,7 @@
 	logged := make(eventLog, 1000)
 	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
 		Log: log.Logger(logged), Trace: tracing.NewRing(16)}
-	leaderClient := discovery.NewClient(env.Log, "", nil, nil, func(int64) {}, nil)
+	leaderClient := discovery.NewClient(discovery.Options{})
 	replica, err := New(env, leaderClient)
 	if err != nil {
 		t.Fatal(err)
