--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -7,46 +7,54 @@
 	"tealpond/internal/tuning"
 )
 
-// paceEstimate is how long work takes on a worker against its siblings elsewhere: the
-// mean of logarithms, older runs fading.
+// negligibleWeight is the weight below which a worker's pace is forgotten.
+const negligibleWeight = 0.01
+
+// paceEstimate is how long runs take on a worker relative to other runs of their
+// steps elsewhere: the mean of the logarithms, in which older runs decay.
 type paceEstimate struct {
 	meanLog, weight float64
 	updatedAt       int64
 }
 
-// recordPace takes note of how a run that ended did against the other runs of its
-// step. Why not against its estimate: tasks of a step are alike, estimates are
-// off by factors of eight.
-func (p *Planner) recordPace(allocation *state.Allocation, stepState *state.StepState, took float64, now int64) {
-	if stepState.DoneRuns < tuning.MinPaceSiblings+1 || took <= 0 {
+// decayedWeight is the weight that is left of the runs seen so far.
+func (e paceEstimate) decayedWeight(now int64) float64 {
+	return e.weight * math.Exp(-float64(now-e.updatedAt)/float64(tuning.SpeedSampleDecay.Milliseconds()))
+}
+
+// recordPace compares a completed run with the other runs of its step. It isn't
+// compared with its estimate, since tasks of a step are alike, while estimates are
+// off by factors of up to eight.
+func (p *Planner) recordPace(worker string, stepState *state.StepState, tookMs float64, now int64) {
+	if stepState.DoneRuns < tuning.MinPaceSiblings+1 || tookMs <= 0 {
 		return
 	}
-	// Why less its own: it is among them by now.
-	others := (float64(stepState.DoneRunsMs) - took) / float64(stepState.DoneRuns-1)
-	if others <= 0 {
+	// The run itself is among the step's done runs by now.
+	siblingsMs := (float64(stepState.DoneRunsMs) - tookMs) / float64(stepState.DoneRuns-1)
+	if siblingsMs <= 0 {
 		return
 	}
 	if p.paces == nil {
 		p.paces = map[string]paceEstimate{}
 	}
-	estimate := p.paces[allocation.Worker]
-	estimate.weight *= math.Exp(-float64(now-estimate.updatedAt) / float64(tuning.SpeedSampleDecay.Milliseconds()))
-	estimate.meanLog = (estimate.meanLog*estimate.weight + math.Log(took/others)) / (estimate.weight + 1)
+	estimate := p.paces[worker]
+	estimate.weight = estimate.decayedWeight(now)
+	estimate.meanLog = (estimate.meanLog*estimate.weight + math.Log(tookMs/siblingsMs)) / (estimate.weight + 1)
 	estimate.weight++
 	estimate.updatedAt = now
-	p.paces[allocation.Worker] = estimate
+	p.paces[worker] = estimate
 }
 
-// Pace tells how many times as long work takes on a worker as elsewhere; false
-// while too little ended there lately.
+// Pace tells how many times as long runs take on a worker as elsewhere, or false
+// if too few ended there lately. The time now is that of the state, in ms.
 func (p *Planner) Pace(worker string, now int64) (float64, bool) {
 	estimate, ok := p.paces[worker]
 	if !ok {
 		return 1, false
 	}
-	weight := estimate.weight * math.Exp(-float64(now-estimate.updatedAt)/float64(tuning.SpeedSampleDecay.Milliseconds()))
+	weight := estimate.decayedWeight(now)
 	if weight < tuning.MinPaceSampleWeight {
-		if weight < 0.01 {
+		if weight < negligibleWeight {
 			delete(p.paces, worker)
 		}
 		return 1, false
@@ -54,6 +62,6 @@
 	return math.Exp(estimate.meanLog), true
 }
 
-// DampSlowdown is a speed that rests on rough estimates alone, drawn towards one: a
-// few of them are off by more than a slow worker is slow.
-func DampSlowdown(speed float64) float64 { return math.Sqrt(speed) }
+// DampSlowdown draws a slowdown that rests on a few rough estimates towards 1: they
+// are off by more than a slow worker is slow.
+func DampSlowdown(slowdown float64) float64 { return math.Sqrt(slowdown) }
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -1,5 +1,9 @@
-// Package scheduler plans which task goes to which worker. It reads the store and
-// never changes it.
+// Package scheduler decides which task goes to which worker.
+//
+// A Planner runs on the leader. It reads the replicated state and never changes
+// it: what it decides are plans (state.Plan), which take effect only when they
+// are committed and applied like any other command. The package starts no
+// goroutine and reads no clock; time is that of the state.
 package scheduler
 
 import (
@@ -7,41 +11,53 @@
 	"tealpond/internal/tuning"
 )
 
+// A plan that lost a placement is planned again while it is applied, on each
+// replica; the state can't import the scheduler, so the function is set here.
 func init() { state.Replan = replan }
 
-// Planner makes plans and remembers, between them, how much room the urgent
-// needed lately.
+// Planner makes plans. Between them it remembers the urgent demand of the last
+// seconds, the pace of workers, and how far estimates are off. The zero value is
+// ready for use; a Planner is used by one goroutine at a time.
 type Planner struct {
-	// SilentWorkers workers get nothing new; Speed is how many times as long work
-	// takes on a worker as usual; Usual is that against the estimates.
+	// SilentWorkers are the workers that the leader hasn't heard of lately. They
+	// get no tasks, and their runs get copies where that is allowed.
 	SilentWorkers map[string]bool
-	// UnhealthyWorkers workers are those whose side daemons say so.
+	// UnhealthyWorkers are the workers whose agents report trouble, or whose
+	// lease has expired. Their runs are checked for copies at once.
 	UnhealthyWorkers map[string]bool
-	Slowdown         map[string]float64
-	EstimateRatio    float64
-	demandPeaks      map[state.ServicePriority]*demandPeak
-	unmetDemand      map[state.ServicePriority]resources
-	heldResources    map[state.ServicePriority]resources
-	// CheckpointIntervalMs is how much work a run that saves its progress loses at most.
+	// Slowdown is how many times as long as on the median worker tasks take, by
+	// worker; workers that are missing count as 1.
+	Slowdown map[string]float64
+	// EstimateRatio is how many times as long as estimated tasks take on the
+	// median worker; 0 if that isn't known.
+	EstimateRatio float64
+	// CheckpointIntervalMs is the most work, in milliseconds, that a run which
+	// saves its progress loses when it is stopped.
 	CheckpointIntervalMs int64
-	stragglers           stragglerQueue
-	stragglerFactors     map[string]float64      // by route, see Learn
-	paces                map[string]paceEstimate // by worker
+
+	demandPeaks      map[state.ServicePriority]*demandPeak
+	unmetDemand      map[state.ServicePriority]resources // of the last plan
+	heldResources    map[state.ServicePriority]resources // as of the last plan
+	stragglers       stragglerQueue
+	stragglerFactors map[string]float64      // by route, see RecordCompletion
+	paces            map[string]paceEstimate // by worker
 }
 
-// Plan makes plans for what waits, as far as there is room.
+// Plan makes plans for the tasks that wait, the most urgent first, as far as
+// there is room and up to tuning.MaxTasksPerPlan. Each plan holds tasks of one
+// step.
 func (p *Planner) Plan(store *state.Store) []state.Plan {
 	snap := newSnapshot(store, p)
 	requests := append(pendingRequests(store), p.speculativeRequests(store)...)
-	// Why also when nothing waits: what lacked room a round ago would go on
-	// pushing others out.
+	// This is reset even if nothing waits: what lacked room a round ago would
+	// otherwise go on preempting other runs.
 	p.unmetDemand = map[state.ServicePriority]resources{}
 	if len(requests) == 0 {
 		return nil
 	}
-	held, all := demand(store, requests)
+	held, demand := currentDemand(store, requests)
 	p.heldResources = held
-	p.updatePeaks(store.Clock, all)
+	p.updatePeaks(store.Clock, demand)
 	var plans []state.Plan
 	left := tuning.MaxTasksPerPlan
 	for _, request := range requests {
@@ -52,64 +68,56 @@
 			left--
 			continue
 		}
-		kind := state.ServicePriority{Service: request.job.Service, Priority: request.job.Priority}
-		spec := request.job.Steps[request.step]
-		if left, ok := store.LoanRemaining(request.job); ok && len(request.tasks) > 0 {
-			n := int(left / max(cpuPerTask(request), 1))
-			if n == 0 && left > 0 {
-				n = 1
-			}
-			if n < len(request.tasks) && request.job.IsGang(request.step) || n == 0 {
-				continue
-			}
-			request.tasks = request.tasks[:min(n, len(request.tasks))]
-		}
-		if limit, ok := p.longTaskLimit(store, request, held); ok {
-			// Why fewer tasks and not none: what fits under the share runs.
-			n := len(request.tasks)
-			if spec.CPUUnits > 0 {
-				n = min(n, int((limit.cpu-held[kind].cpu)/float64(spec.CPUUnits)))
-			}
-			if spec.MemoryMB > 0 {
-				n = min(n, int((limit.memory-held[kind].memory)/float64(spec.MemoryMB)))
-			}
-			if held[kind].cpu == 0 {
-				n = max(n, 1)
-			}
-			if n <= 0 || n < len(request.tasks) && request.job.IsGang(request.step) && held[kind].cpu > 0 {
-				continue
-			}
-			if n < len(request.tasks) && !request.job.IsGang(request.step) {
-				request.tasks = request.tasks[:n]
-			}
+		if !limitToLoan(store, &request) || !p.limitLongTasks(store, &request, held) {
+			continue
 		}
 		plan := snap.placeStep(request)
-		// Why not by what waits: work that fits nowhere must not keep what
-		// would fit from being looked at.
-		left -= max(len(plan.Placements), tuning.UnplacedStepCost)
-		if len(plan.Placements) > 0 {
+		placed := len(plan.Placements)
+		// What doesn't fit counts little, whatever its size: work that fits
+		// nowhere must not keep other work from being looked at.
+		left -= max(placed, tuning.UnplacedStepCost)
+		kind, spec := request.servicePriority(), request.spec()
+		if placed > 0 {
 			plans = append(plans, plan)
-			held[kind] = held[kind].add(spec.CPUUnits, spec.MemoryMB, len(plan.Placements))
+			held[kind] = held[kind].add(spec.CPUUnits, spec.MemoryMB, placed)
 		}
-		if n := len(request.tasks) - len(plan.Placements); n > 0 && request.deadlineClass < 2 && !request.speculative && store.Clock-request.instance.Steps[request.step].ReadyAt >= tuning.PreemptionDelay.Milliseconds() {
-			p.unmetDemand[kind] = p.unmetDemand[kind].add(spec.CPUUnits, spec.MemoryMB, n)
+		if missing := len(request.tasks) - placed; missing > 0 && request.mayPreempt(store.Clock) {
+			p.unmetDemand[kind] = p.unmetDemand[kind].add(spec.CPUUnits, spec.MemoryMB, missing)
 		}
 	}
 	return plans
 }
 
-func cpuPerTask(request placementRequest) int64 { return request.job.Steps[request.step].CPUUnits }
+// limitToLoan drops tasks of a peer cluster's job that don't fit into the room
+// lent to that cluster. It returns false if none is left to place.
+func limitToLoan(store *state.Store, request *placementRequest) bool {
+	milliCPU, ok := store.LoanRemaining(request.job)
+	if !ok || len(request.tasks) == 0 {
+		return true
+	}
+	n := int(milliCPU / max(request.spec().CPUUnits, 1))
+	if n == 0 && milliCPU > 0 {
+		n = 1
+	}
+	if n == 0 || n < len(request.tasks) && request.isGang() {
+		return false
+	}
+	request.tasks = request.tasks[:min(n, len(request.tasks))]
+	return true
+}
 
+// replan plans a step again of which a placement can't be bound any more. It
+// looks at every worker, since each replica must come to the same plan.
 func replan(store *state.Store, plan state.Plan) (state.Plan, bool) {
 	job := store.Jobs[plan.Job]
 	if job == nil || plan.Instance >= len(job.Instances) {
 		return plan, false
 	}
 	request := placementRequest{job: job, instance: job.Instances[plan.Instance], step: plan.Step}
-	for _, item := range plan.Placements {
-		task := &request.instance.Steps[plan.Step].Tasks[item.TaskIndex]
-		if !task.Done && (len(task.Allocations) == 0 || item.Copy > 0) {
-			request.tasks = append(request.tasks, state.Placement{TaskIndex: item.TaskIndex, Copy: item.Copy})
+	for _, placement := range plan.Placements {
+		task := &request.instance.Steps[plan.Step].Tasks[placement.TaskIndex]
+		if !task.Done && (len(task.Allocations) == 0 || placement.Copy > 0) {
+			request.tasks = append(request.tasks, state.Placement{TaskIndex: placement.TaskIndex, Copy: placement.Copy})
 		}
 	}
 	replanned := newExhaustiveSnapshot(store).placeStep(request)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -7,8 +7,16 @@
 	"tealpond/internal/tuning"
 )
 
-// Preemptions are the runs to stop so that more urgent work, which waits already,
-// finds room: those that lose least unsaved work, and none that lose much.
+// victim is a run that may be preempted.
+type victim struct {
+	allocation *state.Allocation
+	job        *state.Job
+	lostMs     int64 // the work that it would lose
+}
+
+// Preemptions gives the IDs of the allocations to stop so that more urgent work,
+// which found no room in the last plan, finds some: first those that lose least
+// unsaved work, and none that lose more than tuning.MaxPreemptionLoss.
 func (p *Planner) Preemptions(store *state.Store) []uint64 {
 	if len(p.unmetDemand) == 0 {
 		return nil
@@ -18,55 +26,58 @@
 		kinds = append(kinds, kind)
 	}
 	sort.Slice(kinds, func(a, b int) bool { return kinds[a].Priority < kinds[b].Priority })
-	type victim struct {
-		a    *state.Allocation
-		j    *state.Job
-		lost int64
+	victims, stopping := p.victims(store)
+	var preempted []uint64
+	for _, kind := range kinds {
+		need, held := p.unmetDemand[kind], p.heldResources[kind]
+		// The kind's own runs free a part of their room by themselves before a
+		// preempted run would.
+		need.cpu -= tuning.ExpectedReleaseFraction * held.cpu
+		need.memory -= tuning.ExpectedReleaseFraction * held.memory
+		freed := stopping[kind.Service]
+		for _, v := range victims {
+			if freed.cpu >= need.cpu && freed.memory >= need.memory {
+				break
+			}
+			if v.job.Service != kind.Service || v.job.Priority <= kind.Priority {
+				continue
+			}
+			preempted = append(preempted, v.allocation.ID)
+			freed = freed.add(v.allocation.MilliCPU, v.allocation.MemoryMB, 1)
+		}
 	}
+	return preempted
+}
+
+// victims gives the runs that may be preempted, those that lose least first, and
+// what runs that are being stopped already will free, by service.
+func (p *Planner) victims(store *state.Store) ([]victim, map[string]resources) {
 	var victims []victim
-	freed := map[string]resources{}
-	for _, a := range store.Allocations {
-		job := store.Jobs[a.Job]
+	stopping := map[string]resources{}
+	for _, allocation := range store.Allocations {
+		job := store.Jobs[allocation.Job]
 		if job == nil {
 			continue
 		}
-		spec := job.Steps[a.Step]
-		if a.Stopping {
-			freed[job.Service] = freed[job.Service].add(a.MilliCPU, a.MemoryMB, 1)
+		if allocation.Stopping {
+			stopping[job.Service] = stopping[job.Service].add(allocation.MilliCPU, allocation.MemoryMB, 1)
 			continue
 		}
-		lost := store.Clock - a.BookedAt
+		spec := &job.Steps[allocation.Step]
+		lostMs := store.Clock - allocation.BookedAt
 		if spec.Checkpoints {
-			lost = min(lost, p.CheckpointIntervalMs)
+			lostMs = min(lostMs, p.CheckpointIntervalMs)
 		}
-		if spec.EstimateMs < tuning.LongTaskThreshold.Milliseconds() || spec.Gang || spec.LongRunning || lost > tuning.MaxPreemptionLoss.Milliseconds() {
+		if spec.EstimateMs < tuning.LongTaskThreshold.Milliseconds() || spec.Gang || spec.LongRunning || lostMs > tuning.MaxPreemptionLoss.Milliseconds() {
 			continue
 		}
-		victims = append(victims, victim{a, job, lost})
+		victims = append(victims, victim{allocation, job, lostMs})
 	}
 	sort.Slice(victims, func(a, b int) bool {
-		if victims[a].lost != victims[b].lost {
-			return victims[a].lost < victims[b].lost
+		if victims[a].lostMs != victims[b].lostMs {
+			return victims[a].lostMs < victims[b].lostMs
 		}
-		return victims[a].a.ID < victims[b].a.ID
+		return victims[a].allocation.ID < victims[b].allocation.ID
 	})
-	var out []uint64
-	for _, kind := range kinds {
-		need, held := p.unmetDemand[kind], p.heldResources[kind]
-		// Why less: its own kind gives so much back before a stop would.
-		need.cpu -= tuning.ExpectedReleaseFraction * held.cpu
-		need.memory -= tuning.ExpectedReleaseFraction * held.memory
-		gained := freed[kind.Service]
-		for _, v := range victims {
-			if gained.cpu >= need.cpu && gained.memory >= need.memory {
-				break
-			}
-			if v.j.Service != kind.Service || v.j.Priority <= kind.Priority {
-				continue
-			}
-			out = append(out, v.a.ID)
-			gained = gained.add(v.a.MilliCPU, v.a.MemoryMB, 1)
-		}
-	}
-	return out
+	return victims, stopping
 }
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -3,41 +3,87 @@
 import (
 	"sort"
 
+	"tealpond/internal/protocol"
 	"tealpond/internal/state"
+	"tealpond/internal/tuning"
 )
 
 // placementRequest is one step that has tasks to place.
 type placementRequest struct {
-	job           *state.Job
-	instance      *state.JobInstance
-	step          int
-	tasks         []state.Placement
-	slack         int64 // to the aim
-	deadlineClass int   // 0: can meet its aim, 1: can still be late, 2: too late
-	latestStart   int64
-	// speculative of runs in trouble go to none of the workers in not.
+	job      *state.Job
+	instance *state.JobInstance
+	step     int
+	tasks    []state.Placement
+	slackMs  int64 // from now to the target
+	class    deadlineClass
+	// latestStart is when the rest of the job must start to stay in its class, in
+	// ms of the state's clock.
+	latestStart int64
+	// speculative requests are for copies of runs in trouble; none goes to one of
+	// excludedWorkers, where those run.
 	speculative     bool
 	excludedWorkers map[string]bool
 }
 
-// pendingRequests lists what waits, the most urgent first. It looks only at steps that
-// changed so that something of them may wait.
+func (r *placementRequest) spec() *protocol.Step { return &r.job.Steps[r.step] }
+
+func (r *placementRequest) isGang() bool { return r.job.IsGang(r.step) }
+
+func (r *placementRequest) servicePriority() state.ServicePriority {
+	return state.ServicePriority{Service: r.job.Service, Priority: r.job.Priority}
+}
+
+// stepName is a name for the step, the same for all its tasks.
+func (r *placementRequest) stepName() string {
+	return state.TaskName(r.job.ID, r.instance.Number, r.step, 0)
+}
+
+// mayPreempt tells whether tasks that find no room may preempt less urgent runs:
+// they still gain by it, and have waited long enough for room to come free.
+func (r *placementRequest) mayPreempt(now int64) bool {
+	return r.class < tooLate && !r.speculative && now-r.instance.Steps[r.step].ReadyAt >= tuning.PreemptionDelay.Milliseconds()
+}
+
+// deadlineClass is what a job can still achieve if the rest of it starts now.
+type deadlineClass int
+
+const (
+	onTime  deadlineClass = iota // it can meet its target
+	late                         // it can still count as late
+	tooLate                      // it gains nothing by being sooner
+)
+
+// lateFactor is how many times its target a job may take to still count as late,
+// by the operators' rules.
+const lateFactor = 3
+
+// classifyDeadline gives a job's class and the latest start that keeps it in that
+// class. All arguments are in milliseconds; remaining is the critical path of what
+// is left.
+func classifyDeadline(now, submittedAt, target, remaining int64) (deadlineClass, int64) {
+	switch {
+	case now+remaining <= submittedAt+target:
+		return onTime, submittedAt + target - remaining
+	case now+remaining <= submittedAt+lateFactor*target:
+		return late, submittedAt + lateFactor*target - remaining
+	}
+	return tooLate, submittedAt
+}
+
+// pendingRequests lists the steps whose tasks wait, the most urgent first. It looks
+// only at steps that changed in a way that may let something wait.
 func pendingRequests(store *state.Store) []placementRequest {
-	var out []placementRequest
+	var requests []placementRequest
 	store.EachPlaceableStep(func(job *state.Job, instance *state.JobInstance, step int) bool {
 		stepState := &instance.Steps[step]
 		if instance.Failed || instance.StepsLeft == 0 || !stepState.Ready || stepState.TasksLeft == 0 {
 			return false
 		}
 		request := placementRequest{job: job, instance: instance, step: step}
-		if job.IsGang(step) {
-			request.tasks = gangTasks(stepState)
+		if request.isGang() {
+			request.tasks = waitingGang(stepState)
 		} else {
-			for x := range stepState.Tasks {
-				if t := &stepState.Tasks[x]; !t.Done && len(t.Allocations) == 0 {
-					request.tasks = append(request.tasks, state.Placement{TaskIndex: x})
-				}
-			}
+			request.tasks = waitingTasks(stepState)
 		}
 		if len(request.tasks) == 0 {
 			return false
@@ -45,55 +91,53 @@
 		if job.AtPeer() {
 			return true
 		}
-		aim := job.TargetTurnaroundMs()
-		request.slack = instance.CreatedAt + aim - store.Clock
-		request.deadlineClass, request.latestStart = classifyDeadline(store.Clock, instance.CreatedAt, aim, job.RemainingCriticalPathMs(instance))
-		out = append(out, request)
+		target := job.TargetTurnaroundMs()
+		request.slackMs = instance.CreatedAt + target - store.Clock
+		request.class, request.latestStart = classifyDeadline(store.Clock, instance.CreatedAt, target, job.RemainingCriticalPathMs(instance))
+		requests = append(requests, request)
 		return true
 	})
-	sort.Slice(out, func(a, b int) bool {
-		x, y := &out[a], &out[b]
-		switch {
-		case x.job.Priority != y.job.Priority:
-			return x.job.Priority < y.job.Priority
-		case x.deadlineClass != y.deadlineClass:
-			return x.deadlineClass < y.deadlineClass
-		case x.latestStart != y.latestStart:
-			return x.latestStart < y.latestStart
-		case x.job.Sequence != y.job.Sequence:
-			return x.job.Sequence < y.job.Sequence
-		case x.instance.Number != y.instance.Number:
-			return x.instance.Number < y.instance.Number
-		}
-		return x.step < y.step
-	})
-	return out
+	sort.Slice(requests, func(a, b int) bool { return requests[a].moreUrgent(&requests[b]) })
+	return requests
 }
 
-// classifyDeadline tells what a job can still earn, and by when. Why first those that
-// can meet their aim: one that is late already gains nothing by being sooner.
-func classifyDeadline(now, submittedAt, target, remaining int64) (int, int64) {
+// moreUrgent orders requests. Within a priority, jobs that can meet their target
+// come first: one that is late already gains nothing by being sooner.
+func (r *placementRequest) moreUrgent(other *placementRequest) bool {
 	switch {
-	case now+remaining <= submittedAt+target:
-		return 0, submittedAt + target - remaining
-	case now+remaining <= submittedAt+lateFactor*target:
-		return 1, submittedAt + lateFactor*target - remaining
+	case r.job.Priority != other.job.Priority:
+		return r.job.Priority < other.job.Priority
+	case r.class != other.class:
+		return r.class < other.class
+	case r.latestStart != other.latestStart:
+		return r.latestStart < other.latestStart
+	case r.job.Sequence != other.job.Sequence:
+		return r.job.Sequence < other.job.Sequence
+	case r.instance.Number != other.instance.Number:
+		return r.instance.Number < other.instance.Number
 	}
-	return 2, submittedAt
+	return r.step < other.step
 }
 
-// lateFactor is how many times its aim a job may take and still count as late
-// (the rules' own figure).
-const lateFactor = 3
+// waitingTasks are the tasks of a step that neither run nor are done.
+func waitingTasks(stepState *state.StepState) []state.Placement {
+	var waiting []state.Placement
+	for i := range stepState.Tasks {
+		if task := &stepState.Tasks[i]; !task.Done && len(task.Allocations) == 0 {
+			waiting = append(waiting, state.Placement{TaskIndex: i})
+		}
+	}
+	return waiting
+}
 
-// gangTasks are all of a gang, or none while a member still holds its room.
-func gangTasks(stepState *state.StepState) []state.Placement {
-	var items []state.Placement
-	for x := range stepState.Tasks {
-		if len(stepState.Tasks[x].Allocations) > 0 {
+// waitingGang are all tasks of a gang, or none while one of them still holds room.
+func waitingGang(stepState *state.StepState) []state.Placement {
+	var waiting []state.Placement
+	for i := range stepState.Tasks {
+		if len(stepState.Tasks[i].Allocations) > 0 {
 			return nil
 		}
-		items = append(items, state.Placement{TaskIndex: x})
+		waiting = append(waiting, state.Placement{TaskIndex: i})
 	}
-	return items
+	return waiting
 }
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -7,41 +7,43 @@
 	"tealpond/internal/tuning"
 )
 
-// resources is an amount of both kinds of room.
+// resources is an amount of processor time, in thousandths of a core, and of
+// memory, in MB.
 type resources struct{ cpu, memory float64 }
 
-func (w resources) add(cpu, mem int64, n int) resources {
-	return resources{w.cpu + float64(cpu)*float64(n), w.memory + float64(mem)*float64(n)}
+// add adds n tasks of one size.
+func (r resources) add(milliCPU, memoryMB int64, n int) resources {
+	return resources{r.cpu + float64(milliCPU)*float64(n), r.memory + float64(memoryMB)*float64(n)}
 }
 
-// demandPeak is the highest demand of one priority, sinking as it ages.
+// demandPeak is the highest demand of one priority, decaying as it ages.
 type demandPeak struct {
 	resources
 	updatedAt int64
 }
 
-// demand is the room that each priority of a service holds, and with what
-// waits for it.
-func demand(store *state.Store, requests []placementRequest) (held, all map[state.ServicePriority]resources) {
-	held, all = map[state.ServicePriority]resources{}, map[state.ServicePriority]resources{}
+// currentDemand gives what each priority of a service holds, and that together
+// with what waits.
+func currentDemand(store *state.Store, requests []placementRequest) (held, demand map[state.ServicePriority]resources) {
+	held, demand = map[state.ServicePriority]resources{}, map[state.ServicePriority]resources{}
 	for kind, usage := range store.UsedByServicePriority() {
 		held[kind] = resources{float64(usage.MilliCPU), float64(usage.MemoryMB)}
-		all[kind] = held[kind]
+		demand[kind] = held[kind]
 	}
-	for _, request := range requests {
-		spec := request.job.Steps[request.step]
-		kind := state.ServicePriority{Service: request.job.Service, Priority: request.job.Priority}
-		all[kind] = all[kind].add(spec.CPUUnits, spec.MemoryMB, len(request.tasks))
+	for i := range requests {
+		request := &requests[i]
+		spec, kind := request.spec(), request.servicePriority()
+		demand[kind] = demand[kind].add(spec.CPUUnits, spec.MemoryMB, len(request.tasks))
 	}
-	return held, all
+	return held, demand
 }
 
-// updatePeaks lets old peaks sink and raises them to the demand of now.
-func (p *Planner) updatePeaks(now int64, all map[state.ServicePriority]resources) {
+// updatePeaks lets the peaks decay and raises them to the current demand.
+func (p *Planner) updatePeaks(now int64, demand map[state.ServicePriority]resources) {
 	if p.demandPeaks == nil {
 		p.demandPeaks = map[state.ServicePriority]*demandPeak{}
 	}
-	for kind := range all {
+	for kind := range demand {
 		if p.demandPeaks[kind] == nil {
 			p.demandPeaks[kind] = &demandPeak{updatedAt: now}
 		}
@@ -49,12 +51,13 @@
 	for kind, peak := range p.demandPeaks {
 		decay := math.Exp(-float64(now-peak.updatedAt) / float64(tuning.DemandPeakDecay.Milliseconds()))
 		peak.updatedAt = now
-		peak.cpu = max(peak.cpu*decay, all[kind].cpu)
-		peak.memory = max(peak.memory*decay, all[kind].memory)
+		peak.cpu = max(peak.cpu*decay, demand[kind].cpu)
+		peak.memory = max(peak.memory*decay, demand[kind].memory)
 	}
 }
 
-// reservedForMoreUrgent is the room that a priority must leave to those before it.
+// reservedForMoreUrgent is what a priority must leave to more urgent ones of its
+// service: the sum of their peaks.
 func (p *Planner) reservedForMoreUrgent(service string, priority int) resources {
 	sum := resources{}
 	for kind, peak := range p.demandPeaks {
@@ -66,35 +69,62 @@
 	return sum
 }
 
-// longTaskLimit is the room that tasks of this kind may hold at most, if there is a
-// bound. Long work that can wait leaves room for the urgent work foreseen.
-func (p *Planner) longTaskLimit(store *state.Store, request placementRequest, held map[state.ServicePriority]resources) (resources, bool) {
-	spec := request.job.Steps[request.step]
-	if spec.EstimateMs < tuning.LongTaskThreshold.Milliseconds() {
+// limitLongTasks drops the tasks of a long step that don't fit under its limit. It
+// returns false if the step must wait as a whole.
+func (p *Planner) limitLongTasks(store *state.Store, request *placementRequest, held map[state.ServicePriority]resources) bool {
+	limit, ok := p.longTaskLimit(store, request, held)
+	if !ok {
+		return true
+	}
+	spec, used := request.spec(), held[request.servicePriority()]
+	n := len(request.tasks)
+	if spec.CPUUnits > 0 {
+		n = min(n, int((limit.cpu-used.cpu)/float64(spec.CPUUnits)))
+	}
+	if spec.MemoryMB > 0 {
+		n = min(n, int((limit.memory-used.memory)/float64(spec.MemoryMB)))
+	}
+	if used.cpu == 0 {
+		n = max(n, 1)
+	}
+	if n <= 0 || n < len(request.tasks) && request.isGang() && used.cpu > 0 {
+		return false
+	}
+	if n < len(request.tasks) && !request.isGang() {
+		request.tasks = request.tasks[:n]
+	}
+	return true
+}
+
+// longTaskLimit is what the long tasks of a request's priority may hold together,
+// or false if there is no limit: long tasks that can wait leave room for the urgent
+// demand foreseen.
+func (p *Planner) longTaskLimit(store *state.Store, request *placementRequest, held map[state.ServicePriority]resources) (resources, bool) {
+	if request.spec().EstimateMs < tuning.LongTaskThreshold.Milliseconds() {
 		return resources{}, false
 	}
-	reserved := p.reservedForMoreUrgent(request.job.Service, request.job.Priority)
+	kind := request.servicePriority()
+	reserved := p.reservedForMoreUrgent(kind.Service, kind.Priority)
 	if reserved.cpu == 0 {
 		return resources{}, false
 	}
-	total, _ := store.SchedulableCapacity(request.job.Service)
-	room := resources{float64(total.MilliCPU), float64(total.MemoryMB)}
+	schedulable, _ := store.SchedulableCapacity(kind.Service)
+	total := resources{float64(schedulable.MilliCPU), float64(schedulable.MemoryMB)}
 	minFraction := tuning.MinLongTaskFraction
-	if request.slack < request.job.CriticalPathMs() {
-		// Why more: it misses its aim if it waits longer.
+	if request.slackMs < request.job.CriticalPathMs() {
 		minFraction = tuning.MinLateLongTaskFraction
 	}
-	limit := resources{max(room.cpu-reserved.cpu, room.cpu*minFraction), max(room.memory-reserved.memory, room.memory*minFraction)}
-	// Why whatever is foreseen: a job must not wait beside room that is
-	// mostly free (the rule LOST).
+	limit := resources{max(total.cpu-reserved.cpu, total.cpu*minFraction), max(total.memory-reserved.memory, total.memory*minFraction)}
+	// Whatever is foreseen, a job must not wait beside workers that are mostly
+	// free: it would count as lost.
 	var others resources
-	for kind, usage := range held {
-		if kind.Service == request.job.Service && kind.Priority != request.job.Priority {
+	for heldKind, usage := range held {
+		if heldKind.Service == kind.Service && heldKind.Priority != kind.Priority {
 			others.cpu += usage.cpu
 			others.memory += usage.memory
 		}
 	}
-	limit.cpu = max(limit.cpu, room.cpu*tuning.LongTaskFreeFraction-others.cpu)
-	limit.memory = max(limit.memory, room.memory*tuning.LongTaskFreeFraction-others.memory)
+	limit.cpu = max(limit.cpu, total.cpu*tuning.LongTaskFreeFraction-others.cpu)
+	limit.memory = max(limit.memory, total.memory*tuning.LongTaskFreeFraction-others.memory)
 	return limit, true
 }
