--- a/internal/clusterconfig/config.go
+++ b/internal/clusterconfig/config.go
@@ -1,40 +1,42 @@
-// Package clusterconfig reads and checks the configurations that operators send.
 package clusterconfig
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"sort"
 	"strings"
 
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of faults in a configuration.
+// Error is the class of all errors of a configuration; their texts name the field.
 var Error = errs.Class("configuration")
 
-// Route is a route: it directs one host and prefix, a queue, to a service.
+// Route directs the jobs of one host and path prefix (a queue) to a service.
 type Route struct {
-	Name          string  `json:"name"`
-	HostName      string  `json:"hostName"`
-	PathPrefix    string  `json:"pathPrefix"`
-	Kind          string  `json:"kind"`
-	TimeoutMs     int64   `json:"timeoutMs"`
-	TargetMs      int64   `json:"targetMs"`
-	Priority      int     `json:"priority"`
-	TargetService string  `json:"targetService"`
-	MaxAttempts   int     `json:"maxTries"`
-	Stretch       float64 `json:"stretch"`
+	Name          string `json:"name"`
+	HostName      string `json:"hostName"`
+	PathPrefix    string `json:"pathPrefix"`
+	Kind          string `json:"kind"`
+	TimeoutMs     int64  `json:"timeoutMs"`
+	TargetMs      int64  `json:"targetMs"` // see Stretch
+	Priority      int    `json:"priority"` // 0 goes first
+	TargetService string `json:"targetService"`
+	MaxAttempts   int    `json:"maxTries"` // a job fails when a task has failed so often
+	// Stretch: a job should be done in Stretch times the sum of its longest
+	// chain of estimates, plus TargetMs.
+	Stretch float64 `json:"stretch"`
 }
 
 // Service is a kind of runner.
 type Service struct {
-	Name              string `json:"name"`
-	EnforcesResources bool   `json:"guards"`
+	Name string `json:"name"`
+	// EnforcesResources: its runners refuse what does not fit; the others start
+	// whatever they are told.
+	EnforcesResources bool `json:"guards"`
 }
 
-// Limits bound what clients may send.
+// Limits bound what clients may send; 0: the default.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`
@@ -42,16 +44,17 @@
 	IdleTimeoutMs   int64 `json:"idleTimeoutMs"`
 }
 
-// Config is one configuration, with the text as it was sent.
+// Config is one configuration.
 type Config struct {
 	Version  int64     `json:"configVersion"`
 	Routes   []Route   `json:"routeList"`
 	Services []Service `json:"serviceList"`
 	Limits   Limits    `json:"limits"`
-	Raw      []byte    `json:"-" cbor:"raw"`
+	Raw      []byte    `json:"-" cbor:"raw"` // the text as it was sent
 }
 
-// Parse decodes a configuration and checks what its parts say of one another.
+// Parse decodes a configuration and checks what its parts say of one another: all
+// problems that it finds are in the text of the error, which is of class Error.
 func Parse(raw []byte) (*Config, error) {
 	var config Config
 	if err := json.Unmarshal(raw, &config); err != nil {
@@ -64,8 +67,8 @@
 	return &config, nil
 }
 
-// VersionOf gives the configVersion of a text without reading all of it, to name
-// the text by: 0 if there is none or the text can't be read up to there.
+// VersionOf gives the version of a text without reading all of it, to name the
+// text by: 0 if it has none or can't be read up to there.
 func VersionOf(raw []byte) int64 {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
@@ -91,6 +94,8 @@
 	return 0
 }
 
+// inconsistencies lists what the parts of a configuration say wrongly of one
+// another.
 func inconsistencies(config *Config) []string {
 	var problems []string
 	if config.Version <= 0 {
@@ -138,42 +143,3 @@
 	}
 	return problems
 }
-
-// RouteTable finds routes.
-type RouteTable struct {
-	byHost map[string][]*Route
-}
-
-// NewRouteTable sorts the routes by host, longest prefix first.
-func NewRouteTable(config *Config) *RouteTable {
-	table := &RouteTable{byHost: map[string][]*Route{}}
-	for i := range config.Routes {
-		route := &config.Routes[i]
-		host := strings.ToLower(route.HostName)
-		table.byHost[host] = append(table.byHost[host], route)
-	}
-	for _, routes := range table.byHost {
-		sort.SliceStable(routes, func(a, b int) bool { return len(routes[a].PathPrefix) > len(routes[b].PathPrefix) })
-	}
-	return table
-}
-
-// Find gives the route of a call and what follows its prefix.
-func (t *RouteTable) Find(host, path string) (*Route, string) {
-	host = strings.ToLower(host)
-	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
-		host = host[:i]
-	}
-	for _, route := range t.byHost[host] {
-		if strings.HasPrefix(path, route.PathPrefix) {
-			return route, path[len(route.PathPrefix):]
-		}
-	}
-	// The queue itself may be asked for without the slash that ends its prefix.
-	for _, route := range t.byHost[host] {
-		if path+"/" == route.PathPrefix {
-			return route, ""
-		}
-	}
-	return nil, ""
-}
--- a/internal/clusterconfig/config_test.go
+++ b/internal/clusterconfig/config_test.go
@@ -17,7 +17,7 @@
 		if err != nil {
 			return err.Error() + "\n"
 		}
-		if d.Cmd == "lane" {
+		if d.Cmd == "route" {
 			var host, path string
 			d.ScanArgs(t, "host", &host)
 			d.ScanArgs(t, "path", &path)
--- a/internal/clusterconfig/schema.go
+++ b/internal/clusterconfig/schema.go
@@ -9,7 +9,8 @@
 	cuejson "cuelang.org/go/encoding/json"
 )
 
-// schema is what one configuration looks like, field by field.
+// schema is what a configuration looks like, field by field, in CUE. #Lane is a
+// Route: the name stays, since texts of errors show it.
 const schema = `
 #Name: string & !=""
 #Lane: {
@@ -48,9 +49,11 @@
 	return c, c.CompileString(schema)
 })
 
+// schemaMu guards the compiled schema: a CUE context is not safe for concurrent
+// use.
 var schemaMu sync.Mutex
 
-// Validate holds a configuration against the schema.
+// Validate holds a configuration against the schema; an error is of class Error.
 func Validate(raw []byte) error {
 	schemaMu.Lock()
 	defer schemaMu.Unlock()
--- /dev/null
+++ b/internal/protocol/runner.go
@@ -0,0 +1,73 @@
+package protocol
+
+// States of a runner in its heartbeats.
+const (
+	RunnerReady    = "ready"
+	RunnerDraining = "draining" // it will leave, and takes no new runs
+)
+
+// Heartbeat is a runner's account of itself.
+type Heartbeat struct {
+	Service       string    `json:"targetService"`
+	Address       string    `json:"address"`
+	Zone          string    `json:"zone"`
+	ConfigVersion string    `json:"configVersion"` // of the runner's software
+	Slots         int       `json:"slots"`
+	State         string    `json:"state"`      // RunnerReady or RunnerDraining
+	WarmupLeftMs  int64     `json:"coldLeftMs"` // how much longer it is slow from its start
+	FreeResources Resources `json:"freeRoom"`
+	Labels        []string  `json:"labels"` // its kind and its rack
+	ClockMs       int64     `json:"clockMs"`
+	// LeavesInMs is the least time until it leaves, while it drains.
+	LeavesInMs *int64 `json:"leavesAtMs,omitempty"`
+	// Sequence rises with each heartbeat, so that a late one is recognised.
+	Sequence int64 `json:"callSeq"`
+}
+
+// StartRequest tells a runner to start a run.
+type StartRequest struct {
+	TaskID       string `json:"taskId"`
+	RunID        int    `json:"runId"`
+	Spec         string `json:"jobSpec"`
+	LeaseUntilMs int64  `json:"untilMs"` // on the runner's clock, for all that runs there
+	Fence        int64  `json:"fenceNumber"`
+	Checkpoint   string `json:"lastCheckpoint,omitempty"`
+}
+
+// StopRequest tells a runner to stop a run.
+type StopRequest struct {
+	TaskID string `json:"taskId"`
+	RunID  int    `json:"runId"`
+	Fence  int64  `json:"fenceNumber"`
+}
+
+// RunResponse is a runner's answer to a StartRequest or a StopRequest.
+type RunResponse struct {
+	ClockMs int64  `json:"clockMs"`          // the runner's monotonic clock
+	Reason  string `json:"reason,omitempty"` // of a refusal by 409
+}
+
+// Reasons of a runner's refusal.
+const (
+	ReasonFence = "fence" // it has seen a higher fence
+	ReasonOld   = "old"   // that run, or a later one of the task, was there
+	ReasonLate  = "late"  // the lease had ended when the start came
+	ReasonRoom  = "room"  // the resources are taken
+)
+
+// KeepAliveRequest extends the lease of all that runs, acknowledges completions
+// and asks for the lists.
+type KeepAliveRequest struct {
+	LeaseUntilMs         int64 `json:"untilMs,omitempty"` // on the runner's clock; 0: not extended
+	Fence                int64 `json:"fenceNumber"`
+	AcknowledgedSequence int64 `json:"lastSeen"`         // completions up to here are forgotten
+	WaitMs               int64 `json:"waitMs,omitempty"` // how long to wait for a completion
+}
+
+// KeepAliveResponse is a runner's answer to a KeepAliveRequest: its clock and
+// both lists, which Progress and Completions decode.
+type KeepAliveResponse struct {
+	ClockMs int64   `json:"clockMs"`
+	Running [][]any `json:"runningCount"`
+	Ended   [][]any `json:"ended"`
+}
--- a/internal/protocol/lists.go
+++ b/internal/protocol/runner_lists.go
@@ -1,38 +1,51 @@
 package protocol
 
+// Results of a run, as a runner lists them.
+const (
+	ResultDone    = "done"
+	ResultFailed  = "failed"  // by its own fault or the runner's
+	ResultStopped = "stopped" // it was told to stop
+	ResultLapsed  = "lapsed"  // its lease ended
+	// ResultRefused is never listed by a runner: an agent reports it of a run
+	// that surely never started there.
+	ResultRefused = "refused"
+)
+
 // RunProgress is one line of a runner's list of what runs.
 type RunProgress struct {
 	_          struct{} `cbor:",toarray"`
 	Task       string
-	Run        int
-	Checkpoint string
+	Run        int    // counts the starts of the task, from 1
+	Checkpoint string // the newest; empty: none
 	Percent    int
 }
 
 // Completion is one line of a runner's list of what ended.
 type Completion struct {
 	_          struct{} `cbor:",toarray"`
-	Sequence   int64
+	Sequence   int64    // rises from 1 within an incarnation; 0: not of a runner's list
 	Task       string
 	Run        int
-	Result     string
+	Result     string // ResultDone and so on
 	Checkpoint string
 }
 
+// stringOf reads a text; anything else reads as empty.
 func stringOf(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
+// integerOf reads a number; anything else reads as 0.
 func integerOf(v any) int64 {
 	f, _ := v.(float64)
 	return int64(f)
 }
 
 // Progress reads the list of what runs; a short line is left out.
-func (l *KeepAliveResponse) Progress() []RunProgress {
-	progress := make([]RunProgress, 0, len(l.Running))
-	for _, line := range l.Running {
+func (r *KeepAliveResponse) Progress() []RunProgress {
+	progress := make([]RunProgress, 0, len(r.Running))
+	for _, line := range r.Running {
 		if len(line) < 4 {
 			continue
 		}
@@ -42,9 +55,9 @@
 }
 
 // Completions reads the list of what ended; a short line is left out.
-func (l *KeepAliveResponse) Completions() []Completion {
-	completions := make([]Completion, 0, len(l.Ended))
-	for _, line := range l.Ended {
+func (r *KeepAliveResponse) Completions() []Completion {
+	completions := make([]Completion, 0, len(r.Ended))
+	for _, line := range r.Ended {
 		if len(line) < 5 {
 			continue
 		}
