--- a/internal/api/limits.go
+++ b/internal/api/limits.go
@@ -42,7 +42,7 @@
 // response's code is 200 if it gave them.
 func (s *Server) fetchLimits(ctx context.Context) (*sizeLimits, rpc.Response) {
 	response := s.Call(ctx, rpc.KindGetLimits, struct{}{})
-	if response.Code != http.StatusOK {
+	if response.Code != rpc.CodeOK {
 		return s.knownLimits(), response
 	}
 	var configured clusterconfig.Limits
@@ -93,7 +93,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, tuning.LimitsRequestTimeout)
 		_, response := s.fetchLimits(callCtx)
 		cancel()
-		if response.Code != http.StatusOK {
+		if response.Code != rpc.CodeOK {
 			// The version is forgotten, so that the leader's next response
 			// names it again.
 			s.newestVersion.CompareAndSwap(wanted, 0)
@@ -117,7 +117,7 @@
 	}
 	newest, response := s.fetchLimits(ctx)
 	switch {
-	case response.Code != http.StatusOK:
+	case response.Code != rpc.CodeOK:
 		return nil, errNoLeader
 	case exceeds(newest):
 		return nil, tooLarge
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -176,7 +176,7 @@
 			s.discovery.AddServer(string(request.Body))
 		}
 		view := rpc.LeaderInfo{KnownServers: s.discovery.KnownServers()}
-		response = rpc.Response{Code: 200, Body: transport.Encode(view)}
+		response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(view)}
 	case rpc.KindTrace:
 		response = rpc.HandleTrace(s.env.Trace, s.settings.NodeName, "edge", request.Body)
 	case rpc.KindBootstrap:
@@ -184,7 +184,7 @@
 		if transport.Decode(request.Body, &message) == nil {
 			bootstrap := bootstrapRequest{message, make(chan rpc.BootstrapProposal, 1)}
 			s.bootstraps <- bootstrap
-			response = rpc.Response{Code: 200, Body: transport.Encode(<-bootstrap.reply)}
+			response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(<-bootstrap.reply)}
 		}
 	}
 	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -101,7 +101,7 @@
 	case outcomeUnknown:
 		return unknownOutcomes[call]
 	}
-	if response.Code == http.StatusOK {
+	if response.Code == rpc.CodeOK {
 		return nil
 	}
 	refused := &statusError{status: response.Code, text: response.Text}
