--- /dev/null
+++ b/internal/bootstrap/model_test.go
@@ -0,0 +1,149 @@
+package bootstrap
+
+import (
+	"fmt"
+	"math/rand"
+	"sort"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/rpc"
+	"tealpond/internal/tuning"
+)
+
+// seedNode is a seed of the model: a coordinator that listens from a time on, and
+// may lose its memory.
+type seedNode struct {
+	coordinator Coordinator
+	startsAt    time.Time
+	wipedAt     time.Time
+}
+
+// candidateNode is a candidate of the model, and a member once it may start.
+type candidateNode struct {
+	voter     raft.Member
+	nextAt    time.Time
+	turns     int
+	selector  SeedSelector
+	bound     []raft.Member
+	member    bool // started with bound
+	leftOut   bool // a cluster was formed without it
+	killedAt  time.Time
+	restarted bool
+}
+
+// bootstrapModel is a first start of some candidates and three seeds.
+type bootstrapModel struct {
+	random     *rand.Rand
+	now        time.Time
+	seeds      map[string]*seedNode
+	addresses  []string
+	candidates []*candidateNode
+	lossRate   float64 // part of the announcements without a response
+}
+
+// newBootstrapModel draws the numbers, times and faults of a first start by a seed.
+func newBootstrapModel(seed int64) *bootstrapModel {
+	m := &bootstrapModel{random: rand.New(rand.NewSource(seed)), now: time.Unix(1000, 0), seeds: map[string]*seedNode{}}
+	candidateCount := 3 + m.random.Intn(6)
+	// At least 3: 2 x lostMachines + 1, and no more than there are.
+	minVoters := 3 + 2*m.random.Intn((candidateCount-1)/2)
+	m.lossRate = m.random.Float64() * 0.2
+	startWithin := func(maxMs int) time.Time { return m.now.Add(time.Duration(m.random.Intn(maxMs)) * time.Millisecond) }
+	for i := range 3 {
+		seedServer := &seedNode{coordinator: Coordinator{MinVoters: minVoters}, startsAt: startWithin(300)}
+		if m.random.Intn(4) == 0 {
+			seedServer.startsAt = startWithin(2500) // slow to start
+		}
+		if i == 0 && m.random.Intn(4) == 0 {
+			seedServer.wipedAt = seedServer.startsAt.Add(time.Duration(m.random.Intn(4000)) * time.Millisecond)
+		}
+		addr := fmt.Sprint("s", i)
+		m.seeds[addr], m.addresses = seedServer, append(m.addresses, addr)
+	}
+	for i := range candidateCount {
+		candidate := &candidateNode{voter: raft.Member{Node: fmt.Sprint("n", i), ID: fmt.Sprint("d", i)}, nextAt: startWithin(300)}
+		if m.random.Intn(6) == 0 {
+			candidate.nextAt = startWithin(2500)
+		}
+		if m.random.Intn(8) == 0 {
+			candidate.killedAt = candidate.nextAt.Add(time.Duration(m.random.Intn(3000)) * time.Millisecond)
+		}
+		m.candidates = append(m.candidates, candidate)
+	}
+	return m
+}
+
+// announce announces to one seed; false without a response.
+func (m *bootstrapModel) announce(addr string, announcement rpc.BootstrapAnnouncement) (rpc.BootstrapProposal, bool) {
+	seed := m.seeds[addr]
+	if !seed.wipedAt.IsZero() && !m.now.Before(seed.wipedAt) {
+		seed.coordinator, seed.startsAt, seed.wipedAt = Coordinator{MinVoters: seed.coordinator.MinVoters}, m.now.Add(time.Duration(300+m.random.Intn(1500))*time.Millisecond), time.Time{}
+	}
+	if m.now.Before(seed.startsAt) || m.random.Float64() < m.lossRate/2 {
+		return rpc.BootstrapProposal{}, false
+	}
+	proposal := seed.coordinator.HandleAnnouncement(announcement, m.now)
+	return proposal, m.random.Float64() >= m.lossRate/2
+}
+
+// step is one announcement of a candidate, as the server's announcer makes it.
+func (m *bootstrapModel) step(candidate *candidateNode) {
+	if !candidate.killedAt.IsZero() && !m.now.Before(candidate.killedAt) {
+		// What is on its disk stays: its identity, and what it is bound to.
+		candidate.nextAt, candidate.killedAt, candidate.restarted = m.now.Add(time.Duration(300+m.random.Intn(1500))*time.Millisecond), time.Time{}, true
+		candidate.turns, candidate.selector = 0, SeedSelector{}
+		return
+	}
+	candidate.nextAt = m.now.Add(tuning.BootstrapAnnounceInterval)
+	candidate.turns++
+	announcement := rpc.BootstrapAnnouncement{Voter: candidate.voter, BoundVoters: candidate.bound, NotFirstStart: candidate.restarted && len(candidate.bound) == 0}
+	if candidate.member {
+		if candidate.turns < tuning.BootstrapAnnounceRounds && candidate.turns%4 == 1 {
+			for _, addr := range m.addresses {
+				m.announce(addr, announcement)
+			}
+		}
+		return
+	}
+	addr := candidate.selector.Select(m.addresses, m.now)
+	proposal, ok := m.announce(addr, announcement)
+	if !ok {
+		candidate.nextAt = m.now.Add(tuning.DialTimeout)
+		return
+	}
+	candidate.selector.OnResponse(m.now)
+	switch {
+	case len(proposal.Voters) == 0:
+	case len(candidate.bound) == 0:
+		for _, voter := range proposal.Voters {
+			if voter == candidate.voter {
+				candidate.bound = proposal.Voters
+			}
+		}
+		candidate.leftOut = len(candidate.bound) == 0
+	case proposal.Start:
+		candidate.member = true
+	}
+}
+
+// run runs the model for a duration and gives the sets of voters that have started.
+func (m *bootstrapModel) run(duration time.Duration) map[string]bool {
+	for end := m.now.Add(duration); m.now.Before(end); {
+		sort.SliceStable(m.candidates, func(a, b int) bool { return m.candidates[a].nextAt.Before(m.candidates[b].nextAt) })
+		candidate := m.candidates[0]
+		m.now = candidate.nextAt
+		if candidate.leftOut {
+			candidate.nextAt = end
+			continue
+		}
+		m.step(candidate)
+	}
+	sets := map[string]bool{}
+	for _, candidate := range m.candidates {
+		if candidate.member {
+			sets[fmt.Sprint(candidate.bound)] = true
+		}
+	}
+	return sets
+}
