--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -11,30 +11,32 @@
 	"tealpond/internal/tuning"
 )
 
-// leaderModel is a plain model of the leader: it grants what asks under the right
-// fence and remembers when.
+// leaderModel is a plain model of the leader: it renews the leases of those that ask
+// under the right fence, and counts them.
 type leaderModel struct {
 	setNumber uint64
 	members   []rpc.BatchMember
 	fences    map[string]int64
-	granted   map[string]int // how often
+	granted   map[string]int // renewals by worker
 	now       time.Time
 }
 
+// handle gives the response to a batch: to renewals with the refusals, to requests
+// with one response each.
 func (l *leaderModel) handle(batch Batch) (rpc.Response, []rpc.MemberRefusal, []rpc.Response) {
 	if batch.Requests != nil {
 		var responses []rpc.Response
 		for _, request := range batch.Requests.Requests {
-			responses = append(responses, rpc.Response{Code: 200, Text: string(request.Body)})
+			responses = append(responses, rpc.Response{Code: rpc.CodeOK, Text: string(request.Body)})
 		}
-		return rpc.Response{Code: 200, AppliedIndex: 7}, nil, responses
+		return rpc.Response{Code: rpc.CodeOK, AppliedIndex: 7}, nil, responses
 	}
 	renewals := batch.Renewals
 	if renewals.Members != nil {
 		l.setNumber, l.members = renewals.SetNumber, renewals.Members
 	}
 	if l.setNumber != renewals.SetNumber {
-		return rpc.Response{Code: 428}, nil, nil
+		return rpc.Response{Code: rpc.CodeUnknownSet}, nil, nil
 	}
 	var refusals []rpc.MemberRefusal
 	for i, member := range l.members {
@@ -42,14 +44,15 @@
 			continue
 		}
 		if l.fences[member.Worker] != member.Fence {
-			refusals = append(refusals, rpc.MemberRefusal{Member: i, Code: 409})
+			refusals = append(refusals, rpc.MemberRefusal{Member: i, Code: rpc.CodeConflict})
 			continue
 		}
 		l.granted[member.Worker]++
 	}
-	return rpc.Response{Code: 200, Value: 3500}, refusals, nil
+	return rpc.Response{Code: rpc.CodeOK, Value: 3500}, refusals, nil
 }
 
+// respond handles a batch and hands the response to its aggregator.
 func (l *leaderModel) respond(batcher *Batcher, batch Batch) {
 	response, refusals, each := l.handle(batch)
 	if batch.Renewals != nil {
@@ -59,9 +62,9 @@
 	}
 }
 
-// TestLeasesAreGrantedOnlyToRequesters is the rule on which a hold rests: whoever asked
-// nothing since its last grant is granted nothing, whatever set it sits in;
-// batches are lost, repeated leaders forget the set, fences rise.
+// TestLeasesAreGrantedOnlyToRequesters holds the rule on which leases rest: a worker
+// that sent no request since its last renewal gets none, whatever set it is in,
+// while batches are lost, new leaders know no set, and fences rise.
 func TestLeasesAreGrantedOnlyToRequesters(t *testing.T) {
 	random := rand.New(rand.NewSource(5))
 	batcher := New("d")
@@ -82,7 +85,7 @@
 		waiting[worker]++
 		batcher.Renew(rpc.LeaseRenewal{Worker: worker, Fence: fence, RuntimePercent: int64(random.Intn(3)) * 100}, func(response rpc.Response) {
 			waiting[worker]--
-			if response.Code == 200 {
+			if response.Code == rpc.CodeOK {
 				answered[worker]++
 			}
 		}, leader.now)
@@ -106,12 +109,12 @@
 		}
 		for worker, n := range leader.granted {
 			if n > requested[worker] {
-				t.Fatalf("%s was granted %d times and asked %d times", worker, n, requested[worker])
+				t.Fatalf("%s was renewed %d times and asked %d times", worker, n, requested[worker])
 			}
 		}
 		for worker, n := range answered {
 			if n > leader.granted[worker] {
-				t.Fatalf("%s heard of %d grants, the leader gave %d", worker, n, leader.granted[worker])
+				t.Fatalf("%s was told of %d renewals, the leader made %d", worker, n, leader.granted[worker])
 			}
 		}
 	}
@@ -121,7 +124,7 @@
 	batcher.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
 	for worker, n := range waiting {
 		if n != 0 {
-			t.Errorf("%s: %d asks without an answer", worker, n)
+			t.Errorf("%s: %d requests without a response", worker, n)
 		}
 	}
 	if batcher.Outstanding() != 0 {
@@ -129,8 +132,8 @@
 	}
 }
 
-// TestSteadyMembersAreSentOnce: what a batch costs doesn't grow with what was
-// told before; ten times the members cost a bit each.
+// TestSteadyMembersAreSentOnce: a batch does not repeat what the leader knows; more
+// members cost a bit each.
 func TestSteadyMembersAreSentOnce(t *testing.T) {
 	size := func(n int) int {
 		batcher := New("0123456789abcdef01234567")
@@ -143,7 +146,7 @@
 			leader.now = leader.now.Add(tuning.AggregatorGrantInterval + time.Millisecond)
 			batches, _ := batcher.DueBatches(leader.now)
 			if len(batches) != 1 {
-				t.Fatalf("%d batches for %d asks", len(batches), n)
+				t.Fatalf("%d batches for %d renewals", len(batches), n)
 			}
 			last = len(transport.Encode(batches[0].Renewals))
 			leader.respond(batcher, batches[0])
@@ -160,8 +163,8 @@
 	}
 }
 
-// TestRequestsKeepOrderAndPace: what comes close together goes up as one,
-// each asker gets its own answer, and a batch without answers fails whole.
+// TestRequestsKeepOrderAndPace: requests that come close together are one batch, each
+// gets its own response, and a batch without responses fails whole.
 func TestRequestsKeepOrderAndPace(t *testing.T) {
 	batcher := New("d")
 	leader := &leaderModel{now: time.Unix(1000, 0)}
@@ -185,7 +188,7 @@
 	}
 	leader.respond(batcher, second[0])
 	batcher.HandleResponses(first[0].ID, rpc.Response{Code: rpc.CodeNotLeader}, nil)
-	for id, want := range map[string]rpc.Response{"1": {Code: rpc.CodeNotLeader}, "2": {Code: 200, Text: "2", AppliedIndex: 7}, "3": {Code: 200, Text: "3", AppliedIndex: 7}} {
+	for id, want := range map[string]rpc.Response{"1": {Code: rpc.CodeNotLeader}, "2": {Code: rpc.CodeOK, Text: "2", AppliedIndex: 7}, "3": {Code: rpc.CodeOK, Text: "3", AppliedIndex: 7}} {
 		if r := got[id]; r.Code != want.Code || r.Text != want.Text || r.AppliedIndex != want.AppliedIndex {
 			t.Errorf("%s: %+v", id, r)
 		}
@@ -196,6 +199,6 @@
 		}
 	}
 	if batcher.Enqueue(rpc.Request{}, func(rpc.Response) {}) {
-		t.Error("more than its inbox was taken")
+		t.Error("more than the queue holds was taken")
 	}
 }
