--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse: any text is a whole setting or an error of one line that names the
-// file.
+// FuzzParse: any text is a whole file of settings, or gives an error of one line
+// that names the file.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte(strings.Replace(validFile, "[limits]", "[[limits]]", 1)))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,6 @@
-// Package settings reads and checks the settings file of a daemon.
+// Package settings reads and checks the settings file (TOML) with which an operator
+// starts a daemon. It changes nothing: package main reads the file again when it
+// has changed, and the roles take over what they can.
 package settings
 
 import (
@@ -13,59 +15,74 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of faults in a settings file.
+// Error is the class of errors of a settings file.
 var Error = errs.Class("setting")
 
 // PathEnvVar names the variable that holds the path of the settings file.
 const PathEnvVar = "TEALPOND_CONFIG"
 
-// ListenAddresses holds the addresses that the role serves.
+// ListenAddresses are the addresses, as HOST:PORT, that the role serves.
 type ListenAddresses struct {
-	FrontHTTP string `toml:"frontHttp"`
-	Readiness string `toml:"readiness"`
-	Control   string `toml:"controlAddr"`
+	FrontHTTP string `toml:"frontHttp"`   // for clients
+	Readiness string `toml:"readiness"`   // for health checks
+	Control   string `toml:"controlAddr"` // for operators, and for the runner of the machine
 }
 
 // Limits are those of the machine.
 type Limits struct {
-	CPUShare           float64 `toml:"cpuShare"`
-	MemoryMb           int     `toml:"memoryMb"`
+	CPUShare           float64 `toml:"cpuShare"` // of one core
+	MemoryMb           int     `toml:"memoryMb"` // 2^20 bytes each
 	MaxFileDescriptors int     `toml:"maxFds"`
 	DiskMb             int     `toml:"diskMb"`
 }
 
-// Tolerance is what may be lost at once.
+// Tolerance is what may be lost at once while every rule still holds.
 type Tolerance struct {
 	LostMachines int `toml:"lostMachines"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the operators' rules that are in force; each field's
+// name ends with its unit. Those that no code reads are kept so that a change of
+// the file can be seen.
 type Bounds struct {
-	InTouchMs        int64   `toml:"inTouchMs"`
-	GraceS           float64 `toml:"graceS"`
-	MaxLeaseMs       int64   `toml:"maxHoldMs"`
-	StopGraceMs      int64   `toml:"stopGraceMs"`
-	DrainMs          float64 `toml:"drainMs"`
-	GangWaitMs       int64   `toml:"gangWaitMs"`
-	EarlyMs          int64   `toml:"early_ms"`
-	StatusS          float64 `toml:"status_s"`
-	SpreadFactor     float64 `toml:"spreadFactor"`
-	RestoreMs        int64   `toml:"restoreMs"`
-	ConfigApplyMs    int64   `toml:"configApplyMs"`
+	// InTouchMs without trouble, and machines count as in touch with each other.
+	InTouchMs int64 `toml:"inTouchMs"`
+	// GraceS is how long a daemon may take to end after a SIGTERM.
+	GraceS float64 `toml:"graceS"`
+	// MaxLeaseMs is how long a runner may go on without a renewal of its lease.
+	MaxLeaseMs int64 `toml:"maxHoldMs"`
+	// StopGraceMs is how long a run may go on after it was to be stopped.
+	StopGraceMs int64 `toml:"stopGraceMs"`
+	// DrainMs is how long a runner that leaves serves on.
+	DrainMs float64 `toml:"drainMs"`
+	// GangWaitMs is how long started tasks of a gang may wait for the others.
+	GangWaitMs int64 `toml:"gangWaitMs"`
+	// EarlyMs is how much sooner than its time a periodic run may start.
+	EarlyMs int64 `toml:"early_ms"`
+	// StatusS is how long the state of an ended job can be asked for.
+	StatusS float64 `toml:"status_s"`
+	// SpreadFactor is how many times as long a task takes away from its data or
+	// from the others of its gang.
+	SpreadFactor float64 `toml:"spreadFactor"`
+	// RestoreMs is how long a run takes to resume from a checkpoint.
+	RestoreMs int64 `toml:"restoreMs"`
+	// ConfigApplyMs is how soon machines in touch follow a new configuration.
+	ConfigApplyMs int64 `toml:"configApplyMs"`
+	// CheckpointEveryS is how often a run makes a checkpoint.
 	CheckpointEveryS float64 `toml:"checkpointEveryS"`
 }
 
-// File is one whole settings file.
+// File is one whole settings file. The keys are the operators'.
 type File struct {
 	NodeName            string          `toml:"nodeName"`
 	Role                string          `toml:"role"`
-	Serves              []string        `toml:"serves"`
+	Serves              []string        `toml:"serves"` // of edge, control and side
 	IPAddress           string          `toml:"ipAddress"`
 	Zone                string          `toml:"zone"`
-	InnerPortRange      []int           `toml:"innerPortRange"`
-	SeedNodes           []string        `toml:"seedNodes"`
-	FirstStart          bool            `toml:"firstStart"`
-	LossCounts          bool            `toml:"lossCounts"`
+	InnerPortRange      []int           `toml:"innerPortRange"` // first and last port for other daemons
+	SeedNodes           []string        `toml:"seedNodes"`      // controlAddr of some machines
+	FirstStart          bool            `toml:"firstStart"`     // the whole system starts for the first time
+	LossCounts          bool            `toml:"lossCounts"`     // the machine counts among those of Tolerance
 	DataDir             string          `toml:"dataDir"`
 	HeartbeatIntervalMs int64           `toml:"beatIntervalMs"`
 	AssignmentProtocol  string          `toml:"orders"`
@@ -77,105 +94,40 @@
 	Bounds              Bounds          `toml:"bounds"`
 }
 
-// Path tells where the settings file is.
-func Path() string { return os.Getenv(PathEnvVar) }
-
-// Load reads the file at path; a fault names the file and the field.
+// Load reads and checks the file at path. The error is of class Error and names the
+// file; a fault of a field is a *FieldError.
 func Load(path string) (File, error) {
 	if path == "" {
 		return File{}, Error.New("no settings file: set %s", PathEnvVar)
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return File{}, Error.New("%s: cannot be read: %v", path, err)
+		return File{}, Error.New("%s: cannot be read: %w", path, err)
 	}
 	return Parse(path, raw)
 }
 
-// Parse reads and checks raw; unknown fields are skipped.
+// Parse reads and checks the content of the file at path. Unknown keys are skipped,
+// since keys may be added later and must not stop a daemon. The error is as that of
+// Load, of one line.
 func Parse(path string, raw []byte) (File, error) {
 	var file File
-	// Why not strict: fields may be added later, and must not stop a daemon.
 	if _, err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&file); err != nil {
 		return File{}, Error.New("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	for _, check := range fieldChecks {
 		if fault := check.fault(&file); fault != "" {
-			return File{}, Error.New("%s: field %s: %s", path, check.field, fault)
+			return File{}, Error.Wrap(&FieldError{Path: path, Field: check.field, Fault: fault})
 		}
 	}
 	return file, nil
 }
 
-type fieldCheck struct {
-	field string
-	fault func(*File) string
-}
-
-func faultUnless(ok bool, reason string) string {
-	if ok {
-		return ""
-	}
-	return reason
-}
-
-func isAddress(address string) bool {
-	_, port, err := net.SplitHostPort(address)
-	return err == nil && port != ""
-}
-
-func (f *File) serves(part string) bool {
-	for _, served := range f.Serves {
-		if served == part {
-			return true
-		}
-	}
-	return false
-}
-
-var fieldChecks = []fieldCheck{
-	{"nodeName", func(s *File) string { return faultUnless(s.NodeName != "", "is missing") }},
-	{"ipAddress", func(s *File) string {
-		return faultUnless(net.ParseIP(s.IPAddress) != nil, "is missing or no address")
-	}},
-	{"innerPortRange", func(s *File) string {
-		return faultUnless(len(s.InnerPortRange) == 2 && s.InnerPortRange[0] > 0 && s.InnerPortRange[1] >= s.InnerPortRange[0], "wants two ports, the first not above the second")
-	}},
-	{"seedNodes", func(s *File) string {
-		if len(s.SeedNodes) == 0 {
-			return "is missing"
-		}
-		for _, a := range s.SeedNodes {
-			if !isAddress(a) {
-				return fmt.Sprintf("%q is no address", a)
-			}
-		}
-		return ""
-	}},
-	{"orders", func(s *File) string {
-		// Why refused: the pages at hand don't describe another exchange.
-		return faultUnless(s.AssignmentProtocol == "" || s.AssignmentProtocol == "duty_call", fmt.Sprintf("%q is not supported, only duty_call is", s.AssignmentProtocol))
-	}},
-	{"listenAddrs.frontHttp", func(s *File) string {
-		return faultUnless(!s.serves("edge") || isAddress(s.ListenAddresses.FrontHTTP), "is missing for a role that serves edge")
-	}},
-	{"listenAddrs.readiness", func(s *File) string {
-		return faultUnless(!s.serves("edge") || isAddress(s.ListenAddresses.Readiness), "is missing for a role that serves edge")
-	}},
-	{"listenAddrs.controlAddr", func(s *File) string {
-		return faultUnless(!(s.serves("control") || s.serves("side")) || isAddress(s.ListenAddresses.Control), "is missing for a role that serves control or side")
-	}},
-	{"app", func(s *File) string {
-		return faultUnless(!s.serves("side") || isAddress(s.RunnerAddress), "is missing for a role that serves side")
-	}},
-	{"bounds.maxHoldMs", func(s *File) string { return faultUnless(s.Bounds.MaxLeaseMs > 0, "is missing or not above 0") }},
-	{"limits.memoryMb", func(s *File) string { return faultUnless(s.Limits.MemoryMb > 0, "is missing or not above 0") }},
-}
-
-// InternalAddress is this daemon's address for other daemons.
+// InternalAddress is a server's address for other daemons, as HOST:PORT.
 func (f *File) InternalAddress() string { return f.internalAddressAt(f.IPAddress) }
 
-// AgentAddress is a side daemon's: two processes of one machine share its ports.
+// AgentAddress is an agent's address for other daemons, as HOST:PORT: the two
+// processes of one machine share its ports.
 func (f *File) AgentAddress() string {
 	return fmt.Sprintf("%s:%d", f.IPAddress, min(f.InnerPortRange[0]+1, f.InnerPortRange[1]))
 }
@@ -184,7 +136,8 @@
 	return fmt.Sprintf("%s:%d", ip, f.InnerPortRange[0])
 }
 
-// SeedAddresses are the seeds' addresses for daemons: ports are the same everywhere.
+// SeedAddresses are the seeds' addresses for other daemons, since the ports are the
+// same on all machines.
 func (f *File) SeedAddresses() []string {
 	var addresses []string
 	for _, seed := range f.SeedNodes {
@@ -196,14 +149,12 @@
 	return addresses
 }
 
-// HoldsState tells whether this daemon holds state.
+// HoldsState tells whether this daemon is a server that keeps a replica of the
+// state.
 func (f *File) HoldsState() bool { return f.DataDir != "" && f.LossCounts }
 
-// LeaseDuration is the length of holds under these settings.
+// LeaseDuration is the length of workers' leases under these settings, at most the
+// limit.
 func (f *File) LeaseDuration(limit time.Duration) time.Duration {
-	duration := time.Duration(f.Bounds.MaxLeaseMs) * time.Millisecond
-	if duration > limit {
-		return limit
-	}
-	return duration
+	return min(time.Duration(f.Bounds.MaxLeaseMs)*time.Millisecond, limit)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,10 +1,13 @@
 package settings
 
 import (
+	"errors"
+	"io/fs"
 	"strings"
 	"testing"
 )
 
+// validFile is in order, and holds a key that is not known.
 const validFile = `nodeName = "e1"
 role = "x"
 serves = ["edge","control"]
@@ -23,6 +26,8 @@
 maxHoldMs = 6000
 `
 
+// TestFaultsNameFileAndField: each fault is reported in one line that an operator can
+// act on.
 func TestFaultsNameFileAndField(t *testing.T) {
 	if file, err := Parse("f.toml", []byte(validFile)); err != nil || file.SeedAddresses()[0] != "10.1.0.10:7720" {
 		t.Fatalf("%v %v", file.SeedAddresses(), err)
@@ -46,3 +51,17 @@
 		}
 	}
 }
+
+// TestFieldFaultsAreTyped: callers can tell a fault of a field from a file that can't
+// be read.
+func TestFieldFaultsAreTyped(t *testing.T) {
+	var fault *FieldError
+	_, err := Parse("f.toml", []byte(strings.Replace(validFile, "memoryMb = 284", "memoryMb = 0", 1)))
+	if !errors.As(err, &fault) || fault.Field != "limits.memoryMb" || fault.Path != "f.toml" {
+		t.Errorf("%#v", err)
+	}
+	_, err = Load("testdata/absent.toml")
+	if errors.As(err, &fault) || !errors.Is(err, fs.ErrNotExist) || !Error.Has(err) {
+		t.Errorf("%#v", err)
+	}
+}
