--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -13,8 +13,8 @@
 	now      time.Time
 	nodes    map[string]*Node
 	queue    []Message
-	cut      map[string]bool // "a>b"
-	dropped  map[byte]bool   // kinds of messages
+	cut      map[string]bool      // "a>b"
+	dropped  map[MessageKind]bool // kinds of messages
 	disks    map[string]*testDisk
 	stalled  map[string]bool
 	unsynced map[string][]Ready
@@ -32,7 +32,7 @@
 	CheckQuorumTimeout: 900 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: 64, MaxAppendBytes: 1 << 20}
 
 func newTestCluster(t *testing.T, seed int64, names ...string) *testCluster {
-	c := &testCluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*Node{}, cut: map[string]bool{}, dropped: map[byte]bool{}, disks: map[string]*testDisk{},
+	c := &testCluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*Node{}, cut: map[string]bool{}, dropped: map[MessageKind]bool{}, disks: map[string]*testDisk{},
 		stalled: map[string]bool{}, unsynced: map[string][]Ready{}, applied: map[string][]string{}, seed: seed}
 	var voters []Member
 	for _, id := range names {
--- a/internal/raft/codec.go
+++ b/internal/raft/codec.go
@@ -6,15 +6,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// jointConfChange is the data of the entry that starts a change of the voters. The
-// entry that ends it, and all of the first form of the log, hold the list of
-// voters alone.
+// jointConfChange is the data of the entry that starts a configuration change.
+// The entry that ends the change holds the list of voters alone, as did every
+// configuration entry of the first version of the log.
 type jointConfChange struct {
 	Voters         []Member `cbor:"voters"`
 	OutgoingVoters []Member `cbor:"old"`
 }
 
-// encodeConfChange is the data of a configuration entry; old is empty unless joint.
+// encodeConfChange returns the data of a configuration entry. The outgoing voters
+// are those from before the change in the entry that starts it, else empty.
 func encodeConfChange(voters, outgoing []Member) []byte {
 	var change any = voters
 	if len(outgoing) > 0 {
@@ -27,8 +28,8 @@
 	return raw
 }
 
-// DecodeConfChange reads the data of a configuration entry: the voters and, while a
-// change is under way, those before it.
+// DecodeConfChange decodes the data of a configuration entry: the voters and, in
+// the entry that starts a change, the outgoing voters.
 func DecodeConfChange(data []byte) (voters, outgoing []Member, err error) {
 	if cbor.Unmarshal(data, &voters) == nil {
 		return voters, nil, nil
@@ -38,8 +39,9 @@
 	return joint.Voters, joint.OutgoingVoters, err
 }
 
-// simpleSnapshot is a snapshot outside a change of the voters, in the form that it
-// had before there were joint configurations; disks may hold it.
+// simpleSnapshot is the stored form of a snapshot outside a configuration change.
+// It is the form from before there were joint configurations, which disks of an
+// earlier version hold.
 type simpleSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint64
@@ -48,7 +50,7 @@
 	Data   []byte
 }
 
-// jointSnapshot is a snapshot in mid-change.
+// jointSnapshot is the stored form of a snapshot during a configuration change.
 type jointSnapshot struct {
 	_              struct{} `cbor:",toarray"`
 	Index          uint64
@@ -58,7 +60,8 @@
 	OutgoingVoters []Member
 }
 
-// MarshalCBOR writes four fields, and a fifth with the old voters in mid-change.
+// MarshalCBOR encodes a snapshot as an array of four fields, or of five during a
+// configuration change, with the outgoing voters last.
 func (s Snapshot) MarshalCBOR() ([]byte, error) {
 	if len(s.OutgoingVoters) == 0 {
 		return cbor.Marshal(simpleSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data})
@@ -66,10 +69,10 @@
 	return cbor.Marshal(jointSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data, OutgoingVoters: s.OutgoingVoters})
 }
 
-// jointSnapshotHeader opens the longer form: an array of five.
+// jointSnapshotHeader is the first byte of the longer form: a CBOR array of five.
 const jointSnapshotHeader = 0x85
 
-// UnmarshalCBOR reads either form.
+// UnmarshalCBOR decodes either form.
 func (s *Snapshot) UnmarshalCBOR(raw []byte) error {
 	if len(raw) == 0 {
 		return errors.New("raft: empty snapshot")
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,26 +2,31 @@
 
 import "time"
 
+// role is the part that a member plays in its term.
 type role byte
 
 const (
-	follower = role(iota)
+	follower role = iota
 	preCandidate
 	candidate
 	leader
 )
 
+// resetElectionTimeout draws the time for which a follower waits for a leader.
+// It exceeds ElectionTimeout by a heartbeat interval: the others heard the leader
+// up to one interval later, and would refuse until their own timeout is over.
 func (n *Node) resetElectionTimeout() {
-	// A beat more than Elect: the others heard the leader up to a beat later, and
-	// would refuse until their own wait is over.
 	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
 }
 
-// shortenElectionTimeout is the shorter wait after a round without an outcome.
+// shortenElectionTimeout draws the shorter time after which a campaign without
+// an outcome is repeated.
 func (n *Node) shortenElectionTimeout() {
 	n.electionTimeout = n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
 }
 
+// becomeFollower follows a leader, or nobody yet if leaderID is empty, in a term
+// that is the present one or a later one.
 func (n *Node) becomeFollower(term uint64, leaderID string) {
 	if n.role == leader {
 		n.electionTimerStart = n.now
@@ -37,54 +42,80 @@
 	n.role, n.leader, n.noopIndex, n.transferring = follower, leaderID, 0, false
 }
 
-func (n *Node) campaign(election, force bool) {
+// preCampaign asks the voters whether they would vote for this member in the
+// next term. The term stays as it is, so that a member which can't win does not
+// disturb a leader.
+func (n *Node) preCampaign() {
+	n.startCampaign(preCandidate)
+	n.votes = map[string]bool{n.id: true}
+	n.requestVotes(Message{Kind: MsgPreVote, Term: n.term + 1}, false)
+	n.tallyVotes()
+}
+
+// campaign stands for election in the next term; with force, others vote without
+// regard to the lease of the present leader, who ordered the election.
+func (n *Node) campaign(force bool) {
+	n.startCampaign(candidate)
+	// Its own vote counts once it is on disk, as any other.
+	n.votes = map[string]bool{n.id: false}
+	n.term++
+	n.vote = n.id
+	n.hardStateDirty = true
+	n.requestVotes(Message{Kind: MsgVote, Force: force}, true)
+	n.tallyVotes()
+}
+
+func (n *Node) startCampaign(as role) {
 	n.electionTimerStart = n.now
 	n.shortenElectionTimeout()
 	n.leader = ""
-	// Its own vote counts once it is on disk, as any other.
-	n.votes = map[string]bool{n.id: !election}
-	kind, term := MsgPreVote, n.term+1
-	n.role = preCandidate
-	if election {
-		n.term++
-		n.vote = n.id
-		n.hardStateDirty = true
-		n.role = candidate
-		kind = MsgVote
-	}
-	logTerm, _ := n.termAt(n.lastIndex())
-	for _, v := range n.Voters() {
-		if v.ID != n.id {
-			n.send(Message{Kind: kind, To: v.ID, Term: term, Index: n.lastIndex(), LogTerm: logTerm, Force: force}, election)
+	n.role = as
+}
+
+// requestVotes sends a request to all other voters, with the end of this
+// member's log.
+func (n *Node) requestVotes(request Message, afterSync bool) {
+	request.Index = n.LastIndex()
+	request.LogTerm, _ = n.TermAt(n.LastIndex())
+	for _, voter := range n.Voters() {
+		if voter.ID != n.id {
+			request.To = voter.ID
+			n.send(request, afterSync)
 		}
 	}
-	n.tallyVotes()
 }
 
+// tallyVotes goes on to the next stage of an election once a majority has
+// granted its votes.
 func (n *Node) tallyVotes() {
 	if !n.latestConfiguration().hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return
 	}
-	if n.role == preCandidate {
-		n.campaign(true, false)
-		return
-	}
-	if n.role == candidate {
-		n.leader = n.id
-		n.role = leader
-		n.transferring = false
-		n.electedAt = n.now
-		n.peers, n.learners = map[string]*progress{}, map[string]Member{}
-		n.updatePeers()
-		n.noopIndex = n.lastIndex() + 1
-		n.roundStartedAt, n.previousRoundCommitIndex, n.roundCommitIndex = n.now, n.noopIndex, n.noopIndex
-		n.appendEntry(EntryNoop, nil)
+	switch n.role {
+	case preCandidate:
+		n.campaign(false)
+	case candidate:
+		n.becomeLeader()
 	}
 }
 
+func (n *Node) becomeLeader() {
+	n.leader = n.id
+	n.role = leader
+	n.transferring = false
+	n.electedAt = n.now
+	n.peers, n.learners = map[string]*progress{}, map[string]Member{}
+	n.updatePeers()
+	n.noopIndex = n.LastIndex() + 1
+	n.roundStartedAt, n.previousRoundCommitIndex, n.roundCommitIndex = n.now, n.noopIndex, n.noopIndex
+	n.appendEntry(EntryNoop, nil)
+}
+
+// isUpToDate tells whether the log of a member that asks for a vote ends no
+// earlier than this one.
 func (n *Node) isUpToDate(m Message) bool {
-	logTerm, _ := n.termAt(n.lastIndex())
-	return m.LogTerm > logTerm || m.LogTerm == logTerm && m.Index >= n.lastIndex()
+	logTerm, _ := n.TermAt(n.LastIndex())
+	return m.LogTerm > logTerm || m.LogTerm == logTerm && m.Index >= n.LastIndex()
 }
 
 func (n *Node) handlePreVote(m Message) {
@@ -115,9 +146,10 @@
 		n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: true}, false)
 		return
 	}
-	// Also while it asks around for itself: it has promised its vote to nobody.
+	// A pre-candidate votes too: it has promised its vote to nobody.
 	granted := (n.vote == "" || n.vote == m.From) && n.leader == "" && n.isUpToDate(m)
-	// Not soon after a start: a lease from before it may be running.
+	// There is no vote soon after a start either, since a lease from before it
+	// may still be trusted.
 	if !m.Force && n.now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 		granted = false
 	}
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -83,10 +83,10 @@
 		name   string
 		number byte
 	}{
-		{"entry data", EntryNormal}, {"entry configuration", EntryConfChange}, {"entry none", EntryNoop},
-		{"message append", MsgAppend}, {"message append-answer", MsgAppendResponse}, {"message pre-vote", MsgPreVote},
-		{"message pre-vote-answer", MsgPreVoteResponse}, {"message vote", MsgVote}, {"message vote-answer", MsgVoteResponse},
-		{"message snapshot", MsgSnapshot}, {"message transfer", MsgTimeoutNow},
+		{"entry data", byte(EntryNormal)}, {"entry configuration", byte(EntryConfChange)}, {"entry none", byte(EntryNoop)},
+		{"message append", byte(MsgAppend)}, {"message append-answer", byte(MsgAppendResponse)}, {"message pre-vote", byte(MsgPreVote)},
+		{"message pre-vote-answer", byte(MsgPreVoteResponse)}, {"message vote", byte(MsgVote)}, {"message vote-answer", byte(MsgVoteResponse)},
+		{"message snapshot", byte(MsgSnapshot)}, {"message transfer", byte(MsgTimeoutNow)},
 	} {
 		fmt.Fprintf(&text, "%s %d\n", kind.name, kind.number)
 	}
--- a/internal/raft/leader_transfer.go
+++ b/internal/raft/leader_transfer.go
@@ -2,28 +2,30 @@
 
 import "time"
 
-// leadTransfer is a leader's handing of the lead to another voter. While it lasts,
-// the leader takes no commands and trusts no lease.
+// leadTransfer is a leader's transfer of the leadership to another voter. While
+// it lasts, the leader takes no commands and trusts no lease.
 type leadTransfer struct {
-	transferee     string
+	transferee     string // ID of the voter that is to lead
 	startedAt      time.Time
-	timeoutNowSent bool // the heir was told to take the lead
+	timeoutNowSent bool
 }
 
-// TransferLeadership hands the lead to the voter that is furthest; false if none is. If
-// it fails within an election wait, the leader leads on.
+// TransferLeadership hands the leadership to the voter whose log is longest
+// (thesis, section 3.10). It returns false if this member does not lead, is
+// handing over already, or has heard from no voter lately. If the transfer has
+// no outcome within an election timeout, this member leads on.
 func (n *Node) TransferLeadership() bool {
 	if n.role != leader || n.transferring {
 		return false
 	}
 	best := ""
-	for _, v := range n.latestConfiguration().voters {
-		peer := n.peers[v.ID]
+	for _, voter := range n.latestConfiguration().voters {
+		peer := n.peers[voter.ID]
 		if peer == nil || peer.probing || peer.faulty || n.now.Sub(peer.lastContact) > n.config.ElectionTimeout {
 			continue
 		}
 		if best == "" || peer.match > n.peers[best].match {
-			best = v.ID
+			best = voter.ID
 		}
 	}
 	if best == "" {
@@ -36,25 +38,26 @@
 	return true
 }
 
-// sendTimeoutNow tells the heir to take the lead, once it holds the last entry:
-// before that the others would refuse it.
+// sendTimeoutNow tells the transferee to campaign, once it holds the last entry:
+// before that the others would refuse it their votes.
 func (n *Node) sendTimeoutNow() {
 	peer := n.peers[n.transfer.transferee]
-	if !n.transferring || peer == nil || peer.faulty || peer.match < n.lastIndex() {
+	if !n.transferring || peer == nil || peer.faulty || peer.match < n.LastIndex() {
 		return
 	}
 	n.transfer.timeoutNowSent = true
 	n.send(Message{Kind: MsgTimeoutNow, To: n.transfer.transferee}, false)
 	if !n.IsVoter(n.id) {
-		// Voted out: nobody tells it of the next term, and it can't lead on.
+		// This member was voted out: nobody tells it of the next term, and it
+		// can't lead on.
 		n.becomeFollower(n.term, "")
 	}
 }
 
-// abortTransfer takes the lead back from a hand-over that had no outcome. An
-// order that is still on its way would have its heir elected without regard to
-// the lease, so a leader that gave one must not trust any in this term: it has
-// itself elected in the next, for which the order is void.
+// abortTransfer takes the leadership back from a transfer without an outcome. A
+// MsgTimeoutNow that is still on its way would have the transferee elected
+// without regard to the lease, so a leader that sent one must not trust any lease
+// in this term: it has itself elected in the next, in which the message is void.
 func (n *Node) abortTransfer() {
 	if !n.transfer.timeoutNowSent {
 		n.transferring = false
@@ -63,14 +66,14 @@
 	recentQuorum := n.now.Sub(n.lastQuorumContact(n.now)) < n.config.ElectionTimeout
 	n.becomeFollower(n.term, "")
 	if recentQuorum {
-		n.campaign(true, true)
+		n.campaign(true)
 	}
 }
 
-// handleTimeoutNow runs for leader at once, by the order of the present one.
+// handleTimeoutNow campaigns at once, by order of the present leader.
 func (n *Node) handleTimeoutNow(m Message) {
 	if m.Term != n.term || m.From != n.leader || n.role != follower || !n.IsVoter(n.id) {
 		return
 	}
-	n.campaign(true, true)
+	n.campaign(true)
 }
--- a/internal/raft/lease.go
+++ b/internal/raft/lease.go
@@ -2,16 +2,22 @@
 
 import "time"
 
-// SetWallClock gives the reading of the time of day that goes into answers.
+// wallClockMaxAge is the age from which on a peer's reading of the time of day
+// is no longer used.
+const wallClockMaxAge = 3 * time.Second
+
+// SetWallClock sets the source of the time of day, in ms since 1970, that goes
+// into responses to a leader.
 func (n *Node) SetWallClock(clock func() int64) { n.wallClock = clock }
 
-// LeaderReady tells whether the leader has applied the first entry of its term.
+// LeaderReady tells whether this member is the leader and has applied the first
+// entry of its term, so that its state holds all that was committed before.
 func (n *Node) LeaderReady() bool {
 	return n.role == leader && n.noopIndex > 0 && n.appliedIndex >= n.noopIndex && !n.transferring
 }
 
-// HasLease tells whether a majority has confirmed this leader so lately that no
-// other can have been elected.
+// HasLease tells whether this member is the leader and a majority has confirmed
+// it so lately that no other leader can have been elected (thesis, section 6.4.1).
 func (n *Node) HasLease(now time.Time) bool {
 	if n.role != leader || n.transferring {
 		return false
@@ -19,10 +25,10 @@
 	return now.Sub(n.lastQuorumContact(now)) < time.Duration(float64(n.config.ElectionTimeout)*n.config.LeaseFraction)
 }
 
-// lastQuorumContact is the newest time at which a majority, in mid-change of both sets,
-// is known to have followed.
+// lastQuorumContact is the newest time at which a quorum is known to have
+// followed this leader, or the zero time.
 func (n *Node) lastQuorumContact(now time.Time) time.Time {
-	// Counted from the start, so that zero means never.
+	// Counted in ns from just before the start, so that zero means never.
 	sinceStart := func(t time.Time) uint64 { return uint64(max(0, t.Sub(n.startedAt)) + 1) }
 	reached := n.latestConfiguration().quorumValue(func(id string) uint64 {
 		if id == n.id {
@@ -39,11 +45,12 @@
 	return n.startedAt.Add(time.Duration(reached - 1))
 }
 
-// PeerWallClocks are the others' offsets of time of day against now, in ms.
+// PeerWallClocks estimates the time of day of each other voter at now, in ms
+// since 1970, from its last response. Voters without a recent one are left out.
 func (n *Node) PeerWallClocks(now time.Time) []int64 {
 	var clocks []int64
-	for _, v := range n.Voters() {
-		if peer := n.peers[v.ID]; peer != nil && peer.wallClock != 0 && now.Sub(peer.wallClockAt) < 3*time.Second {
+	for _, voter := range n.Voters() {
+		if peer := n.peers[voter.ID]; peer != nil && peer.wallClock != 0 && now.Sub(peer.wallClockAt) < wallClockMaxAge {
 			clocks = append(clocks, peer.wallClock+now.Sub(peer.wallClockAt).Milliseconds())
 		}
 	}
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -6,37 +6,41 @@
 	"time"
 )
 
-// configuration is who votes from an entry of the log on. While it is joint,
-// old holds the voters before the change: an election, a commit and a lease
-// then need a majority of each, so that at no moment two majorities could pass
-// each other by.
+// configuration is who votes from an entry of the log on (thesis, section 4.3).
+// While it is joint, outgoing holds the voters from before the change: an
+// election, a commit and a lease then need a majority of each set, so that any two
+// quorums have a member in common at every moment.
 type configuration struct {
 	index            uint64
 	voters, outgoing []Member
 }
 
+func configurationOf(s Snapshot) configuration {
+	return configuration{index: s.Index, voters: s.Voters, outgoing: s.OutgoingVoters}
+}
+
 func (c *configuration) isJoint() bool { return len(c.outgoing) > 0 }
 
-// allVoters are those who vote: the voters, then those who are on their way out.
+// allVoters returns the voters, then those that only vote until the change ends.
 func (c *configuration) allVoters() []Member {
 	if !c.isJoint() {
 		return c.voters
 	}
 	all := slices.Clone(c.voters)
-	for _, v := range c.outgoing {
-		if !containsMember(c.voters, v.ID) {
-			all = append(all, v)
+	for _, member := range c.outgoing {
+		if !containsMember(c.voters, member.ID) {
+			all = append(all, member)
 		}
 	}
 	return all
 }
 
-// hasQuorum tells whether each set of voters has a majority of such disks.
-func (c *configuration) hasQuorum(granted func(disk string) bool) bool {
+// hasQuorum tells whether a majority of each set of voters has granted something.
+func (c *configuration) hasQuorum(granted func(id string) bool) bool {
 	majority := func(voters []Member) bool {
 		count := 0
-		for _, v := range voters {
-			if granted(v.ID) {
+		for _, member := range voters {
+			if granted(member.ID) {
 				count++
 			}
 		}
@@ -45,12 +49,12 @@
 	return majority(c.voters) && (!c.isJoint() || majority(c.outgoing))
 }
 
-// quorumValue is the highest value that a majority of each set has reached.
-func (c *configuration) quorumValue(value func(disk string) uint64) uint64 {
+// quorumValue returns the highest value that a majority of each set has reached.
+func (c *configuration) quorumValue(value func(id string) uint64) uint64 {
 	majorityValue := func(voters []Member) uint64 {
 		values := make([]uint64, len(voters))
-		for i, v := range voters {
-			values[i] = value(v.ID)
+		for i, member := range voters {
+			values[i] = value(member.ID)
 		}
 		sort.Slice(values, func(i, j int) bool { return values[i] > values[j] })
 		return values[len(values)/2]
@@ -62,108 +66,121 @@
 }
 
 func containsMember(members []Member, id string) bool {
-	return slices.ContainsFunc(members, func(v Member) bool { return v.ID == id })
+	return slices.ContainsFunc(members, func(member Member) bool { return member.ID == id })
 }
 
-// latestConfiguration is the newest configuration in the log, committed or not.
+// latestConfiguration returns the newest configuration in the log, which is in force
+// whether it is committed or not.
 func (n *Node) latestConfiguration() *configuration {
 	return &n.configurations[len(n.configurations)-1]
 }
 
-func (n *Node) recordConfiguration(e Entry) {
-	if e.Kind != EntryConfChange {
+// recordConfiguration puts a new configuration in force, if the entry holds one.
+func (n *Node) recordConfiguration(entry Entry) {
+	if entry.Kind != EntryConfChange {
 		return
 	}
-	voters, outgoing, err := DecodeConfChange(e.Data)
+	voters, outgoing, err := DecodeConfChange(entry.Data)
 	if err != nil {
 		panic("raft: conf entry unreadable: " + err.Error())
 	}
-	n.configurations = append(n.configurations, configuration{e.Index, voters, outgoing})
+	n.configurations = append(n.configurations, configuration{entry.Index, voters, outgoing})
 }
 
-// Voters are all who vote by the newest configuration in the log; in mid-change
-// also those who are on their way out.
+// Voters returns all that vote by the newest configuration in the log, during a
+// change also the outgoing voters.
 func (n *Node) Voters() []Member { return n.latestConfiguration().allVoters() }
 
-// VoterSets are the voters of the newest configuration and, in mid-change,
-// those before it; a majority of each is needed.
+// VoterSets returns the two sets of voters of the newest configuration in the log,
+// of each of which a majority is needed. The second one is empty outside a change.
 func (n *Node) VoterSets() (voters, outgoing []Member) {
-	return n.latestConfiguration().voters, n.latestConfiguration().outgoing
+	latest := n.latestConfiguration()
+	return latest.voters, latest.outgoing
 }
 
-// ConfIndex is the entry of the newest configuration.
+// ConfIndex returns the index of the entry of the newest configuration.
 func (n *Node) ConfIndex() uint64 { return n.latestConfiguration().index }
 
-// ConfChangePending tells whether a change of the voters is under way.
+// ConfChangePending tells whether a configuration change is under way.
 func (n *Node) ConfChangePending() bool {
 	return n.latestConfiguration().isJoint() || n.ConfIndex() > n.commitIndex
 }
 
-// IsVoter tells whether a disk votes.
+// IsVoter tells whether a member votes by the newest configuration in the log.
 func (n *Node) IsVoter(id string) bool {
-	return containsMember(n.latestConfiguration().voters, id) || containsMember(n.latestConfiguration().outgoing, id)
+	latest := n.latestConfiguration()
+	return containsMember(latest.voters, id) || containsMember(latest.outgoing, id)
 }
 
-// promotable tells whether this member runs for leader: a voter, or one that was
-// voted out by an entry which is not committed for all it knows. Its log may be
-// the longest, and its vote refused to all others by that; it must then lead
-// once more (without counting itself) to end the change.
-func (n *Node) promotable() bool {
-	if n.IsVoter(n.id) {
-		return true
-	}
+// previousVoters returns the voters of the configuration before the newest one, if
+// the newest one is not known to be committed.
+func (n *Node) previousVoters() []Member {
 	previous := len(n.configurations) - 2
-	return previous >= 0 && n.ConfIndex() > n.commitIndex && containsMember(n.configurations[previous].allVoters(), n.id)
+	if previous < 0 || n.ConfIndex() <= n.commitIndex {
+		return nil
+	}
+	return n.configurations[previous].allVoters()
+}
+
+// promotable tells whether this member may campaign: a voter, or one that was
+// voted out by an entry which is not known to be committed. Its log may be the
+// longest, so that no other can win its vote; it must then lead once more, without
+// counting itself, to end the change.
+func (n *Node) promotable() bool {
+	return n.IsVoter(n.id) || containsMember(n.previousVoters(), n.id)
 }
 
-// updatePeers keeps the progress of those whom the leader sends to: voters,
-// candidates, and who was just voted out, until that is committed.
+// updatePeers makes the leader track the members that it sends to: voters,
+// learners, and those voted out, until that is committed.
 func (n *Node) updatePeers() {
 	wanted := map[string]bool{}
-	for _, v := range n.Voters() {
-		wanted[v.ID] = true
+	for _, member := range n.Voters() {
+		wanted[member.ID] = true
 	}
 	for id := range n.learners {
 		wanted[id] = true
 	}
 	if n.ConfChangePending() && len(n.configurations) > 1 {
-		for _, v := range n.configurations[len(n.configurations)-2].allVoters() {
-			wanted[v.ID] = true
+		for _, member := range n.configurations[len(n.configurations)-2].allVoters() {
+			wanted[member.ID] = true
 		}
 	}
 	delete(wanted, n.id)
 	for id := range wanted {
 		if n.peers[id] == nil {
-			n.peers[id] = &progress{next: n.lastIndex() + 1, probing: true, nextSetStamp: n.lastStamp, lastContact: n.now}
+			n.peers[id] = &progress{next: n.LastIndex() + 1, probing: true, nextSetStamp: n.lastStamp, lastContact: n.now}
 		}
 	}
 	for id, peer := range n.peers {
 		if !wanted[id] {
-			// Who was voted out may rest once it knows that this is committed.
+			// A member that was voted out stops campaigning once it knows that this
+			// is committed.
 			n.sendCommit(id, peer)
 			delete(n.peers, id)
 		}
 	}
 }
 
-// ProposeConfChange starts a change to a new set of voters, in one step however many
-// change: first an entry under which both sets count, then, by itself once that
-// is committed, one with the new set alone. Refused while a change is under way.
+// ProposeConfChange starts a change to a new set of voters, however many differ. The
+// log first gets an entry under which majorities of both sets are needed; once that
+// is committed, the leader adds one with the new set alone. It returns false if this
+// member does not lead, hands over, has not committed an entry of its term, if a
+// change is under way, or if the set is empty or the present one.
 func (n *Node) ProposeConfChange(voters []Member) bool {
 	if n.role != leader || n.transferring || n.ConfChangePending() || n.commitIndex < n.noopIndex || len(voters) == 0 || slices.Equal(voters, n.Voters()) {
 		return false
 	}
 	n.appendEntry(EntryConfChange, encodeConfChange(voters, n.latestConfiguration().voters))
-	for _, v := range voters {
-		delete(n.learners, v.ID)
+	for _, member := range voters {
+		delete(n.learners, member.ID)
 	}
 	n.updatePeers()
 	return true
 }
 
-// advanceConfChange takes the next step of a change, also one that an earlier leader
-// began: the final entry once the joint one is committed, and, once that is, a
-// leader that is no longer a voter hands over.
+// advanceConfChange takes the next step of a configuration change, also of one that
+// an earlier leader began. Once the joint entry is committed, the final one follows;
+// once that is committed, a leader that is no longer a voter hands over.
 func (n *Node) advanceConfChange() {
 	latest := n.latestConfiguration()
 	if latest.index > n.commitIndex || n.commitIndex < n.noopIndex {
@@ -183,7 +200,8 @@
 	}
 }
 
-// AddLearner starts to bring a candidate up to date.
+// AddLearner makes the leader replicate its log to a member that does not vote. It
+// does nothing on other members, or for a voter.
 func (n *Node) AddLearner(member Member) {
 	if n.role != leader || n.IsVoter(member.ID) {
 		return
@@ -192,7 +210,7 @@
 	n.updatePeers()
 }
 
-// RemoveLearner ends that.
+// RemoveLearner ends the replication to a learner.
 func (n *Node) RemoveLearner(id string) {
 	delete(n.learners, id)
 	if n.role == leader {
@@ -200,7 +218,8 @@
 	}
 }
 
-// startHeartbeatRound starts a round of heartbeats, if it is time for one.
+// startHeartbeatRound starts a round of heartbeats, if it is time for one; see
+// CaughtUp.
 func (n *Node) startHeartbeatRound() bool {
 	if n.now.Sub(n.roundStartedAt) < n.config.HeartbeatInterval {
 		return false
@@ -211,15 +230,16 @@
 }
 
 // CaughtUp tells whether a member holds all that was committed when the last
-// whole round of heartbeats began. Under load the newest entries are always
-// under way, so that more can't be asked for; a member that lags by more than a
-// round never counts, however few entries that are.
+// complete round of heartbeats began. Under load the newest entries are always
+// under way, so that no more can be asked for; a member that lags by more than a
+// round is not caught up, however few entries that are.
 func (n *Node) CaughtUp(id string) bool {
 	peer := n.peers[id]
 	return peer != nil && !peer.probing && !peer.faulty && peer.match >= n.previousRoundCommitIndex
 }
 
-// SilentFor is how long a member has not been heard.
+// SilentFor returns the time since a member was last heard by this leader, or 0 if
+// the leader does not track it.
 func (n *Node) SilentFor(id string) time.Duration {
 	if peer := n.peers[id]; peer != nil {
 		return n.now.Sub(peer.lastContact)
@@ -227,7 +247,7 @@
 	return 0
 }
 
-// configurationAt is the configuration in force at an entry.
+// configurationAt returns the configuration in force at an entry.
 func (n *Node) configurationAt(index uint64) configuration {
 	found := n.configurations[0]
 	for _, c := range n.configurations {
@@ -238,9 +258,9 @@
 	return found
 }
 
-// VotersAt are the voters at an applied entry; a snapshot holds them.
+// VotersAt returns the voters in force at an applied entry, for a snapshot.
 func (n *Node) VotersAt(index uint64) []Member { return n.configurationAt(index).voters }
 
-// OutgoingVotersAt are the voters before a change that was under way at an applied
-// entry, else nothing; a snapshot holds them too.
+// OutgoingVotersAt returns the outgoing voters of a change that was under way at an
+// applied entry, or nil, for a snapshot.
 func (n *Node) OutgoingVotersAt(index uint64) []Member { return n.configurationAt(index).outgoing }
--- a/internal/raft/model_checks_test.go
+++ b/internal/raft/model_checks_test.go
@@ -39,7 +39,7 @@
 // committedEntry is one entry of the committed log.
 type committedEntry struct {
 	term, hash     uint64
-	kind           byte
+	kind           EntryKind
 	state          stateMachine // after it
 	lowestTermSeen uint64       // the lowest term in which it was seen committed
 }
--- a/internal/raft/model_walk_test.go
+++ b/internal/raft/model_walk_test.go
@@ -125,7 +125,7 @@
 	return b.String()
 }
 
-var kindNames = map[byte]string{MsgAppend: "append", MsgAppendResponse: "append-answer", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-answer",
+var kindNames = map[MessageKind]string{MsgAppend: "append", MsgAppendResponse: "append-answer", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-answer",
 	MsgVote: "vote", MsgVoteResponse: "vote-answer", MsgSnapshot: "snapshot", MsgTimeoutNow: "transfer"}
 
 // sortByReceiver makes the order of messages to different members the same
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -5,7 +5,11 @@
 	"time"
 )
 
-// Node is the state machine of one member. It isn't safe for several tasks.
+// idleTickInterval is the time after which a member that may not campaign wants
+// to be called again; nothing depends on it.
+const idleTickInterval = time.Second
+
+// Node is the Raft state machine of one member. It isn't safe for concurrent use.
 type Node struct {
 	id     string
 	config Config
@@ -14,141 +18,160 @@
 	term   uint64
 	vote   string
 	role   role
-	leader string
+	leader string // ID of the known leader of the term, or empty
 
-	base           Snapshot // index, term of the last entry dropped, and the conf there
+	// base is the snapshot that the log follows, without its data.
+	base           Snapshot
 	log            []Entry
-	configurations []configuration
+	configurations []configuration // the one in force at base, then those in the log
 
 	commitIndex, appliedIndex uint64
-	syncedIndex               uint64
-	unsyncedHardStates        int // hard states not yet synced
-	// Writes handed out, and how many of them are synced.
+	syncedIndex               uint64 // the log is on this member's disk up to here
+	unsyncedHardStates        int
+	// Sequences of the newest write handed out and of the newest one synced.
 	issuedWrites, syncedWrites uint64
-	// A write up to supersededWrite may name entries that were replaced since: from
-	// supersededFrom on it proves nothing.
+	// A write up to supersededWrite may hold entries that were replaced since:
+	// from supersededFrom on, its sync proves nothing.
 	supersededWrite, supersededFrom uint64
 
-	startedAt          time.Time // stamps count from here
-	lastStamp          int64     // the newest stamp
+	startedAt          time.Time
 	now                time.Time
-	electionTimerStart time.Time // the election wait counts from here
-	lastLeaderContact  time.Time // the last word of a leader, or the start
-	electedAt          time.Time
-	electionTimeout    time.Duration
+	lastStamp          int64 // newest send stamp, in ns since startedAt
+	electionTimerStart time.Time
+	electionTimeout    time.Duration // of the present wait, with its random share
+	lastLeaderContact  time.Time     // or the start of this node
 	votes              map[string]bool
-	peers              map[string]*progress
-	learners           map[string]Member
-	eagerCommitPeers   map[string]bool
-	noopIndex          uint64
-	// What was committed when the present round of heartbeats began, and the
-	// one before it.
+
+	// State of a leader.
+	electedAt        time.Time
+	peers            map[string]*progress
+	learners         map[string]Member
+	eagerCommitPeers map[string]bool
+	noopIndex        uint64 // of the first entry of this leader's term
+	// Commit index at the beginning of the present round of heartbeats and of
+	// the one before it.
 	roundCommitIndex, previousRoundCommitIndex uint64
 	roundStartedAt                             time.Time
 	transferring                               bool
-	transfer                                   leadTransfer // while leaving
+	transfer                                   leadTransfer // valid while transferring
 
 	hardStateDirty bool
-	pending        Ready
+	pending        Ready // what Ready returns next
 	wallClock      func() int64
 	snapshotSource func() *Snapshot
 }
 
-// New builds a node from what its disk holds.
+// New returns a Node that starts from what its disk holds, as a follower. The
+// seed feeds the random share of election timeouts.
 func New(id string, hardState HardState, snapshot Snapshot, entries []Entry, now time.Time, config Config, seed int64) *Node {
-	n := &Node{id: id, config: config, random: rand.New(rand.NewSource(seed)), term: hardState.Term, vote: hardState.Vote,
-		base: Snapshot{Index: snapshot.Index, Term: snapshot.Term, Voters: snapshot.Voters, OutgoingVoters: snapshot.OutgoingVoters}, log: entries, commitIndex: snapshot.Index, appliedIndex: snapshot.Index,
-		startedAt: now, now: now, electionTimerStart: now, lastLeaderContact: now, learners: map[string]Member{}}
-	n.configurations = []configuration{{snapshot.Index, snapshot.Voters, snapshot.OutgoingVoters}}
-	for _, e := range entries {
-		n.recordConfiguration(e)
-	}
-	n.syncedIndex = n.lastIndex()
-	// A whole wait after a start: a lease that this member confirmed
-	// before it ended may still be trusted.
-	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)/2+1))
-	return n
-}
+	n := &Node{
+		id:     id,
+		config: config,
+		random: rand.New(rand.NewSource(seed)),
 
-func (n *Node) lastIndex() uint64 { return n.base.Index + uint64(len(n.log)) }
+		term: hardState.Term,
+		vote: hardState.Vote,
 
-func (n *Node) termAt(index uint64) (uint64, bool) {
-	if index == n.base.Index {
-		return n.base.Term, true
+		base:           withoutData(snapshot),
+		log:            entries,
+		configurations: []configuration{configurationOf(snapshot)},
+		commitIndex:    snapshot.Index,
+		appliedIndex:   snapshot.Index,
+
+		startedAt:          now,
+		now:                now,
+		electionTimerStart: now,
+		lastLeaderContact:  now,
+		learners:           map[string]Member{},
 	}
-	if index < n.base.Index || index > n.lastIndex() {
-		return 0, false
+	for _, entry := range entries {
+		n.recordConfiguration(entry)
 	}
-	return n.log[index-n.base.Index-1].Term, true
+	n.syncedIndex = n.LastIndex()
+	// A full election timeout passes after a start, since a lease that this
+	// member confirmed before it stopped may still be trusted.
+	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)/2+1))
+	return n
 }
 
-// ID is this node's disk.
+// ID returns the ID of this member.
 func (n *Node) ID() string { return n.id }
 
-// Term is the current term.
+// Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Leader is the disk of the known leader, or empty.
+// Leader returns the ID of the known leader of the term, or the empty string.
 func (n *Node) Leader() string { return n.leader }
 
-// IsLeader tells whether this node is the leader of its term.
+// IsLeader tells whether this member is the leader of its term.
 func (n *Node) IsLeader() bool { return n.role == leader }
 
-// CommitIndex and Applied tell how far the log is settled and handed out.
-func (n *Node) CommitIndex() uint64  { return n.commitIndex }
+// CommitIndex returns the index up to which the log is known to be committed.
+func (n *Node) CommitIndex() uint64 { return n.commitIndex }
+
+// AppliedIndex returns the index up to which NextCommittedEntries has handed
+// out the log.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// LastIndex is the index of the newest entry.
-func (n *Node) LastIndex() uint64 { return n.lastIndex() }
+// LastIndex returns the index of the newest entry of the log.
+func (n *Node) LastIndex() uint64 { return n.base.Index + uint64(len(n.log)) }
 
-func (n *Node) send(m Message, afterSync bool) {
-	m.From = n.id
-	if m.Kind != MsgPreVote && m.Kind != MsgPreVoteResponse {
-		m.Term = n.term
+// TermAt returns the term of an entry of the log or of the snapshot before it;
+// false if the entry is compacted or not there.
+func (n *Node) TermAt(index uint64) (uint64, bool) {
+	if index == n.base.Index {
+		return n.base.Term, true
 	}
-	if afterSync || n.hardStateDirty || n.unsyncedHardStates > 0 {
-		n.pending.MessagesAfterSync = append(n.pending.MessagesAfterSync, m)
-	} else {
-		n.pending.Messages = append(n.pending.Messages, m)
+	if index < n.base.Index || index > n.LastIndex() {
+		return 0, false
 	}
+	return n.log[index-n.base.Index-1].Term, true
 }
 
-// Tick moves the clock on and returns when to call again.
+// Tick moves the clock on. It returns the time after which Tick is to be called
+// again if there is no other input.
 func (n *Node) Tick(now time.Time) time.Duration {
 	n.now = now
 	if n.role == leader {
-		if now.Sub(n.lastQuorumContact(now)) > n.config.CheckQuorumTimeout && now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
-			// Whoever can reach a majority must not wait for this member.
-			n.becomeFollower(n.term, "")
-			n.electionTimerStart = now
-			n.resetElectionTimeout()
-			return n.electionTimeout
-		}
-		if n.transferring && now.Sub(n.transfer.startedAt) >= n.config.ElectionTimeout {
-			n.abortTransfer()
-			return n.config.HeartbeatInterval
-		}
-		if n.startHeartbeatRound() {
-			n.sendTimeoutNow()
-		}
-		for id, peer := range n.peers {
-			if now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
-				n.sendAppend(id, peer, true)
-			}
-		}
-		return n.config.HeartbeatInterval
+		return n.tickLeader()
 	}
 	if !n.promotable() {
-		return time.Second
+		return idleTickInterval
 	}
 	if remaining := n.electionTimeout - now.Sub(n.electionTimerStart); remaining > 0 {
 		return remaining
 	}
-	n.campaign(false, false)
+	n.preCampaign()
 	return n.electionTimeout
 }
 
-// Step takes a message.
+// tickLeader steps down without a quorum, ends a transfer that takes too long,
+// or sends the heartbeats that are due.
+func (n *Node) tickLeader() time.Duration {
+	if n.now.Sub(n.lastQuorumContact(n.now)) > n.config.CheckQuorumTimeout && n.now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
+		// Whoever can reach a majority must not wait for this member.
+		n.becomeFollower(n.term, "")
+		n.electionTimerStart = n.now
+		n.resetElectionTimeout()
+		return n.electionTimeout
+	}
+	if n.transferring && n.now.Sub(n.transfer.startedAt) >= n.config.ElectionTimeout {
+		n.abortTransfer()
+		return n.config.HeartbeatInterval
+	}
+	if n.startHeartbeatRound() {
+		n.sendTimeoutNow()
+	}
+	for id, peer := range n.peers {
+		if n.now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
+			n.sendAppend(id, peer, true)
+		}
+	}
+	return n.config.HeartbeatInterval
+}
+
+// Step takes a message from another member. Messages that are for another
+// member, or of an unknown kind, are dropped.
 func (n *Node) Step(m Message, now time.Time) {
 	n.now = now
 	if m.To != n.id {
@@ -157,8 +180,9 @@
 	if m.Term > n.term {
 		switch m.Kind {
 		case MsgPreVote, MsgPreVoteResponse:
+			// They name a term that nobody is in yet.
 		case MsgVote:
-			// A leader lives, and its lease may rest on this member.
+			// While a leader lives, its lease may rest on this member.
 			if !m.Force && now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 				return
 			}
@@ -177,7 +201,7 @@
 	}
 }
 
-var handlers = map[byte]func(*Node, Message){
+var handlers = map[MessageKind]func(*Node, Message){
 	MsgAppend:          (*Node).handleAppend,
 	MsgAppendResponse:  (*Node).handleAppendResponse,
 	MsgPreVote:         (*Node).handlePreVote,
@@ -188,7 +212,23 @@
 	MsgTimeoutNow:      (*Node).handleTimeoutNow,
 }
 
-// Ready hands out what is to be done.
+// send queues a message, with the present term unless it is of a pre-vote. It
+// waits for the sync of all earlier writes if afterSync is set, or if a hard
+// state is not on disk yet.
+func (n *Node) send(m Message, afterSync bool) {
+	m.From = n.id
+	if m.Kind != MsgPreVote && m.Kind != MsgPreVoteResponse {
+		m.Term = n.term
+	}
+	if afterSync || n.hardStateDirty || n.unsyncedHardStates > 0 {
+		n.pending.MessagesAfterSync = append(n.pending.MessagesAfterSync, m)
+	} else {
+		n.pending.Messages = append(n.pending.Messages, m)
+	}
+}
+
+// Ready returns what the owner must write and send since the last call. It is
+// called until the result is empty.
 func (n *Node) Ready() Ready {
 	n.replicate()
 	ready := n.pending
@@ -212,7 +252,8 @@
 	return ready
 }
 
-// WriteSynced takes note that a write is on disk.
+// WriteSynced takes note that a write is on disk. Writes are reported in the
+// order in which Ready handed them out.
 func (n *Node) WriteSynced(token WriteToken) {
 	if token.HasHardState {
 		n.unsyncedHardStates--
@@ -226,7 +267,7 @@
 		n.syncedIndex = max(n.syncedIndex, token.SnapshotIndex)
 	}
 	last := token.LastIndex
-	if term, ok := n.termAt(last); !ok || term != token.LastTerm {
+	if term, ok := n.TermAt(last); !ok || term != token.LastTerm {
 		last = 0
 	}
 	if token.Sequence <= n.supersededWrite {
@@ -236,9 +277,10 @@
 	n.maybeCommit()
 }
 
-// supersedeWrites notes that the entries from an index on are replaced. Writes handed out
-// before and not yet synced prove nothing of what will stand there: the same
-// entry may even come back while an older write is still to remove it.
+// supersedeWrites notes that the entries from an index on are replaced. Writes
+// that were handed out before and are not synced yet prove nothing of what will
+// stand there: the same entry may even come back while an older write is still
+// to remove it.
 func (n *Node) supersedeWrites(index uint64) {
 	n.syncedIndex = min(n.syncedIndex, index-1)
 	if n.syncedWrites >= n.supersededWrite || index < n.supersededFrom {
@@ -247,9 +289,9 @@
 	n.supersededWrite = n.issuedWrites
 }
 
-// NextCommittedEntries hands out the entries to apply, once each. While a received snapshot
-// waits to be taken there are none: they follow the state that it holds, and
-// the caller has the old one still.
+// NextCommittedEntries returns the committed entries that are to be applied, each
+// of them once. There are none while Ready still has a received snapshot to hand
+// out: they follow the state of that snapshot, and the owner has an older one.
 func (n *Node) NextCommittedEntries() []Entry {
 	if n.pending.Snapshot != nil || n.appliedIndex >= n.commitIndex {
 		return nil
@@ -258,6 +300,3 @@
 	n.appliedIndex = n.commitIndex
 	return entries
 }
-
-// TermAt is the term of an entry still held.
-func (n *Node) TermAt(index uint64) (uint64, bool) { return n.termAt(index) }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -6,33 +6,50 @@
 	"time"
 )
 
-// progress is what the leader knows of another member.
+const (
+	// snapshotResendInterval is the least time between two snapshots to one member.
+	snapshotResendInterval = time.Second
+	// entryOverheadBytes is added to an entry's data when an append is sized.
+	entryOverheadBytes = 16
+	// noEntryTerm is the term of no entry. An append that names it as LogTerm only
+	// asks for a sign of life, and its rejection means nothing.
+	noEntryTerm = ^uint64(0)
+)
+
+// progress is what the leader knows of another member (thesis, section 3.5).
 type progress struct {
 	match, next uint64
-	probing     bool
-	// nextSetStamp and matchSetStamp are the newest stamps that had been given out when
-	// next was last set anew, and when match last rose.
+	probing     bool // the place where the logs agree is searched, or a snapshot is on its way
+	// The newest send stamps that had been given out when next was last set
+	// anew, and when match last rose.
 	nextSetStamp, matchSetStamp int64
-	faulty                      bool // it broke a promise, and counts for nothing
+	faulty                      bool // it lost entries that it had acknowledged, and is not counted
 	snapshotSentAt              time.Time
-	lastAckedSend               time.Time // the send time of the newest answered append
+	lastAckedSend               time.Time // send time of the newest append that was answered
 	lastContact                 time.Time
 	lastSend                    time.Time
-	wallClock                   int64
+	wallClock                   int64 // ms since 1970, read at wallClockAt
 	wallClockAt                 time.Time
-	commitSent                  uint64 // the newest commit that it was told of
+	commitSent                  uint64 // the newest commit index that it was told
+}
+
+// appendEntry adds an entry of this leader's term to the log.
+func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
+	entry := Entry{Index: n.LastIndex() + 1, Term: n.term, Kind: kind, Data: data}
+	n.appendToLog(entry)
+	return entry.Index
 }
 
-func (n *Node) appendEntry(kind byte, data []byte) uint64 {
-	e := Entry{Index: n.lastIndex() + 1, Term: n.term, Kind: kind, Data: data}
-	n.log = append(n.log, e)
-	n.recordConfiguration(e)
-	n.pending.Entries = append(n.pending.Entries, e)
-	return e.Index
+// appendToLog adds the next entry to the log and to what is to be written.
+func (n *Node) appendToLog(entry Entry) {
+	n.log = append(n.log, entry)
+	n.recordConfiguration(entry)
+	n.pending.Entries = append(n.pending.Entries, entry)
 }
 
-// Propose adds a command to the log; the index is that at which it will be
-// applied, if the term stays the same.
+// Propose adds a command to the log. It returns the index at which the command
+// will be applied, if the term stays the same; false if this member does not lead
+// or is handing the leadership over.
 func (n *Node) Propose(data []byte) (uint64, bool) {
 	if n.role != leader || n.transferring {
 		return 0, false
@@ -40,14 +57,15 @@
 	return n.appendEntry(EntryNormal, data), true
 }
 
-// SetEagerCommitPeers names the members that are told of each commit at once, and not with
-// the next append: they act on what they have applied.
+// SetEagerCommitPeers names the members that a leader tells of each commit at once,
+// and not with the next append: they act on what they have applied.
 func (n *Node) SetEagerCommitPeers(ids map[string]bool) { n.eagerCommitPeers = ids }
 
-// sendCommit tells a member of the commit; no answer is wanted.
+// sendCommit tells a member of the commit index. It wants no response, and has no
+// send stamp therefore.
 func (n *Node) sendCommit(id string, peer *progress) {
 	prevIndex := peer.next - 1
-	logTerm, ok := n.termAt(prevIndex)
+	logTerm, ok := n.TermAt(prevIndex)
 	if !ok {
 		return
 	}
@@ -55,7 +73,8 @@
 	n.send(Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex}, false)
 }
 
-// replicate sends what members lack.
+// replicate sends each member the entries that it lacks, as far as the limit on
+// those in flight allows.
 func (n *Node) replicate() {
 	if n.role != leader {
 		return
@@ -67,7 +86,7 @@
 			}
 			continue
 		}
-		for !peer.probing && peer.next <= n.lastIndex() && peer.next-peer.match <= uint64(n.config.MaxInflightEntries) {
+		for !peer.probing && peer.next <= n.LastIndex() && peer.next-peer.match <= uint64(n.config.MaxInflightEntries) {
 			n.sendAppend(id, peer, false)
 		}
 		if n.eagerCommitPeers[id] && peer.commitSent < n.commitIndex && peer.next > peer.commitSent+1 {
@@ -76,34 +95,31 @@
 	}
 }
 
-// nextStamp numbers an append: nanoseconds of the steady clock since the start of
-// this node, and no two alike. The time of day may jump, and a lease counted
-// from it would then reach too far.
+// nextStamp returns the send stamp of an append: nanoseconds of the monotonic clock
+// since the start of this node, and no two alike. The time of day may jump, and a
+// lease counted from it would then reach too far.
 func (n *Node) nextStamp() int64 {
 	n.lastStamp = max(n.lastStamp+1, int64(n.now.Sub(n.startedAt)))
 	return n.lastStamp
 }
 
-// stampTime is the time at which an append was sent, or a moment before.
+// stampTime returns the time at which the append with a stamp was sent, or a moment
+// before it.
 func (n *Node) stampTime(stamp int64) time.Time { return n.startedAt.Add(time.Duration(stamp)) }
 
-// noEntryTerm is the term of no entry: an append that names it wants only a sign of
-// life, and its refusal means nothing.
-const noEntryTerm = ^uint64(0)
-
-// sendHeartbeat asks for a sign of life, where there is nothing else to send.
+// sendHeartbeat asks for a sign of life, where no entries can be sent.
 func (n *Node) sendHeartbeat(id string, peer *progress) {
 	peer.lastSend = n.now
 	n.send(Message{Kind: MsgAppend, To: id, Index: n.commitIndex, LogTerm: noEntryTerm, SendStamp: n.nextStamp()}, false)
 }
 
-// sendSnapshot sends the state to a member that lacks entries which are no
-// longer held.
+// sendSnapshot sends the state to a member that lacks compacted entries, or a
+// heartbeat, if one is due, while an earlier snapshot may be on its way.
 func (n *Node) sendSnapshot(id string, peer *progress, heartbeat bool) {
 	peer.probing = true
-	// A snapshot is large, and one on its way is enough; while one that was
-	// received waits to be taken, the caller has an older state still.
-	if n.now.Sub(peer.snapshotSentAt) < time.Second || n.pending.Snapshot != nil {
+	// A snapshot is large, and one on its way is enough. While a received one
+	// waits in pending, the owner has an older state still.
+	if n.now.Sub(peer.snapshotSentAt) < snapshotResendInterval || n.pending.Snapshot != nil {
 		if heartbeat {
 			n.sendHeartbeat(id, peer)
 		}
@@ -113,7 +129,8 @@
 	n.send(Message{Kind: MsgSnapshot, To: id, Snapshot: n.snapshotSource(), SendStamp: n.nextStamp()}, false)
 }
 
-// sendAppend sends the next entries that a member lacks, or a heartbeat.
+// sendAppend sends the next entries that a member lacks; without any, the append
+// is a heartbeat.
 func (n *Node) sendAppend(id string, peer *progress, heartbeat bool) {
 	if peer.faulty {
 		if heartbeat {
@@ -122,21 +139,21 @@
 		return
 	}
 	prevIndex := peer.next - 1
-	logTerm, ok := n.termAt(prevIndex)
+	logTerm, ok := n.TermAt(prevIndex)
 	if !ok {
 		n.sendSnapshot(id, peer, heartbeat)
 		return
 	}
 	m := Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex, SendStamp: n.nextStamp()}
 	size := 0
-	for i := peer.next; i <= n.lastIndex() && size < n.config.MaxAppendBytes; i++ {
-		// One only: while the place is searched, more would be thrown away.
+	for i := peer.next; i <= n.LastIndex() && size < n.config.MaxAppendBytes; i++ {
+		// One entry only: while the place is searched, more would be wasted.
 		if peer.probing && i > peer.next {
 			break
 		}
 		entry := n.log[i-n.base.Index-1]
 		m.Entries = append(m.Entries, entry)
-		size += len(entry.Data) + 16
+		size += len(entry.Data) + entryOverheadBytes
 	}
 	if !peer.probing {
 		peer.next += uint64(len(m.Entries))
@@ -145,11 +162,12 @@
 	n.send(m, false)
 }
 
-// followLeader takes note of the leader; false if the message is of an older term.
+// followLeader takes note of the leader that sent a message. It returns false, and
+// answers, if the message is of an older term.
 func (n *Node) followLeader(m Message) bool {
 	if m.Term < n.term {
-		// A thawed leader must learn of the newer term. Without a stamp it
-		// tells nothing of this member's log.
+		// A leader that was paused must learn of the newer term. Without a
+		// stamp, the response says nothing of this member's log.
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true}, false)
 		return false
 	}
@@ -165,10 +183,11 @@
 	return true
 }
 
-// respondToAppend tells the leader how far this log agrees with its own, or refuses.
+// respondToAppend tells the leader how far this log agrees with its own, or, with
+// reject, from where it may differ.
 func (n *Node) respondToAppend(m Message, index uint64, reject, afterSync bool) {
 	if m.Kind == MsgAppend && m.SendStamp == 0 && len(m.Entries) == 0 {
-		// It only told of a commit.
+		// See sendCommit.
 		return
 	}
 	response := Message{Kind: MsgAppendResponse, To: m.From, Index: index, Reject: reject, SendStamp: m.SendStamp, LogTerm: m.LogTerm, Commit: m.Index}
@@ -178,13 +197,13 @@
 	n.send(response, afterSync)
 }
 
-// handleAppend takes entries, or a heartbeat, from the leader.
+// handleAppend takes entries, a heartbeat, or a commit index from the leader.
 func (n *Node) handleAppend(m Message) {
 	if !n.followLeader(m) {
 		return
 	}
 	if m.Index < n.commitIndex && m.LogTerm != noEntryTerm {
-		// What is committed can't differ.
+		// What is committed can't differ, so the append is taken from there on.
 		skip := n.commitIndex - m.Index
 		if uint64(len(m.Entries)) <= skip {
 			n.respondToAppend(m, n.commitIndex, false, n.syncedIndex < n.commitIndex)
@@ -192,36 +211,13 @@
 		}
 		m.Entries = m.Entries[skip:]
 		m.Index = n.commitIndex
-		m.LogTerm, _ = n.termAt(n.commitIndex)
+		m.LogTerm, _ = n.TermAt(n.commitIndex)
 	}
-	term, ok := n.termAt(m.Index)
-	if !ok || term != m.LogTerm {
-		hint := n.lastIndex()
-		if m.Index <= hint && m.Index > 0 {
-			hint = m.Index - 1
-		}
-		if hint < n.commitIndex {
-			hint = n.commitIndex
-		}
-		n.respondToAppend(m, hint, true, false)
+	if term, ok := n.TermAt(m.Index); !ok || term != m.LogTerm {
+		n.respondToAppend(m, n.rejectionHint(m.Index), true, false)
 		return
 	}
-	appended := false
-	for i, e := range m.Entries {
-		if term, ok := n.termAt(e.Index); ok {
-			if term == e.Term {
-				continue
-			}
-			n.truncateLog(e.Index)
-		}
-		for _, entry := range m.Entries[i:] {
-			n.log = append(n.log, entry)
-			n.recordConfiguration(entry)
-			n.pending.Entries = append(n.pending.Entries, entry)
-		}
-		appended = true
-		break
-	}
+	appended := n.mergeEntries(m.Entries)
 	matched := m.Index + uint64(len(m.Entries))
 	if m.Commit > n.commitIndex && matched > n.commitIndex {
 		n.commitIndex = min(m.Commit, matched)
@@ -229,6 +225,34 @@
 	n.respondToAppend(m, matched, false, appended || n.syncedIndex < matched)
 }
 
+// rejectionHint returns the index up to which the logs may agree, given that they
+// differ at index or that this log ends before it.
+func (n *Node) rejectionHint(index uint64) uint64 {
+	hint := n.LastIndex()
+	if index <= hint && index > 0 {
+		hint = index - 1
+	}
+	return max(hint, n.commitIndex)
+}
+
+// mergeEntries adds the leader's entries that the log lacks, in place of those that
+// differ. It tells whether there were any.
+func (n *Node) mergeEntries(entries []Entry) bool {
+	for i, entry := range entries {
+		if term, ok := n.TermAt(entry.Index); ok {
+			if term == entry.Term {
+				continue
+			}
+			n.truncateLog(entry.Index)
+		}
+		for _, missing := range entries[i:] {
+			n.appendToLog(missing)
+		}
+		return true
+	}
+	return false
+}
+
 // truncateLog drops the log from an index on, where the leader's differs.
 func (n *Node) truncateLog(index uint64) {
 	if index <= n.commitIndex {
@@ -239,10 +263,10 @@
 		n.configurations = n.configurations[:len(n.configurations)-1]
 	}
 	n.supersedeWrites(index)
-	n.pending.Entries = slices.DeleteFunc(n.pending.Entries, func(o Entry) bool { return o.Index >= index })
+	n.pending.Entries = slices.DeleteFunc(n.pending.Entries, func(entry Entry) bool { return entry.Index >= index })
 }
 
-// handleAppendResponse takes note of how far a member's log goes.
+// handleAppendResponse takes note of how far a member's log agrees with this one.
 func (n *Node) handleAppendResponse(m Message) {
 	peer := n.peers[m.From]
 	if n.role != leader || m.Term != n.term || peer == nil {
@@ -276,22 +300,22 @@
 	}
 }
 
-// handleAppendRejection looks for the place from which a member's log differs. The answer
-// echoes the append that it refused: its stamp, and the index (Commit) and term
-// that it named. Answers of a lost connection may come late; one to an append
-// from before the present place was chosen says nothing.
+// handleAppendRejection searches for the place from which a member's log differs.
+// The response echoes the append that it rejects: its stamp, its index (in Commit)
+// and its term. Responses of a lost connection may come late; one to an append from
+// before the present place was chosen says nothing.
 //
-// A refusal at or below match breaks a promise, if the append was sent after
+// A rejection at or below match breaks a promise, if the append was sent after
 // match had been acknowledged: the member has lost entries that it said were on
-// its disk (the disk was wiped, or an old copy of it put in place, under the
-// same identity). Its answer can't have passed the acknowledgement on the way,
-// however late either came. From then on this leader counts it neither for
-// commits nor for the lease, and sends it no entries: to count it again would
-// let two majorities meet in a member that forgot. What was committed with its
-// help is held by one disk less than it seems, which nothing can undo; what is
-// committed from here on rests on the others alone. A later leader, which was
-// promised nothing, can't tell and takes the member as it finds it; so the
-// voter is to be replaced (see Faulty).
+// its disk (the disk was wiped, or an old copy of it put in place, under the same
+// ID). Its response can't have overtaken the acknowledgement, however late either
+// came. From then on this leader counts the member neither for commits nor for the
+// lease, and sends it no entries: if it were counted again, two majorities could
+// have in common only a member that forgot. What was committed with its help is
+// held by one disk less than it seems, which nothing can undo; what is committed
+// from here on rests on the others alone. A later leader, which was promised
+// nothing, can't tell and takes the member as it finds it; so the voter is to be
+// replaced (see FaultyPeers).
 func (n *Node) handleAppendRejection(m Message, peer *progress) {
 	probedIndex := m.Commit
 	switch {
@@ -306,14 +330,15 @@
 	peer.next = max(min(m.Index+1, probedIndex), peer.match+1)
 	peer.probing = true
 	peer.nextSetStamp = n.lastStamp
-	// Not while a snapshot is on its way: each refusal would call forth the next.
-	if _, ok := n.termAt(peer.next - 1); ok || n.now.Sub(peer.snapshotSentAt) >= time.Second {
+	// Nothing is sent while a snapshot is on its way, since each rejection would
+	// lead to the next.
+	if _, ok := n.TermAt(peer.next - 1); ok || n.now.Sub(peer.snapshotSentAt) >= snapshotResendInterval {
 		n.sendAppend(m.From, peer, false)
 	}
 }
 
-// FaultyPeers names the members that refused entries which they had acknowledged to
-// this leader. They count for nothing until they are replaced.
+// FaultyPeers returns the IDs, sorted, of the members that lost entries which they
+// had acknowledged to this leader. They are not counted and are to be replaced.
 func (n *Node) FaultyPeers() []string {
 	var ids []string
 	for id, peer := range n.peers {
@@ -325,8 +350,9 @@
 	return ids
 }
 
-// maybeCommit commits what a majority, in mid-change of both sets, holds on disk.
-// Only entries of this term are counted; those before them follow.
+// maybeCommit commits what a quorum holds on disk. Only entries of this term are
+// counted; those before them follow (thesis, section 3.6.2). It then takes a
+// configuration change that was committed to its next step.
 func (n *Node) maybeCommit() {
 	if n.role != leader {
 		return
@@ -340,7 +366,7 @@
 		}
 		return 0
 	})
-	if term, ok := n.termAt(quorumIndex); ok && quorumIndex > n.commitIndex && term == n.term {
+	if term, ok := n.TermAt(quorumIndex); ok && quorumIndex > n.commitIndex && term == n.term {
 		n.commitIndex = quorumIndex
 	}
 	n.advanceConfChange()
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -1,43 +1,51 @@
 package raft
 
-// SetSnapshotSource gives the source of snapshots for members that lag.
+// SetSnapshotSource sets the function that a leader calls for the snapshot of a
+// member that lacks compacted entries. It returns the state at AppliedIndex.
 func (n *Node) SetSnapshotSource(source func() *Snapshot) { n.snapshotSource = source }
 
-// handleSnapshot takes a snapshot from the leader. It replaces state and log in one
-// step, and is acknowledged once it is synced; a log that holds its last entry
-// already is kept as it is.
+func withoutData(s Snapshot) Snapshot {
+	return Snapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, OutgoingVoters: s.OutgoingVoters}
+}
+
+// handleSnapshot takes a snapshot from the leader. It replaces state and log in
+// one step, and is acknowledged once it is synced. A log that already holds the
+// snapshot's last entry is kept as it is.
 func (n *Node) handleSnapshot(m Message) {
 	if !n.followLeader(m) || m.Snapshot == nil {
 		return
 	}
-	if m.Snapshot.Index <= n.commitIndex {
+	received := m.Snapshot
+	if received.Index <= n.commitIndex {
 		n.respondToAppend(m, n.commitIndex, false, true)
 		return
 	}
-	if t, ok := n.termAt(m.Snapshot.Index); ok && t == m.Snapshot.Term {
+	if term, ok := n.TermAt(received.Index); ok && term == received.Term {
 		// The log holds all that the snapshot stands for, and perhaps entries
 		// above it that were acknowledged: it stays, and is only committed.
-		n.commitIndex = m.Snapshot.Index
-		n.respondToAppend(m, m.Snapshot.Index, false, true)
+		n.commitIndex = received.Index
+		n.respondToAppend(m, received.Index, false, true)
 		return
 	}
 	n.supersedeWrites(1)
-	n.base = Snapshot{Index: m.Snapshot.Index, Term: m.Snapshot.Term, Voters: m.Snapshot.Voters, OutgoingVoters: m.Snapshot.OutgoingVoters}
+	n.base = withoutData(*received)
 	n.log = nil
-	n.configurations = []configuration{{m.Snapshot.Index, m.Snapshot.Voters, m.Snapshot.OutgoingVoters}}
-	// Not synced: nothing of it is on disk before the mark of its write is back.
-	n.commitIndex, n.appliedIndex = m.Snapshot.Index, m.Snapshot.Index
+	n.configurations = []configuration{configurationOf(*received)}
+	// syncedIndex stays: nothing of the snapshot is on disk before its write is
+	// reported as synced.
+	n.commitIndex, n.appliedIndex = received.Index, received.Index
 	n.pending.Entries = nil
-	n.pending.Snapshot = m.Snapshot
-	n.respondToAppend(m, m.Snapshot.Index, false, true)
+	n.pending.Snapshot = received
+	n.respondToAppend(m, received.Index, false, true)
 }
 
-// Compact forgets entries up to index, which a snapshot on disk holds.
+// Compact drops the entries up to an index, which a snapshot on disk includes.
+// It does nothing if they are dropped already or not applied yet.
 func (n *Node) Compact(index uint64) {
 	if index <= n.base.Index || index > n.appliedIndex {
 		return
 	}
-	term, _ := n.termAt(index)
+	term, _ := n.TermAt(index)
 	base := n.configurations[0]
 	remaining := n.configurations
 	for len(remaining) > 0 && remaining[0].index <= index {
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -1,112 +1,129 @@
-// Package raft is the agreement of the core: a pure state machine after the
-// published Raft rules. Inputs go in; what to write, send and apply comes out.
 package raft
 
 import "time"
 
-// Member is one member of the core: an identity of a disk, not an address.
+// Member is a member of the cluster. Its ID names the contents of a disk: a
+// daemon whose disk was wiped comes back under a new ID, as another member.
+//
+// It is stored and sent as an array: fields must not be moved.
 type Member struct {
 	_    struct{} `cbor:",toarray"`
-	Node string
+	Node string   // name of the machine
 	ID   string
-	Addr string
+	Addr string // host:port at which the daemon listens for other daemons
 }
 
+// EntryKind tells what an entry of the log holds. The numbers are stored.
+type EntryKind byte
+
 // Kinds of entries.
 const (
-	EntryNormal = byte(iota)
-	EntryConfChange
-	EntryNoop
+	EntryNormal     EntryKind = iota // a command for the replicated state
+	EntryConfChange                  // a new configuration, see DecodeConfChange
+	EntryNoop                        // the first entry of a leader's term, without data
 )
 
-// Entry is one line of the log.
+// Entry is an entry of the log. It is stored and sent as an array: fields must
+// not be moved.
 type Entry struct {
 	_     struct{} `cbor:",toarray"`
 	Index uint64
 	Term  uint64
-	Kind  byte
+	Kind  EntryKind
 	Data  []byte
 }
 
-// HardState is what must be on disk before anything that rests on it is sent.
+// HardState is what must be on disk before any message that rests on it is sent.
+// It is stored as an array: fields must not be moved.
 type HardState struct {
 	_    struct{} `cbor:",toarray"`
 	Term uint64
-	Vote string
+	Vote string // ID of the member voted for in Term, or empty
 }
 
-// Snapshot is a snapshot of the state up to an entry, with the voters in force
-// there. Old holds those before a change that is under way, else nothing.
+// Snapshot is the replicated state up to an entry, with the configuration in
+// force there. OutgoingVoters is set only while a configuration change is under
+// way: it holds the voters from before the change.
 type Snapshot struct {
-	Index          uint64
-	Term           uint64
+	Index          uint64 // of the last entry that the state includes
+	Term           uint64 // of that entry
 	Voters         []Member
 	Data           []byte
 	OutgoingVoters []Member
 }
 
+// MessageKind tells what a message asks or answers. The numbers are sent.
+type MessageKind byte
+
 // Kinds of messages.
 const (
-	MsgAppend = byte(iota)
+	MsgAppend MessageKind = iota
 	MsgAppendResponse
 	MsgPreVote
 	MsgPreVoteResponse
 	MsgVote
 	MsgVoteResponse
 	MsgSnapshot
-	MsgTimeoutNow
+	MsgTimeoutNow // tells a voter to campaign at once, see TransferLeadership
 )
 
-// Message goes from one disk to another. The answer to an append echoes the index
-// that this named (in Commit), its LogTerm, and its Sent, the sender's stamp.
+// Message goes from one member to another. It is sent as an array: fields must
+// not be moved.
 type Message struct {
-	_         struct{} `cbor:",toarray"`
-	Kind      byte
-	From      string
-	To        string
-	Term      uint64
-	Index     uint64
-	LogTerm   uint64
-	Commit    uint64
-	Entries   []Entry
-	Reject    bool
-	Force     bool
+	_       struct{} `cbor:",toarray"`
+	Kind    MessageKind
+	From    string // ID of a member
+	To      string // ID of a member
+	Term    uint64
+	Index   uint64 // of the entry before Entries; in a response, how far the logs agree
+	LogTerm uint64 // term of the entry at Index
+	Commit  uint64 // the sender's commit index; in a response, the Index that is answered
+	Entries []Entry
+	Reject  bool
+	Force   bool // the vote is asked for by order of the leader, whose lease need not be respected
+	// SendStamp is the sender's time of sending, in ns since its start; a response echoes it.
 	SendStamp int64
-	WallClock int64
+	WallClock int64 // the responder's time of day, in ms since 1970, or 0
 	Snapshot  *Snapshot
 }
 
-// Ready is what the caller must do. After is sent once the writes of this and
-// of all earlier outs are synced; Now is sent at once.
+// Ready is what the owner of a Node must do. Messages may be sent at once;
+// MessagesAfterSync may be sent once the writes of this and of all earlier
+// Readys are synced. If MustSync is true, the owner then also passes WriteToken
+// to WriteSynced.
 type Ready struct {
 	HardState         *HardState
-	Entries           []Entry
-	Snapshot          *Snapshot
+	Entries           []Entry   // to be written in place of all stored entries from the first index on
+	Snapshot          *Snapshot // a received one, replaces the stored snapshot and the whole log
 	MessagesAfterSync []Message
 	Messages          []Message
-	// WriteToken is handed back to Synced.
-	WriteToken WriteToken
+	WriteToken        WriteToken
 }
 
-// WriteToken names what a write holds; the caller hands it back once that is synced.
+// WriteToken names what a write holds. The owner passes it to WriteSynced once
+// the write is on disk.
 type WriteToken struct {
-	LastIndex, LastTerm uint64 // the last entry, zero without entries
-	SnapshotIndex       uint64 // the index of a received snapshot, zero without one
+	LastIndex, LastTerm uint64 // of the last entry, zero without entries
+	SnapshotIndex       uint64 // of a received snapshot, zero without one
 	HasHardState        bool
 	Sequence            uint64 // rises with each write, from 1 on
 }
 
 // IsEmpty tells whether there is nothing to do.
-func (o *Ready) IsEmpty() bool {
-	return o.HardState == nil && len(o.Entries) == 0 && o.Snapshot == nil && len(o.MessagesAfterSync) == 0 && len(o.Messages) == 0
+func (r *Ready) IsEmpty() bool {
+	return r.HardState == nil && len(r.Entries) == 0 && r.Snapshot == nil && len(r.MessagesAfterSync) == 0 && len(r.Messages) == 0
 }
 
-// MustSync tells whether the out needs the disk.
-func (o *Ready) MustSync() bool { return o.HardState != nil || len(o.Entries) > 0 || o.Snapshot != nil }
+// MustSync tells whether there is anything to write.
+func (r *Ready) MustSync() bool { return r.HardState != nil || len(r.Entries) > 0 || r.Snapshot != nil }
 
-// Config holds the waits of the machine.
+// Config holds the timeouts and limits of a Node.
 type Config struct {
-	HeartbeatInterval, ElectionTimeout, ElectionJitter, CheckQuorumTimeout time.Duration
-	LeaseFraction                                                          float64
-	MaxInflightEntries, MaxAppendBytes                                     int
+	HeartbeatInterval  time.Duration
+	ElectionTimeout    time.Duration // the shortest time without a leader before an election
+	ElectionJitter     time.Duration // a random share of it is added to each election timeout
+	CheckQuorumTimeout time.Duration // a leader that no majority has followed for so long steps down
+	LeaseFraction      float64       // share of ElectionTimeout for which a lease holds, below 1
+	MaxInflightEntries int           // entries sent to a member and not yet acknowledged
+	MaxAppendBytes     int           // an append is closed once it holds so many bytes
 }
