--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -17,14 +17,16 @@
 	"tealpond/internal/tuning"
 )
 
+// Names of files, which operators know.
 const (
-	fileName      = "tealpond.db"
-	tempSuffix    = ".new"
-	corruptSuffix = ".foreign"
-	fileMode      = 0o600
+	fileName         = "tealpond.db"
+	tempSuffix       = ".new"     // of a file that is not complete yet
+	corruptSuffix    = ".foreign" // of a file that Open could not use
+	wrongStateSuffix = ".differs" // of a file that ResetIdentity replaced
+	fileMode         = 0o600
 )
 
-// fileSystem are the calls to the system that opening makes; tests have them fail.
+// fileSystem holds the system calls that opening makes; tests let them fail.
 type fileSystem struct {
 	openFile      func(name string, flag int, mode os.FileMode) (*os.File, error)
 	rename        func(from, to string) error
@@ -43,25 +45,28 @@
 	return f.Sync()
 }
 
+// newIdentity draws the random ID of a new file.
 func newIdentity() string {
 	var b [12]byte
-	_, _ = rand.Read(b[:])
+	_, _ = rand.Read(b[:]) // never fails, as its documentation says
 	return hex.EncodeToString(b[:])
 }
 
-// Open reads the folder once. An existing good file is read without any write,
-// so that a full disk keeps nobody from its identity. Its folder is synced each
-// time, as the daemon may have ended before it came to that; a fault of this
-// counts only while nothing was promised from the file yet.
+// Open opens the file of a directory once, and creates it if there is none. A good
+// file is read without any write, so that a full disk keeps no daemon from its
+// identity. The directory is synced each time, since the daemon may have ended
+// before it came to that; a failure of this sync counts only while the file holds
+// nothing but an identity.
 //
-// A file that is provably torn or foreign is put aside (the newest one is
-// kept) and the daemon goes on under a new identity; the string says why. Why
-// wholly, and not with what still reads: an entry or a vote that this identity
-// acknowledged may be in the part that does not, and the others count on it.
-// Under a new identity it is a stranger, which neither votes nor counts until
-// the leader has caught it up.
+// A file that is provably corrupt or of another program is renamed (only the newest
+// of them is kept) and the daemon goes on under a new identity; the returned string
+// is the reason, else empty. What can still be read of such a file is not used,
+// since an entry or a vote that this identity acknowledged may be in the other part,
+// and the cluster relies on it. Under a new identity the daemon is another member,
+// which neither votes nor counts until the leader has brought it up to date.
 //
-// Any other fault is *Unavailable and leaves all files as they are.
+// Any other fault is an *UnavailableError or a *VersionError, and leaves all files
+// as they are.
 func Open(dir string) (*Store, Recovered, string, error) { return osFileSystem.open(dir) }
 
 func (fs fileSystem) open(dir string) (*Store, Recovered, string, error) {
@@ -101,15 +106,15 @@
 	return store, recovered, reason, nil
 }
 
-// errUninitialized means that there is no file, or one that never got an identity:
-// the daemon ended between making it and the first sync. Nothing was promised
-// from it, so it is replaced without a word.
+// errUninitialized means that there is no file, or one that never got an identity,
+// since the daemon ended between creating it and the first sync. Nobody relies on
+// such a file, so it is replaced without notice.
 var errUninitialized = errors.New("no identity yet")
 
-// create makes the file under another name, and gives it its own one once its
-// content is synced; the folder is synced before the identity is used. Why: a
-// name that was not synced may be lost with the power, and the votes and
-// entries that others were promised from it would be lost with it.
+// create makes the file under a temporary name, renames it once its content is
+// synced, and syncs the directory before the identity is used: a name that was not
+// synced may be lost with the power, and with it the votes and entries that this
+// member acknowledged.
 func (fs fileSystem) create(dir, path string) error {
 	temp := path + tempSuffix
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -144,11 +149,11 @@
 	return nil
 }
 
-// openBolt opens a file that was checked. NoFreelistSync leaves the list of free
-// pages out of the file: it is found anew from the tree when opening, so that
-// no page of it can be torn, and opening writes nothing. The order of bbolt's
-// writes stays: new pages, sync, meta page, sync; pages of the older meta are
-// not written again before the newer one is synced.
+// openBolt opens a file that was checked. NoFreelistSync keeps the list of free
+// pages out of the file: bbolt finds it from the tree when it opens the file, so
+// that no page of it can be torn, and opening writes nothing. The order of bbolt's
+// writes stays: new pages, sync, meta page, sync; pages of the older meta are not
+// written again before the newer one is synced.
 func (fs fileSystem) openBolt(path string) (db *bolt.DB, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -172,7 +177,8 @@
 		return nil, Recovered{}, unavailable("open", err)
 	}
 	recovered, meta, generation, err := checkFile(f)
-	// Closing gives the lock back, which bbolt takes for itself.
+	// Closing releases the lock, which bbolt takes for itself. Nothing was written,
+	// so an error of it has no consequence.
 	_ = f.Close()
 	if err != nil {
 		return nil, Recovered{}, err
@@ -181,20 +187,20 @@
 	if err != nil {
 		return nil, Recovered{}, err
 	}
-	same := false
+	unchanged := false
 	_ = db.View(func(tx *bolt.Tx) error {
-		same = uint64(tx.ID()) == meta.txid
+		unchanged = uint64(tx.ID()) == meta.txid
 		return nil
 	})
-	if !same {
+	if !unchanged {
 		_ = db.Close()
 		return nil, Recovered{}, unavailable("open", errors.New("another process wrote to it"))
 	}
 	return &Store{db: db, commit: db.Update, snapshotGeneration: generation}, recovered, nil
 }
 
-// checkFile reads a file that no other process has open, and the generation of its
-// snapshot.
+// checkFile checks and reads a file that no other process has open. It returns the
+// contents, the meta page and the generation of the snapshot.
 func checkFile(f *os.File) (Recovered, boltMeta, uint64, error) {
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return Recovered{}, boltMeta{}, 0, unavailable("lock", err)
@@ -209,20 +215,20 @@
 	recovered, meta, generation, err := recoverFile(f, info.Size())
 	var corruptErr *CorruptError
 	if errors.As(err, &corruptErr) {
-		blank, e := isUninitialized(f, info.Size())
-		if e != nil {
-			return Recovered{}, boltMeta{}, 0, e
+		uninitialized, readErr := isUninitialized(f, info.Size())
+		if readErr != nil {
+			return Recovered{}, boltMeta{}, 0, readErr
 		}
-		if blank {
+		if uninitialized {
 			err = errUninitialized
 		}
 	}
 	return recovered, meta, generation, err
 }
 
-// isUninitialized tells whether a torn file can't ever have held an identity: it is
-// blank, or it has no more pages than bbolt makes a new file from and starts
-// like them. The first transaction of ours grows the file before it writes.
+// isUninitialized tells whether a corrupt file can never have held an identity: it
+// is blank, or it has no more pages than a new file of bbolt and starts like one. The
+// first transaction of this package grows the file before it writes.
 func isUninitialized(reader io.ReaderAt, size int64) (bool, error) {
 	page := make([]byte, initialPageSize)
 	fewPages, validMeta := size <= initialPages*initialPageSize, false
@@ -239,20 +245,22 @@
 			meta, ok := parseMeta(page[pageHeaderSize:])
 			validMeta = ok && meta.highWaterMark <= initialPages
 		}
-		if !blank && !(fewPages && validMeta) {
+		asCreated := fewPages && validMeta
+		if !blank && !asCreated {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-// OpenWithRetry opens the folder, and tries again for as long as it is unavailable,
-// with a pause that grows to a bound. It says so by waits at each fault, and
-// once a second while a call hangs. The only error is that of ctx.
+// OpenWithRetry is Open, repeated for as long as it fails, with a backoff that grows
+// to a bound. It calls onWait after each failure, and at regular intervals while a
+// call hangs. The only error that it returns is that of ctx.
 func OpenWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
 	return osFileSystem.openWithRetry(ctx, dir, onWait)
 }
 
+// openResult is the outcome of one call of Open.
 type openResult struct {
 	store     *Store
 	recovered Recovered
@@ -261,8 +269,8 @@
 }
 
 func (fs fileSystem) openWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
-	pause := tuning.StorageRetryBackoff
-	reason := ""
+	backoff := tuning.StorageRetryBackoff
+	reason := "" // of the last attempt that renamed a file
 	for {
 		results := make(chan openResult, 1)
 		go func() {
@@ -281,14 +289,14 @@
 			return result.store, result.recovered, reason, nil
 		}
 		onWait(result.err)
-		if sleep(ctx, pause); ctx.Err() != nil {
+		if sleep(ctx, backoff); ctx.Err() != nil {
 			return nil, Recovered{}, reason, ctx.Err()
 		}
-		pause = min(2*pause, tuning.MaxStorageRetryBackoff)
+		backoff = min(2*backoff, tuning.MaxStorageRetryBackoff)
 	}
 }
 
-// awaitOpen waits for one attempt. An attempt that outlives ctx closes what it got.
+// awaitOpen waits for one attempt. An attempt that outlives ctx closes what it opened.
 func awaitOpen(ctx context.Context, results chan openResult, onWait func(error)) (openResult, error) {
 	ticker := time.NewTicker(tuning.StorageWarningInterval)
 	defer ticker.Stop()
--- a/internal/storage/page_walker.go
+++ b/internal/storage/page_walker.go
@@ -9,8 +9,9 @@
 	"math/bits"
 )
 
-// Layout of a bbolt file, version 2, as its documentation and its own checker
-// give it. The numbers are little-endian on all machines that we run on.
+// Layout of a bbolt file, version 2, as its documentation and its own checker give
+// it. Sizes and offsets are in bytes; the numbers in the file are little-endian on
+// all machines that the daemons run on.
 const (
 	boltMagic             = 0xED0CDAED
 	boltVersion           = 2
@@ -18,18 +19,18 @@
 	pageHeaderSize        = 16
 	elementSize           = 16
 	bucketHeaderSize      = 16
-	metaChecksumOffset    = 56 // bytes of the meta before its checksum
+	metaChecksumOffset    = 56
 	metaSize              = 64
 	branchPage            = 0x01
 	leafPage              = 0x02
 	freelistPage          = 0x10
-	freelistCountOverflow = 0xFFFF // the count stands in the first place of the list
+	freelistCountOverflow = 0xFFFF // the count is the first element of the list
 	bucketLeafFlag        = 0x01
 	minPageSize           = 1 << 10
 	maxPageSize           = 1 << 24
-	initialPages          = 4 // bbolt writes a new file with so many
+	initialPages          = 4 // of a new file
 	initialPageSize       = 4 << 10
-	maxBucketDepth        = 4
+	maxBucketDepth        = 4 // the layout of this package needs 3
 )
 
 // boltMeta is the newest valid meta page.
@@ -42,19 +43,19 @@
 }
 
 // pageWalker walks a bbolt file without bbolt. It exists because bbolt trusts the
-// pages it maps: on a torn file it panics, at times in a task of its own that
-// no caller can recover, or walks a cycle for ever, and a file that is too
+// pages that it maps: on a corrupt file it panics, at times in a goroutine of its
+// own where no caller can recover, or walks a cycle for ever, and a file that is too
 // short ends the process by a signal. What passes here is safe to open.
 type pageWalker struct {
 	reader  io.ReaderAt
-	size    int64
 	meta    boltMeta
 	visited []uint64 // one bit a page: none may be reached twice
 	visit   func(bucket string, key, value []byte) error
 }
 
-// walkFile checks every page that is in use and hands out each record in order of
-// its bucket and key. Keys and values stay valid.
+// walkFile checks every page that is in use. It calls visit for each record in the
+// order of buckets and keys, and before the records of a bucket once with a nil key.
+// Keys and values stay valid after the call.
 func walkFile(reader io.ReaderAt, size int64, visit func(bucket string, key, value []byte) error) (boltMeta, error) {
 	meta, err := newestMeta(reader, size)
 	if err != nil {
@@ -63,15 +64,21 @@
 	if meta.highWaterMark > uint64(size/meta.pageSize) {
 		return meta, corrupt("meta", "%d pages in use, room for %d", meta.highWaterMark, size/meta.pageSize)
 	}
-	p := &pageWalker{reader: reader, size: size, meta: meta, visited: make([]uint64, meta.highWaterMark/64+1), visit: visit}
-	if err := p.walkBucket("", meta.root, 0); err != nil {
+	w := &pageWalker{reader: reader, meta: meta, visited: make([]uint64, meta.highWaterMark/64+1), visit: visit}
+	if err := w.walkBucket("", meta.root, 0); err != nil {
 		return meta, err
 	}
-	return meta, p.checkFreelist()
+	return meta, w.checkFreelist()
 }
 
-// checkFreelist checks the list of free pages, which files written by other programs
-// with bbolt have: bbolt would trust it, and write over what it names.
+// isVisited tells whether a page was reached before.
+func (w *pageWalker) isVisited(id uint64) bool { return w.visited[id/64]&(1<<(id%64)) != 0 }
+
+// markVisited takes note that a page was reached.
+func (w *pageWalker) markVisited(id uint64) { w.visited[id/64] |= 1 << (id % 64) }
+
+// checkFreelist checks the list of free pages. Only files that were written with
+// other options have one; bbolt would trust it, and overwrite what it names.
 func (w *pageWalker) checkFreelist() error {
 	if w.meta.freelist == noFreelist {
 		return nil
@@ -93,14 +100,16 @@
 	}
 	for i := range count {
 		id := order.Uint64(ids[8*i:])
-		if id < 2 || id >= w.meta.highWaterMark || w.visited[id/64]&(1<<(id%64)) != 0 {
+		if id < 2 || id >= w.meta.highWaterMark || w.isVisited(id) {
 			return corrupt("page", "%d is in use and free", id)
 		}
-		w.visited[id/64] |= 1 << (id % 64)
+		w.markVisited(id)
 	}
 	return nil
 }
 
+// readAt fills a buffer. A file that ends too early is a *CorruptError, any other
+// failure an *UnavailableError.
 func readAt(reader io.ReaderAt, buffer []byte, offset int64) error {
 	_, err := reader.ReadAt(buffer, offset)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -112,12 +121,12 @@
 	return nil
 }
 
-// newestMeta chooses as bbolt does: the valid one with the higher number. One
-// that is not valid was torn by a loss of power before its sync, so that nobody
-// was told of its transaction, and the other one is right. (A page that rots
-// after its sync can't be told from that.) The older one is no way back if the
-// tree of the newer one is bad: the newer one was written after its pages were
-// synced, and what it holds may have been acknowledged.
+// newestMeta chooses among the two meta pages as bbolt does: the valid one with the
+// higher transaction ID. One that is not valid was torn by a loss of power before
+// its sync, so that its transaction was never reported, and the other one is right.
+// (A page that decays after its sync can't be told from that.) The older one can't
+// be used instead if the tree of the newer one is corrupt: the newer one was written
+// after its pages were synced, and what it holds may have been acknowledged.
 func newestMeta(reader io.ReaderAt, size int64) (boltMeta, error) {
 	var newest boltMeta
 	found := false
@@ -130,7 +139,7 @@
 			return err
 		}
 		meta, ok := parseMeta(buffer[pageHeaderSize:])
-		// The second meta stands one page in, whatever the size of a page is.
+		// The second meta page is at one page size, whatever that is.
 		if ok && (offset == 0 || offset == meta.pageSize) && (!found || meta.txid > newest.txid) {
 			newest, found = meta, true
 		}
@@ -150,6 +159,7 @@
 	return newest, nil
 }
 
+// parseMeta decodes the meta of a meta page, and tells whether it is valid.
 func parseMeta(b []byte) (boltMeta, bool) {
 	order := binary.LittleEndian
 	checksum := fnv.New64a()
@@ -160,7 +170,7 @@
 	return meta, ok
 }
 
-// readPage reads one page with its overflow and marks it as reached.
+// readPage reads one page with its overflow pages and marks them as visited.
 func (w *pageWalker) readPage(id uint64) ([]byte, error) {
 	if id < 2 || id >= w.meta.highWaterMark {
 		return nil, corrupt("page", "%d of %d", id, w.meta.highWaterMark)
@@ -178,10 +188,10 @@
 		return nil, corrupt("page", "%d runs past the end", id)
 	}
 	for i := id; i <= id+overflow; i++ {
-		if w.visited[i/64]&(1<<(i%64)) != 0 {
+		if w.isVisited(i) {
 			return nil, corrupt("page", "%d is reached twice", i)
 		}
-		w.visited[i/64] |= 1 << (i % 64)
+		w.markVisited(i)
 	}
 	page := make([]byte, int64(overflow+1)*w.meta.pageSize)
 	return page, readAt(w.reader, page, int64(id)*w.meta.pageSize)
@@ -196,8 +206,8 @@
 	return w.walkPage(bucket, root, nil, &last, depth)
 }
 
-// walkPage checks a page and what is below it. Each key must be above last; first
-// is the key under which the parent knows this page.
+// walkPage checks a page and what is below it. Each key must be above last; first is
+// the key under which the parent names this page, and no key may be below it.
 func (w *pageWalker) walkPage(bucket string, id uint64, first []byte, last *[]byte, depth int) error {
 	page, err := w.readPage(id)
 	if err != nil {
@@ -216,6 +226,7 @@
 	return corrupt("page", "%d: unexpected kind %#x", id, flags)
 }
 
+// walkBranch checks a branch page and the pages that it names.
 func (w *pageWalker) walkBranch(bucket string, page []byte, count int, last *[]byte, depth int) error {
 	order := binary.LittleEndian
 	if count == 0 {
@@ -239,6 +250,7 @@
 	return nil
 }
 
+// walkLeaf checks a leaf page and visits its records and nested buckets.
 func (w *pageWalker) walkLeaf(bucket string, page []byte, count int, first []byte, last *[]byte, depth int) error {
 	order := binary.LittleEndian
 	for i := range count {
@@ -269,7 +281,8 @@
 	return nil
 }
 
-// walkNestedBucket checks a bucket inside a bucket: by its root, or in the value itself.
+// walkNestedBucket checks a bucket inside a bucket, which has a root page or, if it
+// is small, a page inside the value.
 func (w *pageWalker) walkNestedBucket(name string, value []byte, depth int) error {
 	if len(value) < bucketHeaderSize {
 		return corrupt("bucket", "%q: short header", name)
@@ -295,7 +308,7 @@
 	return w.walkLeaf(name, page, count, nil, &last, depth+1)
 }
 
-// slicePage cuts n bytes at from out of a page.
+// slicePage returns size bytes of a page from start on.
 func slicePage(page []byte, start, size uint64) ([]byte, error) {
 	if start > uint64(len(page)) || size > uint64(len(page))-start {
 		return nil, corrupt("page", "a record of %d bytes at %d runs past the page", size, start)
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -7,17 +7,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a mark, the CRC-32C of its key and body (big-endian), and the
-// body in CBOR. bbolt sums its meta pages only: a page that was synced and came
-// back changed would be believed. The key is summed too, so that a record that
-// stands under another key is not believed either.
+// A record is a marker, the CRC-32C of its key and body (big-endian), and the body
+// in CBOR. bbolt has checksums for its meta pages only: a page that was synced and
+// came back changed would be trusted. The checksum includes the key, so that a
+// record under another key is not trusted either.
 //
 // Records of earlier versions are a body alone. They are read as they are, and
-// written anew in the new form with the next snapshot; a CBOR array, map or
-// text never begins with the mark.
+// rewritten in the new form with the next snapshot; a CBOR array, map or text never
+// begins with the marker.
 const (
 	checksumMarker     = 0x01
-	checksumHeaderSize = 5
+	checksumHeaderSize = 5 // bytes of marker and checksum
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -26,7 +26,7 @@
 	return crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, body)
 }
 
-// withChecksum lays out a record.
+// withChecksum returns the record with a body.
 func withChecksum(key, body []byte) []byte {
 	record := make([]byte, checksumHeaderSize, checksumHeaderSize+len(body))
 	record[0] = checksumMarker
@@ -34,7 +34,7 @@
 	return append(record, body...)
 }
 
-// encodeRecord lays out a record of v.
+// encodeRecord returns the record with v as body.
 func encodeRecord(key []byte, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -43,8 +43,9 @@
 	return withChecksum(key, body), nil
 }
 
-// verifyChecksum gives the body of a record, and whether a sum vouches for it.
-func verifyChecksum(key, raw []byte) (body []byte, summed bool, err error) {
+// verifyChecksum returns the body of a record, and whether it has a checksum. The
+// error is a *CorruptError.
+func verifyChecksum(key, raw []byte) (body []byte, checksummed bool, err error) {
 	if len(raw) == 0 || raw[0] != checksumMarker {
 		return raw, false, nil
 	}
@@ -54,17 +55,17 @@
 	return raw[checksumHeaderSize:], true, nil
 }
 
-// decodeRecord reads a record into v. One whose sum holds and that does not read was
-// written by another version of the program: that is no fault of the disk.
+// decodeRecord decodes the body of a record into v. If that fails, a record with a
+// valid checksum is a *VersionError, and one without a checksum a *CorruptError.
 func decodeRecord(key, raw []byte, v any) error {
-	body, summed, err := verifyChecksum(key, raw)
+	body, checksummed, err := verifyChecksum(key, raw)
 	if err != nil {
 		return err
 	}
 	switch err := cbor.Unmarshal(body, v); {
 	case err == nil:
 		return nil
-	case summed:
+	case checksummed:
 		return &VersionError{Record: string(key), Err: err}
 	default:
 		return corrupt("record", "%q: %v", key, err)
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -7,30 +7,31 @@
 	"tealpond/internal/raft"
 )
 
-// Recovered is what was found on disk.
+// Recovered is what a file held when it was opened.
 type Recovered struct {
-	ID          string
+	ID          string // identity of the file, and of the member
 	HardState   raft.HardState
 	Snapshot    raft.Snapshot
-	Entries     []raft.Entry
-	Founders    []raft.Member
-	NewIdentity bool
+	Entries     []raft.Entry  // those after the snapshot, without a gap
+	Founders    []raft.Member // see Bootstrap; empty before it
+	NewIdentity bool          // the file was created by this call
 }
 
 // isUnused tells whether nothing but an identity was ever written.
-func (h *Recovered) isUnused() bool {
-	return h.HardState == (raft.HardState{}) && h.Snapshot.Index == 0 && len(h.Entries) == 0 && len(h.Founders) == 0
+func (r *Recovered) isUnused() bool {
+	return r.HardState == (raft.HardState{}) && r.Snapshot.Index == 0 && len(r.Entries) == 0 && len(r.Founders) == 0
 }
 
-// recordReader takes the records of a file.
+// recordReader collects the records of a file.
 type recordReader struct {
 	recovered Recovered
 	buckets   int
-	meta      map[string][]byte
+	meta      map[string][]byte // records of the bucket by key
 	snapshot  snapshotReader
 }
 
-// recoverFile checks and reads a whole file.
+// recoverFile checks and reads a whole file. It returns the contents, the meta page
+// and the generation of the snapshot.
 func recoverFile(reader io.ReaderAt, size int64) (Recovered, boltMeta, uint64, error) {
 	records := &recordReader{meta: map[string][]byte{}}
 	if size == 0 {
@@ -49,7 +50,8 @@
 	return records.recovered, meta, records.snapshot.header.Generation, nil
 }
 
-// readRecord files one record; the start of a bucket has no key.
+// readRecord takes one record in the order of the file; at the start of a bucket the
+// key is nil.
 func (r *recordReader) readRecord(bucket string, key, value []byte) error {
 	generation, isFrame := strings.CutPrefix(bucket, "/"+string(bucketSnapshots)+"/")
 	switch {
@@ -70,7 +72,7 @@
 	return corrupt("bucket", "%q is none of ours", bucket)
 }
 
-// readSnapshotHeader reads which snapshot is in force.
+// readSnapshotHeader decodes the header of the snapshot in force, if there is one.
 func (r *recordReader) readSnapshotHeader() error {
 	raw := r.meta[string(keySnapshotHeader)]
 	if raw == nil {
@@ -95,6 +97,7 @@
 	return nil
 }
 
+// finish decodes what can only be read once all records are known.
 func (r *recordReader) finish() error {
 	recovered := &r.recovered
 	id, _, err := verifyChecksum(keyIdentity, r.meta[string(keyIdentity)])
@@ -105,11 +108,11 @@
 		return corrupt("meta", "no identity")
 	}
 	for _, field := range []struct {
-		key []byte
-		to  any
+		key  []byte
+		into any
 	}{{keyHardState, &recovered.HardState}, {keyFounders, &recovered.Founders}} {
 		if raw := r.meta[string(field.key)]; raw != nil {
-			if err := decodeRecord(field.key, raw, field.to); err != nil {
+			if err := decodeRecord(field.key, raw, field.into); err != nil {
 				return err
 			}
 		}
@@ -124,14 +127,14 @@
 			return err
 		}
 	}
-	// Entries that the snapshot covers may be left from older versions.
+	// Earlier versions may have left entries that the snapshot includes.
 	for len(recovered.Entries) > 0 && recovered.Entries[0].Index <= recovered.Snapshot.Index {
 		recovered.Entries = recovered.Entries[1:]
 	}
 	return checkLog(recovered.Snapshot, recovered.Entries)
 }
 
-// legacySnapshot is a snapshot as the first version wrote it, as a list.
+// legacySnapshot is a snapshot as the first version wrote it.
 type legacySnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint64
@@ -140,8 +143,8 @@
 	Data   []byte
 }
 
-// decodeLegacySnapshot reads a snapshot that is one record. Those of the first version
-// are read whatever form raft.Snapshot has taken since.
+// decodeLegacySnapshot decodes a snapshot that is one record. One of the first
+// version is read whatever form raft.Snapshot has taken since.
 func decodeLegacySnapshot(raw []byte) (raft.Snapshot, error) {
 	var snapshot raft.Snapshot
 	err := decodeRecord(keyLegacySnapshot, raw, &snapshot)
@@ -152,14 +155,14 @@
 	return snapshot, err
 }
 
-// checkLog holds the log against the rules by which it was written: it goes on
-// from the snapshot without a gap, and terms never fall.
+// checkLog checks the rules by which the log was written: it follows the snapshot
+// without a gap, and terms never fall.
 //
-// A log that breaks them has lost records that were synced. The part below the
-// gap can't be kept under this identity: entries above it may have been
-// acknowledged, the leader may have counted them as held by this disk, and this
-// disk's vote would then help to elect a leader that lacks them. What is missing
-// can't be told from what is there, so the whole file is torn.
+// A log that breaks them has lost records that were synced. The part below the gap
+// can't be kept under this identity: entries above it may have been acknowledged
+// and counted by the leader, and this member's vote would then help to elect a
+// leader that lacks them. What is missing can't be told from what is there, so the
+// whole file counts as corrupt.
 func checkLog(snapshot raft.Snapshot, entries []raft.Entry) error {
 	index, term := snapshot.Index, snapshot.Term
 	for _, entry := range entries {
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -10,21 +10,21 @@
 	"tealpond/internal/tuning"
 )
 
-// A snapshot is written in frames under a number of its own, its generation: a
-// bucket for each generation, in it the frames by number. Each transaction adds
-// some frames, so that entries of the log need not wait for a large snapshot;
-// the last one names the new generation in the head and removes the old one.
-// Until that is synced the old snapshot and the log above it are whole, from
-// then on the new ones are. What a crash leaves of a generation that the head
-// does not name is removed when the next one begins.
+// A snapshot is written in frames, in a bucket of its generation, which is a number
+// that no earlier snapshot had. Each transaction adds some frames, so that entries of
+// the log need not wait for a large snapshot; the last one names the new generation
+// in the header and removes the old one. Until that is synced, the old snapshot and
+// the log after it are complete; from then on the new ones are. What a crash leaves
+// of a generation that the header does not name is removed when the next one begins.
 
-// snapshotHeader is the record of the snapshot in force.
+// snapshotHeader describes the snapshot in force. It is stored as an array: fields
+// must not be moved.
 type snapshotHeader struct {
 	_          struct{}      `cbor:",toarray"`
 	Snapshot   raft.Snapshot // without its data
 	Generation uint64
 	FrameCount uint64
-	Size       uint64
+	Size       uint64 // of the data, in bytes
 	Checksum   uint32 // CRC-32C of the data
 }
 
@@ -43,14 +43,15 @@
 	return &snapshotWriter{snapshot: snapshot, header: header}
 }
 
-// nextBatch is the end of the frames that the next transaction writes, and whether
-// they are the last.
+// nextBatch returns the end of the frames that the next transaction writes, and
+// whether they are the last ones.
 func (w *snapshotWriter) nextBatch() (uint64, bool) {
 	end := min(w.nextFrame+tuning.SnapshotFramesPerTransaction, w.header.FrameCount)
 	return end, end == w.header.FrameCount
 }
 
-// writeFrames writes the frames up to end.
+// writeFrames writes the frames up to end. Before the first frame it removes what a
+// crash left of other generations than the current one.
 func (w *snapshotWriter) writeFrames(tx *bolt.Tx, current, end uint64) error {
 	snapshots, err := tx.CreateBucketIfNotExists(bucketSnapshots)
 	if err != nil {
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// activate puts the snapshot in force and removes the one before.
+// activate puts the snapshot in force and removes the one before it.
 func (w *snapshotWriter) activate(tx *bolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	raw, err := encodeRecord(keySnapshotHeader, w.header)
@@ -92,7 +93,7 @@
 	return deleteOtherGenerations(tx.Bucket(bucketSnapshots), w.header.Generation)
 }
 
-// deleteOtherGenerations removes all generations but one.
+// deleteOtherGenerations removes the frames of all generations but one.
 func deleteOtherGenerations(snapshots *bolt.Bucket, generation uint64) error {
 	var obsolete [][]byte
 	err := snapshots.ForEachBucket(func(k []byte) error {
@@ -109,30 +110,30 @@
 	return err
 }
 
-// snapshotReader puts a snapshot together from its frames while a file is read.
+// snapshotReader assembles a snapshot from its frames while a file is read.
 type snapshotReader struct {
 	header     snapshotHeader
 	hasHeader  bool
-	frameCount uint64
+	frameCount uint64 // of the frames so far
 	data       []byte
 }
 
-// addFrame takes one record of a generation.
+// addFrame takes one frame, in order, of the generation with the given key.
 func (r *snapshotReader) addFrame(generation string, key, raw []byte) error {
 	if len(generation) != 8 {
 		return corrupt("snapshot", "a generation named %q", generation)
 	}
 	if !r.hasHeader || binary.BigEndian.Uint64([]byte(generation)) != r.header.Generation {
-		return nil // what a crash left over
+		return nil // a crash left it over
 	}
 	if len(key) != 8 || decodeKey(key) != r.frameCount {
 		return corrupt("snapshot", "frame %x in the place of %d", key, r.frameCount)
 	}
-	body, summed, err := verifyChecksum(key, raw)
+	body, checksummed, err := verifyChecksum(key, raw)
 	if err != nil {
 		return err
 	}
-	if !summed || uint64(len(body)) > r.header.Size-uint64(len(r.data)) {
+	if !checksummed || uint64(len(body)) > r.header.Size-uint64(len(r.data)) {
 		return corrupt("snapshot", "frame %d of %d bytes does not fit", r.frameCount, len(body))
 	}
 	r.frameCount++
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// assemble gives the snapshot once all frames were taken.
+// assemble returns the snapshot once all frames were added.
 func (r *snapshotReader) assemble() (raft.Snapshot, error) {
 	header := r.header
 	if r.frameCount != header.FrameCount || uint64(len(r.data)) != header.Size || crc32.Checksum(r.data, castagnoli) != header.Checksum {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,11 +1,3 @@
-// Package storage keeps a core daemon's identity, votes, log and snapshot in one
-// bbolt file, written by one task.
-//
-// Layout: bucket meta (identity, hard state, founders, head of the snapshot),
-// bucket log (an entry for each index), bucket snapshots (a bucket of frames
-// for each generation). Each record carries a checksum. The package never
-// changes a file that it can't read: it puts one that is provably torn aside,
-// and leaves all others as they are and says that the disk does not serve.
 package storage
 
 import (
@@ -18,32 +10,37 @@
 	"tealpond/internal/raft"
 )
 
-// Error is the class of faults of the disk.
+// Error is the class of errors of the disk.
 var Error = errs.Class("disk")
 
+// Names of buckets and keys. They are stored, and older than the names in the code.
 var (
 	bucketMeta        = []byte("meta")
 	bucketLog         = []byte("log")
+	bucketSnapshots   = []byte("snapshots") // read after bucketMeta, since buckets are ordered by name
 	keyIdentity       = []byte("disk")
 	keyHardState      = []byte("hard")
 	keyFounders       = []byte("founders")
-	keyLegacySnapshot = []byte("point") // a snapshot in one record, as founding and earlier versions write it
 	keySnapshotHeader = []byte("snapshot")
-	bucketSnapshots   = []byte("snapshots") // read after bucketMeta: buckets stand in the order of their names
+	// keyLegacySnapshot holds a whole snapshot in one record, as Bootstrap and
+	// earlier versions write it.
+	keyLegacySnapshot = []byte("point")
 )
 
-// Store is an open store of one daemon.
+// Store is the open file of one daemon. Its methods, but for WriteLag, are not
+// safe for concurrent use.
 type Store struct {
 	db                 *bolt.DB
-	commit             func(func(*bolt.Tx) error) error
-	snapshotGeneration uint64                    // of the snapshot in force
-	lastProgress       atomic.Pointer[time.Time] // of the last progress while work waits, or nil
+	commit             func(func(*bolt.Tx) error) error // runs a transaction and syncs it
+	snapshotGeneration uint64                           // of the snapshot in force
+	lastProgress       atomic.Pointer[time.Time]        // see WriteLag; nil while nothing waits
 }
 
-// Close ends the use of a disk on which Run was not called.
+// Close closes a store on which Run was not called.
 func (s *Store) Close() error { return Error.Wrap(s.db.Close()) }
 
-// Bootstrap keeps the founders' set; a second, other one is refused.
+// Bootstrap stores the founders of a cluster and its first snapshot. It fails if
+// founders are stored already.
 func (s *Store) Bootstrap(founders []raft.Member, snapshot raft.Snapshot) error {
 	encodedFounders, err := encodeRecord(keyFounders, founders)
 	if err != nil {
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -9,6 +9,18 @@
 	"tealpond/internal/raft"
 )
 
+// writeAll writes all requests.
+func (s *Store) writeAll(requests []WriteRequest) error {
+	var queue writeQueue
+	queue.add(requests...)
+	for !queue.empty() {
+		if _, err := s.commitNext(&queue); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 func mustWrite(t *testing.T, d *Store, jobs ...WriteRequest) {
 	t.Helper()
 	if err := d.writeAll(jobs); err != nil {
--- a/internal/storage/write_queue.go
+++ b/internal/storage/write_queue.go
@@ -9,19 +9,20 @@
 	"tealpond/internal/raft"
 )
 
-// WriteRequest is one write: either what the node put out, or a snapshot of one's own.
-// A snapshot in Out was received and replaces the log whole, before the entries
-// of the same Out are added; one in Point removes the entries that it covers.
+// WriteRequest is one write: either a Ready of the Raft node, or a snapshot that this
+// member took itself. A snapshot in Ready was received and replaces the whole log
+// before the entries of the same Ready are added; a local one removes the entries
+// that it includes.
 type WriteRequest struct {
 	Ready         raft.Ready
 	LocalSnapshot *raft.Snapshot
 }
 
-// writeQueue is the work that waits for the disk.
+// writeQueue holds the requests that are not synced yet.
 type writeQueue struct {
-	requests       []WriteRequest  // in order
-	localSnapshots []WriteRequest  // snapshots of one's own, written beside the others
-	writing        *snapshotWriter // the snapshot that is under way, of own[0] or jobs[0]
+	requests       []WriteRequest  // with a Ready, in order
+	localSnapshots []WriteRequest  // written beside the others
+	writing        *snapshotWriter // of localSnapshots[0] or requests[0], once it has begun
 }
 
 func (q *writeQueue) add(requests ...WriteRequest) {
@@ -36,8 +37,8 @@
 
 func (q *writeQueue) empty() bool { return len(q.requests) == 0 && len(q.localSnapshots) == 0 }
 
-// nextSnapshot chooses the snapshot to go on with, or nil. One that was received is
-// newer than any of one's own, and what follows it waits for it.
+// nextSnapshot chooses the snapshot to go on with, or nil. A received one is newer
+// than any local one, and the requests after it wait for it.
 func (q *writeQueue) nextSnapshot(generation uint64) *snapshotWriter {
 	var next *raft.Snapshot
 	switch {
@@ -54,93 +55,108 @@
 	return q.writing
 }
 
-// commitNext does one transaction of the queue and takes the jobs that it settled
-// from it. After an error the queue is as it was.
-func (s *Store) commitNext(q *writeQueue) ([]WriteRequest, error) {
-	writer := q.nextSnapshot(s.snapshotGeneration)
-	received := writer != nil && len(q.requests) > 0 && writer.snapshot == q.requests[0].Ready.Snapshot
-	end, last := uint64(0), false
-	if writer != nil {
-		end, last = writer.nextBatch()
-	}
-	count := 0 // jobs of the queue that this transaction settles
-	if received && last {
+// batch is what one transaction writes.
+type batch struct {
+	requests  []WriteRequest  // those that it completes, but for a local snapshot
+	snapshot  *snapshotWriter // the snapshot whose frames it writes, or nil
+	received  bool            // the snapshot is that of the queue's first request
+	endFrame  uint64          // frames up to here are written
+	activates bool            // the frames are the last: the snapshot comes into force
+}
+
+// nextBatch chooses the next transaction. The requests up to the next received
+// snapshot go into it, and after its last frames also those that follow it.
+func (q *writeQueue) nextBatch(generation uint64) batch {
+	b := batch{snapshot: q.nextSnapshot(generation)}
+	if b.snapshot != nil {
+		b.received = len(q.requests) > 0 && b.snapshot.snapshot == q.requests[0].Ready.Snapshot
+		b.endFrame, b.activates = b.snapshot.nextBatch()
+	}
+	count := 0
+	if b.received {
+		if !b.activates {
+			return b
+		}
 		count = 1
 	}
-	for !(received && !last) && count < len(q.requests) && q.requests[count].Ready.Snapshot == nil {
+	for count < len(q.requests) && q.requests[count].Ready.Snapshot == nil {
 		count++
 	}
-	err := s.commit(func(tx *bolt.Tx) error {
-		if writer != nil {
-			if err := writer.writeFrames(tx, s.snapshotGeneration, end); err != nil {
-				return err
-			}
+	b.requests = q.requests[:count:count]
+	return b
+}
+
+// write writes the batch. The generation is that of the snapshot in force.
+func (b *batch) write(tx *bolt.Tx, generation uint64) error {
+	if b.snapshot != nil {
+		if err := b.snapshot.writeFrames(tx, generation, b.endFrame); err != nil {
+			return err
 		}
-		if received && last {
-			if err := writer.activate(tx); err != nil {
-				return err
-			}
-			if err := clearLog(tx); err != nil {
-				return err
-			}
+	}
+	if b.activates && b.received {
+		if err := b.snapshot.activate(tx); err != nil {
+			return err
 		}
-		if err := putReadies(tx, q.requests[:count]); err != nil {
+		if err := clearLog(tx); err != nil {
 			return err
 		}
-		if writer != nil && !received && last {
-			if err := writer.activate(tx); err != nil {
-				return err
-			}
-			return compactLog(tx.Bucket(bucketLog), writer.snapshot.Index)
+	}
+	if err := putReadies(tx, b.requests); err != nil {
+		return err
+	}
+	if b.activates && !b.received {
+		if err := b.snapshot.activate(tx); err != nil {
+			return err
 		}
-		return nil
-	})
-	if err != nil {
-		return nil, err
+		return compactLog(tx.Bucket(bucketLog), b.snapshot.snapshot.Index)
 	}
-	return s.completeRequests(q, count, received, end, last), nil
+	return nil
 }
 
-// completeRequests takes note of a transaction that is synced.
-func (s *Store) completeRequests(q *writeQueue, count int, received bool, end uint64, last bool) []WriteRequest {
-	done := q.requests[:count:count]
-	q.requests = q.requests[count:]
-	if q.writing == nil {
-		return done
+// complete removes the requests of a batch that is synced, and returns them.
+func (q *writeQueue) complete(b batch) []WriteRequest {
+	q.requests = q.requests[len(b.requests):]
+	if b.snapshot == nil {
+		return b.requests
 	}
-	q.writing.nextFrame = end
-	if !last {
-		return done
+	b.snapshot.nextFrame = b.endFrame
+	if !b.activates {
+		return b.requests
 	}
-	s.snapshotGeneration = q.writing.header.Generation
 	q.writing = nil
 	localCount := 1
-	if received {
-		// Those of one's own that waited are older than what was received.
+	if b.received {
+		// The local snapshots that waited are older than the received one.
 		localCount = len(q.localSnapshots)
 	}
-	done = append(done, q.localSnapshots[:localCount]...)
+	done := append(b.requests, q.localSnapshots[:localCount]...)
 	q.localSnapshots = q.localSnapshots[localCount:]
 	return done
 }
 
-// writeAll does all jobs.
-func (s *Store) writeAll(requests []WriteRequest) error {
-	var queue writeQueue
-	queue.add(requests...)
-	for !queue.empty() {
-		if _, err := s.commitNext(&queue); err != nil {
-			return err
-		}
+// commitNext runs the next transaction of the queue, and removes from it and returns
+// the requests that this completes. After an error the queue is as it was.
+func (s *Store) commitNext(q *writeQueue) ([]WriteRequest, error) {
+	b := q.nextBatch(s.snapshotGeneration)
+	err := s.commit(func(tx *bolt.Tx) error { return b.write(tx, s.snapshotGeneration) })
+	if err != nil {
+		return nil, err
 	}
-	return nil
+	if b.activates {
+		s.snapshotGeneration = b.snapshot.header.Generation
+	}
+	return q.complete(b), nil
 }
 
-// putReadies writes hard states and entries. An entry removes those at and above
-// its index that were there before.
+// logFillPercent is how full bbolt makes a page of the log before it starts the next;
+// keys are only ever added at the end.
+const logFillPercent = 0.95
+
+// putReadies writes hard states and entries. An entry replaces those at and above its
+// index that were there before.
 func putReadies(tx *bolt.Tx, requests []WriteRequest) error {
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-	log.FillPercent = 0.95
+	log.FillPercent = logFillPercent
 	var last uint64
 	if k, _ := log.Cursor().Last(); k != nil {
 		last = decodeKey(k)
@@ -175,13 +191,14 @@
 	return nil
 }
 
+// encodeKey returns the key of an entry, a frame or a generation.
 func encodeKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-func decodeKey(k []byte) uint64 { return binary.BigEndian.Uint64(k) }
+func decodeKey(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
-// clearLog removes all entries: those above a snapshot that was received need
-// not follow it. The bucket is made anew, as the last key of a bucket whose
-// pages were all emptied in the same transaction is looked for without end.
+// clearLog removes all entries: those above a received snapshot need not follow it.
+// The bucket is created anew, since bbolt's search for the last key of a bucket whose
+// pages were all emptied in the same transaction never ends.
 func clearLog(tx *bolt.Tx) error {
 	if err := tx.DeleteBucket(bucketLog); err != nil {
 		return err
@@ -190,9 +207,9 @@
 	return err
 }
 
-// compactLog removes the entries up to an index. The keys are gathered first: a
-// bbolt cursor that deletes from a page which the same transaction has changed
-// passes over the key that moves into the place of the deleted one.
+// compactLog removes the entries up to an index. The keys are collected first: a
+// bbolt cursor that deletes from a page which the same transaction has changed skips
+// the key that moves into the place of the deleted one.
 func compactLog(log *bolt.Bucket, upTo uint64) error {
 	var keys [][]byte
 	c := log.Cursor()
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -8,16 +8,17 @@
 	"tealpond/internal/tuning"
 )
 
-// inbox takes jobs from the caller at any time, so that a disk that stalls or
-// refuses never holds up the caller's loop. It has no bound of its own: what it
-// holds are mostly entries that the node holds in memory anyway, and the caller
-// sees by Behind when to bring less.
+// inbox accepts requests at any time, so that a disk that stalls or fails never
+// blocks the sender. It has no bound of its own: what it holds are mostly entries
+// that the Raft node holds in memory anyway, and the sender sees from WriteLag when
+// to send less.
 type inbox struct {
 	mu       sync.Mutex
 	requests []WriteRequest
 	ready    chan struct{}
 }
 
+// receive moves requests into the inbox until ctx ends.
 func (b *inbox) receive(ctx context.Context, requests <-chan WriteRequest) {
 	for {
 		select {
@@ -35,6 +36,7 @@
 	}
 }
 
+// drain returns all requests in the inbox and empties it.
 func (b *inbox) drain() []WriteRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,9 +45,9 @@
 	return taken
 }
 
-// WriteLag tells for how long work has waited without any transaction being
-// synced: 0 while nothing waits. A disk that is slow stays low, one that hangs
-// or refuses does not. Safe for several tasks.
+// WriteLag returns for how long requests have waited without any transaction being
+// synced, or 0 while none wait. It stays low on a disk that is slow, and rises on one
+// that hangs or fails. It is safe for concurrent use.
 func (s *Store) WriteLag(now time.Time) time.Duration {
 	if since := s.lastProgress.Load(); since != nil {
 		return now.Sub(*since)
@@ -53,27 +55,30 @@
 	return 0
 }
 
-// Run writes what comes in, as many jobs as wait in one sync, and gives each
-// back. What the node put out comes back in order; a snapshot of one's own is
-// written beside it, in frames, and comes back when it is in force.
+// Run writes requests, all that wait with one sync, until ctx ends; it then closes
+// the store. It calls report with the requests that are synced. Those of a Ready are
+// reported in order; a local snapshot is written in frames between them, and is
+// reported once it is in force.
 //
-// A refused write is tried again, with a pause that grows to a bound: nothing
-// may rest on it. give hears of the first refusal, and then once a second.
+// A write that fails is repeated, with a backoff that grows to a bound, since nothing
+// may rely on it before. Run calls report with an *UnavailableError after the first
+// failure, and then at regular intervals.
 func (s *Store) Run(ctx context.Context, requests <-chan WriteRequest, report func([]WriteRequest, error)) {
+	// All that was reported is synced, so an error of closing has no consequence.
 	defer func() { _ = s.db.Close() }()
 	var queue writeQueue
-	pending := inbox{ready: make(chan struct{}, 1)}
-	go pending.receive(ctx, requests)
-	pause, lastReport := tuning.StorageRetryBackoff, time.Time{}
+	received := inbox{ready: make(chan struct{}, 1)}
+	go received.receive(ctx, requests)
+	backoff, lastReport := tuning.StorageRetryBackoff, time.Time{}
 	for ctx.Err() == nil {
 		if queue.empty() {
 			select {
 			case <-ctx.Done():
 				return
-			case <-pending.ready:
+			case <-received.ready:
 			}
 		}
-		queue.add(pending.drain()...)
+		queue.add(received.drain()...)
 		if queue.empty() {
 			continue
 		}
@@ -86,11 +91,11 @@
 				lastReport = now
 				report(nil, unavailable("write", err))
 			}
-			sleep(ctx, pause)
-			pause = min(2*pause, tuning.MaxStorageRetryBackoff)
+			sleep(ctx, backoff)
+			backoff = min(2*backoff, tuning.MaxStorageRetryBackoff)
 			continue
 		}
-		pause, lastReport = tuning.StorageRetryBackoff, time.Time{}
+		backoff, lastReport = tuning.StorageRetryBackoff, time.Time{}
 		s.markProgress()
 		if queue.empty() {
 			s.lastProgress.Store(nil)
@@ -101,18 +106,19 @@
 	}
 }
 
-// markProgress notes that a transaction was synced, or the first one begins.
+// markProgress takes note that a transaction was synced, or that requests begin to
+// wait.
 func (s *Store) markProgress() {
 	now := time.Now()
 	s.lastProgress.Store(&now)
 }
 
-// sleep waits for a while, or until ctx ends.
-func sleep(ctx context.Context, pause time.Duration) {
-	t := time.NewTimer(pause)
-	defer t.Stop()
+// sleep waits for a duration, or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
