--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -19,73 +19,73 @@
 	f.Add(keySnapshotHeader, withChecksum(keySnapshotHeader, mustMarshal(snapshotHeader{Snapshot: raft.Snapshot{Index: 3}, Generation: 2, FrameCount: 1, Size: 9})))
 	f.Add(keyLegacySnapshot, mustMarshal(raft.Snapshot{Index: 3, Data: []byte("x")}))
 	f.Add([]byte{}, []byte{checksumMarker})
-	f.Fuzz(func(t *testing.T, k, raw []byte) {
+	f.Fuzz(func(t *testing.T, key, raw []byte) {
 		for _, v := range []any{&raft.Entry{}, &raft.HardState{}, &raft.Snapshot{}, &snapshotHeader{}, &[]raft.Member{}} {
-			_ = decodeRecord(k, raw, v)
+			_ = decodeRecord(key, raw, v)
 		}
-		body, summed, err := verifyChecksum(k, raw)
-		if err == nil && summed && !bytes.Equal(withChecksum(k, body), raw) {
+		body, summed, err := verifyChecksum(key, raw)
+		if err == nil && summed && !bytes.Equal(withChecksum(key, body), raw) {
 			t.Fatal("a record reads as what was not written")
 		}
-		in := &recordReader{meta: map[string][]byte{string(keySnapshotHeader): raw}}
-		_ = in.readRecord("/meta", k, raw)
-		_ = in.readRecord("/log", k, raw)
-		if in.readRecord("/snapshots", nil, nil) == nil {
-			_ = in.readRecord("/snapshots/"+string(encodeKey(in.snapshot.header.Generation)), k, raw)
+		reader := &recordReader{meta: map[string][]byte{string(keySnapshotHeader): raw}}
+		_ = reader.readRecord("/meta", key, raw)
+		_ = reader.readRecord("/log", key, raw)
+		if reader.readRecord("/snapshots", nil, nil) == nil {
+			_ = reader.readRecord("/snapshots/"+string(encodeKey(reader.snapshot.header.Generation)), key, raw)
 		}
-		_ = in.finish()
+		_ = reader.finish()
 	})
 }
 
-// FuzzFile: any bytes as a file are read, torn or unborn; no panic, no endless
+// FuzzFile: any bytes as a file are read, corrupt or uninitialized; no panic, no endless
 // walk, and what was read can be opened and read the same by bbolt.
 func FuzzFile(f *testing.F) {
 	dir := f.TempDir()
-	path := filepath.Join(dir, "tealpond.db")
-	d, _, _, err := Open(dir)
+	path := filepath.Join(dir, fileName)
+	store, _, _, err := Open(dir)
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := d.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries(1, 40, 1)}}, {LocalSnapshot: &raft.Snapshot{Index: 30, Term: 1, Data: []byte("state")}}}); err != nil {
+	if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries(1, 40, 1)}}, {LocalSnapshot: &raft.Snapshot{Index: 30, Term: 1, Data: []byte("state")}}}); err != nil {
 		f.Fatal(err)
 	}
-	_ = d.Close()
-	whole, err := os.ReadFile(path)
+	_ = store.Close()
+	original, err := os.ReadFile(path)
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(uint32(0), byte(0), uint32(len(whole)))
-	for at := 0; at < 8*4096; at += 4096 {
-		f.Add(uint32(at), byte(0xff), uint32(len(whole)))
-		f.Add(uint32(at+8), byte(3), uint32(len(whole)))
-		f.Add(uint32(at+10), byte(7), uint32(len(whole)))
-		f.Add(uint32(at+17), byte(0xff), uint32(at+64))
+	f.Add(uint32(0), byte(0), uint32(len(original)))
+	for offset := 0; offset < 8*4096; offset += 4096 {
+		f.Add(uint32(offset), byte(0xff), uint32(len(original)))
+		f.Add(uint32(offset+8), byte(3), uint32(len(original)))
+		f.Add(uint32(offset+10), byte(7), uint32(len(original)))
+		f.Add(uint32(offset+17), byte(0xff), uint32(offset+64))
 	}
 	// A change of a byte and a cut: bytes at random would end at the magic.
-	f.Fuzz(func(t *testing.T, at uint32, change byte, cut uint32) {
-		b := bytes.Clone(whole[:min(int(cut), len(whole))])
-		if int(at) < len(b) {
-			b[at] ^= change
+	f.Fuzz(func(t *testing.T, offset uint32, change byte, cut uint32) {
+		content := bytes.Clone(original[:min(int(cut), len(original))])
+		if int(offset) < len(content) {
+			content[offset] ^= change
 		}
-		h, _, _, err := recoverFile(bytes.NewReader(b), int64(len(b)))
-		var torn *CorruptError
-		if err != nil && !errors.As(err, &torn) && !errors.Is(err, errUninitialized) {
+		recovered, _, _, err := recoverFile(bytes.NewReader(content), int64(len(content)))
+		var corruptErr *CorruptError
+		if err != nil && !errors.As(err, &corruptErr) && !errors.Is(err, errUninitialized) {
 			t.Fatal(err)
 		}
 		if err != nil {
 			return
 		}
-		p := filepath.Join(t.TempDir(), "tealpond.db")
-		if err := os.WriteFile(p, b, 0o600); err != nil {
+		copied := filepath.Join(t.TempDir(), fileName)
+		if err := os.WriteFile(copied, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d, again, err := osFileSystem.loadFile(p)
-		if err != nil || again.ID != h.ID || len(again.Entries) != len(h.Entries) {
-			t.Fatalf("%v: %s with %d entries, was %s with %d", err, again.ID, len(again.Entries), h.ID, len(h.Entries))
+		store, reopened, err := osFileSystem.loadFile(copied)
+		if err != nil || reopened.ID != recovered.ID || len(reopened.Entries) != len(recovered.Entries) {
+			t.Fatalf("%v: %s with %d entries, was %s with %d", err, reopened.ID, len(reopened.Entries), recovered.ID, len(recovered.Entries))
 		}
-		if err := d.writeAll([]WriteRequest{{Ready: raft.Ready{Entries: entries(h.Snapshot.Index+uint64(len(h.Entries))+1, h.Snapshot.Index+uint64(len(h.Entries))+1, 9)}}}); err != nil {
+		if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{Entries: entries(recovered.Snapshot.Index+uint64(len(recovered.Entries))+1, recovered.Snapshot.Index+uint64(len(recovered.Entries))+1, 9)}}}); err != nil {
 			t.Fatal(err)
 		}
-		_ = d.Close()
+		_ = store.Close()
 	})
 }
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -55,32 +55,32 @@
 // golden list, as they stand in a file with a log and a snapshot.
 func TestLayout(t *testing.T) {
 	dir := t.TempDir()
-	d, _, _, err := Open(dir)
+	store, _, _, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	voters := []raft.Member{{Node: "node", ID: "disk", Addr: "address"}}
-	if err := d.Bootstrap(voters, raft.Snapshot{Index: 1, Term: 1, Voters: voters}); err != nil {
+	if err := store.Bootstrap(voters, raft.Snapshot{Index: 1, Term: 1, Voters: voters}); err != nil {
 		t.Fatal(err)
 	}
 	var text strings.Builder
 	list := func(when string) {
 		fmt.Fprintf(&text, "%s\n", when)
-		err := d.db.View(func(tx *bolt.Tx) error { return listBuckets(&text, tx.Cursor().Bucket(), " ") })
+		err := store.db.View(func(tx *bolt.Tx) error { return listBuckets(&text, tx.Cursor().Bucket(), " ") })
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
 	list("after founding")
 	entries := []raft.Entry{{Index: 2, Term: 1}, {Index: 3, Term: 1}}
-	if err := d.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries}}}); err != nil {
+	if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries}}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := d.writeAll([]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 2, Term: 1, Voters: voters, Data: []byte("snapshot")}}}); err != nil {
+	if err := store.writeAll([]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 2, Term: 1, Voters: voters, Data: []byte("snapshot")}}}); err != nil {
 		t.Fatal(err)
 	}
 	list("after a snapshot")
-	if err := d.Close(); err != nil {
+	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
 	files, err := filepath.Glob(filepath.Join(dir, "*"))
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/raft"
 )
 
-// writeAll writes all requests.
+// writeAll writes all requests, as Run does.
 func (s *Store) writeAll(requests []WriteRequest) error {
 	var queue writeQueue
 	queue.add(requests...)
@@ -21,25 +21,28 @@
 	return nil
 }
 
-func mustWrite(t *testing.T, d *Store, jobs ...WriteRequest) {
+func mustWrite(t *testing.T, store *Store, requests ...WriteRequest) {
 	t.Helper()
-	if err := d.writeAll(jobs); err != nil {
+	if err := store.writeAll(requests); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func reopen(t *testing.T, d *Store, dir string) (*Store, Recovered) {
+// reopen closes a store, unless it is nil, and opens the directory, which must hold a
+// good file or none.
+func reopen(t *testing.T, open *Store, dir string) (*Store, Recovered) {
 	t.Helper()
-	if d != nil {
-		_ = d.db.Close()
+	if open != nil {
+		_ = open.db.Close()
 	}
-	n, h, why, err := Open(dir)
-	if err != nil || why != "" {
-		t.Fatal(err, why)
+	store, recovered, reason, err := Open(dir)
+	if err != nil || reason != "" {
+		t.Fatal(err, reason)
 	}
-	return n, h
+	return store, recovered
 }
 
+// entries returns entries of one term, each with a byte of data.
 func entries(from, to, term uint64) (out []raft.Entry) {
 	for i := from; i <= to; i++ {
 		out = append(out, raft.Entry{Index: i, Term: term, Data: []byte{byte(i)}})
@@ -49,80 +52,80 @@
 
 func TestLogSurvivesReopenOverwriteAndCompaction(t *testing.T) {
 	dir := t.TempDir()
-	d, h := reopen(t, nil, dir)
-	id := h.ID
-	if !h.NewIdentity {
-		t.Fatal("an empty disk isn't fresh")
-	}
-	mustWrite(t, d, WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2, Vote: "x"}, Entries: entries(1, 9, 1)}})
-	mustWrite(t, d, WriteRequest{Ready: raft.Ready{Entries: entries(5, 6, 2)}})
-	d, h = reopen(t, d, dir)
-	if h.ID != id || h.NewIdentity || h.HardState.Vote != "x" || len(h.Entries) != 6 || h.Entries[5].Term != 2 {
-		t.Fatalf("%+v", h)
-	}
-	mustWrite(t, d, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4, Term: 1}})
-	d, h = reopen(t, d, dir)
-	if h.Snapshot.Index != 4 || len(h.Entries) != 2 || h.Entries[0].Index != 5 {
-		t.Fatalf("%+v", h)
-	}
-	mustWrite(t, d, WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 50, Term: 3}}}, WriteRequest{Ready: raft.Ready{Entries: entries(51, 52, 3)}})
-	_, h = reopen(t, d, dir)
-	if h.Snapshot.Index != 50 || len(h.Entries) != 2 {
-		t.Fatalf("%+v", h)
+	store, recovered := reopen(t, nil, dir)
+	id := recovered.ID
+	if !recovered.NewIdentity {
+		t.Fatal("an empty disk has an identity")
+	}
+	mustWrite(t, store, WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2, Vote: "x"}, Entries: entries(1, 9, 1)}})
+	mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: entries(5, 6, 2)}})
+	store, recovered = reopen(t, store, dir)
+	if recovered.ID != id || recovered.NewIdentity || recovered.HardState.Vote != "x" || len(recovered.Entries) != 6 || recovered.Entries[5].Term != 2 {
+		t.Fatalf("%+v", recovered)
+	}
+	mustWrite(t, store, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4, Term: 1}})
+	store, recovered = reopen(t, store, dir)
+	if recovered.Snapshot.Index != 4 || len(recovered.Entries) != 2 || recovered.Entries[0].Index != 5 {
+		t.Fatalf("%+v", recovered)
+	}
+	mustWrite(t, store, WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 50, Term: 3}}}, WriteRequest{Ready: raft.Ready{Entries: entries(51, 52, 3)}})
+	_, recovered = reopen(t, store, dir)
+	if recovered.Snapshot.Index != 50 || len(recovered.Entries) != 2 {
+		t.Fatalf("%+v", recovered)
 	}
 }
 
 func TestBootstrapIsAcceptedOnce(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := reopen(t, nil, dir)
-	set := []raft.Member{{Node: "a", ID: "1"}}
-	if err := d.Bootstrap(set, raft.Snapshot{Index: 1, Voters: set}); err != nil {
+	store, _ := reopen(t, nil, dir)
+	founders := []raft.Member{{Node: "a", ID: "1"}}
+	if err := store.Bootstrap(founders, raft.Snapshot{Index: 1, Voters: founders}); err != nil {
 		t.Fatal(err)
 	}
-	if d.Bootstrap([]raft.Member{{Node: "b"}}, raft.Snapshot{}) == nil {
-		t.Fatal("bound twice")
+	if store.Bootstrap([]raft.Member{{Node: "b"}}, raft.Snapshot{}) == nil {
+		t.Fatal("bootstrapped twice")
 	}
-	_, h := reopen(t, d, dir)
-	if len(h.Founders) != 1 || h.Founders[0].Node != "a" {
-		t.Fatalf("%+v", h.Founders)
+	_, recovered := reopen(t, store, dir)
+	if len(recovered.Founders) != 1 || recovered.Founders[0].Node != "a" {
+		t.Fatalf("%+v", recovered.Founders)
 	}
 }
 
 func TestForeignFileGetsNewIdentity(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "tealpond.db"), []byte("not ours at all, but long enough to be looked at"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fileName), []byte("not ours at all, but long enough to be looked at"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, h, why, err := Open(dir)
-	if err != nil || why == "" || !h.NewIdentity {
-		t.Fatalf("%v %q %+v", err, why, h)
+	_, recovered, reason, err := Open(dir)
+	if err != nil || reason == "" || !recovered.NewIdentity {
+		t.Fatalf("%v %q %+v", err, reason, recovered)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "tealpond.db.foreign")); err != nil {
-		t.Error("it was not put aside")
+		t.Error("it was not renamed")
 	}
 }
 
 func TestRunCompletesRequestsInOrder(t *testing.T) {
-	d, _ := reopen(t, nil, t.TempDir())
-	ctx, stop := context.WithCancel(context.Background())
-	in, out := make(chan WriteRequest, 100), make(chan uint64, 100)
+	store, _ := reopen(t, nil, t.TempDir())
+	ctx, cancel := context.WithCancel(context.Background())
+	requests, indexes := make(chan WriteRequest, 100), make(chan uint64, 100)
 	done := make(chan struct{})
 	go func() {
-		d.Run(ctx, in, func(js []WriteRequest, err error) {
-			for _, j := range js {
-				out <- j.Ready.WriteToken.LastIndex
+		store.Run(ctx, requests, func(completed []WriteRequest, err error) {
+			for _, request := range completed {
+				indexes <- request.Ready.WriteToken.LastIndex
 			}
 		})
 		close(done)
 	}()
 	for i := uint64(1); i <= 50; i++ {
-		in <- WriteRequest{Ready: raft.Ready{Entries: entries(i, i, 1), WriteToken: raft.WriteToken{LastIndex: i, LastTerm: 1}}}
+		requests <- WriteRequest{Ready: raft.Ready{Entries: entries(i, i, 1), WriteToken: raft.WriteToken{LastIndex: i, LastTerm: 1}}}
 	}
 	for i := uint64(1); i <= 50; i++ {
-		if got := <-out; got != i {
-			t.Fatalf("%d came back, want %d", got, i)
+		if got := <-indexes; got != i {
+			t.Fatalf("%d was completed, want %d", got, i)
 		}
 	}
-	stop()
+	cancel()
 	<-done
 }
--- a/internal/storage/write_queue_test.go
+++ b/internal/storage/write_queue_test.go
@@ -8,103 +8,148 @@
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
+	"tealpond/internal/tuning"
 )
 
-// logIndexes lists the entries that stand in the file.
-func (s *Store) logIndexes(t *testing.T) (out []uint64) {
+// logIndexes returns the indexes of the entries in the file.
+func (s *Store) logIndexes(t *testing.T) (indexes []uint64) {
 	t.Helper()
 	err := s.db.View(func(tx *bolt.Tx) error {
-		return tx.Bucket(bucketLog).ForEach(func(k, _ []byte) error {
-			out = append(out, decodeKey(k))
+		return tx.Bucket(bucketLog).ForEach(func(key, _ []byte) error {
+			indexes = append(indexes, decodeKey(key))
 			return nil
 		})
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out
+	return indexes
 }
 
-// Thousands of entries over many pages: each deletion takes exactly its range.
-// A cursor that deletes and goes on may pass over the key that moved up.
+// TestLogDeletionsAreExact: of thousands of entries over many pages, each deletion
+// takes exactly its range. A cursor that deletes and goes on may skip the key that
+// moved up.
 func TestLogDeletionsAreExact(t *testing.T) {
 	const most = 6000
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
-		job      WriteRequest
+		request  WriteRequest
 		from, to uint64
 	}{
-		{"snapshot of one's own", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4321, Term: 1}}, 4322, most},
-		{"of almost all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most - 1, Term: 1}}, most, most},
-		{"of all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most, Term: 1}}, most + 1, most},
+		{"local snapshot", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4321, Term: 1}}, 4322, most},
+		{"local snapshot of almost all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most - 1, Term: 1}}, most, most},
+		{"local snapshot of all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most, Term: 1}}, most + 1, most},
 		{"received snapshot", WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 3000, Term: 1}}}, 1, 0},
 		{"received snapshot and entries", WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 3000, Term: 1}, Entries: entries(3001, 3005, 1)}}, 3001, 3005},
 		{"entries and received snapshot in one write", WriteRequest{Ready: raft.Ready{Entries: entries(most+1, most+900, 1)}, LocalSnapshot: &raft.Snapshot{Index: 7000, Term: 2}}, 7001, 7000},
-		{"entries and snapshot in one write", WriteRequest{Ready: raft.Ready{Entries: entries(most+1, most+900, 1)}, LocalSnapshot: &raft.Snapshot{Index: most + 500, Term: 1}}, most + 501, most + 900},
-		{"overwritten from", WriteRequest{Ready: raft.Ready{Entries: entries(17, 18, 2)}}, 1, 18},
+		{"entries and local snapshot in one write", WriteRequest{Ready: raft.Ready{Entries: entries(most+1, most+900, 1)}, LocalSnapshot: &raft.Snapshot{Index: most + 500, Term: 1}}, most + 501, most + 900},
+		{"overwritten suffix", WriteRequest{Ready: raft.Ready{Entries: entries(17, 18, 2)}}, 1, 18},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
-			d, _ := reopen(t, nil, dir)
+			store, _ := reopen(t, nil, dir)
 			for i := uint64(1); i <= most; i += 1000 {
-				es := entries(i, i+999, 1)
-				for k := range es {
+				batch := entries(i, i+999, 1)
+				for j := range batch {
 					// Sizes differ, so that pages hold from few to many entries.
-					es[k].Data = make([]byte, int(es[k].Index*37%900))
+					batch[j].Data = make([]byte, int(batch[j].Index*37%900))
 				}
-				mustWrite(t, d, WriteRequest{Ready: raft.Ready{Entries: es}})
+				mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: batch}})
 			}
-			if p := c.job.LocalSnapshot; p != nil && p.Term == 2 {
-				mustWrite(t, d, WriteRequest{Ready: c.job.Ready}, WriteRequest{Ready: raft.Ready{Snapshot: p}})
-			} else if p != nil && c.job.Ready.Entries != nil {
-				mustWrite(t, d, WriteRequest{Ready: c.job.Ready}, WriteRequest{LocalSnapshot: p})
+			if snapshot := test.request.LocalSnapshot; snapshot != nil && snapshot.Term == 2 {
+				mustWrite(t, store, WriteRequest{Ready: test.request.Ready}, WriteRequest{Ready: raft.Ready{Snapshot: snapshot}})
+			} else if snapshot != nil && test.request.Ready.Entries != nil {
+				mustWrite(t, store, WriteRequest{Ready: test.request.Ready}, WriteRequest{LocalSnapshot: snapshot})
 			} else {
-				mustWrite(t, d, c.job)
+				mustWrite(t, store, test.request)
 			}
-			got := d.logIndexes(t)
-			if uint64(len(got)) != c.to+1-c.from {
-				t.Fatalf("%d entries left, want %d to %d", len(got), c.from, c.to)
+			indexes := store.logIndexes(t)
+			if uint64(len(indexes)) != test.to+1-test.from {
+				t.Fatalf("%d entries left, want %d to %d", len(indexes), test.from, test.to)
 			}
-			for i, g := range got {
-				if g != c.from+uint64(i) {
-					t.Fatalf("place %d holds %d, want %d", i, g, c.from+uint64(i))
+			for i, index := range indexes {
+				if index != test.from+uint64(i) {
+					t.Fatalf("place %d holds %d, want %d", i, index, test.from+uint64(i))
 				}
 			}
-			reopen(t, d, dir)
+			reopen(t, store, dir)
 		})
 	}
 }
 
-// A sync may fail though the write was made: the transaction is then there, and
-// is done again on top of itself. The outcome is the same as of doing it once.
+// TestRepeatedTransactionsAreIdempotent: a sync may fail though the write was made, so
+// that the transaction is repeated on top of itself. The outcome is the same.
 func TestRepeatedTransactionsAreIdempotent(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := reopen(t, nil, dir)
-	odd := false
-	d.commit = func(f func(*bolt.Tx) error) error {
-		if err := d.db.Update(f); err != nil {
+	store, _ := reopen(t, nil, dir)
+	failing := false
+	store.commit = func(f func(*bolt.Tx) error) error {
+		if err := store.db.Update(f); err != nil {
 			return err
 		}
-		if odd = !odd; odd {
+		if failing = !failing; failing {
 			return syscall.EIO
 		}
 		return nil
 	}
-	var q writeQueue
-	q.add(WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2}, Entries: entries(1, 90, 1)}}, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 50, Term: 1, Data: randomBytes(1, 5<<20)}},
+	var queue writeQueue
+	queue.add(WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2}, Entries: entries(1, 90, 1)}}, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 50, Term: 1, Data: randomBytes(1, 5<<20)}},
 		WriteRequest{Ready: raft.Ready{Entries: entries(80, 85, 2)}}, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 60, Term: 1, Data: randomBytes(2, 100)}},
 		WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 200, Term: 2, Data: randomBytes(3, 3<<20)}, Entries: entries(201, 210, 2)}}, WriteRequest{Ready: raft.Ready{Entries: entries(211, 212, 2)}})
 	done := 0
-	for !q.empty() {
-		js, err := d.commitNext(&q)
-		if err != nil && len(js) > 0 {
-			t.Fatal("given back though refused")
+	for !queue.empty() {
+		completed, err := store.commitNext(&queue)
+		if err != nil && len(completed) > 0 {
+			t.Fatal("completed though it failed")
 		}
-		done += len(js)
+		done += len(completed)
 	}
-	d, h := reopen(t, d, dir)
-	if done != 6 || h.HardState.Term != 2 || h.Snapshot.Index != 200 || !bytes.Equal(h.Snapshot.Data, randomBytes(3, 3<<20)) || len(h.Entries) != 12 {
-		t.Fatalf("%d jobs done, %+v, snapshot of %d, %d entries", done, h.HardState, h.Snapshot.Index, len(h.Entries))
+	store, recovered := reopen(t, store, dir)
+	if done != 6 || recovered.HardState.Term != 2 || recovered.Snapshot.Index != 200 || !bytes.Equal(recovered.Snapshot.Data, randomBytes(3, 3<<20)) || len(recovered.Entries) != 12 {
+		t.Fatalf("%d requests done, %+v, snapshot of %d, %d entries", done, recovered.HardState, recovered.Snapshot.Index, len(recovered.Entries))
+	}
+	_ = store.Close()
+}
+
+// TestBatchesOfQueue: a transaction takes the requests up to the next received
+// snapshot, and the frames of at most one snapshot.
+func TestBatchesOfQueue(t *testing.T) {
+	large := make([]byte, tuning.SnapshotFrameBytes*(tuning.SnapshotFramesPerTransaction+1))
+	ready := WriteRequest{Ready: raft.Ready{Entries: entries(1, 1, 1)}}
+	local := WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 1, Data: large}}
+	received := WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 9, Data: large}}}
+	type want struct {
+		requests  int // in the transaction
+		received  bool
+		activates bool
+		completed int
+	}
+	for _, test := range []struct {
+		name  string
+		queue []WriteRequest
+		want  []want
+	}{
+		{"entries", []WriteRequest{ready, ready}, []want{{requests: 2, completed: 2}}},
+		{"local snapshot between entries", []WriteRequest{ready, local, ready}, []want{{requests: 2, completed: 2}, {activates: true, completed: 1}}},
+		{"received snapshot", []WriteRequest{received, ready, ready}, []want{{received: true}, {requests: 3, received: true, activates: true, completed: 3}}},
+		{"entries before a received snapshot", []WriteRequest{ready, received, ready}, []want{{requests: 1, completed: 1}, {received: true},
+			{requests: 2, received: true, activates: true, completed: 2}}},
+		{"received snapshot replaces local ones", []WriteRequest{local, received, local}, []want{{received: true},
+			{requests: 1, received: true, activates: true, completed: 3}}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var queue writeQueue
+			queue.add(test.queue...)
+			for i, want := range test.want {
+				b := queue.nextBatch(7)
+				completed := queue.complete(b)
+				if len(b.requests) != want.requests || b.received != want.received || b.activates != want.activates || len(completed) != want.completed {
+					t.Errorf("transaction %d: %d requests, received %v, activates %v, %d completed, want %+v", i, len(b.requests), b.received, b.activates, len(completed), want)
+				}
+			}
+			if !queue.empty() {
+				t.Errorf("%d requests and %d local snapshots are left", len(queue.requests), len(queue.localSnapshots))
+			}
+		})
 	}
-	_ = d.Close()
 }
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -15,11 +15,11 @@
 	"tealpond/internal/tuning"
 )
 
-// runningStore starts Run on a disk whose transactions end with fault while it is
-// set, and hang while stall is open.
+// runningStore is a store on which Run was called. Its transactions fail with fault
+// while that is set, and each waits for a value or the end of stalled if that is set.
 type runningStore struct {
 	mu             sync.Mutex
-	in             chan WriteRequest
+	requests       chan WriteRequest
 	completed      []uint64
 	localSnapshots int
 	reported       []error
@@ -27,12 +27,13 @@
 	stalled        chan struct{}
 	attempts       int
 	store          *Store
-	stop           context.CancelFunc
+	cancel         context.CancelFunc
 }
 
-func startStore(t *testing.T, d *Store) *runningStore {
-	r := &runningStore{in: make(chan WriteRequest, tuning.StorageQueueLength), store: d}
-	d.commit = func(f func(*bolt.Tx) error) error {
+// startStore calls Run on a store in a goroutine that ends with the test.
+func startStore(t *testing.T, store *Store) *runningStore {
+	r := &runningStore{requests: make(chan WriteRequest, tuning.StorageQueueLength), store: store}
+	store.commit = func(transaction func(*bolt.Tx) error) error {
 		r.mu.Lock()
 		r.attempts++
 		r.mu.Unlock()
@@ -45,22 +46,22 @@
 		if fault != nil {
 			return fault
 		}
-		return d.db.Update(f)
+		return store.db.Update(transaction)
 	}
-	ctx, stop := context.WithCancel(t.Context())
-	r.stop = stop
+	ctx, cancel := context.WithCancel(t.Context())
+	r.cancel = cancel
 	go func() {
-		d.Run(ctx, r.in, func(js []WriteRequest, err error) {
+		store.Run(ctx, r.requests, func(requests []WriteRequest, err error) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if err != nil {
 				r.reported = append(r.reported, err)
 			}
-			for _, j := range js {
-				if j.LocalSnapshot != nil {
+			for _, request := range requests {
+				if request.LocalSnapshot != nil {
 					r.localSnapshots++
 				} else {
-					r.completed = append(r.completed, j.Ready.WriteToken.LastIndex)
+					r.completed = append(r.completed, request.Ready.WriteToken.LastIndex)
 				}
 			}
 		})
@@ -68,52 +69,55 @@
 	return r
 }
 
-// failWith has all later transactions end with err.
+// failWith makes all later transactions fail with err, or succeed if it is nil.
 func (r *runningStore) failWith(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = err
 }
 
-// quiesce waits until nothing moves and holds the counts still.
+// quiesce waits until no goroutine can go on, and locks the counts until release.
 func (r *runningStore) quiesce() (release func()) {
 	synctest.Wait()
 	r.mu.Lock()
 	return r.mu.Unlock
 }
 
+// sendEntries sends one request for each entry; the store must accept it at once.
 func (r *runningStore) sendEntries(t *testing.T, from, to uint64) {
 	t.Helper()
 	for i := from; i <= to; i++ {
 		select {
-		case r.in <- WriteRequest{Ready: raft.Ready{Entries: entries(i, i, 1), WriteToken: raft.WriteToken{LastIndex: i, LastTerm: 1}}}:
+		case r.requests <- WriteRequest{Ready: raft.Ready{Entries: entries(i, i, 1), WriteToken: raft.WriteToken{LastIndex: i, LastTerm: 1}}}:
 		case <-time.After(time.Second):
-			t.Fatalf("the caller is held up at write %d", i)
+			t.Fatalf("the caller is blocked at write %d", i)
 		}
 	}
 }
 
+// checkAndStop fails unless exactly the first requests were completed, in order.
 func (r *runningStore) checkAndStop(t *testing.T, want uint64) {
 	t.Helper()
 	release := r.quiesce()
 	defer release()
-	for i, m := range r.completed {
-		if m != uint64(i+1) {
-			t.Fatalf("place %d holds %d", i, m)
+	for i, index := range r.completed {
+		if index != uint64(i+1) {
+			t.Fatalf("place %d holds %d", i, index)
 		}
 	}
 	if uint64(len(r.completed)) != want || r.store.WriteLag(time.Now()) != 0 {
-		t.Fatalf("%d of %d came back, %v behind", len(r.completed), want, r.store.WriteLag(time.Now()))
+		t.Fatalf("%d of %d completed, lag %v", len(r.completed), want, r.store.WriteLag(time.Now()))
 	}
-	r.stop()
+	r.cancel()
 }
 
-// A full disk is tried again at a bounded rate, said once a second, and never
-// holds up the caller; what waited is written in order once there is room.
+// TestFailedWritesDoNotBlockCallers: writes to a full disk are repeated at a bounded
+// rate, reported once a second, and never block the caller; what waited is written in
+// order once there is room.
 func TestFailedWritesDoNotBlockCallers(t *testing.T) {
-	d, _ := reopen(t, nil, t.TempDir())
+	store, _ := reopen(t, nil, t.TempDir())
 	synctest.Test(t, func(t *testing.T) {
-		r := startStore(t, d)
+		r := startStore(t, store)
 		r.sendEntries(t, 1, 10)
 		synctest.Wait()
 		r.failWith(syscall.ENOSPC)
@@ -122,13 +126,13 @@
 		time.Sleep(9*time.Second + 900*time.Millisecond)
 		release := r.quiesce()
 		if len(r.completed) != 10 || len(r.reported) < 9 || len(r.reported) > 10 || !errors.Is(r.reported[0], syscall.ENOSPC) {
-			t.Errorf("%d written, said %d times", len(r.completed), len(r.reported))
+			t.Errorf("%d completed, reported %d times", len(r.completed), len(r.reported))
 		}
 		if r.attempts > 30 {
 			t.Errorf("tried %d times", r.attempts)
 		}
-		if b := d.WriteLag(time.Now()); b < 9*time.Second || b > 10*time.Second {
-			t.Errorf("%v behind", b)
+		if lag := store.WriteLag(time.Now()); lag < 9*time.Second || lag > 10*time.Second {
+			t.Errorf("lag %v", lag)
 		}
 		release()
 		r.failWith(nil)
@@ -137,17 +141,17 @@
 	})
 }
 
-// A hanging call is seen from outside.
+// TestStalledWriteIsReported: WriteLag shows a call that hangs.
 func TestStalledWriteIsReported(t *testing.T) {
-	d, _ := reopen(t, nil, t.TempDir())
+	store, _ := reopen(t, nil, t.TempDir())
 	synctest.Test(t, func(t *testing.T) {
-		r := startStore(t, d)
+		r := startStore(t, store)
 		r.stalled = make(chan struct{})
 		r.sendEntries(t, 1, 3*tuning.StorageQueueLength)
 		time.Sleep(4 * time.Second)
 		release := r.quiesce()
-		if b := d.WriteLag(time.Now()); b < 4*time.Second || len(r.completed) != 0 {
-			t.Errorf("%v behind, %d written", b, len(r.completed))
+		if lag := store.WriteLag(time.Now()); lag < 4*time.Second || len(r.completed) != 0 {
+			t.Errorf("lag %v, %d completed", lag, len(r.completed))
 		}
 		release()
 		close(r.stalled)
@@ -155,16 +159,17 @@
 	})
 }
 
-// Entries that come while a large snapshot is written don't wait for its end.
+// TestEntriesAreNotBlockedByLargeSnapshot: entries that come while a large snapshot is
+// written don't wait for its end.
 func TestEntriesAreNotBlockedByLargeSnapshot(t *testing.T) {
 	dir := t.TempDir()
-	d, _ := reopen(t, nil, dir)
+	store, _ := reopen(t, nil, dir)
 	synctest.Test(t, func(t *testing.T) {
-		r := startStore(t, d)
+		r := startStore(t, store)
 		r.sendEntries(t, 1, 100)
 		synctest.Wait()
 		r.stalled = make(chan struct{})
-		r.in <- WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 100, Term: 1, Data: randomBytes(1, 8<<20)}}
+		r.requests <- WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 100, Term: 1, Data: randomBytes(1, 8<<20)}}
 		synctest.Wait() // the first part is under way
 		r.sendEntries(t, 101, 110)
 		synctest.Wait()
@@ -178,12 +183,12 @@
 		close(r.stalled)
 		release = r.quiesce()
 		if r.localSnapshots != 1 {
-			t.Error("the snapshot did not come back")
+			t.Error("the snapshot was not completed")
 		}
 		release()
 		r.checkAndStop(t, 110)
 	})
-	if _, h := reopen(t, nil, dir); h.Snapshot.Index != 100 || len(h.Entries) != 10 {
-		t.Fatalf("%d, %d entries", h.Snapshot.Index, len(h.Entries))
+	if _, recovered := reopen(t, nil, dir); recovered.Snapshot.Index != 100 || len(recovered.Entries) != 10 {
+		t.Fatalf("%d, %d entries", recovered.Snapshot.Index, len(recovered.Entries))
 	}
 }
