--- a/internal/state/allocation.go
+++ b/internal/state/allocation.go
@@ -1,6 +1,7 @@
 package state
 
-// Allocation is one run of one task on one worker, with its claims.
+// Allocation is one run of one task on one worker, with the resources that it
+// holds. It exists from when the run is booked until the run's end is known.
 type Allocation struct {
 	_               struct{} `cbor:",toarray"`
 	ID              uint64
@@ -9,83 +10,90 @@
 	Instance        int
 	Step            int
 	TaskIndex       int
-	Copy            int
-	Run             int
+	Copy            int // 0, or 1 for the second copy of a speculative step's task
+	Run             int // number of the run among those of its task, from 1
 	MilliCPU        int64
 	MemoryMB        int64
-	GPUs            []string
+	GPUs            []string // IDs of devices
 	BookedAt        int64
 	Stopping        bool
 	StopReason      string
-	Checkpoint      string
+	Checkpoint      string // text that the run starts from
 	servicePriority ServicePriority
 }
 
-// TaskName is the protocol's name of its task.
+// TaskName is the name that runners know the allocation's task by.
 func (a *Allocation) TaskName() string { return TaskName(a.Job, a.Instance, a.Step, a.TaskIndex) }
 
-// recordUndo remembers how to take a change back, while a savepoint is open.
-func (s *Store) recordUndo(undo func()) {
-	if s.undoLog != nil {
-		*s.undoLog = append(*s.undoLog, undo)
-	}
-}
-
-// savepoint runs f and takes all its changes back if it returns false.
-func (s *Store) savepoint(change func() bool) bool {
-	outer := s.undoLog
-	var inner []func()
-	s.undoLog = &inner
-	ok := change()
-	s.undoLog = outer
-	if !ok {
-		for i := len(inner) - 1; i >= 0; i-- {
-			inner[i]()
-		}
-	} else if outer != nil {
-		*outer = append(*outer, inner...)
-	}
-	return ok
+// addAllocation books a run: it enters the allocation in all tables but those
+// of devices and of its worker's resources, which are claimed before.
+func (s *Store) addAllocation(job *Job, instance *JobInstance, allocation *Allocation) {
+	task := &instance.Steps[allocation.Step].Tasks[allocation.TaskIndex]
+	lastRun, started := task.LastRun, job.Started
+	task.LastRun = allocation.Run
+	task.Allocations = append(task.Allocations[:len(task.Allocations):len(task.Allocations)], allocation.ID)
+	job.Started = true
+	instance.Steps[allocation.Step].LastBookedAt = s.Clock
+	s.Allocations[allocation.ID] = allocation
+	s.indexAllocation(allocation)
+	s.adjustRollup(allocation, 1)
+	s.addUsage(allocation)
+	s.changedRuns = append(s.changedRuns, allocation.ID)
+	s.recordUndo(func() {
+		task.LastRun, job.Started = lastRun, started
+		task.Allocations = task.Allocations[:len(task.Allocations)-1]
+		s.adjustRollup(allocation, -1)
+		s.removeUsage(allocation)
+		delete(s.Allocations, allocation.ID)
+		delete(s.allocationsByWorker[allocation.Worker], allocation.ID)
+	})
 }
 
-// closeRun ends the bookings and gives the room back.
-func (s *Store) closeRun(allocation *Allocation) {
+// removeAllocation gives back all that a run held. Its task, unless it is done,
+// may be placed again.
+func (s *Store) removeAllocation(allocation *Allocation) {
 	if worker := s.Workers[allocation.Worker]; worker != nil {
 		worker.UsedMilliCPU -= allocation.MilliCPU
 		worker.UsedMemoryMB -= allocation.MemoryMB
 		s.reindexWorker(worker)
 	}
-	for _, g := range allocation.GPUs {
-		if device := s.Devices[g]; device != nil {
-			s.releaseReservations(device, allocation.ID)
+	for _, gpu := range allocation.GPUs {
+		if device := s.Devices[gpu]; device != nil {
+			device.releaseReservations(allocation.ID)
 		}
 	}
-	if device := s.Devices[taskLockID(allocation.TaskName(), allocation.Copy)]; device != nil {
-		s.releaseReservations(device, allocation.ID)
+	if lock := s.Devices[taskLockID(allocation.TaskName(), allocation.Copy)]; lock != nil {
+		lock.releaseReservations(allocation.ID)
 	}
 	s.adjustRollup(allocation, -1)
 	s.removeUsage(allocation)
 	delete(s.Allocations, allocation.ID)
 	delete(s.allocationsByWorker[allocation.Worker], allocation.ID)
 	if job := s.Jobs[allocation.Job]; job != nil {
-		task := &job.instance(allocation.Instance).Steps[allocation.Step].Tasks[allocation.TaskIndex]
-		for i, id := range task.Allocations {
-			if id == allocation.ID {
-				task.Allocations = append(task.Allocations[:i:i], task.Allocations[i+1:]...)
-				break
-			}
-		}
+		instance := job.instance(allocation.Instance)
+		task := &instance.Steps[allocation.Step].Tasks[allocation.TaskIndex]
+		task.removeAllocation(allocation.ID)
 		if !task.Done {
-			s.markPlaceable(job.ID, job.instance(allocation.Instance), allocation.Step)
+			s.markPlaceable(job.ID, instance, allocation.Step)
 		}
 	}
 }
 
-// stopRun marks an allocation as to be stopped; it keeps its room and turn.
-func (s *Store) stopRun(a *Allocation, reason string) {
-	if a.Stopping {
+// stopRun has a run stopped, unless it is stopping already. It keeps its
+// resources and its task's lock until its end is known.
+func (s *Store) stopRun(allocation *Allocation, reason string) {
+	if allocation.Stopping {
 		return
 	}
-	a.Stopping, a.StopReason = true, reason
-	s.changedRuns = append(s.changedRuns, a.ID)
+	allocation.Stopping, allocation.StopReason = true, reason
+	s.changedRuns = append(s.changedRuns, allocation.ID)
+}
+
+// stopTaskRuns has all runs of a task stopped.
+func (s *Store) stopTaskRuns(task *Task, reason string) {
+	for _, id := range task.Allocations {
+		if allocation := s.Allocations[id]; allocation != nil {
+			s.stopRun(allocation, reason)
+		}
+	}
 }
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -1,37 +1,42 @@
 package state
 
-// Placement places one task on one worker, as seen on a row's version.
-type Placement struct {
-	_             struct{} `cbor:",toarray"`
-	TaskIndex     int
-	Copy          int
-	Worker        string
-	WorkerVersion uint64
+// ApplyPlans books runs as the scheduler planned them. Plans are made beside
+// the log, on an older version of the state, so each placement is checked anew
+// against the present rows.
+type ApplyPlans struct {
+	_     struct{} `cbor:",toarray"`
+	Plans []Plan
 }
 
-// Plan places tasks of one step; Whole: all or none.
+// Plan places tasks of one step of a job's instance.
 type Plan struct {
 	_            struct{} `cbor:",toarray"`
 	Job          string
 	Instance     int
 	Step         int
-	AllOrNothing bool
+	AllOrNothing bool // of a gang: either all placements are booked or none
 	Placements   []Placement
 }
 
-// ApplyPlans writes allocations and bookings for plans made on an older view.
-type ApplyPlans struct {
-	_     struct{} `cbor:",toarray"`
-	Plans []Plan
+// Placement places one task, or one copy of it, on one worker.
+type Placement struct {
+	_             struct{} `cbor:",toarray"`
+	TaskIndex     int
+	Copy          int
+	Worker        string
+	WorkerVersion uint64 // the version of the worker's row that it was planned on
 }
 
-// Replan makes a new plan for a step that lost a row; the placer sets it.
+// Replan makes a new plan for a step of whose plan a placement was refused;
+// false if there is none. The scheduler sets it. It runs within a command, so
+// it must be deterministic.
 var Replan func(s *Store, p Plan) (Plan, bool)
 
-// Apply books each plan under a savepoint; one that lost a row is rolled
-// back and planned anew in the same command, a set number of times.
+// Apply books each plan that still fits. One of which a placement is refused is
+// replanned in the same command, Limits.MaxReplans times at most. The outcome's
+// Value is the number of plans that were not booked whole.
 func (c *ApplyPlans) Apply(s *Store) Outcome {
-	lost := 0
+	refused := 0
 	for _, plan := range c.Plans {
 		if s.applyPlan(plan) {
 			continue
@@ -46,29 +51,28 @@
 			applied = s.applyPlan(plan)
 		}
 		if !applied {
-			lost++
+			refused++
 		}
 	}
-	return Outcome{Code: CodeOK, Value: int64(lost)}
+	return Outcome{Code: CodeOK, Value: int64(refused)}
 }
 
+// applyPlan books a plan; false if a placement was refused. A plan that is no
+// longer wanted, since its job has ended or gone to a peer, counts as booked.
 func (s *Store) applyPlan(plan Plan) bool {
 	job := s.Jobs[plan.Job]
 	if job == nil || job.Canceled || job.ended() || job.instance(plan.Instance) == nil || plan.Step >= len(job.Steps) {
 		return true
 	}
 	instance := job.instance(plan.Instance)
-	if instance.Failed || !instance.Steps[plan.Step].Ready || job.atPeer() {
+	if instance.Failed || !instance.Steps[plan.Step].Ready || job.AtPeer() {
 		return true
 	}
 	if plan.AllOrNothing {
 		return s.savepoint(func() bool {
-			run := 0
-			for x := range instance.Steps[plan.Step].Tasks {
-				run = max(run, instance.Steps[plan.Step].Tasks[x].LastRun)
-			}
+			run := instance.Steps[plan.Step].lastRun() + 1
 			for _, placement := range plan.Placements {
-				if !s.applyPlacement(job, instance, plan.Step, placement, run+1) {
+				if !s.applyPlacement(job, instance, plan.Step, placement, run) {
 					return false
 				}
 			}
@@ -84,49 +88,21 @@
 	return all
 }
 
-// Feasible is the part of eligibility that rests on the task and the worker.
-func (s *Store) Feasible(job *Job, step int, worker *Worker) bool {
-	if !worker.Schedulable() || worker.Service != job.Service {
-		return false
-	}
-	for _, label := range job.Steps[step].RequiredLabels {
-		if !worker.HasLabel(label) {
-			return false
-		}
-	}
-	return true
-}
-
-// CountStepTasks counts the step's tasks on a worker.
-func (s *Store) CountStepTasks(job string, instance, step int, worker string) int {
-	n := 0
-	for _, a := range s.allocationsByWorker[worker] {
-		if a.Job == job && a.Step == step && a.Instance == instance {
-			n++
-		}
-	}
-	return n
-}
-
+// applyPlacement books one run, under the given number or, if that is 0, the
+// next of its task. False if it is refused, with changes left to be taken back
+// by the caller's savepoint. A placement that is no longer wanted, or that no
+// other worker could take either, is passed over and counts as booked.
 func (s *Store) applyPlacement(job *Job, instance *JobInstance, step int, placement Placement, run int) bool {
-	spec := job.Steps[step]
+	spec := &job.Steps[step]
 	if placement.TaskIndex >= len(instance.Steps[step].Tasks) {
 		return true
 	}
 	task := &instance.Steps[step].Tasks[placement.TaskIndex]
-	if task.Done {
-		return true
-	}
-	if left, ok := s.LoanRemaining(job); ok && (left <= 0 || left < spec.CPUUnits && s.loanUsed(job.Transfer.Loan) > 0) {
-		// Why skipped and not lost: no other worker would do either.
+	if task.Done || s.loanExhausted(job, spec.CPUUnits) {
 		return true
 	}
 	worker := s.Workers[placement.Worker]
-	// Why the version: drain and lapse wrote this row after the plan was made.
-	if worker == nil || worker.Version != placement.WorkerVersion || !s.Feasible(job, step, worker) {
-		return false
-	}
-	if spec.MaxPerWorker > 0 && s.CountStepTasks(job.ID, instance.Number, step, worker.ID) >= spec.MaxPerWorker {
+	if worker == nil || !s.placementHolds(job, instance, step, worker, placement) {
 		return false
 	}
 	lock := s.Devices[taskLockID(TaskName(job.ID, instance.Number, step, placement.TaskIndex), placement.Copy)]
@@ -135,16 +111,11 @@
 	}
 	s.LastID++
 	id := s.LastID
-	if !s.reserve(lock, id, s.Clock, Forever) || !s.claimCapacity(worker, spec.CPUUnits, spec.MemoryMB) {
+	if !s.reserve(lock, id, s.Clock, Forever) || !s.claimResources(worker, spec.CPUUnits, spec.MemoryMB) {
 		return false
 	}
-	var gpus []string
-	for i := 0; i < worker.Capacity.GPUs && len(gpus) < spec.GPUs; i++ {
-		if gpu := gpuDeviceID(worker.ID, i); s.reserve(s.Devices[gpu], id, s.Clock, Forever) {
-			gpus = append(gpus, gpu)
-		}
-	}
-	if len(gpus) < spec.GPUs {
+	gpus, ok := s.reserveGPUs(worker, spec.GPUs, id)
+	if !ok {
 		return false
 	}
 	if run == 0 {
@@ -152,27 +123,46 @@
 	}
 	allocation := &Allocation{ID: id, Worker: worker.ID, Job: job.ID, Instance: instance.Number, Step: step, TaskIndex: placement.TaskIndex, Copy: placement.Copy, Run: run,
 		MilliCPU: spec.CPUUnits, MemoryMB: spec.MemoryMB, GPUs: gpus, BookedAt: s.Clock}
-	// Why only as steps ask: a text must belong to the task.
+	// A run is given a checkpoint only if its step asks for checkpoints.
 	if spec.Checkpoints {
 		allocation.Checkpoint = task.Checkpoint
 	}
-	lastRun, started := task.LastRun, job.Started
-	task.LastRun = run
-	task.Allocations = append(task.Allocations[:len(task.Allocations):len(task.Allocations)], id)
-	job.Started = true
-	instance.Steps[step].LastBookedAt = s.Clock
-	s.Allocations[id] = allocation
-	s.indexAllocation(allocation)
-	s.adjustRollup(allocation, 1)
-	s.addUsage(allocation)
-	s.changedRuns = append(s.changedRuns, id)
-	s.recordUndo(func() {
-		task.LastRun, job.Started = lastRun, started
-		task.Allocations = task.Allocations[:len(task.Allocations)-1]
-		s.adjustRollup(allocation, -1)
-		s.removeUsage(allocation)
-		delete(s.Allocations, id)
-		delete(s.allocationsByWorker[allocation.Worker], id)
-	})
+	s.addAllocation(job, instance, allocation)
 	return true
 }
+
+// placementHolds tells whether a placement still holds on its worker's present
+// row. The version changes when the worker drains or its lease expires, which
+// the plan didn't know of.
+func (s *Store) placementHolds(job *Job, instance *JobInstance, step int, worker *Worker, placement Placement) bool {
+	if worker.Version != placement.WorkerVersion || !s.Feasible(job, step, worker) {
+		return false
+	}
+	limit := job.Steps[step].MaxPerWorker
+	return limit <= 0 || s.CountStepTasks(job.ID, instance.Number, step, worker.ID) < limit
+}
+
+// Feasible tells whether a worker may run tasks of a step at all, whatever it
+// has free.
+func (s *Store) Feasible(job *Job, step int, worker *Worker) bool {
+	if !worker.Schedulable() || worker.Service != job.Service {
+		return false
+	}
+	for _, label := range job.Steps[step].RequiredLabels {
+		if !worker.HasLabel(label) {
+			return false
+		}
+	}
+	return true
+}
+
+// CountStepTasks counts the runs of a step's tasks on a worker.
+func (s *Store) CountStepTasks(job string, instance, step int, worker string) int {
+	n := 0
+	for _, a := range s.allocationsByWorker[worker] {
+		if a.Job == job && a.Step == step && a.Instance == instance {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/state/appoint_aggregator.go
+++ b/internal/state/appoint_aggregator.go
@@ -1,26 +1,30 @@
 package state
 
-// ZoneAggregator names who sums up the reports of a zone. It tells side daemons where
-// to turn and how a load is spread; no rule of safety rests on it.
+// ZoneAggregator names the daemon that batches the requests of a zone's agents.
+// It tells agents where to turn, so that the load is spread; no rule of safety
+// rests on it.
 type ZoneAggregator struct {
 	_        struct{} `cbor:",toarray"`
 	Zone     string
 	Revision uint64 // rises with each change
-	Member   string // the holder; empty: side daemons turn to the leader
+	Member   string // the appointed member's ID; empty: agents turn to the leader
 	Address  string
-	// Standby is the standby whom the holder names when it leaves.
+	// Standby is the member that the appointed one names when it leaves.
 	Standby        string
 	StandbyAddress string
 }
 
-// AppointAggregator writes a zone's duty, on top of the number that its writer saw.
+// AppointAggregator changes a zone's aggregator, on top of the revision that its
+// writer saw.
 type AppointAggregator struct {
 	_            struct{} `cbor:",toarray"`
 	Aggregator   ZoneAggregator
 	BaseRevision uint64
 }
 
-// Apply refuses a change made on an older view: of two only the first stands.
+// Apply makes the change; the outcome's Value is its revision. Of two changes on
+// the same revision only the first is made: for the other the outcome is
+// CodePreconditionFailed, with the present revision as its Value.
 func (c *AppointAggregator) Apply(s *Store) Outcome {
 	current := s.Aggregators[c.Aggregator.Zone]
 	if current.Revision != c.BaseRevision {
--- a/internal/state/cancel_job.go
+++ b/internal/state/cancel_job.go
@@ -1,25 +1,26 @@
 package state
 
-// CancelJob calls a job off.
+// CancelJob cancels a job.
 type CancelJob struct {
 	_  struct{} `cbor:",toarray"`
 	ID string
 }
 
-// Apply stops all its runs; a job that is over stays as it ended.
+// Apply ends the job and stops its runs; a job that has ended stays as it is.
+// The outcome is CodeAccepted if a peer may run the job: it ends when the peer
+// has said that it stopped. It is CodeGone if there is no such job.
 func (c *CancelJob) Apply(s *Store) Outcome {
-	j := s.Jobs[c.ID]
-	if j == nil {
+	job := s.Jobs[c.ID]
+	if job == nil {
 		return Outcome{Code: CodeGone}
 	}
-	if j.Canceled || j.ended() {
+	if job.Canceled || job.ended() {
 		return Outcome{Code: CodeOK}
 	}
-	if j.atPeer() {
-		// Why not yet: the peer may run it, and must have stopped first.
-		j.Transfer.CancelRequested = true
+	if job.AtPeer() {
+		job.Transfer.CancelRequested = true
 		return Outcome{Code: CodeAccepted}
 	}
-	s.cancelJob(j)
+	s.cancelJob(job)
 	return Outcome{Code: CodeOK}
 }
--- /dev/null
+++ b/internal/state/collect_garbage.go
@@ -0,0 +1,31 @@
+package state
+
+// CollectGarbage removes jobs that ended long ago and crash counts of nodes that
+// have been calm. Since each entry advances the clocks, it also makes periodic
+// jobs fall due while nothing else happens.
+type CollectGarbage struct {
+	_              struct{} `cbor:",toarray"`
+	RebuildRollups bool     // rebuild the rollups too
+}
+
+// Apply removes jobs that ended Limits.JobRetentionMs ago, if that isn't 0. A job
+// that still has runs, or that a peer hasn't settled, is kept.
+func (c *CollectGarbage) Apply(s *Store) Outcome {
+	for id, job := range s.Jobs {
+		if !job.ended() || job.heldForPeer() || s.Limits.JobRetentionMs <= 0 || s.Clock-job.EndedAt < s.Limits.JobRetentionMs {
+			continue
+		}
+		busy := false
+		for _, instance := range job.Instances {
+			busy = busy || instance.hasRuns()
+		}
+		if !busy {
+			delete(s.Jobs, id)
+		}
+	}
+	s.forgetOldCrashes()
+	if c.RebuildRollups {
+		s.RebuildRollups()
+	}
+	return Outcome{Code: CodeOK}
+}
--- a/internal/state/configuration_history.go
+++ b/internal/state/configuration_history.go
@@ -5,13 +5,13 @@
 	"sort"
 )
 
-// MaxAcceptedRecords is how many accepted configurations are remembered. Operators send
-// an order again within minutes; a busy day holds some 11,000 changes and one
-// record takes about 30 bytes of the snapshot.
+// MaxAcceptedRecords is how many accepted configurations are remembered.
+// Operators send an order again within minutes; a busy day holds some 11,000
+// changes and one record takes about 30 bytes of the snapshot.
 const MaxAcceptedRecords = 4096
 
-// MaxRefusedRecords is how many refusals of orders on a version that was never in
-// force are remembered. Only such an order could be accepted after it was
+// MaxRefusedRecords is how many refusals are remembered of orders on a version
+// that was never in force. Only such an order could be accepted after it was
 // refused, and operators build on versions that they have seen.
 const MaxRefusedRecords = 256
 
@@ -26,19 +26,19 @@
 	Digest      ConfigurationDigest
 }
 
-// ConfigurationHistory remembers the configurations that were accepted, so that an order
-// that is sent again is answered as it was at first, however many changes came
-// between. Each base is built on once and the version that follows is the next
-// base, so the accepted ones form a chain: Accepted is ordered by Base and by
-// Version, and what was dropped from its front lies at or below the first Base.
+// ConfigurationHistory remembers the configurations that were accepted, so that
+// an order that is sent again has the outcome that it had at first, however many
+// changes came between. Each version is built on once and the version that
+// follows is the next base, so the accepted ones form a chain: Accepted is
+// ordered by BaseVersion and by Version, and what was dropped from its front
+// lies at or below the first BaseVersion.
 type ConfigurationHistory struct {
 	_        struct{} `cbor:",toarray"`
 	Accepted []ConfigurationRecord
 	Refused  []ConfigurationRecord
 }
 
-// configurationDigest gives the identity of a configuration's text: the first half of its
-// SHA-256.
+// configurationDigest is the first half of the SHA-256 of a configuration's text.
 func configurationDigest(raw []byte) ConfigurationDigest {
 	sum := sha256.Sum256(raw)
 	return ConfigurationDigest(sum[:16])
--- /dev/null
+++ b/internal/state/demand.go
@@ -0,0 +1,24 @@
+package state
+
+// demandBuckets is how many buckets of a route's record of demand are kept:
+// eight days of five minutes each.
+const demandBuckets = 8 * 288
+
+// recordDemand adds work, in cores times ms, to the record of demand that
+// forecasts rest on.
+func (s *Store) recordDemand(route string, bucket int64, coreMs float64) {
+	if s.Demand == nil {
+		s.Demand = map[string]map[int64]float64{}
+	}
+	buckets := s.Demand[route]
+	if buckets == nil {
+		buckets = map[int64]float64{}
+		s.Demand[route] = buckets
+	}
+	buckets[bucket] += coreMs
+	for recorded := range buckets {
+		if recorded < bucket-demandBuckets {
+			delete(buckets, recorded)
+		}
+	}
+}
--- /dev/null
+++ b/internal/state/end_run.go
@@ -0,0 +1,121 @@
+package state
+
+// Results of runs, in the words of the runners' protocol. Any other result,
+// such as that of a run that was stopped, means that the task is to run again.
+const (
+	ResultDone    = "done"
+	ResultFailed  = "failed"  // by the task's own fault
+	ResultRefused = "refused" // the runner would not start it
+	// ResultLeaseExpired and ResultCrashed are given here to runs of a worker
+	// whose leases expired, or whose runner crashed.
+	ResultLeaseExpired = "lapsed"
+	ResultCrashed      = "crashed"
+)
+
+// ClosedRun is a run that ended. It is for traces and is not part of the state.
+type ClosedRun struct {
+	Allocation *Allocation
+	Result     string
+	ClosedAt   int64
+}
+
+// TakeClosedRuns returns the runs that ended since the last call.
+func (s *Store) TakeClosedRuns() []ClosedRun { return take(&s.closedRuns) }
+
+// endRunsOn ends all runs on a worker, the oldest first.
+func (s *Store) endRunsOn(worker *Worker, result string) {
+	for _, allocation := range s.AllocationsOn(worker.ID) {
+		s.endRun(allocation, result, "")
+	}
+}
+
+// endRun ends a run: it keeps its checkpoint, gives back what the run held, and
+// moves its job on as the result says.
+func (s *Store) endRun(allocation *Allocation, result, checkpoint string) {
+	s.saveCheckpoint(allocation, checkpoint)
+	s.removeAllocation(allocation)
+	s.closedRuns = append(s.closedRuns, ClosedRun{allocation, result, s.Clock})
+	job := s.Jobs[allocation.Job]
+	if job == nil {
+		return
+	}
+	instance := job.instance(allocation.Instance)
+	switch result {
+	case ResultDone:
+		s.recordDone(job, instance, allocation)
+	case ResultFailed:
+		s.recordFailed(job, instance, allocation)
+	}
+	if job.IsGang(allocation.Step) && result != ResultDone {
+		s.stopGang(instance, allocation, "member "+result)
+	}
+}
+
+// stopGang stops the other members of a gang, which can't go on without one.
+func (s *Store) stopGang(instance *JobInstance, member *Allocation, reason string) {
+	for i := range instance.Steps[member.Step].Tasks {
+		for _, id := range instance.Steps[member.Step].Tasks[i].Allocations {
+			if other := s.Allocations[id]; other != nil && other.Run == member.Run {
+				s.stopRun(other, reason)
+			}
+		}
+	}
+}
+
+// saveCheckpoint keeps the checkpoint of a run for the next run of its task, or
+// of all tasks of its gang: any member's serves for the whole gang.
+func (s *Store) saveCheckpoint(allocation *Allocation, checkpoint string) {
+	job := s.Jobs[allocation.Job]
+	if job == nil || checkpoint == "" {
+		return
+	}
+	stepState := &job.instance(allocation.Instance).Steps[allocation.Step]
+	if !job.IsGang(allocation.Step) {
+		stepState.Tasks[allocation.TaskIndex].Checkpoint = checkpoint
+		return
+	}
+	for i := range stepState.Tasks {
+		stepState.Tasks[i].Checkpoint = checkpoint
+	}
+}
+
+// recordDone completes the task of a run that is done, or all tasks of its gang.
+// The time that a run took from the start counts for estimates, as if it had
+// run near its data.
+func (s *Store) recordDone(job *Job, instance *JobInstance, allocation *Allocation) {
+	spec := &job.Steps[allocation.Step]
+	if spec.LongRunning || instance.Failed || job.Canceled {
+		return
+	}
+	stepState := &instance.Steps[allocation.Step]
+	if allocation.Checkpoint == "" {
+		tookMs := float64(s.Clock - allocation.BookedAt)
+		if worker := s.Workers[allocation.Worker]; worker != nil && worker.RemoteFrom(spec.PreferredRack) {
+			tookMs /= s.RemoteFactor()
+		}
+		stepState.DoneRunsMs += int64(tookMs)
+		stepState.DoneRuns++
+	}
+	if !spec.Gang {
+		s.completeTask(job, instance, allocation.Step, allocation.TaskIndex)
+		return
+	}
+	for i := range stepState.Tasks {
+		s.completeTask(job, instance, allocation.Step, i)
+	}
+}
+
+// recordFailed counts the failure of a run, once for all members of a gang.
+func (s *Store) recordFailed(job *Job, instance *JobInstance, allocation *Allocation) {
+	stepState := &instance.Steps[allocation.Step]
+	if job.Canceled || stepState.Tasks[allocation.TaskIndex].Done {
+		return
+	}
+	if job.IsGang(allocation.Step) {
+		if stepState.LastFailedRun == allocation.Run {
+			return
+		}
+		stepState.LastFailedRun = allocation.Run
+	}
+	s.countFailure(job, instance, allocation.Step, allocation.TaskIndex)
+}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -1,90 +1,127 @@
 package state
 
 import (
+	"slices"
+	"strconv"
+
+	"tealpond/internal/clusterconfig"
 	"tealpond/internal/protocol"
 )
 
-// Task is one task of a step.
-type Task struct {
-	_           struct{} `cbor:",toarray"`
-	LastRun     int      // the highest run that was booked
-	Failures    int
-	Done        bool
-	Checkpoint  string
-	Allocations []uint64
-}
-
-// StepState is one step of an instance.
-type StepState struct {
-	_             struct{} `cbor:",toarray"`
-	Ready         bool
-	ReadyAt       int64 // on the store clock, when its turn came
-	LastBookedAt  int64 // when a task of it was last booked
-	CompletedAt   int64 // when its last task ended
-	TasksLeft     int   // tasks not done
-	GangFailures  int   // of the gang
-	LastFailedRun int   // the gang's run that failed last
-	DoneRunsMs    int64 // how long its done runs took together, as near their data
-	DoneRuns      int64
-	Tasks         []Task
-}
-
-// JobInstance is one of a job's times.
-type JobInstance struct {
-	_         struct{} `cbor:",toarray"`
-	Number    int
-	CreatedAt int64
-	StepsLeft int // steps not done
-	Failed    bool
-	Steps     []StepState
-}
-
-// Job is one job.
+// Job is a job that was accepted. It is kept for a time after its end, see
+// CollectGarbage.
 type Job struct {
 	_                 struct{} `cbor:",toarray"`
 	ID                string
-	Sequence          int64
+	Sequence          int64 // in the order of acceptance
 	Route             string
 	Service           string
-	Priority          int
-	MaxAttempts       int
+	Priority          int // 0 is the highest
+	MaxAttempts       int // failed runs of a task, or of a gang, that fail the job
 	Stretch           float64
 	TargetMs          int64
 	Spec              string
 	Steps             []protocol.Step
-	PeriodicInstances int
-	FirstRunMs        int64
+	PeriodicInstances int   // of a periodic job, how many instances it has; else 0
+	FirstRunMs        int64 // on the wall clock
 	IntervalMs        int64
 	CreatedAt         int64
-	NextInstance      int
+	NextInstance      int // number of the instance that is created next
 	Instances         []*JobInstance
 	Canceled          bool
 	Failed            bool
-	Started           bool
+	Started           bool // a run of it was booked
 	Done              bool
-	EndedAt           int64
+	EndedAt           int64 // 0 while it is open
 	Transfer          JobTransfer
 }
 
+// JobInstance is one execution of all steps of a job: a periodic job has one for
+// each time that it falls due, any other has one.
+type JobInstance struct {
+	_         struct{} `cbor:",toarray"`
+	Number    int
+	CreatedAt int64
+	StepsLeft int // that aren't done
+	Failed    bool
+	Steps     []StepState
+}
+
+// StepState is how far a step of an instance is.
+type StepState struct {
+	_             struct{} `cbor:",toarray"`
+	Ready         bool     // the steps that it depends on are done
+	ReadyAt       int64    // when that was
+	LastBookedAt  int64    // when a run of it was last booked
+	CompletedAt   int64    // when its last task was done
+	TasksLeft     int      // that aren't done
+	GangFailures  int      // failed runs of the gang
+	LastFailedRun int      // the gang's run that failed last
+	DoneRunsMs    int64    // how long its done runs took together, as if near their data
+	DoneRuns      int64    // the number of these runs
+	Tasks         []Task
+}
+
+// Task is how far a task of a step is.
+type Task struct {
+	_           struct{} `cbor:",toarray"`
+	LastRun     int      // the highest number of a run that was booked
+	Failures    int      // failed runs, of a task that isn't in a gang
+	Done        bool
+	Checkpoint  string   // the newest, for the next run
+	Allocations []uint64 // of its runs; replaced as a whole, never written in place
+}
+
+// Statuses of jobs, in the words that clients are shown.
+const (
+	StatusPending  = "pending"
+	StatusRunning  = "serving"
+	StatusDone     = "done"
+	StatusFailed   = "failed"
+	StatusCanceled = "called_off"
+)
+
+// newJob makes a job of a route under the next sequence number.
+func (s *Store) newJob(id string, route *clusterconfig.Route, job protocol.Job) *Job {
+	s.LastJobSequence++
+	j := &Job{ID: id, Sequence: s.LastJobSequence, Route: route.Name, Spec: job.Spec, Steps: job.Steps, CreatedAt: s.Clock}
+	j.followRoute(route)
+	return j
+}
+
+// followRoute takes over what a job's route says of its jobs.
+func (j *Job) followRoute(route *clusterconfig.Route) {
+	j.Service, j.Priority, j.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
+	j.Stretch, j.TargetMs = route.Stretch, route.TargetMs
+}
+
 func (j *Job) ended() bool { return j.EndedAt != 0 }
 
-// Status is what senders are shown.
+// Status is the job's status as clients are shown it.
 func (j *Job) Status() string {
 	switch {
 	case j.Canceled:
-		return "called_off"
+		return StatusCanceled
 	case j.Failed:
-		return "failed"
+		return StatusFailed
 	case j.Done:
-		return "done"
+		return StatusDone
 	case j.Started || j.Transfer.State == TransferAccepted:
-		return "serving"
+		return StatusRunning
 	}
-	return "pending"
+	return StatusPending
 }
 
+// dueAt is when an instance of a periodic job falls due, on the wall clock.
 func (j *Job) dueAt(instance int) int64 { return j.FirstRunMs + int64(instance)*j.IntervalMs }
 
+// hasMoreInstances tells whether a periodic job has instances that aren't
+// created yet.
+func (j *Job) hasMoreInstances() bool {
+	return j.PeriodicInstances > 0 && j.NextInstance < j.PeriodicInstances
+}
+
+// instance returns the instance of a number, or nil.
 func (j *Job) instance(number int) *JobInstance {
 	if number < len(j.Instances) {
 		return j.Instances[number]
@@ -92,202 +129,64 @@
 	return nil
 }
 
-// IsGang tells whether a step's tasks run jointly.
+// IsGang tells whether a step's tasks run together: all at once or none.
 func (j *Job) IsGang(step int) bool { return j.Steps[step].Gang }
 
-func (s *Store) addInstance(job *Job) {
-	instance := &JobInstance{Number: job.NextInstance, CreatedAt: s.Clock, StepsLeft: len(job.Steps), Steps: make([]StepState, len(job.Steps))}
-	for i, step := range job.Steps {
-		instance.Steps[i] = StepState{TasksLeft: step.TaskCount, Tasks: make([]Task, step.TaskCount)}
+// InFinalRuns tells whether all that is left of a job is under way: its next
+// change is its end, or a run that must be repeated.
+func (j *Job) InFinalRuns() bool {
+	if j.ended() || j.hasMoreInstances() || j.AtPeer() {
+		return false
 	}
-	job.Instances = append(job.Instances, instance)
-	job.NextInstance++
-	s.readySteps(job, instance)
-}
-
-// readySteps makes the turns of steps whose earlier steps are done.
-func (s *Store) readySteps(job *Job, instance *JobInstance) {
-	for i := range instance.Steps {
-		stepState := &instance.Steps[i]
-		if stepState.Ready {
+	for _, instance := range j.Instances {
+		if instance.Failed {
 			continue
 		}
-		ready := true
-		for _, dependency := range job.Steps[i].DependsOn {
-			if instance.Steps[dependency].TasksLeft > 0 {
-				ready = false
+		for i := range instance.Steps {
+			if !instance.Steps[i].inFinalRuns() {
+				return false
 			}
 		}
-		if !ready {
-			continue
-		}
-		stepState.Ready, stepState.ReadyAt = true, s.Clock
-		for x := range stepState.Tasks {
-			s.addTaskLocks(job, instance.Number, i, x)
-		}
-		s.markPlaceable(job.ID, instance, i)
-	}
-}
-
-func (s *Store) addTaskLocks(job *Job, instance, step, index int) {
-	copies := 1
-	if job.Steps[step].Speculative {
-		copies = 2
-	}
-	for c := 0; c < copies; c++ {
-		id := taskLockID(TaskName(job.ID, instance, step, index), c)
-		s.Devices[id] = &Device{ID: id, Class: ClassTaskLock, Healthy: true}
-	}
-}
-
-// dropTaskLocks makes a task's right to run unhealthy; it goes with its last booking.
-func (s *Store) dropTaskLocks(job *Job, instance, step, index int) {
-	for c := 0; c < 2; c++ {
-		delete(s.Devices, taskLockID(TaskName(job.ID, instance, step, index), c))
-	}
-}
-
-func (s *Store) dropInstanceLocks(job *Job, instance *JobInstance) {
-	for i := range instance.Steps {
-		for x := range instance.Steps[i].Tasks {
-			s.dropTaskLocks(job, instance.Number, i, x)
-		}
-	}
-}
-
-func (s *Store) completeTask(job *Job, instance *JobInstance, step, index int) {
-	stepState := &instance.Steps[step]
-	task := &stepState.Tasks[index]
-	if task.Done {
-		return
-	}
-	task.Done = true
-	stepState.TasksLeft--
-	s.dropTaskLocks(job, instance.Number, step, index)
-	for _, id := range task.Allocations {
-		if allocation := s.Allocations[id]; allocation != nil && !job.IsGang(step) {
-			s.stopRun(allocation, "other copy done")
-		}
-	}
-	if stepState.TasksLeft > 0 {
-		return
-	}
-	instance.StepsLeft--
-	delete(s.index.placeableSteps, StepRef{job.ID, instance.Number, step})
-	stepState.CompletedAt = s.Clock
-	if instance.StepsLeft > 0 {
-		s.readySteps(job, instance)
-		return
-	}
-	s.endJobIfComplete(job)
-}
-
-// endJobIfComplete closes a job all of whose times are over.
-func (s *Store) endJobIfComplete(job *Job) {
-	if job.ended() || job.PeriodicInstances > 0 && job.NextInstance < job.PeriodicInstances {
-		return
-	}
-	for _, instance := range job.Instances {
-		if instance.StepsLeft > 0 && !instance.Failed {
-			return
-		}
-	}
-	if !job.Failed {
-		job.Done = true
 	}
-	s.endJob(job)
-}
-
-func (s *Store) endJob(j *Job) {
-	j.EndedAt = max(s.Clock, 1)
-	s.endedJobs = append(s.endedJobs, j)
-	delete(s.openJobs, j.ID)
-	delete(s.periodicJobs, j.ID)
-	s.unmarkPlaceable(j)
+	return true
 }
 
-// recordFailure counts a run that ended by the task's own fault.
-func (s *Store) recordFailure(job *Job, instance *JobInstance, step, index int) {
-	stepState := &instance.Steps[step]
-	if job.Steps[step].LongRunning {
-		return
-	}
-	failures := 0
-	if job.IsGang(step) {
-		stepState.GangFailures++
-		failures = stepState.GangFailures
-	} else {
-		stepState.Tasks[index].Failures++
-		failures = stepState.Tasks[index].Failures
+// inFinalRuns tells whether each task of a step is done or runs.
+func (s *StepState) inFinalRuns() bool {
+	if s.TasksLeft == 0 {
+		return true
 	}
-	if failures < job.MaxAttempts || instance.Failed {
-		return
-	}
-	instance.Failed = true
-	job.Failed = true
-	s.dropInstanceLocks(job, instance)
-	s.stopInstance(job, instance, "job failed")
-	s.endJobIfComplete(job)
+	return s.Ready && !slices.ContainsFunc(s.Tasks, func(task Task) bool { return !task.Done && len(task.Allocations) == 0 })
 }
 
-func (s *Store) stopInstance(job *Job, instance *JobInstance, reason string) {
-	for i := range instance.Steps {
-		for x := range instance.Steps[i].Tasks {
-			for _, id := range instance.Steps[i].Tasks[x].Allocations {
-				if allocation := s.Allocations[id]; allocation != nil {
-					s.stopRun(allocation, reason)
-				}
-			}
-		}
+// lastRun is the highest number of a run of any of the step's tasks.
+func (s *StepState) lastRun() int {
+	last := 0
+	for i := range s.Tasks {
+		last = max(last, s.Tasks[i].LastRun)
 	}
+	return last
 }
 
-// PendingWork is the work not yet begun, in thousandths of a core times ms.
-func (s *Store) PendingWork() int64 {
-	sum := int64(0)
-	for _, job := range s.openJobs {
-		for _, instance := range job.Instances {
-			for i := range instance.Steps {
-				stepState := &instance.Steps[i]
-				if instance.Failed || stepState.TasksLeft == 0 {
-					continue
-				}
-				sum += int64(stepState.TasksLeft) * job.Steps[i].CPUUnits * max(job.Steps[i].EstimateMs, 1)
-			}
+// hasRuns tells whether runs of an instance are booked.
+func (i *JobInstance) hasRuns() bool {
+	for step := range i.Steps {
+		if slices.ContainsFunc(i.Steps[step].Tasks, func(task Task) bool { return len(task.Allocations) > 0 }) {
+			return true
 		}
 	}
-	return sum
+	return false
 }
 
-// InFinalRuns tells whether all that is left of a job is under way: its next
-// change is its end, or a run that must be repeated.
-func (j *Job) InFinalRuns() bool {
-	if j.ended() || j.NextInstance < j.PeriodicInstances || j.atPeer() {
-		return false
+// removeAllocation drops a run of the task. The list is replaced, since a
+// Snapshot may share it.
+func (t *Task) removeAllocation(id uint64) {
+	if i := slices.Index(t.Allocations, id); i >= 0 {
+		t.Allocations = append(t.Allocations[:i:i], t.Allocations[i+1:]...)
 	}
-	for _, instance := range j.Instances {
-		if instance.Failed {
-			continue
-		}
-		for i := range instance.Steps {
-			stepState := &instance.Steps[i]
-			if stepState.TasksLeft > 0 && !stepState.Ready {
-				return false
-			}
-			if stepState.TasksLeft == 0 {
-				continue
-			}
-			for x := range stepState.Tasks {
-				if !stepState.Tasks[x].Done && len(stepState.Tasks[x].Allocations) == 0 {
-					return false
-				}
-			}
-		}
-	}
-	return true
 }
 
-// coreMs is what one time of the job asks for, in cores times ms.
+// coreMs is the work of one instance of the job, in cores times ms.
 func (j *Job) coreMs() float64 {
 	sum := 0.0
 	for _, step := range j.Steps {
@@ -296,19 +195,23 @@
 	return sum
 }
 
-// CriticalPathMs is the longest chain of estimates, Rest that of what is not yet done.
+// CriticalPathMs is the length of the longest chain of steps that depend on one
+// another, by their estimates.
 func (j *Job) CriticalPathMs() int64 { return j.longestPathMs(func(int) bool { return true }) }
 
-// RemainingCriticalPathMs is Chain without the steps that are done.
+// RemainingCriticalPathMs is CriticalPathMs without the steps that are done.
 func (j *Job) RemainingCriticalPathMs(instance *JobInstance) int64 {
 	return j.longestPathMs(func(i int) bool { return instance.Steps[i].TasksLeft > 0 })
 }
 
-// TargetTurnaroundMs is the time a job may take and still count in full.
+// TargetTurnaroundMs is how long an instance may take, from its creation to its
+// end, and still meet its route's target.
 func (j *Job) TargetTurnaroundMs() int64 {
 	return int64(j.Stretch*float64(j.CriticalPathMs())) + j.TargetMs
 }
 
+// longestPathMs is the length of the longest chain, in which only some steps
+// count. Steps depend on earlier ones only.
 func (j *Job) longestPathMs(counts func(step int) bool) int64 {
 	longest := int64(0)
 	ends := make([]int64, len(j.Steps))
@@ -323,3 +226,9 @@
 	}
 	return longest
 }
+
+// TaskName is the name that runners know a task by: the job's ID and the numbers
+// of instance, step and task, with dots between.
+func TaskName(job string, instance, step, index int) string {
+	return job + "." + strconv.Itoa(instance) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
+}
--- a/internal/state/register_worker.go
+++ b/internal/state/register_worker.go
@@ -6,8 +6,9 @@
 	"tealpond/internal/protocol"
 )
 
-// RegisterWorker binds a runner's life to the side daemon that orders it and gives
-// the fence under which it does.
+// RegisterWorker binds a runner to the agent beside it and gives the agent a
+// fence: a number that its later commands must bear, so that those of an agent
+// that was replaced are refused. It is repeated when an agent starts anew.
 type RegisterWorker struct {
 	_            struct{} `cbor:",toarray"`
 	ID           string
@@ -18,40 +19,36 @@
 	Labels       []string
 	Capacity     protocol.Resources
 	Draining     bool
-	LeavesInMs   int64 // ms from now, below 0 if it stays
-	// ReplacesFence is the fence of the node's life before this one, as the side
-	// daemon was told of it. A take-up may come late, when a newer life than
-	// its own was taken up on the node, and must not end that one.
+	LeavesInMs   int64 // from now; negative if it stays
+	// ReplacesFence is the fence of the node's worker before this one, as the
+	// agent was told of it. A registration may come late, when a newer worker
+	// than its own is registered on the node, and must not end that one.
 	ReplacesFence int64
 }
 
-// Apply raises the fence. A new life on a node ends the one before it, if its
-// side daemon knows of it: else 412, and N is the fence that it must name.
+// Apply registers the worker; the outcome's Value is its fence. It ends the
+// workers that were registered on the node before. If one of them has a newer
+// fence than the agent knows of, the outcome is CodePreconditionFailed with that
+// fence as its Value. A worker that is dead is refused with CodeConflict: a late
+// heartbeat of a crashed runner must not bring it back.
 func (c *RegisterWorker) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker != nil && worker.Dead {
-		// Why refused: a late beat of a crashed life must not bring it back.
 		return Outcome{Code: CodeConflict, Text: "this life is over"}
 	}
-	var earlier []string
-	for id, other := range s.Workers {
-		if other.Node == c.Node && id != c.ID && !other.Dead {
-			earlier = append(earlier, id)
+	earlier := c.earlierWorkers(s)
+	for _, other := range earlier {
+		if other.Fence > c.ReplacesFence {
+			return Outcome{Code: CodePreconditionFailed, Text: "another life is here", Value: other.Fence}
 		}
 	}
-	sort.Strings(earlier)
-	for _, id := range earlier {
-		if fence := s.Workers[id].Fence; fence > c.ReplacesFence {
-			return Outcome{Code: CodePreconditionFailed, Text: "another life is here", Value: fence}
+	backoffMs := int64(0)
+	for _, other := range earlier {
+		// One that was draining announced its end, and didn't crash.
+		if !other.Draining {
+			backoffMs = max(backoffMs, s.recordCrash(c.Node))
 		}
-	}
-	backoff := int64(0)
-	for _, id := range earlier {
-		if !s.Workers[id].Draining {
-			// Why not of one that left: it said so.
-			backoff = max(backoff, s.recordCrash(c.Node))
-		}
-		s.retireWorker(s.Workers[id], "crashed")
+		s.retireWorker(other)
 	}
 	if worker == nil {
 		worker = &Worker{ID: c.ID, Node: c.Node}
@@ -68,23 +65,22 @@
 	if c.Draining {
 		worker.leave(s.Clock, c.LeavesInMs)
 	}
-	if backoff > 0 {
-		worker.BackoffUntil = s.Clock + backoff
+	if backoffMs > 0 {
+		worker.BackoffUntil = s.Clock + backoffMs
 	}
 	worker.Version++
 	s.reindexWorker(worker)
 	return Outcome{Code: CodeOK, Value: worker.Fence}
 }
 
-// retireWorker closes all that a life held; it can't come back.
-func (s *Store) retireWorker(worker *Worker, result string) {
-	worker.Dead = true
-	worker.Version++
-	s.reindexWorker(worker)
-	for _, a := range s.AllocationsOn(worker.ID) {
-		s.endRun(a, result, "")
-	}
-	for i := 0; i < worker.Capacity.GPUs; i++ {
-		delete(s.Devices, gpuDeviceID(worker.ID, i))
+// earlierWorkers lists the node's other workers that aren't dead, by ID.
+func (c *RegisterWorker) earlierWorkers(s *Store) []*Worker {
+	var earlier []*Worker
+	for id, other := range s.Workers {
+		if other.Node == c.Node && id != c.ID && !other.Dead {
+			earlier = append(earlier, other)
+		}
 	}
+	sort.Slice(earlier, func(i, j int) bool { return earlier[i].ID < earlier[j].ID })
+	return earlier
 }
--- a/internal/state/replace_configuration.go
+++ b/internal/state/replace_configuration.go
@@ -6,15 +6,15 @@
 	"tealpond/internal/clusterconfig"
 )
 
-// ReplaceConfiguration puts a configuration in force that was built on version Base. Raw is
-// the text as the operator sent it.
+// ReplaceConfiguration puts an operator's configuration in force that was built
+// on a version.
 type ReplaceConfiguration struct {
 	_           struct{} `cbor:",toarray"`
 	BaseVersion int64
-	Raw         []byte
+	Raw         []byte // the text as the operator sent it
 }
 
-// Texts of the answers to orders that aren't put in force.
+// Texts of the outcomes of orders that aren't put in force.
 const (
 	textKnown           = "known"
 	textNotCurrent      = "another version is in place"
@@ -22,11 +22,13 @@
 	textForgotten       = "too long ago to tell whether it was taken: read the configuration"
 )
 
-// Apply decides in the order of the log: of two changes on the same version
-// only the first is accepted. The very same order (base and text, which holds
-// its version) has the same answer each time: 200 if it was accepted, a refusal
-// if it was refused, and 504, which is no clear answer, if it is older than
-// what is remembered.
+// Apply decides in the order of the log: of two changes on the same version only
+// the first is accepted. The outcome's Value is the version that it put in
+// force, or the present one.
+//
+// The very same order, base and text, has the same outcome each time: CodeOK if
+// it was accepted, CodePreconditionFailed or CodeInvalid if it was refused. If it
+// is older than what is remembered the outcome is CodeUnknown.
 func (c *ReplaceConfiguration) Apply(s *Store) Outcome {
 	if outcome, decided := c.alreadyDecided(s); decided {
 		return outcome
@@ -43,8 +45,8 @@
 	return Outcome{Code: CodeOK, Value: next.Version}
 }
 
-// alreadyDecided answers an order that was decided before or lost its race; all that
-// is left is built on the current version.
+// alreadyDecided returns the outcome of an order that was decided before, or
+// that isn't built on the present version.
 func (c *ReplaceConfiguration) alreadyDecided(s *Store) (Outcome, bool) {
 	current := s.Configuration.Version
 	digest := configurationDigest(c.Raw)
@@ -70,8 +72,9 @@
 	return Outcome{}, false
 }
 
-// decideForgotten answers an order on a base older than all that is
-// remembered. It was accepted only if its version isn't above that.
+// decideForgotten returns the outcome of an order whose base is older than all
+// that is remembered. It can have been accepted only if its own version isn't
+// above that either.
 func (c *ReplaceConfiguration) decideForgotten(s *Store, forgotten int64, notCurrent Outcome) Outcome {
 	if len(s.ConfigurationHistory.Accepted) == 0 && bytes.Equal(c.Raw, s.Configuration.Raw) {
 		return Outcome{Code: CodeOK, Text: textKnown, Value: s.Configuration.Version}
@@ -82,7 +85,7 @@
 	return Outcome{Code: CodeUnknown, Text: textForgotten, Value: s.Configuration.Version}
 }
 
-// applyConfiguration puts a configuration in force; open jobs follow it.
+// applyConfiguration puts a configuration in force, for open jobs too.
 func (s *Store) applyConfiguration(next *clusterconfig.Config) {
 	s.Configuration = *next
 	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
@@ -95,8 +98,7 @@
 	}
 	for _, job := range s.openJobs {
 		if route := s.Routes[job.Route]; route != nil {
-			job.Service, job.Priority, job.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
-			job.Stretch, job.TargetMs = route.Stretch, route.TargetMs
+			job.followRoute(route)
 		}
 	}
 	s.rebuildIndex()
--- a/internal/state/report_completions.go
+++ b/internal/state/report_completions.go
@@ -8,38 +8,43 @@
 	"tealpond/internal/tuning"
 )
 
-// ReportCompletions commits what a worker listed: ends, and progress that was saved.
+// ReportCompletions commits what a worker's agent read from the runner: runs
+// that ended, and checkpoints of runs that go on.
 //
-// Ends are taken as a contiguous prefix of the numbers that the runner gives
-// within its life: one beyond a gap changes nothing and is told again later.
-// Outcome.N is the prefix that the state holds (Worker.Seen), and the only
-// number up to which the runner may be told to forget ends.
+// A runner numbers its completions from 1. They are accepted as a contiguous
+// prefix: one beyond a gap changes nothing and is reported again later. The
+// outcome's Value is the prefix that the state holds (Worker.LastCompletion),
+// and the only number up to which the runner may be told to forget completions.
 //
-// An end with N = 0 is made by the side daemon itself, about a run of which
-// neither list will ever speak; it is outside the numbering.
+// A completion of number 0 was made by the agent itself, for a run that the
+// runner will never list. It is outside the numbering.
 type ReportCompletions struct {
 	_           struct{} `cbor:",toarray"`
 	Worker      string
 	Fence       int64
 	Completions []protocol.Completion // as listed, one right after the other
 	Checkpoints []protocol.RunProgress
-	// FromOldest tells that Ends begins with the first end that the runner still
-	// holds: what it numbered below is forgotten there for good.
+	// FromOldest tells that Completions begins with the oldest one that the
+	// runner still holds: what it numbered below is forgotten there for good.
 	FromOldest bool
 }
 
-// What Outcome.Text of Ends begins with when something is wrong; the rest
-// names the ends. Each is a fault to be logged.
+// Faults that an accepted report can show. The outcome's Text begins with one
+// of them and goes on with the completions that it is about, or is empty. Each
+// is to be logged, since none can happen while all daemons keep their promises.
 const (
-	// CompletionsLost: the runner was told to forget ends that never came here.
+	// CompletionsLost says that the runner was told to forget completions that
+	// were never committed.
 	CompletionsLost = "ends lost"
-	// CompletionOfOpenRun: a run was still booked though its end was acknowledged.
+	// CompletionOfOpenRun says that a run was still booked though its
+	// completion had been committed.
 	CompletionOfOpenRun = "acknowledged end of an open run"
-	// CompletionOfUnknownRun: no booking of such a run was ever made here.
+	// CompletionOfUnknownRun says that no such run was ever booked.
 	CompletionOfUnknownRun = "end of an unknown run"
 )
 
-// Apply closes the bookings of the runs that ended.
+// Apply ends the runs that completed. The outcome is CodeGone for a worker that
+// is unknown or dead and CodeConflict for another fence than the worker's.
 func (c *ReportCompletions) Apply(s *Store) Outcome {
 	worker := s.Workers[c.Worker]
 	if worker == nil || worker.Dead {
@@ -48,9 +53,9 @@
 	if c.Fence != worker.Fence {
 		return Outcome{Code: CodeConflict, Text: "fence"}
 	}
-	for _, checkpoint := range c.Checkpoints {
-		if allocation := s.findAllocation(c.Worker, checkpoint.Task, checkpoint.Run); allocation != nil {
-			s.saveCheckpoint(allocation, checkpoint.Checkpoint)
+	for _, progress := range c.Checkpoints {
+		if allocation := s.findAllocation(c.Worker, progress.Task, progress.Run); allocation != nil {
+			s.saveCheckpoint(allocation, progress.Checkpoint)
 		}
 	}
 	fault := ""
@@ -65,41 +70,49 @@
 	return Outcome{Code: CodeOK, Value: worker.LastCompletion, Text: fault}
 }
 
-// applyCompletion applies one end; it returns what is wrong about it, if anything.
+// applyCompletion ends one run. It returns the fault that shows, if any.
 func (s *Store) applyCompletion(worker *Worker, completion protocol.Completion) string {
 	fault := ""
-	known := completion.Sequence > 0 && completion.Sequence <= worker.LastCompletion
+	committed := completion.Sequence > 0 && completion.Sequence <= worker.LastCompletion
 	if completion.Sequence > worker.LastCompletion+1 {
 		fault = CompletionsLost + ": " + strconv.FormatInt(worker.LastCompletion+1, 10) + " to " + strconv.FormatInt(completion.Sequence-1, 10)
 	}
 	worker.LastCompletion = max(worker.LastCompletion, completion.Sequence)
 	allocation := s.findAllocation(worker.ID, completion.Task, completion.Run)
 	if allocation == nil {
-		if !known && !s.runWasBooked(completion.Task, completion.Run) {
-			fault = CompletionOfUnknownRun + ": " + completion.Task + "/" + itoa(completion.Run)
+		if !committed && !s.runWasBooked(completion.Task, completion.Run) {
+			fault = CompletionOfUnknownRun + ": " + runName(completion)
 		}
 		return fault
 	}
-	if known {
-		fault = CompletionOfOpenRun + ": " + completion.Task + "/" + itoa(completion.Run)
+	if committed {
+		fault = CompletionOfOpenRun + ": " + runName(completion)
 	}
-	if completion.Result == "refused" {
+	if completion.Result == ResultRefused {
 		worker.BackoffUntil = s.Clock + tuning.StartRefusalExclusion.Milliseconds()
 	}
 	s.endRun(allocation, completion.Result, completion.Checkpoint)
 	return fault
 }
 
+func runName(completion protocol.Completion) string {
+	return completion.Task + "/" + strconv.Itoa(completion.Run)
+}
+
+// findAllocation finds the allocation of a run on a worker, or nil. Both copies
+// of a gang's task bear its run number: of several allocations it is the oldest,
+// since all replicas must choose the same one.
 func (s *Store) findAllocation(worker, task string, run int) *Allocation {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 {
 		return nil
 	}
-	// The oldest of several: both copies of a gang's task bear its run number,
-	// and all replicas must choose the same one.
+	matches := func(a *Allocation) bool {
+		return a.Run == run && a.Job == parts[0] && strconv.Itoa(a.Instance) == parts[1] && strconv.Itoa(a.Step) == parts[2] && strconv.Itoa(a.TaskIndex) == parts[3]
+	}
 	var oldest *Allocation
 	for _, allocation := range s.allocationsByWorker[worker] {
-		if allocation.Run == run && allocation.Job == parts[0] && itoa(allocation.Instance) == parts[1] && itoa(allocation.Step) == parts[2] && itoa(allocation.TaskIndex) == parts[3] && (oldest == nil || allocation.ID < oldest.ID) {
+		if matches(allocation) && (oldest == nil || allocation.ID < oldest.ID) {
 			oldest = allocation
 		}
 	}
@@ -107,121 +120,23 @@
 }
 
 // runWasBooked tells whether a run of a task was ever booked: run numbers rise
-// with each booking. Of a job that was forgotten nothing is known.
+// with each booking. Nothing is known of a job that garbage collection removed.
 func (s *Store) runWasBooked(task string, run int) bool {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 || s.Jobs[parts[0]] == nil {
 		return false
 	}
-	job := s.Jobs[parts[0]]
-	var position [3]int
-	for i := range position {
-		n, err := strconv.Atoi(parts[i+1])
-		if err != nil || n < 0 {
+	var numbers [3]int // of the instance, the step and the task
+	for i := range numbers {
+		number, err := strconv.Atoi(parts[i+1])
+		if err != nil || number < 0 {
 			return false
 		}
-		position[i] = n
+		numbers[i] = number
 	}
-	instance := job.instance(position[0])
-	if instance == nil || position[1] >= len(instance.Steps) || position[2] >= len(instance.Steps[position[1]].Tasks) {
+	instance := s.Jobs[parts[0]].instance(numbers[0])
+	if instance == nil || numbers[1] >= len(instance.Steps) || numbers[2] >= len(instance.Steps[numbers[1]].Tasks) {
 		return false
 	}
-	return run <= instance.Steps[position[1]].Tasks[position[2]].LastRun
-}
-
-// saveCheckpoint notes saved progress; any member's serves for its gang.
-func (s *Store) saveCheckpoint(allocation *Allocation, checkpoint string) {
-	job := s.Jobs[allocation.Job]
-	if job == nil || checkpoint == "" {
-		return
-	}
-	stepState := &job.instance(allocation.Instance).Steps[allocation.Step]
-	if !job.IsGang(allocation.Step) {
-		stepState.Tasks[allocation.TaskIndex].Checkpoint = checkpoint
-		return
-	}
-	for i := range stepState.Tasks {
-		stepState.Tasks[i].Checkpoint = checkpoint
-	}
-}
-
-// endRun closes one run; how is the protocol's word, or crashed or refused.
-func (s *Store) endRun(allocation *Allocation, result, checkpoint string) {
-	s.saveCheckpoint(allocation, checkpoint)
-	s.closeRun(allocation)
-	s.closedRuns = append(s.closedRuns, ClosedRun{allocation, result, s.Clock})
-	job := s.Jobs[allocation.Job]
-	if job == nil {
-		return
-	}
-	instance := job.instance(allocation.Instance)
-	gang := job.IsGang(allocation.Step)
-	if onEnd := runEndings[result]; onEnd != nil {
-		onEnd(s, job, instance, allocation)
-	}
-	// Why the rest too: a gang that lost a member can't go on.
-	if gang && result != "done" {
-		for x := range instance.Steps[allocation.Step].Tasks {
-			for _, id := range instance.Steps[allocation.Step].Tasks[x].Allocations {
-				if other := s.Allocations[id]; other != nil && other.Run == allocation.Run {
-					s.stopRun(other, "member "+result)
-				}
-			}
-		}
-	}
-}
-
-var runEndings = map[string]func(*Store, *Job, *JobInstance, *Allocation){
-	"done":   runDone,
-	"failed": runFailed,
-}
-
-func runDone(s *Store, job *Job, instance *JobInstance, allocation *Allocation) {
-	if job.Steps[allocation.Step].LongRunning || instance.Failed || job.Canceled {
-		return
-	}
-	if stepState := &instance.Steps[allocation.Step]; allocation.Checkpoint == "" {
-		took := float64(s.Clock - allocation.BookedAt)
-		if worker := s.Workers[allocation.Worker]; worker != nil && worker.RemoteFrom(job.Steps[allocation.Step].PreferredRack) {
-			took /= s.RemoteFactor()
-		}
-		stepState.DoneRunsMs += int64(took)
-		stepState.DoneRuns++
-	}
-	if !job.IsGang(allocation.Step) {
-		s.completeTask(job, instance, allocation.Step, allocation.TaskIndex)
-		return
-	}
-	for x := range instance.Steps[allocation.Step].Tasks {
-		s.completeTask(job, instance, allocation.Step, x)
-	}
-}
-
-func runFailed(s *Store, job *Job, instance *JobInstance, allocation *Allocation) {
-	if job.Canceled || instance.Steps[allocation.Step].Tasks[allocation.TaskIndex].Done {
-		return
-	}
-	if job.IsGang(allocation.Step) {
-		// Why once: the gang failed, not each of its members.
-		stepState := &instance.Steps[allocation.Step]
-		if stepState.LastFailedRun == allocation.Run {
-			return
-		}
-		stepState.LastFailedRun = allocation.Run
-	}
-	s.recordFailure(job, instance, allocation.Step, allocation.TaskIndex)
-}
-
-// ClosedRun is a run that ended, for traces.
-type ClosedRun struct {
-	Allocation *Allocation
-	Result     string
-	ClosedAt   int64
-}
-
-// TakeClosedRuns hands out the runs that ended since.
-func (s *Store) TakeClosedRuns() []ClosedRun {
-	out := s.closedRuns
-	s.closedRuns = nil
-	return out
+	return run <= instance.Steps[numbers[1]].Tasks[numbers[2]].LastRun
 }
--- a/internal/state/rollup.go
+++ b/internal/state/rollup.go
@@ -1,32 +1,34 @@
 package state
 
-// Rollup counts a service's capacity; operators and queries read it, the
-// placer never does.
+// Rollup sums a service's capacity up for operators and their queries. The
+// scheduler never reads it. What is used is kept up with each run; all else is
+// as of RebuiltAt.
 type Rollup struct {
 	_                   struct{} `cbor:",toarray"`
 	TotalMilliCPU       int64
-	AllocatableMilliCPU int64 // allocatable
+	AllocatableMilliCPU int64 // of workers that neither drain nor are unreachable
 	UsedMilliCPU        int64
 	TotalMemoryMB       int64
 	AllocatableMemoryMB int64
 	UsedMemoryMB        int64
 	TotalGPUs           int
 	UsedGPUs            int
-	Draining            int
-	Unreachable         int
+	Draining            int // workers
+	Unreachable         int // workers whose leases expired
 	RebuiltAt           int64
 }
 
+// rollup returns the rollup of a service and makes it if there is none.
 func (s *Store) rollup(service string) *Rollup {
-	r := s.Rollups[service]
-	if r == nil {
-		r = &Rollup{}
-		s.Rollups[service] = r
+	rollup := s.Rollups[service]
+	if rollup == nil {
+		rollup = &Rollup{}
+		s.Rollups[service] = rollup
 	}
-	return r
+	return rollup
 }
 
-// adjustRollup moves the rollup with a booking or its end.
+// adjustRollup adds what a run holds, or takes it off if sign is -1.
 func (s *Store) adjustRollup(allocation *Allocation, sign int64) {
 	worker := s.Workers[allocation.Worker]
 	if worker == nil {
@@ -38,7 +40,7 @@
 	rollup.UsedGPUs += int(sign) * len(allocation.GPUs)
 }
 
-// RebuildRollups counts all rollups anew from workers and bookings.
+// RebuildRollups counts all rollups anew from workers and allocations.
 func (s *Store) RebuildRollups() {
 	s.Rollups = map[string]*Rollup{}
 	for _, worker := range s.Workers {
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -1,52 +1,64 @@
 package state
 
-import "math/bits"
+import (
+	"math/bits"
+	"slices"
 
-// The index is what the placer reads instead of walking the tables. It follows
-// from them, is kept up by deltas as commands apply, rebuilt on load, and is
-// never part of a checkpoint. No outcome of a command rests on it, so two
-// copies of the state may hold its lists in another order.
+	"tealpond/internal/protocol"
+)
 
-// ServicePriority is a service and a priority: what demand and room are summed by.
+// schedulingIndex is what the scheduler reads instead of walking the tables. It
+// follows from them, is kept up as commands apply, is rebuilt with a snapshot or
+// a new configuration, and is not part of the state. No outcome of a command
+// rests on it, so two replicas may hold its sets in another order.
+type schedulingIndex struct {
+	placeableSteps map[StepRef]struct{}          // may have tasks to place
+	used           map[ServicePriority]Resources // by all runs
+	capacity       map[string]Resources          // of schedulable workers, by service
+	workers        map[string]int                // number of schedulable workers, by service
+	byFreeCPU      map[string]*[freeCPUClasses]workerSet
+	byLabel        map[string]map[string]*workerSet // by service and label
+	booked         []uint64                         // since TakeBookedRuns was called
+}
+
+// ServicePriority is a service and a priority, by which use is summed up.
 type ServicePriority struct {
 	Service  string
 	Priority int
 }
 
-// Resources is an amount of room: cpu in thousandths of a core, memory in MB.
+// Resources is an amount of CPU, in thousandths of a core, and of memory.
 type Resources struct{ MilliCPU, MemoryMB int64 }
 
-// StepRef names a step of one of a job's times.
+func (r Resources) plus(other Resources) Resources {
+	return Resources{r.MilliCPU + other.MilliCPU, r.MemoryMB + other.MemoryMB}
+}
+
+func (r Resources) minus(other Resources) Resources {
+	return Resources{r.MilliCPU - other.MilliCPU, r.MemoryMB - other.MemoryMB}
+}
+
+func resourcesOf(r protocol.Resources) Resources { return Resources{r.CPUUnits, r.MemoryMB} }
+
+// StepRef names a step of a job's instance.
 type StepRef struct {
 	Job      string
 	Instance int
 	Step     int
 }
 
-type schedulingIndex struct {
-	placeableSteps map[StepRef]struct{}          // may have tasks to place
-	used           map[ServicePriority]Resources // by all runs
-	capacity       map[string]Resources          // bookable, by service
-	workers        map[string]int                // bookable workers, by service
-	byFreeCPU      map[string]*[freeCPUClasses]workerSet
-	byLabel        map[string]map[string]*workerSet
-	booked         []uint64 // since the placer asked
-}
-
-// workerSet is a set of workers without an order; each knows its place.
+// workerSet is a set of workers in no order. Each worker knows its offset in it.
 type workerSet struct{ workers []*Worker }
 
-// freeCPUClasses of free room: four to each doubling.
-const freeCPUClasses = 160
-
-// freeCPUClass is the class of an amount of free cpu; a worker with more is never in
-// a lower one.
-func freeCPUClass(milliCPU int64) int {
-	if milliCPU < 4 {
-		return int(max(milliCPU, 0))
-	}
-	n := bits.Len64(uint64(milliCPU))
-	return min((n-2)*4+int(milliCPU>>(n-3)&3), freeCPUClasses-1)
+// removeAt removes a worker and returns the one that is moved to its offset,
+// which is the worker itself if it is the last.
+func (w *workerSet) removeAt(offset int) *Worker {
+	last := len(w.workers) - 1
+	moved := w.workers[last]
+	w.workers[offset] = moved
+	w.workers[last] = nil
+	w.workers = w.workers[:last]
+	return moved
 }
 
 // indexPosition is where a worker stands in the index.
@@ -55,9 +67,23 @@
 	service      string
 	capacity     Resources
 	cpuClass     int
-	cpuOffset    int
+	cpuOffset    int // in the set of its class
 	labels       []string
-	labelOffsets []int
+	labelOffsets []int // in the set of each label
+}
+
+// freeCPUClasses is the number of classes of free CPU. There are four to each
+// doubling, so they are enough for any amount.
+const freeCPUClasses = 160
+
+// freeCPUClass is the class of an amount of free CPU. A worker that has more is
+// never in a lower class.
+func freeCPUClass(milliCPU int64) int {
+	if milliCPU < 4 {
+		return int(max(milliCPU, 0))
+	}
+	n := bits.Len64(uint64(milliCPU))
+	return min((n-2)*4+int(milliCPU>>(n-3)&3), freeCPUClasses-1)
 }
 
 func (s *Store) rebuildIndex() {
@@ -80,19 +106,19 @@
 	}
 }
 
-// reindexWorker puts a worker where its row says, after any write to it.
+// reindexWorker moves a worker to where its row says. It is to be called after
+// any write to the row.
 func (s *Store) reindexWorker(worker *Worker) {
 	position := &worker.position
 	schedulable := worker.Schedulable()
 	class := freeCPUClass(worker.FreeMilliCPU())
-	same := position.indexed && schedulable && position.service == worker.Service && position.capacity == Resources{worker.Capacity.CPUUnits, worker.Capacity.MemoryMB} && equalStrings(position.labels, worker.Labels)
-	if same && position.cpuClass == class {
-		return
-	}
-	if same {
-		s.removeByFreeCPU(worker)
-		position.cpuClass = class
-		s.addByFreeCPU(worker)
+	capacity := resourcesOf(worker.Capacity)
+	if position.indexed && schedulable && position.service == worker.Service && position.capacity == capacity && slices.Equal(position.labels, worker.Labels) {
+		if position.cpuClass != class {
+			s.removeByFreeCPU(worker)
+			position.cpuClass = class
+			s.addByFreeCPU(worker)
+		}
 		return
 	}
 	if position.indexed {
@@ -100,45 +126,22 @@
 		for i, label := range position.labels {
 			s.removeByLabel(position.service, label, position.labelOffsets[i])
 		}
-		total := s.index.capacity[position.service]
-		s.index.capacity[position.service] = Resources{total.MilliCPU - position.capacity.MilliCPU, total.MemoryMB - position.capacity.MemoryMB}
+		s.index.capacity[position.service] = s.index.capacity[position.service].minus(position.capacity)
 		s.index.workers[position.service]--
 	}
 	*position = indexPosition{indexed: schedulable}
 	if !schedulable {
 		return
 	}
-	position.service, position.cpuClass, position.capacity = worker.Service, class, Resources{worker.Capacity.CPUUnits, worker.Capacity.MemoryMB}
+	position.service, position.cpuClass, position.capacity = worker.Service, class, capacity
 	s.addByFreeCPU(worker)
 	for _, label := range worker.Labels {
-		sets := s.index.byLabel[position.service]
-		if sets == nil {
-			sets = map[string]*workerSet{}
-			s.index.byLabel[position.service] = sets
-		}
-		if sets[label] == nil {
-			sets[label] = &workerSet{}
-		}
-		position.labels, position.labelOffsets = append(position.labels, label), append(position.labelOffsets, len(sets[label].workers))
-		sets[label].workers = append(sets[label].workers, worker)
+		s.addByLabel(worker, label)
 	}
-	total := s.index.capacity[position.service]
-	s.index.capacity[position.service] = Resources{total.MilliCPU + position.capacity.MilliCPU, total.MemoryMB + position.capacity.MemoryMB}
+	s.index.capacity[position.service] = s.index.capacity[position.service].plus(capacity)
 	s.index.workers[position.service]++
 }
 
-func equalStrings(a, b []string) bool {
-	if len(a) != len(b) {
-		return false
-	}
-	for i := range a {
-		if a[i] != b[i] {
-			return false
-		}
-	}
-	return true
-}
-
 func (s *Store) addByFreeCPU(worker *Worker) {
 	classes := s.index.byFreeCPU[worker.position.service]
 	if classes == nil {
@@ -151,44 +154,52 @@
 }
 
 func (s *Store) removeByFreeCPU(worker *Worker) {
-	set := &s.index.byFreeCPU[worker.position.service][worker.position.cpuClass]
-	last := len(set.workers) - 1
-	set.workers[worker.position.cpuOffset] = set.workers[last]
-	set.workers[worker.position.cpuOffset].position.cpuOffset = worker.position.cpuOffset
-	set.workers[last] = nil
-	set.workers = set.workers[:last]
+	offset := worker.position.cpuOffset
+	moved := s.index.byFreeCPU[worker.position.service][worker.position.cpuClass].removeAt(offset)
+	moved.position.cpuOffset = offset
+}
+
+func (s *Store) addByLabel(worker *Worker, label string) {
+	position := &worker.position
+	sets := s.index.byLabel[position.service]
+	if sets == nil {
+		sets = map[string]*workerSet{}
+		s.index.byLabel[position.service] = sets
+	}
+	if sets[label] == nil {
+		sets[label] = &workerSet{}
+	}
+	position.labels, position.labelOffsets = append(position.labels, label), append(position.labelOffsets, len(sets[label].workers))
+	sets[label].workers = append(sets[label].workers, worker)
 }
 
 func (s *Store) removeByLabel(service, label string, offset int) {
 	set := s.index.byLabel[service][label]
 	last := len(set.workers) - 1
-	moved := set.workers[last]
-	set.workers[offset] = moved
+	moved := set.removeAt(offset)
 	for i, other := range moved.position.labels {
 		if other == label && moved.position.labelOffsets[i] == last {
 			moved.position.labelOffsets[i] = offset
 			break
 		}
 	}
-	set.workers[last] = nil
-	set.workers = set.workers[:last]
 }
 
-// addUsage adds a run to the sums, removeUsage takes it out again.
+// addUsage adds what a run holds to its job's service and priority.
 func (s *Store) addUsage(allocation *Allocation) {
 	if job := s.Jobs[allocation.Job]; job != nil {
 		allocation.servicePriority = ServicePriority{job.Service, job.Priority}
-		used := s.index.used[allocation.servicePriority]
-		s.index.used[allocation.servicePriority] = Resources{used.MilliCPU + allocation.MilliCPU, used.MemoryMB + allocation.MemoryMB}
+		s.index.used[allocation.servicePriority] = s.index.used[allocation.servicePriority].plus(Resources{allocation.MilliCPU, allocation.MemoryMB})
 	}
 	s.index.booked = append(s.index.booked, allocation.ID)
 }
 
+// removeUsage takes off what addUsage added.
 func (s *Store) removeUsage(allocation *Allocation) {
 	if allocation.servicePriority == (ServicePriority{}) {
 		return
 	}
-	used := Resources{s.index.used[allocation.servicePriority].MilliCPU - allocation.MilliCPU, s.index.used[allocation.servicePriority].MemoryMB - allocation.MemoryMB}
+	used := s.index.used[allocation.servicePriority].minus(Resources{allocation.MilliCPU, allocation.MemoryMB})
 	if used == (Resources{}) {
 		delete(s.index.used, allocation.servicePriority)
 	} else {
@@ -197,24 +208,21 @@
 	allocation.servicePriority = ServicePriority{}
 }
 
-// markPlaceable notes that a step may have tasks to place.
+// markPlaceable notes that a step may have tasks to place, if that can be.
 func (s *Store) markPlaceable(job string, instance *JobInstance, step int) {
 	if stepState := &instance.Steps[step]; s.openJobs[job] != nil && stepState.Ready && stepState.TasksLeft > 0 && !instance.Failed {
 		s.index.placeableSteps[StepRef{job, instance.Number, step}] = struct{}{}
 	}
 }
 
-// unmarkPlaceable forgets the steps of a job that is over.
-func (s *Store) unmarkPlaceable(job *Job) {
-	for _, instance := range job.Instances {
-		for i := range instance.Steps {
-			delete(s.index.placeableSteps, StepRef{job.ID, instance.Number, i})
-		}
-	}
+// unmarkPlaceable notes that a step has no tasks to place.
+func (s *Store) unmarkPlaceable(job string, instance *JobInstance, step int) {
+	delete(s.index.placeableSteps, StepRef{job, instance.Number, step})
 }
 
-// EachPlaceableStep gives the steps that may have tasks to place, in no order; one for
-// which f says false is left out until something of it changes.
+// EachPlaceableStep visits the steps that may have tasks to place, in no order.
+// A step for which visit returns false isn't visited again until something
+// changes that may make one of its tasks placeable.
 func (s *Store) EachPlaceableStep(visit func(job *Job, instance *JobInstance, step int) bool) {
 	for ref := range s.index.placeableSteps {
 		job := s.openJobs[ref.Job]
@@ -224,40 +232,39 @@
 	}
 }
 
-// UsedByServicePriority is the room that runs hold, by kind; not to be changed.
+// UsedByServicePriority is what runs hold, by service and priority. The caller
+// must not change it.
 func (s *Store) UsedByServicePriority() map[ServicePriority]Resources { return s.index.used }
 
-// SchedulableCapacity is the room of a service's workers that can be booked, and their
-// number.
+// SchedulableCapacity is the capacity of a service's schedulable workers, and
+// their number.
 func (s *Store) SchedulableCapacity(service string) (Resources, int) {
 	return s.index.capacity[service], s.index.workers[service]
 }
 
-// TakeBookedRuns hands out the runs that were booked since, some of which may be over.
-func (s *Store) TakeBookedRuns() []uint64 {
-	out := s.index.booked
-	s.index.booked = nil
-	return out
-}
+// TakeBookedRuns returns the IDs of the allocations that were booked since the
+// last call. Some of them may have ended. After a rebuild it returns all.
+func (s *Store) TakeBookedRuns() []uint64 { return take(&s.index.booked) }
 
-// EachWorkerByFreeCPU gives a service's bookable workers from the class of cpu upwards, the
-// fullest classes first, until f says false.
+// EachWorkerByFreeCPU visits a service's schedulable workers, those of the least
+// free CPU first, until visit returns false. It begins with the class of the
+// given amount, in which some may have less.
 func (s *Store) EachWorkerByFreeCPU(service string, milliCPU int64, visit func(*Worker) bool) {
 	classes := s.index.byFreeCPU[service]
 	if classes == nil {
 		return
 	}
 	for class := freeCPUClass(milliCPU); class < freeCPUClasses; class++ {
-		for _, w := range classes[class].workers {
-			if !visit(w) {
+		for _, worker := range classes[class].workers {
+			if !visit(worker) {
 				return
 			}
 		}
 	}
 }
 
-// WorkersWithLabel lists a service's bookable workers that bear a label, in no order;
-// not to be changed.
+// WorkersWithLabel lists a service's schedulable workers that bear a label, in
+// no order. The caller must not change the list.
 func (s *Store) WorkersWithLabel(service, label string) []*Worker {
 	if set := s.index.byLabel[service][label]; set != nil {
 		return set.workers
--- a/internal/state/set_eligibility.go
+++ b/internal/state/set_eligibility.go
@@ -1,17 +1,18 @@
 package state
 
-// SetEligibility writes a worker's draining or its sign-off.
+// SetEligibility notes what decides on whether a worker is given new work.
 type SetEligibility struct {
 	_          struct{} `cbor:",toarray"`
 	ID         string
 	Draining   bool
-	LeavesInMs int64
-	Leaving    bool
-	Unhealthy  bool // silent or standing still: no new work for now
+	LeavesInMs int64 // from now, of a worker that drains or leaves; negative if unknown
+	Leaving    bool  // the runner signed off
+	Unhealthy  bool  // silent or standing still: no new work for now
 }
 
-// Apply touches the worker's row, so that a booking made on an older view of
-// it loses.
+// Apply writes the worker's row and raises its version, so that a placement
+// that was planned before is refused. Draining is never taken back. The outcome
+// is CodeGone for a worker that is unknown or dead.
 func (c *SetEligibility) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker == nil || worker.Dead {
@@ -25,35 +26,3 @@
 	s.reindexWorker(worker)
 	return Outcome{Code: CodeOK}
 }
-
-// ExpireLeases notes workers whose holds have surely lapsed, each with the fence under
-// which that was decided: of one that was taken up again meanwhile nothing is
-// known to be over, since its new side daemon may have started runs there.
-type ExpireLeases struct {
-	_       struct{} `cbor:",toarray"`
-	Workers []FencedWorker
-}
-
-// FencedWorker names a worker as of one fence.
-type FencedWorker struct {
-	_     struct{} `cbor:",toarray"`
-	ID    string
-	Fence int64
-}
-
-// Apply frees the tasks: everything that ran there has been killed.
-func (c *ExpireLeases) Apply(s *Store) Outcome {
-	for _, expired := range c.Workers {
-		worker := s.Workers[expired.ID]
-		if worker == nil || worker.Dead || worker.LeaseExpired || worker.Fence != expired.Fence {
-			continue
-		}
-		worker.LeaseExpired = true
-		worker.Version++
-		s.reindexWorker(worker)
-		for _, a := range s.AllocationsOn(worker.ID) {
-			s.endRun(a, "lapsed", "")
-		}
-	}
-	return Outcome{Code: CodeOK}
-}
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -5,20 +5,22 @@
 	"slices"
 )
 
-// Snapshot is a copy of the state as it was at one entry. Another task may encode
-// it while commands go on changing the state.
+// Snapshot is a copy of the state as it was at one entry. Another goroutine may
+// encode it while commands go on changing the state.
 type Snapshot struct {
 	store            *Store
-	buildLargeTables []func() // each builds one of the large tables
+	buildLargeTables []func() // each builds the map of one large table
 }
 
-// Snapshot copies the tables. It costs a fraction of encoding them: rows are
-// copied in bulk, of what lies below them only that which commands write in
-// place, and the maps of the large tables are built by Save.
+// Snapshot copies the state. It costs a fraction of what encoding does, since it
+// blocks all else: rows are copied in bulk, with only those lists below them
+// that commands write in place, and the maps of the large tables are left to
+// Encode.
 func (s *Store) Snapshot() *Snapshot {
 	frozen := *s
 	frozen.derived = derived{}
-	frozen.ConfigurationHistory.Accepted, frozen.ConfigurationHistory.Refused = slices.Clone(s.ConfigurationHistory.Accepted), slices.Clone(s.ConfigurationHistory.Refused)
+	frozen.ConfigurationHistory.Accepted = slices.Clone(s.ConfigurationHistory.Accepted)
+	frozen.ConfigurationHistory.Refused = slices.Clone(s.ConfigurationHistory.Refused)
 	frozen.Routes = copyRows(s.Routes).build()
 	frozen.Services = maps.Clone(s.Services)
 	frozen.Rollups = copyRows(s.Rollups).build()
@@ -26,22 +28,22 @@
 	frozen.VoidedOffers = maps.Clone(s.VoidedOffers)
 	frozen.Loans = copyRows(s.Loans).build()
 	frozen.Demand = maps.Clone(s.Demand)
-	for lane, buckets := range frozen.Demand {
-		frozen.Demand[lane] = maps.Clone(buckets)
+	for route, buckets := range frozen.Demand {
+		frozen.Demand[route] = maps.Clone(buckets)
 	}
 	frozen.Aggregators = maps.Clone(s.Aggregators)
 	frozen.CrashBackoffs = maps.Clone(s.CrashBackoffs)
-	workers, devices, allocs, jobs := copyRows(s.Workers), copyDevices(s.Devices), copyRows(s.Allocations), copyJobs(s.Jobs)
+	workers, devices, allocations, jobs := copyRows(s.Workers), copyDevices(s.Devices), copyRows(s.Allocations), copyJobs(s.Jobs)
 	return &Snapshot{&frozen, []func(){
 		func() { frozen.Workers = workers.build() },
 		func() { frozen.Devices = devices.build() },
-		func() { frozen.Allocations = allocs.build() },
+		func() { frozen.Allocations = allocations.build() },
 		func() { frozen.Jobs = jobs.build() },
 	}}
 }
 
-// Encode encodes the copy; the bytes are those that Store.Save gave when it was
-// made.
+// Encode encodes the copy, to the bytes that Store.EncodeSnapshot would have
+// given when it was made.
 func (s *Snapshot) Encode() []byte {
 	for _, build := range s.buildLargeTables {
 		build()
@@ -50,54 +52,56 @@
 	return s.store.EncodeSnapshot()
 }
 
-// tableCopy is a table as two lists of one length.
+// tableCopy is a copy of a table as two lists of one length.
 type tableCopy[K comparable, V any] struct {
 	keys  []K
 	rows  []V
 	isNil bool // there was no table at all
 }
 
-// copyRows copies a table; all rows share one allocation.
+// copyRows copies a table; all its rows share one allocation of memory.
 func copyRows[K comparable, V any](table map[K]*V) *tableCopy[K, V] {
 	c := &tableCopy[K, V]{make([]K, 0, len(table)), make([]V, 0, len(table)), table == nil}
-	for k, v := range table {
-		c.keys = append(c.keys, k)
-		c.rows = append(c.rows, *v)
+	for key, row := range table {
+		c.keys = append(c.keys, key)
+		c.rows = append(c.rows, *row)
 	}
 	return c
 }
 
+// build makes the table of the copy.
 func (c *tableCopy[K, V]) build() map[K]*V {
 	if c.isNil {
 		return nil
 	}
-	out := make(map[K]*V, len(c.rows))
-	for i, k := range c.keys {
-		out[k] = &c.rows[i]
+	table := make(map[K]*V, len(c.rows))
+	for i, key := range c.keys {
+		table[key] = &c.rows[i]
 	}
-	return out
+	return table
 }
 
-// copyDevices copies bookings too, which are dropped in place.
+// copyDevices copies reservations too, which are dropped in place.
 func copyDevices(table map[string]*Device) *tableCopy[string, Device] {
 	c := copyRows(table)
-	n := 0
+	count := 0
 	for i := range c.rows {
-		n += len(c.rows[i].Reservations)
+		count += len(c.rows[i].Reservations)
 	}
-	reservations := make([]Reservation, 0, n)
+	reservations := make([]Reservation, 0, count)
 	for i := range c.rows {
-		if d := &c.rows[i]; d.Reservations != nil {
+		if device := &c.rows[i]; device.Reservations != nil {
 			from := len(reservations)
-			reservations = append(reservations, d.Reservations...)
-			d.Reservations = reservations[from:len(reservations):len(reservations)]
+			reservations = append(reservations, device.Reservations...)
+			device.Reservations = reservations[from:len(reservations):len(reservations)]
 		}
 	}
 	return c
 }
 
-// copyJobs copies instances, steps and tasks too; what was handed in, and the
-// lists of a task's runs, are replaced and never written in place.
+// copyJobs copies instances, steps and tasks too. The steps as they were
+// submitted, and the lists of a task's allocations, are replaced and never
+// written in place.
 func copyJobs(table map[string]*Job) *tableCopy[string, Job] {
 	c := copyRows(table)
 	for i := range c.rows {
@@ -106,13 +110,13 @@
 			continue
 		}
 		instances := make([]*JobInstance, len(job.Instances))
-		for k, instance := range job.Instances {
+		for number, instance := range job.Instances {
 			instanceCopy := *instance
 			instanceCopy.Steps = append(instanceCopy.Steps[:0:0], instance.Steps...)
-			for x := range instanceCopy.Steps {
-				instanceCopy.Steps[x].Tasks = append(instanceCopy.Steps[x].Tasks[:0:0], instanceCopy.Steps[x].Tasks...)
+			for step := range instanceCopy.Steps {
+				instanceCopy.Steps[step].Tasks = append(instanceCopy.Steps[step].Tasks[:0:0], instanceCopy.Steps[step].Tasks...)
 			}
-			instances[k] = &instanceCopy
+			instances[number] = &instanceCopy
 		}
 		job.Instances = instances
 	}
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -1,11 +1,8 @@
-// Package state is the replicated state: workers, devices, allocations,
-// bookings, guarded room, jobs and desired state. Commands change it, each by
-// its Apply, and the same commands in the same order give the same state.
 package state
 
 import (
-	"sort"
-	"strconv"
+	"cmp"
+	"slices"
 
 	"tealpond/internal/clusterconfig"
 )
@@ -15,68 +12,68 @@
 // replicas that run different versions aren't compared.
 const FormatVersion = 3
 
-// Forever is the end of a booking that closes when the worker lists its end.
-const Forever = int64(1) << 62
-
-// Limits are figures of the rules that the state needs. They are part of it
-// and come by a command: the settings of two machines may differ, and what a
-// command does must not.
+// Limits are figures of the operators' settings that commands need. They are
+// part of the state and come by a command, since the settings of two machines
+// may differ and what a command does must not.
 type Limits struct {
 	_              struct{} `cbor:",toarray"`
-	JobRetentionMs int64    // how long a job that is over is known; 0: for good
-	MaxReplans     int
-	RemoteFactor   float64 // how many times as long a task takes away from its data
+	JobRetentionMs int64    // how long a job is kept after its end; 0: for good
+	MaxReplans     int      // of one plan, see ApplyPlans
+	RemoteFactor   float64  // how many times as long a task takes away from its data
 }
 
-// Store is the whole state: its exported fields are what replicas agree on and
-// snapshots hold, under the names of their tags, which stay when a field is
-// renamed. Freeze copies each of them.
+// Store is the whole state. Its exported fields are what replicas agree on and
+// snapshots hold, under the names of their tags. The tags stay when a field is
+// renamed, since snapshots of earlier versions bear them. Snapshot copies each
+// field. Other packages read the tables; only commands change them.
 type Store struct {
-	AppliedIndex         uint64                           `cbor:"Applied"` // the index of the last entry of the log that was applied
-	Clock                int64                            `cbor:"Clock"`
-	WallClock            int64                            `cbor:"Wall"`
-	Configuration        clusterconfig.Config             `cbor:"Desired"`
+	AppliedIndex         uint64                           `cbor:"Applied"` // of the last entry of the log that was applied
+	Clock                int64                            `cbor:"Clock"`   // ms, see the package's comment
+	WallClock            int64                            `cbor:"Wall"`    // ms since 1970
+	Configuration        clusterconfig.Config             `cbor:"Desired"` // version 0: there is none yet
 	ConfigurationHistory ConfigurationHistory             `cbor:"Taken"`
-	Origin               uint64                           `cbor:"Origin"`
-	Routes               map[string]*clusterconfig.Route  `cbor:"Lanes"`
-	Services             map[string]clusterconfig.Service `cbor:"Services"`
+	Origin               uint64                           `cbor:"Origin"`   // not in use
+	Routes               map[string]*clusterconfig.Route  `cbor:"Lanes"`    // by name, with those of earlier configurations
+	Services             map[string]clusterconfig.Service `cbor:"Services"` // by name, with those of earlier configurations
 	Workers              map[string]*Worker               `cbor:"Workers"`
 	Devices              map[string]*Device               `cbor:"Devices"`
 	Allocations          map[uint64]*Allocation           `cbor:"Allocs"`
 	Jobs                 map[string]*Job                  `cbor:"Jobs"`
-	Rollups              map[string]*Rollup               `cbor:"Rollups"`
-	LastID               uint64                           `cbor:"Last"`
+	Rollups              map[string]*Rollup               `cbor:"Rollups"` // by service
+	LastID               uint64                           `cbor:"Last"`    // the last number that was given to an allocation, a fence, an offer or a loan
 	LastJobSequence      int64                            `cbor:"LastSeq"`
-	Epoch                string                           `cbor:"Epoch"`
+	Epoch                string                           `cbor:"Epoch"` // see SetEpoch
 	Peers                map[string]*PeerProgress         `cbor:"Peers"`
-	VoidedOffers         map[string]int64                 `cbor:"Voids"`
+	VoidedOffers         map[string]int64                 `cbor:"Voids"` // by peer and job, the newest
 	Loans                map[string]*Loan                 `cbor:"Loans"`
-	Demand               map[string]map[int64]float64     `cbor:"Demand"` // core-ms asked, by lane and bucket
+	Demand               map[string]map[int64]float64     `cbor:"Demand"` // submitted work in cores times ms, by route and bucket
 	Aggregators          map[string]ZoneAggregator        `cbor:"Duties"` // by zone
 	CrashBackoffs        map[string]CrashBackoff          `cbor:"Flaps"`  // by node
 	Limits               Limits                           `cbor:"Limits"`
-	// DigestChain covers all entries from DigestChainFrom on, see digest.go; 0: none yet.
+	// DigestChain covers all entries from DigestChainFrom on, see digest.go. It
+	// hasn't begun while that is 0.
 	DigestChain     uint64 `cbor:"Chain"`
 	DigestChainFrom uint64 `cbor:"ChainFrom"`
 
 	derived
 }
 
-// derived follows from the tables and is never saved.
+// derived is what follows from the tables, or waits to be taken by the owner of
+// the state. It is not in snapshots.
 type derived struct {
 	routeTable          *clusterconfig.RouteTable
 	openJobs            map[string]*Job
-	periodicJobs        map[string]*Job
+	periodicJobs        map[string]*Job // that have instances to come
 	allocationsByWorker map[string]map[uint64]*Allocation
 	changedRuns         []uint64
 	endedJobs           []*Job
 	confirmedDigests    []ConfirmDigest
 	closedRuns          []ClosedRun
-	undoLog             *[]func()
+	undoLog             *[]func() // of the innermost savepoint; nil: none is open
 	index               schedulingIndex
 }
 
-// New gives an empty state.
+// New returns an empty state.
 func New(limits Limits) *Store {
 	s := &Store{Routes: map[string]*clusterconfig.Route{}, Services: map[string]clusterconfig.Service{}, Workers: map[string]*Worker{},
 		Devices: map[string]*Device{}, Allocations: map[uint64]*Allocation{}, Jobs: map[string]*Job{}, Rollups: map[string]*Rollup{}}
@@ -85,7 +82,8 @@
 	return s
 }
 
-// derive rebuilds what follows from the tables.
+// derive rebuilds what follows from the tables. It panics if they contradict one
+// another.
 func (s *Store) derive() {
 	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
 	s.openJobs, s.periodicJobs = map[string]*Job{}, map[string]*Job{}
@@ -93,7 +91,7 @@
 	for id, job := range s.Jobs {
 		if !job.ended() {
 			s.openJobs[id] = job
-			if job.PeriodicInstances > 0 && job.NextInstance < job.PeriodicInstances {
+			if job.hasMoreInstances() {
 				s.periodicJobs[id] = job
 			}
 		}
@@ -113,70 +111,10 @@
 	allocations[allocation.ID] = allocation
 }
 
-// RemoteFactor is the factor for work away from its data.
-func (s *Store) RemoteFactor() float64 { return max(s.Limits.RemoteFactor, 1) }
-
-// RouteTable looks lanes up.
-func (s *Store) RouteTable() *clusterconfig.RouteTable { return s.routeTable }
-
-// OpenJobs lists the jobs that are not over, by age.
-func (s *Store) OpenJobs() []*Job {
-	out := make([]*Job, 0, len(s.openJobs))
-	for _, j := range s.openJobs {
-		out = append(out, j)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Sequence < out[b].Sequence })
-	return out
-}
-
-// AllocationsOn lists the allocations on a worker, by number.
-func (s *Store) AllocationsOn(worker string) []*Allocation {
-	m := s.allocationsByWorker[worker]
-	out := make([]*Allocation, 0, len(m))
-	for _, a := range m {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
-	return out
-}
-
-// TakeChangedRuns hands out the allocations that were booked or told to stop since.
-func (s *Store) TakeChangedRuns() []uint64 {
-	out := s.changedRuns
-	s.changedRuns = nil
-	return out
-}
-
-// TakeEndedJobs hands out the jobs that ended since.
-func (s *Store) TakeEndedJobs() []*Job {
-	out := s.endedJobs
-	s.endedJobs = nil
-	return out
-}
-
-// NextDueAt is the true time at which the next timed run falls due, or 0.
-func (s *Store) NextDueAt() int64 {
-	due := int64(0)
-	for _, j := range s.periodicJobs {
-		if d := j.dueAt(j.NextInstance); due == 0 || d < due {
-			due = d
-		}
-	}
-	return due
-}
-
-func itoa(i int) string { return strconv.Itoa(i) }
-
-// TaskName is the protocol's name of a task.
-func TaskName(job string, instance, step, index int) string {
-	return job + "." + itoa(instance) + "." + itoa(step) + "." + itoa(index)
-}
-
-// AdvanceClock stamps a command's time; it never goes back.
+// AdvanceClock moves the clocks to the times of an entry, in ms; the state clock
+// never goes back. Periodic jobs whose next instances are due get them.
 func (s *Store) AdvanceClock(clock, wall int64) {
-	if clock > s.Clock {
-		s.Clock = clock
-	}
+	s.Clock = max(s.Clock, clock)
 	s.WallClock = wall
 	if len(s.periodicJobs) == 0 {
 		return
@@ -187,33 +125,90 @@
 			due = append(due, job)
 		}
 	}
-	sort.Slice(due, func(a, b int) bool { return due[a].Sequence < due[b].Sequence })
+	sortBySequence(due)
 	for _, job := range due {
-		for job.NextInstance < job.PeriodicInstances && job.dueAt(job.NextInstance) <= wall {
+		for job.hasMoreInstances() && job.dueAt(job.NextInstance) <= wall {
 			s.addInstance(job)
 		}
-		if job.NextInstance >= job.PeriodicInstances {
+		if !job.hasMoreInstances() {
 			delete(s.periodicJobs, job.ID)
 		}
 	}
 }
 
-// JobStatus is the word for a job's state, false if it is unknown.
+// NextDueAt is when the next instance of a periodic job falls due, on the wall
+// clock; 0 if none is to come.
+func (s *Store) NextDueAt() int64 {
+	next := int64(0)
+	for _, job := range s.periodicJobs {
+		if due := job.dueAt(job.NextInstance); next == 0 || due < next {
+			next = due
+		}
+	}
+	return next
+}
+
+// RemoteFactor is how many times as long a task takes away from its data.
+func (s *Store) RemoteFactor() float64 { return max(s.Limits.RemoteFactor, 1) }
+
+// RouteTable finds the routes of the configuration in force.
+func (s *Store) RouteTable() *clusterconfig.RouteTable { return s.routeTable }
+
+// OpenJobs lists the jobs that haven't ended, in the order of acceptance.
+func (s *Store) OpenJobs() []*Job {
+	jobs := make([]*Job, 0, len(s.openJobs))
+	for _, job := range s.openJobs {
+		jobs = append(jobs, job)
+	}
+	sortBySequence(jobs)
+	return jobs
+}
+
+func sortBySequence(jobs []*Job) {
+	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.Sequence, b.Sequence) })
+}
+
+// JobStatus is a job's status as clients are shown it; false if there is no such
+// job.
 func (s *Store) JobStatus(id string) (string, bool) {
-	j := s.Jobs[id]
-	if j == nil {
+	job := s.Jobs[id]
+	if job == nil {
 		return "", false
 	}
-	return j.Status(), true
+	return job.Status(), true
 }
 
-// PendingJobs counts the jobs of a lane of which nothing has run yet.
+// PendingJobs counts the jobs of a route of which nothing has run yet.
 func (s *Store) PendingJobs(route string) int {
-	n := 0
+	count := 0
 	for _, job := range s.openJobs {
-		if job.Route == route && job.Status() == "pending" {
-			n++
+		if job.Route == route && job.Status() == StatusPending {
+			count++
 		}
 	}
-	return n
+	return count
+}
+
+// AllocationsOn lists the allocations on a worker by ID, the oldest first.
+func (s *Store) AllocationsOn(worker string) []*Allocation {
+	allocations := make([]*Allocation, 0, len(s.allocationsByWorker[worker]))
+	for _, allocation := range s.allocationsByWorker[worker] {
+		allocations = append(allocations, allocation)
+	}
+	slices.SortFunc(allocations, func(a, b *Allocation) int { return cmp.Compare(a.ID, b.ID) })
+	return allocations
+}
+
+// TakeChangedRuns returns the IDs of the allocations that were booked, or told
+// to stop, since the last call.
+func (s *Store) TakeChangedRuns() []uint64 { return take(&s.changedRuns) }
+
+// TakeEndedJobs returns the jobs that ended since the last call.
+func (s *Store) TakeEndedJobs() []*Job { return take(&s.endedJobs) }
+
+// take empties a list and returns what it held.
+func take[T any](list *[]T) []T {
+	taken := *list
+	*list = nil
+	return taken
 }
--- /dev/null
+++ b/internal/state/void_offer.go
@@ -0,0 +1,25 @@
+package state
+
+// VoidOffer asks the target to settle an offer: it is accepted if it was, and
+// else never will be.
+type VoidOffer struct {
+	_       struct{} `cbor:",toarray"`
+	Peer    string
+	OfferID int64
+	ID      string
+	Cancel  bool // cancel the job if it was accepted
+}
+
+// Apply settles the offer. The outcome's Text is AnswerVoided, or what
+// IncomingJobStatus tells of a job that was accepted.
+func (c *VoidOffer) Apply(s *Store) Outcome {
+	job := s.Jobs[c.ID]
+	if job == nil || !job.cameBy(c.Peer, c.OfferID) {
+		s.voidOffer(c.Peer, c.ID, c.OfferID)
+		return Outcome{Code: CodeOK, Text: AnswerVoided}
+	}
+	if c.Cancel && !job.ended() {
+		s.cancelJob(job)
+	}
+	return Outcome{Code: CodeOK, Text: IncomingJobStatus(job)}
+}
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -1,9 +1,14 @@
 package state
 
-import "tealpond/internal/protocol"
+import (
+	"slices"
 
-// Worker is the row of one life of a runner; eligibility writes and bookings
-// meet on it through Ver.
+	"tealpond/internal/protocol"
+)
+
+// Worker is the row of one registered life of a runner: a runner that crashed
+// and came back is another worker. Commands that make a worker ineligible raise
+// Version, so that placements planned before them are refused.
 type Worker struct {
 	_              struct{} `cbor:",toarray"`
 	ID             string
@@ -14,20 +19,21 @@
 	Capacity       protocol.Resources
 	UsedMilliCPU   int64
 	UsedMemoryMB   int64
-	Fence          int64
-	AgentProcess   string
+	Fence          int64  // rises with each registration; see RegisterWorker
+	AgentProcess   string // of the agent that registered it
 	Draining       bool
-	LeavesAt       int64 // on the store clock, 0 if it stays
-	Unhealthy      bool
-	LeaseExpired   bool // its holds have surely lapsed
-	Dead           bool // this life is over for good
+	LeavesAt       int64 // 0 if it stays
+	Unhealthy      bool  // silent or standing still: no new work for now
+	LeaseExpired   bool  // its leases have surely expired, so nothing runs there
+	Dead           bool  // it crashed, and never comes back
 	Version        uint64
-	LastCompletion int64 // all ends up to this number are committed
-	BackoffUntil   int64 // turned a start away lately
+	LastCompletion int64 // all completions up to this number are committed
+	BackoffUntil   int64 // no new work before, since it refused a start or its node's runner crashed
 	position       indexPosition
 }
 
-// Rack is the label of the worker's rack: its kind comes first, its rack last.
+// Rack is the label of the worker's rack. A worker's labels begin with its kind
+// and end with its rack.
 func (w *Worker) Rack() string {
 	if len(w.Labels) == 0 {
 		return ""
@@ -36,44 +42,55 @@
 }
 
 // HasLabel tells whether the worker bears a label.
-func (w *Worker) HasLabel(label string) bool {
-	for _, l := range w.Labels {
-		if l == label {
-			return true
-		}
-	}
-	return false
-}
+func (w *Worker) HasLabel(label string) bool { return slices.Contains(w.Labels, label) }
 
-// RemoteFrom tells whether work whose data lies near a rack is away from it here.
+// RemoteFrom tells whether a worker is away from the rack near which a task's
+// data lies; an empty label is near all.
 func (w *Worker) RemoteFrom(label string) bool { return label != "" && !w.HasLabel(label) }
 
-// Schedulable is the predicate of eligibility.
+// Schedulable tells whether the worker may be given new work.
 func (w *Worker) Schedulable() bool { return !w.Draining && !w.Unhealthy && !w.LeaseExpired && !w.Dead }
 
-// leave notes that the worker drains and, from 0 on, in how many ms it leaves.
-// A life that drains or signed off never stays after all, and leaves no later
+// FreeMilliCPU is the CPU that isn't used; never below 0.
+func (w *Worker) FreeMilliCPU() int64 { return max(0, w.Capacity.CPUUnits-w.UsedMilliCPU) }
+
+// FreeMemoryMB is the memory that isn't used; never below 0.
+func (w *Worker) FreeMemoryMB() int64 { return max(0, w.Capacity.MemoryMB-w.UsedMemoryMB) }
+
+// leave notes that the worker drains and, unless leavesInMs is negative, when
+// it leaves. A worker that drains never stays after all, and leaves no later
 // than was known before: what comes later may be older news.
-func (w *Worker) leave(clock, leavesIn int64) {
+func (w *Worker) leave(clock, leavesInMs int64) {
 	w.Draining = true
-	if at := clock + leavesIn; leavesIn >= 0 && (w.LeavesAt == 0 || at < w.LeavesAt) {
+	if at := clock + leavesInMs; leavesInMs >= 0 && (w.LeavesAt == 0 || at < w.LeavesAt) {
 		w.LeavesAt = at
 	}
 }
 
-// FreeMilliCPU and FreeMemoryMB are max(0, allocatable - allocated).
-func (w *Worker) FreeMilliCPU() int64 { return max(0, w.Capacity.CPUUnits-w.UsedMilliCPU) }
-func (w *Worker) FreeMemoryMB() int64 { return max(0, w.Capacity.MemoryMB-w.UsedMemoryMB) }
-
-// claimCapacity is the guarded counter: false changes nothing.
-func (s *Store) claimCapacity(worker *Worker, milliCPU, memoryMB int64) bool {
-	// Why a ratio of 1: rooms are not overcommitted until a bench shows gain.
+// claimResources takes CPU and memory of a worker; false, and nothing is
+// changed, if it has less than that. Nothing is overcommitted.
+func (s *Store) claimResources(worker *Worker, milliCPU, memoryMB int64) bool {
 	if worker.UsedMilliCPU+milliCPU > worker.Capacity.CPUUnits || worker.UsedMemoryMB+memoryMB > worker.Capacity.MemoryMB {
 		return false
 	}
 	worker.UsedMilliCPU += milliCPU
 	worker.UsedMemoryMB += memoryMB
 	s.reindexWorker(worker)
-	s.recordUndo(func() { worker.UsedMilliCPU -= milliCPU; worker.UsedMemoryMB -= memoryMB; s.reindexWorker(worker) })
+	s.recordUndo(func() {
+		worker.UsedMilliCPU -= milliCPU
+		worker.UsedMemoryMB -= memoryMB
+		s.reindexWorker(worker)
+	})
 	return true
 }
+
+// retireWorker ends all that a crashed runner's worker held, for good.
+func (s *Store) retireWorker(worker *Worker) {
+	worker.Dead = true
+	worker.Version++
+	s.reindexWorker(worker)
+	s.endRunsOn(worker, ResultCrashed)
+	for i := 0; i < worker.Capacity.GPUs; i++ {
+		delete(s.Devices, gpuDeviceID(worker.ID, i))
+	}
+}
