--- a/internal/admin/jobrecord_test.go
+++ b/internal/admin/jobrecord_test.go
@@ -7,6 +7,7 @@
 	"tealpond/internal/rpc"
 )
 
+// testCluster gives the state of a cluster with these rows of jobs and moves.
 func testCluster(jobs, moves [][]any) rpc.ClusterState {
 	return rpc.ClusterState{Tables: []rpc.Table{
 		{Name: "jobs", Columns: []string{"id", "inbox", "state", "born_ms", "ended_ms"}, Rows: jobs},
@@ -14,6 +15,8 @@
 	}}
 }
 
+// TestJobRecordsNameMissingAndDoubledJobs: a job that moved is in the record once,
+// and it is faulty unless it finished once over all clusters.
 func TestJobRecordsNameMissingAndDoubledJobs(t *testing.T) {
 	a := testCluster([][]any{
 		{"1", "slow", "done", uint64(1), uint64(9)}, {"2", "slow", "done", uint64(1), uint64(9)}, {"3", "slow", "pending", uint64(1), uint64(0)},
@@ -34,6 +37,6 @@
 		}
 	}
 	if _, ok := got["5"]; ok {
-		t.Error("a job of another inbox is in the record")
+		t.Error("a job of another queue is in the record")
 	}
 }
--- a/internal/admin/members.go
+++ b/internal/admin/members.go
@@ -1,5 +1,3 @@
-// Package admin is for operators: it follows a change through all daemons and
-// answers SQL-like queries on the fleet's state. It only reads.
 package admin
 
 import (
@@ -15,31 +13,17 @@
 	"tealpond/internal/tuning"
 )
 
-// Error is the class of faults of tools.
+// Error is the class of errors of this package.
 var Error = errs.Class("fleet")
 
 // ErrUnreachable means that no daemon answered.
 var ErrUnreachable = Error.New("no daemon reachable")
 
-// ListMembers lists the core daemons known at the given addresses and, if there
-// is a leader, all daemons that hold a membership lease.
+// ListMembers lists the addresses of the servers that the daemons at the given
+// addresses know of and, if there is a leader, all daemons whose membership is
+// valid. The error is ErrUnreachable if none of the given daemons answered.
 func ListMembers(ctx context.Context, addresses []string) (servers []string, members []rpc.MembershipLease, err error) {
-	seen := map[string]bool{}
-	answered := false
-	for _, address := range addresses {
-		response, callErr := rpc.Call(ctx, address, rpc.KindLeader, nil, tuning.ToolRequestTimeout)
-		var info rpc.LeaderInfo
-		if callErr != nil || transport.Decode(response.Body, &info) != nil {
-			continue
-		}
-		answered = true
-		for _, server := range info.KnownServers {
-			if !seen[server] {
-				seen[server] = true
-				servers = append(servers, server)
-			}
-		}
-	}
+	servers, answered := listServers(ctx, addresses)
 	if !answered {
 		return nil, nil, ErrUnreachable
 	}
@@ -49,13 +33,36 @@
 	go client.Run(runCtx)
 	callCtx, done := context.WithTimeout(ctx, tuning.ToolRequestTimeout)
 	defer done()
-	if response := client.Call(callCtx, rpc.KindListMembers, struct{}{}); response.Code == 200 {
-		_ = transport.Decode(response.Body, &members)
+	response := client.Call(callCtx, rpc.KindListMembers, struct{}{})
+	if response.Code != rpc.CodeOK || transport.Decode(response.Body, &members) != nil {
+		// Without a leader, or with one whose list can't be read, the servers are
+		// known all the same.
+		return servers, nil, nil
 	}
 	return servers, members, nil
 }
 
-// callAll asks many daemons side by side.
+// listServers asks the daemons at the addresses for the servers that they know of;
+// false if none answered.
+func listServers(ctx context.Context, addresses []string) (servers []string, answered bool) {
+	for _, address := range addresses {
+		response, err := rpc.Call(ctx, address, rpc.KindLeader, nil, tuning.ToolRequestTimeout)
+		var info rpc.LeaderInfo
+		if err != nil || transport.Decode(response.Body, &info) != nil {
+			continue
+		}
+		answered = true
+		for _, server := range info.KnownServers {
+			if !slices.Contains(servers, server) {
+				servers = append(servers, server)
+			}
+		}
+	}
+	return servers, answered
+}
+
+// callAll sends a request to many daemons at once and gives the responses by
+// address; those that failed are left out.
 func callAll(ctx context.Context, addresses []string, kind string, body []byte) map[string]rpc.Response {
 	responses := map[string]rpc.Response{}
 	var mu sync.Mutex
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"database/sql"
+	"errors"
 	"fmt"
 	"strings"
 
@@ -13,19 +14,20 @@
 	"tealpond/internal/tuning"
 )
 
-// Result is a bounded answer to a query.
+// Result is the answer to a query.
 type Result struct {
 	Columns []string
-	Rows    [][]string
-	// Truncated: there were more rows than asked for.
+	Rows    [][]string // as text, NULL as the empty text
+	// Truncated tells that there were more rows than asked for.
 	Truncated bool
-	// PartialTables names tables of which the daemon gave only a part.
+	// PartialTables names the tables of which the server gave only a part.
 	PartialTables []string
-	Server        string
+	Server        string // the name of the machine whose state it is
 }
 
-// FetchState takes the state of one core daemon, a follower if one answers: a query
-// must not slow the placing that the leader does.
+// FetchState takes the state of one server, a follower if one answers, so that a
+// query does not slow the leader's scheduling. The error is ErrUnreachable if no
+// server answered.
 func FetchState(ctx context.Context, addresses []string) (rpc.ClusterState, error) {
 	servers, _, err := ListMembers(ctx, addresses)
 	if err != nil {
@@ -49,6 +51,7 @@
 	return *leaderState, nil
 }
 
+// columnType is the SQL type of a value; empty if it has none of its own.
 func columnType(value any) string {
 	switch value.(type) {
 	case string:
@@ -59,15 +62,16 @@
 	return ""
 }
 
-// Query runs one SELECT over the tables.
-func Query(ctx context.Context, cluster rpc.ClusterState, query string, limit int) (Result, error) {
+// Query runs one SELECT over the tables of a server and gives at most limit rows. The
+// error is of class Error.
+func Query(ctx context.Context, cluster rpc.ClusterState, query string, limit int) (result Result, err error) {
 	db, err := sql.Open("sqlite3", ":memory:")
 	if err != nil {
 		return Result{}, Error.Wrap(err)
 	}
-	defer db.Close()
+	defer func() { err = errors.Join(err, Error.Wrap(db.Close())) }()
 	db.SetMaxOpenConns(1)
-	result := Result{Server: cluster.Node}
+	result.Server = cluster.Node
 	for _, table := range cluster.Tables {
 		if table.Truncated {
 			result.PartialTables = append(result.PartialTables, table.Name)
@@ -76,8 +80,8 @@
 			return Result{}, err
 		}
 	}
-	// Why twice: query_only stops writes, and the check of the first word
-	// gives a plain error instead of the engine's.
+	// query_only stops writes; the first word is checked as well, since that gives
+	// a plainer error than the engine's.
 	word, _, _ := strings.Cut(strings.ToLower(strings.TrimSpace(query)), " ")
 	if word != "select" && word != "with" {
 		return Result{}, Error.New("only SELECT is answered, not %q", word)
@@ -87,24 +91,33 @@
 	}
 	rows, err := db.QueryContext(ctx, query)
 	if err != nil {
-		return Result{}, Error.New("the query is not understood: %v", err)
+		return Result{}, Error.New("the query is not understood: %w", err)
 	}
-	defer rows.Close()
-	if result.Columns, err = rows.Columns(); err != nil {
-		return Result{}, Error.Wrap(err)
+	defer func() { err = errors.Join(err, Error.Wrap(rows.Close())) }()
+	if err := result.read(rows, limit); err != nil {
+		return Result{}, err
+	}
+	return result, nil
+}
+
+// read takes at most limit rows into the result.
+func (r *Result) read(rows *sql.Rows, limit int) error {
+	var err error
+	if r.Columns, err = rows.Columns(); err != nil {
+		return Error.Wrap(err)
+	}
+	values := make([]any, len(r.Columns))
+	pointers := make([]any, len(values))
+	for i := range values {
+		pointers[i] = &values[i]
 	}
 	for rows.Next() {
-		if len(result.Rows) >= limit {
-			result.Truncated = true
+		if len(r.Rows) >= limit {
+			r.Truncated = true
 			break
 		}
-		values := make([]any, len(result.Columns))
-		pointers := make([]any, len(values))
-		for i := range values {
-			pointers[i] = &values[i]
-		}
 		if err := rows.Scan(pointers...); err != nil {
-			return Result{}, Error.Wrap(err)
+			return Error.Wrap(err)
 		}
 		row := make([]string, len(values))
 		for i, value := range values {
@@ -112,14 +125,15 @@
 				row[i] = fmt.Sprint(value)
 			}
 		}
-		result.Rows = append(result.Rows, row)
+		r.Rows = append(r.Rows, row)
 	}
 	if err := rows.Err(); err != nil {
-		return Result{}, Error.New("the query failed: %v", err)
+		return Error.New("the query failed: %w", err)
 	}
-	return result, nil
+	return nil
 }
 
+// loadTable makes a table of the database from one of a server.
 func loadTable(ctx context.Context, db *sql.DB, table rpc.Table) error {
 	columns := make([]string, len(table.Columns))
 	for i, column := range table.Columns {
@@ -138,13 +152,13 @@
 	placeholders := strings.TrimSuffix(strings.Repeat("?,", len(table.Columns)), ",")
 	for _, row := range table.Rows {
 		for i, value := range row {
+			// The engine's integers are signed.
 			if unsigned, ok := value.(uint64); ok {
 				row[i] = int64(unsigned)
 			}
 		}
 		if _, err := tx.ExecContext(ctx, "INSERT INTO "+table.Name+" VALUES ("+placeholders+")", row...); err != nil {
-			_ = tx.Rollback()
-			return Error.Wrap(err)
+			return errors.Join(Error.Wrap(err), Error.Wrap(tx.Rollback()))
 		}
 	}
 	return Error.Wrap(tx.Commit())
--- a/internal/admin/query_test.go
+++ b/internal/admin/query_test.go
@@ -11,6 +11,7 @@
 	"tealpond/internal/rpc"
 )
 
+// sampleState is the state that the examples are about.
 func sampleState() rpc.ClusterState {
 	return rpc.ClusterState{Node: "edge-1", Tables: []rpc.Table{
 		{Name: "workers", Columns: []string{"id", "cpu", "cpu_used", "draining"}, Rows: [][]any{
@@ -19,8 +20,8 @@
 	}}
 }
 
-// TestQuery runs the examples of docs/queries.md.
-func TestQuery(t *testing.T) {
+// TestQueryAnswersTheExamples runs docs/queries.examples.
+func TestQueryAnswersTheExamples(t *testing.T) {
 	datadriven.RunTest(t, "../../docs/queries.examples", func(t *testing.T, example *datadriven.TestData) string {
 		limit := 100
 		example.MaybeScanArgs(t, "limit", &limit)
--- a/internal/admin/trace.go
+++ b/internal/admin/trace.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"sort"
 
 	"tealpond/internal/rpc"
@@ -9,54 +11,52 @@
 	"tealpond/internal/transport"
 )
 
-// TraceStep is one mark of one daemon.
+// TraceStep is one event of a change in one daemon.
 type TraceStep struct {
-	Node string
+	Node string // the machine's name
 	tracing.Event
 }
 
 // ChangeTrace is a change's way through the daemons.
 type ChangeTrace struct {
-	Steps []TraceStep
-	// Unreachable daemons were named but didn't answer; Since tells of each
-	// daemon that has forgotten marks how far back it remembers.
-	Unreachable    []string
+	Steps []TraceStep // in the order of the daemons' clocks
+	// Unreachable are the daemons that are known of but gave no answer.
+	Unreachable []string
+	// RemembersSince holds, for each machine whose daemon has forgotten events, the
+	// time of day in ns from which on it remembers them.
 	RemembersSince map[string]int64
 }
 
-// TraceChange asks all daemons for their marks of a change: a job's ID, a task's
-// name or desired/VERSION.
+// TraceChange asks all daemons for the events of a change, which is named by a job's
+// ID, a task's name or desired/VERSION. The error is ErrUnreachable if none of the
+// seeds answered.
 func TraceChange(ctx context.Context, seeds []string, id string) (ChangeTrace, error) {
 	servers, members, err := ListMembers(ctx, seeds)
 	if err != nil {
 		return ChangeTrace{}, err
 	}
 	nameOf := map[string]string{}
-	for _, a := range append(append([]string(nil), seeds...), servers...) {
-		nameOf[a] = a
+	for _, address := range slices.Concat(seeds, servers) {
+		nameOf[address] = address
 	}
-	for _, mark := range members {
-		nameOf[mark.Addr] = mark.Node
+	for _, member := range members {
+		nameOf[member.Addr] = member.Node
 	}
-	var addresses []string
-	for a := range nameOf {
-		addresses = append(addresses, a)
-	}
-	sort.Strings(addresses)
+	addresses := slices.Sorted(maps.Keys(nameOf))
 	responses := callAll(ctx, addresses, rpc.KindTrace, []byte(id))
 	change := ChangeTrace{RemembersSince: map[string]int64{}}
-	for _, a := range addresses {
-		response, ok := responses[a]
+	for _, address := range addresses {
+		response, ok := responses[address]
 		var result rpc.TraceResult
 		if !ok || transport.Decode(response.Body, &result) != nil {
-			change.Unreachable = append(change.Unreachable, nameOf[a])
+			change.Unreachable = append(change.Unreachable, nameOf[address])
 			continue
 		}
 		if result.Since > 0 {
 			change.RemembersSince[result.Node] = result.Since
 		}
-		for _, mark := range result.Marks {
-			change.Steps = append(change.Steps, TraceStep{result.Node, mark})
+		for _, event := range result.Marks {
+			change.Steps = append(change.Steps, TraceStep{result.Node, event})
 		}
 	}
 	sort.SliceStable(change.Steps, func(a, b int) bool { return change.Steps[a].TimeNs < change.Steps[b].TimeNs })
