--- a/cmd/tealpond/main_test.go
+++ b/cmd/tealpond/main_test.go
@@ -8,12 +8,14 @@
 	"testing"
 )
 
-func TestCommandLine(t *testing.T) {
+// TestCommandLineExitCodes: each way in which a command line ends has its code and
+// says why.
+func TestCommandLineExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("nodeName = \"\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want string
@@ -29,9 +31,9 @@
 		{[]string{"trace", "--at", "127.0.0.1:1", "x"}, exitUnreachable, "no daemon reachable"},
 		{[]string{"record", "--cluster", "a=127.0.0.1:1"}, exitUnreachable, "a: fleet: no daemon reachable"},
 	} {
-		var out, errs bytes.Buffer
-		if code := run(c.args, &out, &errs); code != c.code || !strings.Contains(out.String()+errs.String(), c.want) {
-			t.Errorf("%v: %d, %q %q", c.args, code, out.String(), errs.String())
+		var stdout, stderr bytes.Buffer
+		if code := run(test.args, &stdout, &stderr); code != test.code || !strings.Contains(stdout.String()+stderr.String(), test.want) {
+			t.Errorf("%v: %d, %q %q", test.args, code, stdout.String(), stderr.String())
 		}
 	}
 }
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -4,9 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
+	"maps"
 	"os"
-	"sort"
+	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
@@ -20,48 +20,43 @@
 	"tealpond/internal/tuning"
 )
 
-// Exit codes of tools.
-const (
-	exitUnknown      = 3
-	exitUnreachable  = 4
-	exitInconsistent = 5
-)
-
-// addToolCommands adds the commands that are no daemons.
-func addToolCommands(app *kingpin.Application, commands map[string]func() int, stdout, stderr io.Writer) {
+// addTools adds the commands that are no daemons.
+func (p *program) addTools(app *kingpin.Application) {
 	checkCommand := app.Command("check", "Check a settings file (TOML) or a configuration (JSON); each fault is printed with its place.")
 	file := checkCommand.Arg("file", "The file.").Required().String()
-	commands[checkCommand.FullCommand()] = func() int { return checkFile(*file, stdout, stderr) }
+	p.commands[checkCommand.FullCommand()] = func() int { return p.checkFile(*file) }
 
 	traceCommand := app.Command("trace", "Follow one change through all daemons.")
 	traceID := traceCommand.Arg("id", "A job's ID, a task's name, or desired/VERSION.").Required().String()
 	traceAddresses := traceCommand.Flag("at", "A daemon's address for daemons (HOST:PORT, the first inner port); may be repeated.").Required().Strings()
-	commands[traceCommand.FullCommand()] = func() int { return traceChange(*traceAddresses, *traceID, stdout, stderr) }
+	p.commands[traceCommand.FullCommand()] = func() int { return p.traceChange(*traceAddresses, *traceID) }
 
 	recordCommand := app.Command("record", "Show each deferrable job: where it ran, when, and that it finished once.")
 	clusters := recordCommand.Flag("cluster", "NAME=HOST:PORT of a daemon of each cluster; repeated.").Required().StringMap()
-	inboxes := recordCommand.Flag("inbox", "A queue whose jobs are deferrable; repeated. Jobs that moved are always shown.").Strings()
-	commands[recordCommand.FullCommand()] = func() int { return showRecords(*clusters, *inboxes, stdout, stderr) }
+	queues := recordCommand.Flag("inbox", "A queue whose jobs are deferrable; repeated. Jobs that moved are always shown.").Strings()
+	p.commands[recordCommand.FullCommand()] = func() int { return p.showRecords(*clusters, *queues) }
 
 	queryCommand := app.Command("query", "Answer one SELECT over daemons, workers, devices, bookings, allocs, inboxes, jobs and rollups.")
 	text := queryCommand.Arg("sql", "The query.").Required().String()
 	queryAddresses := queryCommand.Flag("at", "A daemon's address for daemons; may be repeated.").Required().Strings()
 	limit := queryCommand.Flag("limit", "The most rows that are printed.").Default("1000").Int()
-	commands[queryCommand.FullCommand()] = func() int { return runQuery(*queryAddresses, *text, *limit, stdout, stderr) }
+	p.commands[queryCommand.FullCommand()] = func() int { return p.runQuery(*queryAddresses, *text, *limit) }
 }
 
-func reportError(stderr io.Writer, err error) int {
-	fmt.Fprintln(stderr, "tealpond:", err)
+// fail reports an error and returns the exit code for it.
+func (p *program) fail(err error) int {
+	p.reportf("%v", err)
 	if errors.Is(err, admin.ErrUnreachable) {
 		return exitUnreachable
 	}
 	return exitFault
 }
 
-func checkFile(file string, stdout, stderr io.Writer) int {
+// checkFile checks a settings file, or a configuration if it opens with a brace.
+func (p *program) checkFile(file string) int {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return reportError(stderr, err)
+		return p.fail(err)
 	}
 	if strings.HasPrefix(strings.TrimSpace(string(raw)), "{") {
 		if _, err = clusterconfig.Parse(raw); err == nil {
@@ -71,86 +66,94 @@
 		_, err = settings.Parse(file, raw)
 	}
 	if err != nil {
-		return reportError(stderr, err)
+		return p.fail(err)
 	}
-	fmt.Fprintln(stdout, "ok")
+	p.printf("ok\n")
 	return exitOK
 }
 
-func traceChange(addresses []string, id string, stdout, stderr io.Writer) int {
+// traceChange prints the events of a change, and what is missing of them.
+func (p *program) traceChange(addresses []string, id string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	change, err := admin.TraceChange(ctx, addresses, id)
 	if err != nil {
-		return reportError(stderr, err)
+		return p.fail(err)
 	}
 	for _, step := range change.Steps {
-		fmt.Fprintf(stdout, "at=%s node=%s id=%s what=%q n=%d text=%q\n", time.Unix(0, step.TimeNs).UTC().Format("15:04:05.000000"), step.Node, step.Subject, step.Action, step.Value, step.Detail)
+		p.printf("at=%s node=%s id=%s what=%q n=%d text=%q\n", time.Unix(0, step.TimeNs).UTC().Format("15:04:05.000000"), step.Node, step.Subject, step.Action, step.Value, step.Detail)
 	}
 	for _, node := range change.Unreachable {
-		fmt.Fprintf(stderr, "tealpond: %s did not answer: its part is missing\n", node)
+		p.reportf("%s did not answer: its part is missing", node)
 	}
-	var nodes []string
-	for node := range change.RemembersSince {
-		nodes = append(nodes, node)
-	}
-	sort.Strings(nodes)
-	for _, node := range nodes {
-		fmt.Fprintf(stderr, "tealpond: %s remembers since %s only\n", node, time.Unix(0, change.RemembersSince[node]).UTC().Format("15:04:05.000"))
+	for _, node := range slices.Sorted(maps.Keys(change.RemembersSince)) {
+		p.reportf("%s remembers since %s only", node, time.Unix(0, change.RemembersSince[node]).UTC().Format("15:04:05.000"))
 	}
 	if len(change.Steps) == 0 {
-		fmt.Fprintf(stderr, "tealpond: nothing is known of %s\n", id)
+		p.reportf("nothing is known of %s", id)
 		return exitUnknown
 	}
 	return exitOK
 }
 
-func showRecords(addresses map[string]string, inboxes []string, stdout, stderr io.Writer) int {
+// showRecords prints the record of the deferrable jobs of some clusters, which are
+// given by name with the address of a daemon each.
+func (p *program) showRecords(addresses map[string]string, queues []string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	clusters := map[string]rpc.ClusterState{}
 	for name, address := range addresses {
 		fetched, err := admin.FetchState(ctx, []string{address})
 		if err != nil {
-			return reportError(stderr, fmt.Errorf("%s: %w", name, err))
+			return p.fail(fmt.Errorf("%s: %w", name, err))
 		}
 		clusters[name] = fetched
 	}
 	code := exitOK
-	table := tabwriter.NewWriter(stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "job\tcluster\tran\tstate\tborn_ms\tended_ms\tfault")
-	for _, job := range admin.JobRecords(clusters, inboxes) {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%s\n", job.Job, job.Cluster, job.RanOn, job.State, job.SubmittedMs, job.EndedMs, job.Fault)
+	rows := [][]string{{"job", "cluster", "ran", "state", "born_ms", "ended_ms", "fault"}}
+	for _, job := range admin.JobRecords(clusters, queues) {
+		rows = append(rows, []string{job.Job, job.Cluster, job.RanOn, job.State, fmt.Sprint(job.SubmittedMs), fmt.Sprint(job.EndedMs), job.Fault})
 		if job.Fault != "" {
 			code = exitInconsistent
 		}
 	}
-	_ = table.Flush()
+	if err := p.printTable(rows); err != nil {
+		return p.fail(err)
+	}
 	return code
 }
 
-func runQuery(addresses []string, query string, limit int, stdout, stderr io.Writer) int {
+// runQuery prints the answer to an SQL query.
+func (p *program) runQuery(addresses []string, query string, limit int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.ToolTotalTimeout)
 	defer cancel()
 	cluster, err := admin.FetchState(ctx, addresses)
 	if err != nil {
-		return reportError(stderr, err)
+		return p.fail(err)
 	}
 	result, err := admin.Query(ctx, cluster, query, limit)
 	if err != nil {
-		return reportError(stderr, err)
+		return p.fail(err)
 	}
-	table := tabwriter.NewWriter(stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, strings.Join(result.Columns, "\t"))
-	for _, row := range result.Rows {
-		fmt.Fprintln(table, strings.Join(row, "\t"))
+	if err := p.printTable(append([][]string{result.Columns}, result.Rows...)); err != nil {
+		return p.fail(err)
 	}
-	_ = table.Flush()
 	if result.Truncated {
-		fmt.Fprintf(stderr, "tealpond: only the first %d rows are printed\n", limit)
+		p.reportf("only the first %d rows are printed", limit)
 	}
 	if len(result.PartialTables) > 0 {
-		fmt.Fprintf(stderr, "tealpond: %s gave only a part of: %s\n", result.Server, strings.Join(result.PartialTables, ", "))
+		p.reportf("%s gave only a part of: %s", result.Server, strings.Join(result.PartialTables, ", "))
 	}
 	return exitOK
 }
+
+// printTable prints rows in columns of equal width.
+func (p *program) printTable(rows [][]string) error {
+	table := tabwriter.NewWriter(p.stdout, 0, 4, 2, ' ', 0)
+	for _, row := range rows {
+		if _, err := fmt.Fprintln(table, strings.Join(row, "\t")); err != nil {
+			return err
+		}
+	}
+	return table.Flush()
+}
