--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -10,12 +10,6 @@
 	"tealpond/internal/tuning"
 )
 
-// aggregatedRequests are the requests of side daemons that a follower takes and
-// batches for the leader.
-var aggregatedRequests = map[string]bool{
-	rpc.KindRenewLease: true, rpc.KindRegisterWorker: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindRenewMembership: true,
-}
-
 // leaderResponse is the leader's answer to one batch.
 type leaderResponse struct {
 	aggregator *aggregator.Batcher // whose batch it was: each numbers its batches from 1
@@ -23,6 +17,14 @@
 	response   rpc.Response
 }
 
+// leaderlessFor is for how long no leader has been known here.
+func (r *Replica) leaderlessFor(now time.Time) time.Duration {
+	if r.node.Leader() != "" || r.leaderSeenAt.IsZero() {
+		r.leaderSeenAt = now
+	}
+	return now.Sub(r.leaderSeenAt)
+}
+
 // isAggregating tells whether this daemon may take requests of side daemons for the
 // leader.
 func (r *Replica) isAggregating(now time.Time) bool {
@@ -118,97 +120,3 @@
 	}
 	received.aggregator.HandleResponses(received.batch.ID, response, responses)
 }
-
-// memberSet is an aggregator's set of workers, as the leader was told it.
-// A set is known by the aggregator's process and its number: a batch of an
-// earlier process may arrive late, and may bear the number of a later set.
-type memberSet struct {
-	incarnation string
-	number      uint64
-	members     []rpc.BatchMember
-}
-
-// handleLeaseBatch renews the leases of all workers that ask for it in a batch.
-func (r *Replica) handleLeaseBatch(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var request rpc.LeaseBatch
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	set := r.memberSets[request.AggregatorDisk]
-	if request.Members != nil {
-		set = memberSet{request.AggregatorProcess, request.SetNumber, request.Members}
-		r.memberSets[request.AggregatorDisk] = set
-	}
-	if set.incarnation != request.AggregatorProcess || set.number != request.SetNumber || len(request.Requested) != (len(set.members)+7)/8 {
-		reply(rpc.Response{Code: 428, Text: "tell the set whole"})
-		return
-	}
-	now := time.Now()
-	var refusals []rpc.MemberRefusal
-	for i, member := range set.members {
-		if request.IsRequested(i) {
-			if code := r.renewLease(member.Worker, member.Fence, now); code != 200 {
-				refusals = append(refusals, rpc.MemberRefusal{Member: i, Code: code})
-			}
-		}
-	}
-	for _, ratio := range request.Runtimes {
-		if ratio.Member >= 0 && ratio.Member < len(set.members) {
-			if lease := r.leases[set.members[ratio.Member].Worker]; lease != nil {
-				lease.runtimeRatio = ratio.RuntimePercent
-			}
-		}
-	}
-	response := rpc.Response{Code: 200, Value: r.leaseDuration.Milliseconds()}
-	if len(refusals) > 0 {
-		response.Body = transport.Encode(refusals)
-	}
-	reply(response)
-}
-
-// renewLease renews a worker's lease from now on; the code is that of an HTTP answer.
-func (r *Replica) renewLease(id string, fence int64, now time.Time) int {
-	worker := r.state.Workers[id]
-	if worker == nil || worker.Dead {
-		return 410
-	}
-	lease := r.leases[id]
-	if worker.LeaseExpired || worker.Fence != fence || lease == nil || lease.expiring {
-		return 409
-	}
-	lease.grantedAt, lease.heardAt = now, now
-	return 200
-}
-
-// handleBatch answers the other requests of an aggregator, all in one.
-func (r *Replica) handleBatch(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var batch rpc.Batch
-	if transport.Decode(raw, &batch) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	r.metrics.count("many_asks", len(batch.Requests))
-	responses, remaining, unknown := make([]rpc.Response, len(batch.Requests)), len(batch.Requests), false
-	for i, request := range batch.Requests {
-		done := func(response rpc.Response) {
-			responses[i] = response
-			// One unclear outcome makes the whole batch unclear: the client
-			// then asks the next leader, and requests can be repeated.
-			unknown = unknown || response.Code == rpc.CodeLeadershipLost || response.Code == rpc.CodeNotLeader
-			if remaining--; remaining > 0 {
-				return
-			}
-			if unknown {
-				reply(rpc.Response{Code: rpc.CodeLeadershipLost})
-				return
-			}
-			reply(rpc.Response{Code: 200, Body: transport.Encode(responses)})
-		}
-		if handler := leaderHandlers[request.Kind]; handler != nil && aggregatedRequests[request.Kind] {
-			handler(r, request.Body, nil, done)
-		} else {
-			done(rpc.Response{Code: 400, Text: "unknown ask"})
-		}
-	}
-}
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"slices"
 	"time"
 
 	"tealpond/internal/bootstrap"
@@ -144,44 +143,3 @@
 		}()
 	}
 }
-
-// isBlank tells whether this daemon waits to be taken in and knows of nothing yet:
-// it was started again, bound to no set, and heard of no term.
-func (r *Replica) isBlank() bool {
-	return r.node != nil && len(r.persisted.Founders) == 0 && r.node.Term() == 0 && r.node.LastIndex() == 0
-}
-
-// handleBootstrapProposal takes what the seed said.
-func (r *Replica) handleBootstrapProposal(proposal rpc.BootstrapProposal) {
-	if !r.StorageOpened() || r.identityResets > 0 {
-		return
-	}
-	named := slices.Contains(proposal.Voters, r.self)
-	if r.isBlank() && named {
-		// It announced itself before it was restarted, and the others wait for
-		// it: to stand by until it is taken in would block them for good.
-		r.node = nil
-	}
-	if r.node != nil || len(proposal.Voters) == 0 {
-		return
-	}
-	if len(r.persisted.Founders) == 0 {
-		if !named {
-			// The core was founded without this daemon, which joins it.
-			r.startNode(r.persisted.Snapshot)
-			return
-		}
-		snapshot := raft.Snapshot{Index: 1, Voters: proposal.Voters}
-		if err := r.disk.Bootstrap(proposal.Voters, snapshot); err != nil {
-			_ = r.log.Log("level", "error", "event", "core.bind", "why", err)
-			return
-		}
-		r.persisted.Founders, r.persisted.Snapshot = proposal.Voters, snapshot
-		r.lastSnapshotIndex = 1
-		_ = r.log.Log("level", "info", "event", "core.bound", "voters", len(proposal.Voters))
-		return
-	}
-	if proposal.Start {
-		r.startNode(r.persisted.Snapshot)
-	}
-}
--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -149,8 +149,3 @@
 	r.pending[index] = pending
 	return 0
 }
-
-// clock is the store's clock: it goes on from the newest stamp in the log.
-func (r *Replica) clock(now time.Time) int64 {
-	return r.clockBase + now.Sub(r.leadingSince).Milliseconds()
-}
--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -22,10 +22,6 @@
 	return appointments{heardSince: map[string]time.Time{}, leavingUntil: map[string]time.Time{}, changePending: map[string]bool{}}
 }
 
-// zoneOf is the zone of a core daemon, from its membership lease; empty if
-// unknown.
-func (r *Replica) zoneOf(node string) string { return r.memberLeases[node+"/edge"].Zone }
-
 // canAggregate tells whether a voter may aggregate for a zone now.
 func (r *Replica) canAggregate(voter raft.Member, now time.Time) bool {
 	ok := voter.ID != r.self.ID && r.node.SilentFor(voter.ID) < tuning.AggregatorSilenceTimeout && now.After(r.appointments.leavingUntil[voter.ID])
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -13,9 +13,9 @@
 // handleTransport takes a frame from a stream, or the end of the stream.
 func (r *Replica) handleTransport(ctx context.Context, event *transport.Event) {
 	if event.Closed {
-		for request, stream := range r.connections {
+		for address, stream := range r.connections {
 			if stream == event.Stream {
-				delete(r.connections, request)
+				delete(r.connections, address)
 			}
 		}
 		maps.DeleteFunc(r.inbound, func(_ string, stream *transport.Stream) bool { return stream == event.Stream })
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -4,7 +4,6 @@
 	"context"
 
 	"tealpond/internal/federation"
-	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
 	"tealpond/internal/transport"
@@ -69,67 +68,6 @@
 	}
 }
 
-// collectFederationWork gathers open moves, candidates and the record of demand.
-func (r *Replica) collectFederationWork() federation.PendingWork {
-	store := r.state
-	work := federation.PendingWork{IsLeader: true, Epoch: store.Epoch, Index: r.state.AppliedIndex, WallMs: store.WallClock, Demand: map[int64]float64{}}
-	movable, remoteRoutes := map[string]bool{}, map[string]string{}
-	services := map[string]bool{}
-	for _, configured := range r.federation.Routes {
-		movable[configured.LocalRoute] = true
-		remoteRoutes[configured.LocalRoute] = configured.PeerRoute
-		if local := store.Routes[configured.LocalRoute]; local != nil {
-			services[local.TargetService] = true
-		}
-	}
-	for _, job := range store.OpenJobs() {
-		if job.AtPeer() {
-			work.OpenTransfers = append(work.OpenTransfers, federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferNumber: job.Transfer.OfferID, State: job.Transfer.State, CancelRequested: job.Transfer.CancelRequested, Route: remoteRoutes[job.Route],
-				Job: protocol.Job{Spec: job.Spec, Steps: job.Steps}})
-			continue
-		}
-		if movable[job.Route] && !job.Started && job.PeriodicInstances == 0 && !job.Transfer.Incoming && !hasLongRunningStep(job) {
-			cpu := int64(0)
-			for _, step := range job.Steps {
-				cpu = max(cpu, step.CPUUnits*int64(step.TaskCount))
-			}
-			work.Candidates = append(work.Candidates, federation.Candidate{JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: cpu, Offers: job.Transfer.OfferCount})
-		}
-	}
-	if len(services) == 0 {
-		for name := range store.Services {
-			services[name] = true
-		}
-	}
-	for _, job := range store.Jobs {
-		if job.EndedAt != 0 && job.AtPeer() && job.Transfer.State == state.TransferAccepted {
-			work.OpenTransfers = append(work.OpenTransfers, federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferNumber: job.Transfer.OfferID, State: job.Transfer.State, Finished: true})
-		}
-	}
-	for name, route := range store.Routes {
-		if services[route.TargetService] {
-			for bucket, demand := range store.Demand[name] {
-				work.Demand[bucket] += demand
-			}
-		}
-	}
-	for name := range services {
-		capacity, _ := store.SchedulableCapacity(name)
-		work.CapacityMilliCPU += capacity.MilliCPU
-	}
-	return work
-}
-
-// hasLongRunningStep tells whether a job has a long-running step.
-func hasLongRunningStep(job *state.Job) bool {
-	for _, step := range job.Steps {
-		if step.LongRunning {
-			return true
-		}
-	}
-	return false
-}
-
 // handleFederationCall answers the leader of another cluster.
 func (r *Replica) handleFederationCall(raw []byte, _ *transport.Stream, reply replyFunc) {
 	if r.federation == nil {
@@ -188,53 +126,3 @@
 		reply(rpc.Response{Code: 400, Text: "unknown call"})
 	}
 }
-
-// serviceToLend is the service whose room is lent: the first by name.
-func (r *Replica) serviceToLend() string {
-	first := ""
-	for name := range r.state.Services {
-		if first == "" || name < first {
-			first = name
-		}
-	}
-	return first
-}
-
-// cancelReply answers a cancellation; one of a job at a peer waits until the
-// peer has stopped it.
-func (r *Replica) cancelReply(id string, reply replyFunc) func(state.Outcome, bool) {
-	return func(outcome state.Outcome, ok bool) {
-		if ok && outcome.Code == 202 {
-			// Its runs may start until the stop is in the peer's log.
-			r.cancelWaiters[id] = append(r.cancelWaiters[id], reply)
-			return
-		}
-		outcomeReply(reply)(outcome, ok)
-	}
-}
-
-// replyToCancelWaiters answers the cancellations whose job has ended.
-func (r *Replica) replyToCancelWaiters() {
-	for id, replies := range r.cancelWaiters {
-		job := r.state.Jobs[id]
-		if r.leading && job != nil && job.EndedAt == 0 {
-			continue
-		}
-		for _, reply := range replies {
-			if r.leading {
-				reply(rpc.Response{Code: 200})
-			} else {
-				reply(rpc.Response{Code: rpc.CodeLeadershipLost})
-			}
-		}
-		delete(r.cancelWaiters, id)
-	}
-}
-
-// demandBucket is that of now in the record of demand, 0 while moving is off.
-func (r *Replica) demandBucket() int64 {
-	if r.federation == nil {
-		return 0
-	}
-	return r.federation.BucketOf(r.state.WallClock)
-}
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"sort"
 	"time"
 
 	"tealpond/internal/scheduler"
@@ -112,29 +111,6 @@
 	r.leases = map[string]*workerLease{}
 }
 
-// expireWorkerLeases ends the leases of workers that were granted nothing for so long
-// that all their runs must be over.
-func (r *Replica) expireWorkerLeases(now time.Time) {
-	timeout := time.Duration(float64(r.leaseDuration)*tuning.LeaseClockDriftFactor) + tuning.LeaseExpiryMargin
-	var expired []state.FencedWorker
-	for id, lease := range r.leases {
-		worker := r.state.Workers[id]
-		if worker == nil || worker.Dead || worker.LeaseExpired {
-			delete(r.leases, id)
-			continue
-		}
-		if !lease.expiring && now.Sub(lease.grantedAt) > timeout {
-			lease.expiring = true
-			expired = append(expired, state.FencedWorker{ID: id, Fence: worker.Fence})
-		}
-	}
-	if len(expired) > 0 {
-		sort.Slice(expired, func(a, b int) bool { return expired[a].ID < expired[b].ID })
-		_ = r.log.Log("level", "warn", "event", "worker.lapsed", "workers", len(expired), "first", expired[0].ID)
-		r.enqueueCommand("lapse", &state.ExpireLeases{Workers: expired}, nil)
-	}
-}
-
 // collectGarbage proposes the periodic clean-up of the state, with a rebuild of the
 // rollups when one is due.
 func (r *Replica) collectGarbage(now time.Time) {
@@ -148,79 +124,3 @@
 	}
 	r.enqueueCommand("sweep", &state.CollectGarbage{RebuildRollups: rebuild}, nil)
 }
-
-// wallClock is the wall-clock time in milliseconds: the median of the members'
-// offsets, so that a jump of this machine's clock alone has no effect.
-func (r *Replica) wallClock(now time.Time) int64 {
-	elapsed := now.Sub(r.leadingSince).Milliseconds()
-	offsets := []int64{now.UnixMilli() - elapsed}
-	for _, clock := range r.node.PeerWallClocks(now) {
-		offsets = append(offsets, clock-elapsed)
-	}
-	sort.Slice(offsets, func(a, b int) bool { return offsets[a] < offsets[b] })
-	// The lower median is taken: to start a run too early breaks a rule, to start
-	// it late does not.
-	median := offsets[(len(offsets)-1)/2]
-	if !r.wallClockKnown || len(offsets) > 1 {
-		r.wallClockOffset, r.wallClockKnown = median, true
-	}
-	return r.wallClockOffset + elapsed
-}
-
-// updatePlanner tells the scheduler which workers are silent or sick, and how
-// fast the others are.
-func (r *Replica) updatePlanner(now time.Time) {
-	silent, speed := map[string]bool{}, map[string]float64{}
-	var ratios []int64
-	for id, lease := range r.leases {
-		if now.Sub(lease.heardAt) > tuning.WorkerSilenceTimeout || lease.expiring {
-			silent[id] = true
-		}
-		if lease.runtimeRatio > 0 {
-			ratios = append(ratios, lease.runtimeRatio)
-		}
-	}
-	if len(ratios) >= 3 {
-		sort.Slice(ratios, func(a, b int) bool { return ratios[a] < ratios[b] })
-		median := float64(max(ratios[len(ratios)/2], 1))
-		r.planner.EstimateRatio = median / 100
-		for id, lease := range r.leases {
-			if lease.runtimeRatio > 0 {
-				speed[id] = scheduler.DampSlowdown(float64(lease.runtimeRatio) / median)
-			}
-		}
-	}
-	unhealthy := map[string]bool{}
-	for id := range r.leases {
-		if pace, ok := r.planner.Pace(id, r.state.Clock); ok {
-			speed[id] = pace
-		}
-	}
-	for id := range r.leases {
-		if worker := r.state.Workers[id]; worker != nil && (worker.Unhealthy || worker.LeaseExpired) {
-			unhealthy[id] = true
-		}
-	}
-	r.planner.SilentWorkers, r.planner.UnhealthyWorkers, r.planner.Slowdown = silent, unhealthy, speed
-}
-
-// stopRunsOfLeavingWorkers stops what still runs on workers that are about to leave: it would
-// die there, and its text would be lost.
-func (r *Replica) stopRunsOfLeavingWorkers(now time.Time) {
-	leadTime := r.settings.Bounds.StopGraceMs + tuning.DrainStopLead.Milliseconds()
-	var ids []uint64
-	for _, worker := range r.state.Workers {
-		if worker.Dead || worker.LeaseExpired || !worker.Draining || worker.LeavesAt == 0 || r.clock(now) < worker.LeavesAt-leadTime {
-			continue
-		}
-		for _, allocation := range r.state.AllocationsOn(worker.ID) {
-			if !allocation.Stopping {
-				ids = append(ids, allocation.ID)
-			}
-		}
-	}
-	if len(ids) > 0 {
-		sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
-		r.enqueueCommand("halt", &state.StopRuns{Allocations: ids, Reason: "worker leaves"}, nil)
-	}
-}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -7,9 +7,27 @@
 	"time"
 
 	"tealpond/internal/raft"
+	"tealpond/internal/rpc"
+	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
 
+// handleJoin notes a candidate for a voter's place.
+func (r *Replica) handleJoin(raw []byte, _ *transport.Stream, reply replyFunc) {
+	var voter raft.Member
+	if transport.Decode(raw, &voter) != nil || voter.ID == "" {
+		reply(rpc.Response{Code: 400})
+		return
+	}
+	if !r.node.IsVoter(voter.ID) && r.addresses[voter.ID] == "" {
+		_ = r.log.Log("level", "info", "event", "core.candidate", "node", voter.Node, "disk", voter.ID, "addr", voter.Addr)
+	}
+	r.addresses[voter.ID] = voter.Addr
+	r.node.AddLearner(voter)
+	r.candidatesByDisk()[voter.ID] = voter
+	reply(rpc.Response{Code: 200})
+}
+
 // membershipTracker is what only a leader knows of the candidates for a voter's place.
 type membershipTracker struct {
 	candidates   map[string]raft.Member
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -1,8 +1,6 @@
 package server
 
 import (
-	"time"
-
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
 	"tealpond/internal/transport"
@@ -123,25 +121,3 @@
 		delete(r.pendingAssignments, stream)
 	}
 }
-
-// aggregatorAddresses gives the addresses of the aggregator of a worker's zone and of its
-// standby; the first is empty if it is this daemon.
-func (r *Replica) aggregatorAddresses(workerID string) (string, string) {
-	worker := r.state.Workers[workerID]
-	if worker == nil {
-		return "", ""
-	}
-	aggregator := r.state.Aggregators[worker.Zone]
-	if aggregator.Member == r.self.ID {
-		return "", aggregator.StandbyAddress
-	}
-	return aggregator.Address, aggregator.StandbyAddress
-}
-
-// leaderlessFor is for how long no leader has been known here.
-func (r *Replica) leaderlessFor(now time.Time) time.Duration {
-	if r.node.Leader() != "" || r.leaderSeenAt.IsZero() {
-		r.leaderSeenAt = now
-	}
-	return now.Sub(r.leaderSeenAt)
-}
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -74,29 +74,6 @@
 	r.writeQueue <- storage.WriteRequest{LocalSnapshot: encoded.snapshot}
 }
 
-// drainNode carries out what the node has ready until nothing is left. A received
-// snapshot is installed before any entry is applied.
-func (r *Replica) drainNode(ctx context.Context) {
-	for {
-		output := r.node.Ready()
-		if !output.IsEmpty() {
-			r.sendRaftMessages(ctx, output.Messages)
-			if output.Snapshot != nil {
-				r.installSnapshot(output.Snapshot)
-			}
-			if output.MustSync() || len(output.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
-				r.writesInFlight++
-				r.writeQueue <- storage.WriteRequest{Ready: output}
-			} else {
-				r.sendRaftMessages(ctx, output.MessagesAfterSync)
-			}
-		}
-		if !r.apply(ctx) && output.IsEmpty() {
-			return
-		}
-	}
-}
-
 // installSnapshot replaces the state by a received snapshot, and with it all that was
 // derived from the state before.
 func (r *Replica) installSnapshot(snapshot *raft.Snapshot) {
