--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,53 +1,63 @@
-// Package daemon registers plug-ins, starts them for a role and runs the one
-// select loop that all tasks share.
+// Package daemon is what all daemons of tealpond share: the registry of the roles
+// that a process can run, what a role is built from, and the event loop. It knows no
+// role itself: roles register themselves, and the command line starts one of them.
 package daemon
 
 import (
 	"context"
-	"sort"
+	"errors"
+	"maps"
+	"slices"
 
 	"github.com/go-kit/log"
-	"github.com/zeebo/errs"
 
 	"tealpond/internal/settings"
 	"tealpond/internal/tracing"
 )
 
-// ErrKilled is the cause of a context that ends without grace.
-var ErrKilled = errs.New("killed")
+// ErrKilled is the cause of a context that ends as if the process had been killed:
+// a role then ends at once, and leaves nothing in order.
+var ErrKilled = errors.New("killed")
 
-// Role is one part of a daemon: it runs until its context ends.
+// Role is the part of a daemon that a process runs.
 type Role interface {
+	// Run runs the role until ctx ends. An error is one that the role can't go on
+	// with.
 	Run(ctx context.Context) error
 }
 
 // Environment is what a role is built from.
 type Environment struct {
-	Settings    settings.File
-	Log         log.Logger
+	Settings settings.File
+	Log      log.Logger
+	// Incarnation is the ID of this process: another one each time that a daemon
+	// is started.
 	Incarnation string
-	Reload      chan settings.File
-	Trace       *tracing.Ring
+	// Reload carries the settings whenever their file has changed.
+	Reload chan settings.File
+	Trace  *tracing.Ring
 	// Debug tells whether lines of that level are kept at all.
 	Debug bool
-	// FederationFile names the file that turns moving between clusters on.
+	// FederationFile is the path of the file that turns federation on; empty if
+	// there is none.
 	FederationFile string
 }
 
-// RoleSpec builds the plug of a role.
+// RoleSpec describes a role and builds it.
 type RoleSpec struct {
-	Name                  string
-	Description           string
-	AcceptsFederationFile bool // takes the file of moves
+	Name                  string // of the subcommand, too
+	Description           string // for the help text
+	AcceptsFederationFile bool
 	New                   func(Environment) (Role, error)
 }
 
 var roleSpecs = map[string]RoleSpec{}
 
-// Register adds a role; a second one of that name is a broken invariant.
+// Register adds a role. It is called by init functions only, and panics if there is
+// a role of that name already.
 func Register(spec RoleSpec) {
 	if _, ok := roleSpecs[spec.Name]; ok {
-		panic("kernel: role registered twice: " + spec.Name)
+		panic("daemon: role registered twice: " + spec.Name)
 	}
 	roleSpecs[spec.Name] = spec
 }
@@ -55,14 +65,13 @@
 // Roles lists what was registered, by name.
 func Roles() []RoleSpec {
 	var specs []RoleSpec
-	for _, spec := range roleSpecs {
-		specs = append(specs, spec)
+	for _, name := range slices.Sorted(maps.Keys(roleSpecs)) {
+		specs = append(specs, roleSpecs[name])
 	}
-	sort.Slice(specs, func(i, j int) bool { return specs[i].Name < specs[j].Name })
 	return specs
 }
 
-// FindRole gives the maker of a role.
+// FindRole gives the role of a name; false if there is none.
 func FindRole(name string) (RoleSpec, bool) {
 	spec, ok := roleSpecs[name]
 	return spec, ok
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -5,16 +5,20 @@
 	"time"
 )
 
-// Loop is the one select loop: it hands each input to take, then all that
-// wait behind it, then calls rest once, which returns when it wants to be
-// woken at the latest (0: only by an input).
+// idleWait is how long a loop waits that has nothing to do.
+const idleWait = time.Hour
+
+// Loop is the event loop of a role. It hands an event to handle, then all that wait
+// behind it, then calls afterBatch once, so that many events share a write. What
+// afterBatch returns is the longest wait for the next event; 0 for any. Both run in
+// the goroutine of Loop, which returns when ctx ends or events is closed.
 func Loop[T any](ctx context.Context, events <-chan T, handle func(T), afterBatch func(now time.Time) time.Duration) {
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
 	for {
 		wait := afterBatch(time.Now())
 		if wait <= 0 {
-			wait = time.Hour
+			wait = idleWait
 		}
 		timer.Reset(wait)
 		select {
@@ -25,19 +29,25 @@
 				return
 			}
 			handle(event)
-			// Why drained: one rest for many inputs lets them share a write.
-			for more := true; more; {
-				select {
-				case event, ok := <-events:
-					if !ok {
-						return
-					}
-					handle(event)
-				default:
-					more = false
-				}
+			if !drain(events, handle) {
+				return
 			}
 		case <-timer.C:
 		}
 	}
 }
+
+// drain hands all waiting events to handle; false if events is closed.
+func drain[T any](events <-chan T, handle func(T)) bool {
+	for {
+		select {
+		case event, ok := <-events:
+			if !ok {
+				return false
+			}
+			handle(event)
+		default:
+			return true
+		}
+	}
+}
