--- /dev/null
+++ b/internal/server/aggregator_choice_test.go
@@ -0,0 +1,74 @@
+package server
+
+import (
+	"testing"
+	"time"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/state"
+	"tealpond/internal/tuning"
+)
+
+// TestAggregatorChoice: voters "b" and "c" are in zone z, "d" and "e" in zone y.
+func TestAggregatorChoice(t *testing.T) {
+	zones := map[string]string{"node-b": "z", "node-c": "z", "node-d": "y", "node-e": "y"}
+	now := time.Unix(1000, 0)
+	long, moment := now.Add(-time.Hour), now.Add(-tuning.AggregatorReturnDelay/2)
+	appointed := func(member, standby string) state.ZoneAggregator {
+		aggregator := state.ZoneAggregator{Zone: "z", Member: member, Address: member, Standby: standby, StandbyAddress: standby, Revision: 7}
+		return aggregator
+	}
+	for _, test := range []struct {
+		name          string
+		current       state.ZoneAggregator
+		candidates    string // IDs, one letter each
+		zoneCount     map[string]int
+		leaderInZone  bool
+		justReturned  string // IDs of those that were silent a moment ago
+		member, other string // that are appointed
+		changed       bool
+	}{
+		{name: "voters of the zone first", candidates: "dcb", member: "b", other: "c", changed: true},
+		{name: "one of the zone, and a standby from elsewhere", candidates: "dc", member: "c", other: "d", changed: true},
+		{name: "none of the zone: the one with the fewest zones", candidates: "de", zoneCount: map[string]int{"d": 2, "e": 1}, member: "e", other: "d", changed: true},
+		{name: "none of the zone, the leader is", candidates: "de", leaderInZone: true, member: "", other: "", changed: false},
+		{name: "the leader is in the zone too: no standby from elsewhere", candidates: "cd", leaderInZone: true, member: "c", other: "", changed: true},
+		{name: "the present one stays, with more zones and the later ID", current: appointed("c", "b"), candidates: "bc", zoneCount: map[string]int{"c": 5}, member: "c", other: "b", changed: false},
+		{name: "the present one is gone", current: appointed("c", "b"), candidates: "bd", member: "b", other: "d", changed: true},
+		{name: "nobody is left", current: appointed("c", "b"), candidates: "", member: "", other: "", changed: true},
+		{name: "a better one, heard for long", current: appointed("d", "e"), candidates: "bde", member: "b", other: "d", changed: true},
+		{name: "a better one that was silent a moment ago", current: appointed("d", "e"), candidates: "bde", justReturned: "b", member: "b", other: "d", changed: false},
+		{name: "the same, as the present one is gone", current: appointed("d", "e"), candidates: "be", justReturned: "b", member: "b", other: "e", changed: true},
+		{name: "a better standby, heard for long", current: appointed("b", "d"), candidates: "bcd", member: "b", other: "c", changed: true},
+		{name: "a better standby that was silent a moment ago", current: appointed("b", "d"), candidates: "bcd", justReturned: "c", member: "b", other: "c", changed: false},
+		{name: "the standby is gone", current: appointed("b", "c"), candidates: "b", member: "b", other: "", changed: true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			choice := aggregatorChoice{zone: "z", current: test.current, zoneOf: func(node string) string { return zones[node] }, zoneCount: test.zoneCount,
+				leaderInZone: test.leaderInZone, heardSince: map[string]time.Time{}, now: now}
+			for _, id := range test.candidates {
+				choice.candidates = append(choice.candidates, raft.Member{Node: "node-" + string(id), ID: string(id), Addr: string(id)})
+				choice.heardSince[string(id)] = long
+			}
+			for _, id := range test.justReturned {
+				choice.heardSince[string(id)] = moment
+			}
+			got, changed := choice.appoint()
+			want := state.ZoneAggregator{Zone: "z", Member: test.member, Address: test.member, Standby: test.other, StandbyAddress: test.other}
+			if got != want || changed != test.changed {
+				t.Errorf("%+v, changed %v; want %+v, %v", got, changed, want, test.changed)
+			}
+		})
+	}
+}
+
+// TestAggregatorChoiceAfterAddressChange: a voter that came back at another address
+// is appointed anew, although its ID is the same.
+func TestAggregatorChoiceAfterAddressChange(t *testing.T) {
+	choice := aggregatorChoice{zone: "z", current: state.ZoneAggregator{Zone: "z", Member: "b", Address: "old"},
+		candidates: []raft.Member{{Node: "node-b", ID: "b", Addr: "new"}}, zoneOf: func(string) string { return "z" }, now: time.Unix(1000, 0)}
+	choice.heardSince = map[string]time.Time{"b": choice.now}
+	if got, changed := choice.appoint(); got.Address != "new" || !changed {
+		t.Errorf("%+v, changed %v", got, changed)
+	}
+}
