--- a/internal/simulation/divergence_test.go
+++ b/internal/simulation/divergence_test.go
@@ -53,10 +53,10 @@
 			var differs, anew atomic.Int32
 			runWithFault(t, threeServers, func(c *Cluster) {
 				note := func(line string) {
-					if strings.Contains(line, "event=replica.differs") {
+					if strings.Contains(line, "event=replica.diverged") {
 						differs.Add(1)
 					}
-					if strings.Contains(line, "event=replica.anew") {
+					if strings.Contains(line, "event=replica.rejoined") {
 						anew.Add(1)
 					}
 				}
