--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -5,18 +5,22 @@
 	"tealpond/internal/transport"
 )
 
-// handleTrace answers from this daemon's own ring.
-func (r *Replica) handleTrace(raw []byte, reply replyFunc) {
-	reply(rpc.HandleTrace(r.trace, r.settings.NodeName, "edge", raw))
+// serverRole is the role under which a server is known: it runs within the daemon
+// that clients and operators call.
+const serverRole = "edge"
+
+// handleTrace answers from this daemon's own ring of events.
+func (r *Replica) handleTrace(body []byte, reply replyFunc) {
+	reply(rpc.HandleTrace(r.trace, r.settings.NodeName, serverRole, body))
 }
 
-// handleClusterState gives the tables of this daemon's copy of the state. Any core
-// daemon answers, so that queries need not trouble the leader.
+// handleClusterState gives the tables of this replica's copy of the state. Any
+// replica answers, so that queries need not trouble the leader.
 func (r *Replica) handleClusterState(_ []byte, reply replyFunc) {
 	response := rpc.ClusterState{Node: r.settings.NodeName, Clock: r.state.Clock}
 	if r.node != nil {
 		response.IsLeader, response.AppliedIndex = r.node.IsLeader(), r.state.AppliedIndex
 	}
-	response.Tables = stateTables(r)
-	reply(rpc.Response{Code: 200, Body: transport.Encode(response)})
+	response.Tables = append([]rpc.Table{daemonTable(r.memberLeases)}, stateTables(r.state)...)
+	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(response)})
 }
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -10,13 +10,21 @@
 	"tealpond/internal/tuning"
 )
 
-// leaderResponse is the leader's answer to one batch.
+// leaderResponse is the leader's response to one batch.
 type leaderResponse struct {
 	aggregator *aggregator.Batcher // whose batch it was: each numbers its batches from 1
 	batch      aggregator.Batch
 	response   rpc.Response
 }
 
+// isAggregating tells whether this server may take requests of agents for the
+// leader.
+func (r *Replica) isAggregating(now time.Time) bool {
+	// It goes on through an election: agents have nowhere better to turn to, and
+	// the batch is sent as soon as a leader is known.
+	return r.node != nil && r.node.IsVoter(r.self.ID) && len(r.leaveWaiters) == 0 && r.leaderlessFor(now) < tuning.AggregatorLeaderLossTimeout
+}
+
 // leaderlessFor is for how long no leader has been known here.
 func (r *Replica) leaderlessFor(now time.Time) time.Duration {
 	if r.node.Leader() != "" || r.leaderSeenAt.IsZero() {
@@ -25,19 +33,11 @@
 	return now.Sub(r.leaderSeenAt)
 }
 
-// isAggregating tells whether this daemon may take requests of side daemons for the
-// leader.
-func (r *Replica) isAggregating(now time.Time) bool {
-	// It goes on through an election: side daemons have nowhere better to turn
-	// to, and the batch is sent as soon as a leader is known.
-	return r.node != nil && r.node.IsVoter(r.self.ID) && len(r.leaveWaiters) == 0 && r.leaderlessFor(now) < tuning.AggregatorLeaderLossTimeout
-}
-
-// enqueueForLeader takes a request of a side daemon into the next batch; false if it
+// enqueueForLeader takes a request of an agent into the next batch; false if it
 // can't.
 func (r *Replica) enqueueForLeader(request rpc.Request, stream *transport.Stream, reply replyFunc) bool {
 	now := time.Now()
-	if stream == nil || !aggregatedRequests[request.Kind] || !r.isAggregating(now) {
+	if stream == nil || !aggregatedKinds[request.Kind] || !r.isAggregating(now) {
 		return false
 	}
 	if request.Kind != rpc.KindRenewLease {
@@ -47,7 +47,7 @@
 	if transport.Decode(request.Body, &renewal) != nil {
 		return false
 	}
-	r.openSession(renewal, stream)
+	r.openSession(&renewal, stream)
 	r.aggregator.Renew(renewal, func(response rpc.Response) {
 		response.Aggregator, response.StandbyAggregator = r.aggregatorAddresses(renewal.Worker)
 		reply(response)
@@ -55,8 +55,8 @@
 	return true
 }
 
-// sendBatches sends the leader the batches that are due; it returns when to come
-// back.
+// sendBatches sends the leader the batches that are due; it returns after how long
+// the next one is, 0 for none.
 func (r *Replica) sendBatches(ctx context.Context, now time.Time) time.Duration {
 	if r.leading {
 		for _, queued := range r.aggregator.TakeUnsent() {
@@ -68,55 +68,60 @@
 		return 0
 	}
 	if !r.isAggregating(now) {
-		r.aggregator.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
+		r.aggregator.FailAll(responseNotLeader)
 		return 0
 	}
-	current := r.aggregator
-	batches, wake := current.DueBatches(now)
+	batches, wake := r.aggregator.DueBatches(now)
 	for _, batch := range batches {
-		request := rpc.Request{Kind: rpc.KindBatch, Body: transport.Encode(batch.Requests)}
-		if batch.Renewals != nil {
-			batch.Renewals.AggregatorProcess = r.incarnation
-			request = rpc.Request{Kind: rpc.KindLeaseBatch, Body: transport.Encode(batch.Renewals)}
-		}
-		r.metrics.count("raised_"+request.Kind, 1)
-		callCtx, cancel := context.WithTimeout(ctx, tuning.AggregatorRequestTimeout)
-		// Posted from the loop, so that batches reach the leader in order.
-		await := r.leaderClient.Enqueue(callCtx, request)
-		go func() {
-			defer cancel()
-			event := Event{LeaderResponse: &leaderResponse{current, batch, await()}}
-			select {
-			case r.events <- event:
-			case <-ctx.Done():
-			}
-		}()
+		r.sendBatch(ctx, batch)
 	}
 	return wake
 }
 
-// handleLeaderResponse hands the leader's answer to the aggregator.
+// sendBatch sends the leader one batch; its response comes back as an event.
+func (r *Replica) sendBatch(ctx context.Context, batch aggregator.Batch) {
+	request := rpc.Request{Kind: rpc.KindBatch, Body: transport.Encode(batch.Requests)}
+	if batch.Renewals != nil {
+		batch.Renewals.AggregatorProcess = r.incarnation
+		request = rpc.Request{Kind: rpc.KindLeaseBatch, Body: transport.Encode(batch.Renewals)}
+	}
+	r.metrics.count("raised_"+request.Kind, 1)
+	callCtx, cancel := context.WithTimeout(ctx, tuning.AggregatorRequestTimeout)
+	// Enqueued from the loop, so that batches reach the leader in order.
+	await := r.leaderClient.Enqueue(callCtx, request)
+	sender := r.aggregator
+	go func() {
+		defer cancel()
+		event := Event{LeaderResponse: &leaderResponse{sender, batch, await()}}
+		select {
+		case r.events <- event:
+		case <-ctx.Done():
+		}
+	}()
+}
+
+// handleLeaderResponse hands the leader's response to the aggregator.
 func (r *Replica) handleLeaderResponse(received *leaderResponse) {
 	response := received.response
 	// With these codes the caller looks for the leader by itself, and knows
 	// whether its request may have been taken.
 	switch response.Code {
 	case rpc.CodeNoLeader:
-		response = rpc.Response{Code: rpc.CodeNotLeader}
+		response = responseNotLeader
 	case rpc.CodeTimeout:
-		response = rpc.Response{Code: rpc.CodeLeadershipLost}
+		response = responseOutcomeUnknown
 	}
 	if received.batch.Renewals != nil {
 		var refusals []rpc.MemberRefusal
 		if len(response.Body) > 0 && transport.Decode(response.Body, &refusals) != nil {
-			response = rpc.Response{Code: rpc.CodeNotLeader}
+			response = responseNotLeader
 		}
 		received.aggregator.HandleRenewals(received.batch.ID, response, refusals, time.Now())
 		return
 	}
 	var responses []rpc.Response
 	if len(response.Body) > 0 && transport.Decode(response.Body, &responses) != nil {
-		response = rpc.Response{Code: rpc.CodeNotLeader}
+		response = responseNotLeader
 	}
 	received.aggregator.HandleResponses(received.batch.ID, response, responses)
 }
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -11,36 +11,56 @@
 	"tealpond/internal/tuning"
 )
 
-// announcerState is what the loop tells its own announcer: the standing of this
-// daemon, and who leads.
+// The announcer's turns are tuning.BootstrapAnnounceInterval apart.
+const (
+	// A voter introduces itself to the seeds and announces the first cluster each
+	// fourth turn, as seeds may start later than this server; after introduceOften
+	// turns it introduces itself each introduceRarely-th.
+	announceEvery   = 4
+	introduceOften  = 40
+	introduceRarely = 40
+	// A candidate asks each askToJoin-th turn whether there is a cluster already.
+	askToJoin = 12
+	// joinTimeout bounds one request to be taken into a cluster.
+	joinTimeout = time.Second
+	// leaderlessBeforeJoin is how long a voter may know no leader before it asks
+	// whether it was replaced.
+	leaderlessBeforeJoin = 3 * time.Second
+)
+
+// requestAnnouncerState is the request of this server's announcer to its loop.
+const requestAnnouncerState = "state"
+
+// announcerState is what the loop tells its own announcer: how this server stands to
+// the cluster, and who leads.
 type announcerState struct {
 	phase        membershipPhase
 	announcement rpc.BootstrapAnnouncement
-	leader       string
+	leader       string // its address; empty if unknown
 }
 
-// membershipPhase is how a core daemon stands to the core.
+// membershipPhase is how a server stands to the cluster.
 type membershipPhase byte
 
 const (
-	phaseCandidate = membershipPhase(iota) // the core isn't founded, as far as it knows
-	phaseJoining                           // it wants to be taken into a core that exists
-	phaseVoter
-	phaseOpeningStorage // its disk isn't open yet: it has no identity to announce
+	phaseCandidate      = membershipPhase(iota) // there is no cluster yet, as far as it knows
+	phaseJoining                                // it wants to be taken into a cluster that exists
+	phaseVoter                                  // it belongs to the cluster
+	phaseOpeningStorage                         // it has no identity to announce yet
 )
 
-// runAnnouncer tells the seeds of this candidate until it is a member, and then of
-// the core that was founded.
+// runAnnouncer announces this candidate to the seeds until it is a member, and then
+// the cluster that was bootstrapped. It ends with ctx.
 func (r *Replica) runAnnouncer(ctx context.Context) {
 	ticker := time.NewTicker(tuning.BootstrapAnnounceInterval)
 	defer ticker.Stop()
-	var announcer bootstrap.SeedSelector
+	var selector bootstrap.SeedSelector
 	leader := ""
 	for round := 1; ; round++ {
 		received := make(chan announcerState, 1)
 		r.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(response rpc.Response) {
 			var announcement rpc.BootstrapAnnouncement
-			_ = transport.Decode(response.Body, &announcement)
+			_ = transport.Decode(response.Body, &announcement) // by this process itself
 			received <- announcerState{membershipPhase(response.Value), announcement, response.Leader}
 		})
 		select {
@@ -51,36 +71,7 @@
 				r.leaderClient.AddServer(current.leader)
 			}
 			leader = current.leader
-			switch current.phase {
-			case phaseOpeningStorage:
-				r.leaderClient.Introduce(ctx, *r.seeds.Load())
-			case phaseJoining:
-				callCtx, cancel := context.WithTimeout(ctx, time.Second)
-				r.leaderClient.Call(callCtx, rpc.KindJoin, current.announcement.Voter)
-				cancel()
-				if current.announcement.NotFirstStart {
-					r.announceToSeed(ctx, &announcer, current.announcement)
-				}
-			case phaseVoter:
-				// Often at first, since seeds may start later than this daemon.
-				if round < 40 && round%4 == 1 || round%40 == 0 {
-					r.leaderClient.Introduce(ctx, *r.seeds.Load())
-				}
-				if r.settings.FirstStart && round < tuning.BootstrapAnnounceRounds && round%4 == 1 {
-					r.announceBootstrapped(ctx, current.announcement)
-				}
-			default:
-				r.announceToSeed(ctx, &announcer, current.announcement)
-				if round%12 == 0 && len(current.announcement.BoundVoters) == 0 {
-					// The core may have been founded while this daemon was
-					// slow, and the seed may have forgotten it.
-					callCtx, cancel := context.WithTimeout(ctx, tuning.DialTimeout)
-					if r.leaderClient.Call(callCtx, rpc.KindJoin, current.announcement.Voter).Code == 200 {
-						r.events <- Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: []raft.Member{{}}}}
-					}
-					cancel()
-				}
-			}
+			r.announce(ctx, round, current, &selector)
 		case <-ctx.Done():
 			return
 		}
@@ -92,30 +83,70 @@
 	}
 }
 
-// requestAnnouncerState is the request of this daemon's announcer to its loop.
-const requestAnnouncerState = "state"
+// announce is one turn of the announcer.
+func (r *Replica) announce(ctx context.Context, round int, current announcerState, selector *bootstrap.SeedSelector) {
+	switch current.phase {
+	case phaseOpeningStorage:
+		r.leaderClient.Introduce(ctx, *r.seeds.Load())
+	case phaseJoining:
+		r.requestJoin(ctx, current.announcement.Voter, joinTimeout)
+		if current.announcement.NotFirstStart {
+			r.announceToSeed(ctx, selector, current.announcement)
+		}
+	case phaseVoter:
+		often := round < introduceOften && round%announceEvery == 1
+		if often || round%introduceRarely == 0 {
+			r.leaderClient.Introduce(ctx, *r.seeds.Load())
+		}
+		if r.settings.FirstStart && round < tuning.BootstrapAnnounceRounds && round%announceEvery == 1 {
+			r.announceBootstrapped(ctx, current.announcement)
+		}
+	default:
+		r.announceToSeed(ctx, selector, current.announcement)
+		if round%askToJoin == 0 && len(current.announcement.BoundVoters) == 0 {
+			// The cluster may have been bootstrapped while this server was slow,
+			// and the seed may have forgotten it.
+			if r.requestJoin(ctx, current.announcement.Voter, tuning.DialTimeout) {
+				r.events <- Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: []raft.Member{{}}}}
+			}
+		}
+	}
+}
+
+// requestJoin asks the leader to take this server in; false if there was none, or
+// it refused.
+func (r *Replica) requestJoin(ctx context.Context, self raft.Member, timeout time.Duration) bool {
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	return r.leaderClient.Call(callCtx, rpc.KindJoin, self).Code == rpc.CodeOK
+}
 
 // announcerResponse tells the announcer what to announce.
 func (r *Replica) announcerResponse() rpc.Response {
 	announcement := rpc.BootstrapAnnouncement{Voter: r.self, BoundVoters: r.persisted.Founders, NotFirstStart: r.isBlank()}
-	response := rpc.Response{Value: int64(phaseVoter), Leader: r.leaderAddress(), Body: transport.Encode(announcement)}
+	return rpc.Response{Value: int64(r.currentPhase()), Leader: r.leaderAddress(), Body: transport.Encode(announcement)}
+}
+
+// currentPhase is how this server stands to the cluster now.
+func (r *Replica) currentPhase() membershipPhase {
 	switch {
 	case !r.StorageOpened():
-		response.Value = int64(phaseOpeningStorage)
+		return phaseOpeningStorage
 	case r.node == nil:
-		response.Value = int64(phaseCandidate)
-	case !r.node.IsVoter(r.self.ID), r.node.Leader() == "" && time.Since(r.joinRequestedAt) > 3*time.Second:
+		return phaseCandidate
+	case !r.node.IsVoter(r.self.ID), r.node.Leader() == "" && time.Since(r.joinRequestedAt) > leaderlessBeforeJoin:
 		// Also a voter that knows no leader: it may have been replaced while
 		// it was away, and only the leader can take it back.
 		r.joinRequestedAt = time.Now()
-		response.Value = int64(phaseJoining)
+		return phaseJoining
 	}
-	return response
+	return phaseVoter
 }
 
-// announceToSeed announces a candidate to the seed that gathers the first core.
-func (r *Replica) announceToSeed(ctx context.Context, announcer *bootstrap.SeedSelector, announcement rpc.BootstrapAnnouncement) {
-	seed := announcer.Select(*r.seeds.Load(), time.Now())
+// announceToSeed announces a candidate to the seed that forms the first cluster; its
+// proposal comes back as an event.
+func (r *Replica) announceToSeed(ctx context.Context, selector *bootstrap.SeedSelector, announcement rpc.BootstrapAnnouncement) {
+	seed := selector.Select(*r.seeds.Load(), time.Now())
 	if seed == "" {
 		return
 	}
@@ -124,21 +155,22 @@
 	if err != nil || transport.Decode(response.Body, &proposal) != nil {
 		return
 	}
-	announcer.OnResponse(time.Now())
+	selector.OnResponse(time.Now())
 	select {
 	case r.events <- Event{BootstrapProposal: &proposal}:
 	case <-ctx.Done():
 	}
 }
 
-// announceBootstrapped tells all seeds of the set that founded the core, so that none of
-// them proposes another to candidates that came late.
+// announceBootstrapped tells all seeds of the set that formed the first cluster, so
+// that none of them proposes another to candidates that come late.
 func (r *Replica) announceBootstrapped(ctx context.Context, announcement rpc.BootstrapAnnouncement) {
 	if len(announcement.BoundVoters) == 0 {
 		return
 	}
 	for _, seed := range *r.seeds.Load() {
 		go func() {
+			// A seed that does not hear of it is told again.
 			_, _ = rpc.Call(ctx, seed, rpc.KindBootstrap, transport.Encode(announcement), tuning.DialTimeout)
 		}()
 	}
--- a/internal/server/announcer_test.go
+++ b/internal/server/announcer_test.go
@@ -13,7 +13,7 @@
 
 // TestRestartedCandidateBindsToItsBootstrapSet: a candidate that was ended before it
 // bound itself comes back with firstStart false. The set that names it waits for
-// it; it must bind itself, and not stand by until a core takes it in.
+// it; it must bind itself, and not stand by until a cluster takes it in.
 func TestRestartedCandidateBindsToItsBootstrapSet(t *testing.T) {
 	config := settings.File{NodeName: "a", DataDir: t.TempDir(), LossCounts: true, IPAddress: "10.0.0.1", InnerPortRange: []int{7720, 7721}}
 	replica, err := New(daemon.Environment{Settings: config, Log: log.NewNopLogger()}, nil)
@@ -25,7 +25,7 @@
 	others := []raft.Member{{Node: "b", ID: "b"}, {Node: "c", ID: "c"}}
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: others, Start: true})
 	if replica.node == nil || len(replica.node.Voters()) != 0 {
-		t.Fatal("it didn't stand by beside a core that doesn't name it")
+		t.Fatal("it didn't stand by beside a cluster that doesn't name it")
 	}
 	own := append([]raft.Member{replica.self}, others...)
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: own})
@@ -38,6 +38,6 @@
 	}
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: others, Start: true})
 	if len(replica.node.Voters()) != 3 {
-		t.Error("a voter let itself be talked out of its core")
+		t.Error("a voter let itself be talked out of its cluster")
 	}
 }
--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -13,7 +13,7 @@
 // pendingEntry holds the callers whose commands are in one entry of the log.
 type pendingEntry struct {
 	term    uint64
-	replies []func(state.Outcome, bool)
+	replies []commandReply // nil where nobody waits
 }
 
 // replyUnknown answers the callers of an entry that will not be applied here as it was
@@ -35,8 +35,15 @@
 	}
 }
 
-// apply applies the settled entries to the state; false if there were none, or
-// the state is found to be wrong.
+// abandonAllEntries ends the wait for all entries without an outcome.
+func (r *Replica) abandonAllEntries() {
+	for index := range r.pending {
+		r.abandonEntry(index)
+	}
+}
+
+// apply applies the committed entries to the state; false if there were none, or
+// the state is found to have diverged.
 func (r *Replica) apply(ctx context.Context) bool {
 	defer r.metrics.startTimer("apply")()
 	entries := r.node.NextCommittedEntries()
@@ -51,11 +58,12 @@
 	return len(entries) > 0
 }
 
+// applyEntry applies one entry and answers those who wait for it.
 func (r *Replica) applyEntry(entry raft.Entry) {
 	if entry.Kind != raft.EntryNormal {
 		r.state.SkipEntry(entry.Index)
 		if entry.Kind == raft.EntryConfChange {
-			_ = r.log.Log("level", "info", "event", "core.conf", "index", entry.Index, "voters", len(r.node.VotersAt(entry.Index)))
+			_ = r.log.Log("level", "info", "event", "voters.changed", "index", entry.Index, "voters", len(r.node.VotersAt(entry.Index)))
 		}
 		// A caller may wait here too: its proposal was replaced by the
 		// entry of a later leader.
@@ -65,13 +73,13 @@
 	outcomes := r.state.ApplyEntry(entry.Index, entry.Data)
 	r.planDue = true
 	if !r.leading {
-		// Only a leader plans, and a new one looks at all.
+		// Only a leader plans, and a new one looks at all jobs.
 		r.state.TakeBookedRuns()
 	}
 	r.recordCompletions(entry)
 	r.replyToEntry(entry, outcomes)
-	for _, agreed := range r.state.TakeConfirmedDigests() {
-		r.compareConfirmed(agreed)
+	for _, confirmed := range r.state.TakeConfirmedDigests() {
+		r.compareConfirmed(confirmed)
 	}
 }
 
@@ -94,7 +102,7 @@
 	}
 }
 
-// recordCompletions records the runs and jobs that ended by an entry.
+// recordCompletions records the runs and jobs that ended with an entry.
 func (r *Replica) recordCompletions(entry raft.Entry) {
 	for _, completed := range r.state.TakeClosedRuns() {
 		r.trace.Record(completed.Allocation.TaskName(), "end applied", int64(completed.Allocation.Run), completed.Result)
@@ -113,16 +121,22 @@
 	}
 }
 
-// enqueueCommand puts a command into the next entry.
-func (r *Replica) enqueueCommand(kind string, cmd state.Command, reply func(state.Outcome, bool)) {
-	r.commands = append(r.commands, state.EncodeCommand(kind, cmd))
+// enqueueCommand puts a command into the next entry. The name is that under which
+// package state registers the command; reply may be nil.
+func (r *Replica) enqueueCommand(name string, command state.Command, reply commandReply) {
+	r.enqueueEncoded(state.EncodeCommand(name, command), reply)
+}
+
+// enqueueEncoded puts an encoded command into the next entry.
+func (r *Replica) enqueueEncoded(command state.EncodedCommand, reply commandReply) {
+	r.commands = append(r.commands, command)
 	r.replies = append(r.replies, reply)
 }
 
 // proposeQueued puts the waiting commands into the log as one entry. They are
 // gathered for a while since an entry costs a message to and from each other
-// voter: the pause between two grows with their number. It returns when to
-// come back.
+// voter: the pause between two grows with their number. It returns after how long
+// the pause is over, 0 if nothing waits.
 func (r *Replica) proposeQueued(now time.Time) time.Duration {
 	if len(r.commands) == 0 {
 		return 0
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -5,40 +5,36 @@
 	"tealpond/internal/transport"
 )
 
-// handleBatch answers the other requests of an aggregator, all in one.
-func (r *Replica) handleBatch(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var batch rpc.Batch
-	if transport.Decode(raw, &batch) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
+// aggregatedKinds are the kinds of agents' requests that an aggregator takes and
+// batches for the leader.
+var aggregatedKinds = map[string]bool{
+	rpc.KindRenewLease: true, rpc.KindRegisterWorker: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindRenewMembership: true,
+}
+
+// handleBatch answers the requests of an aggregator's batch, all in one response.
+func (r *Replica) handleBatch(batch *rpc.Batch, _ *transport.Stream, reply replyFunc) {
 	r.metrics.count("many_asks", len(batch.Requests))
-	responses, remaining, unknown := make([]rpc.Response, len(batch.Requests)), len(batch.Requests), false
+	responses := make([]rpc.Response, len(batch.Requests))
+	remaining, unknown := len(batch.Requests), false
 	for i, request := range batch.Requests {
 		done := func(response rpc.Response) {
 			responses[i] = response
-			// One unclear outcome makes the whole batch unclear: the client
+			// One unknown outcome makes that of the whole batch unknown: the client
 			// then asks the next leader, and requests can be repeated.
 			unknown = unknown || response.Code == rpc.CodeLeadershipLost || response.Code == rpc.CodeNotLeader
 			if remaining--; remaining > 0 {
 				return
 			}
 			if unknown {
-				reply(rpc.Response{Code: rpc.CodeLeadershipLost})
+				reply(responseOutcomeUnknown)
 				return
 			}
-			reply(rpc.Response{Code: 200, Body: transport.Encode(responses)})
+			reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(responses)})
 		}
-		if handler := leaderHandlers[request.Kind]; handler != nil && aggregatedRequests[request.Kind] {
+		if handler := leaderHandlers[request.Kind]; handler != nil && aggregatedKinds[request.Kind] {
 			handler(r, request.Body, nil, done)
 		} else {
-			done(rpc.Response{Code: 400, Text: "unknown ask"})
+			done(responseUnknownKind)
 		}
 	}
 }
-
-// aggregatedRequests are the requests of side daemons that a follower takes and
-// batches for the leader.
-var aggregatedRequests = map[string]bool{
-	rpc.KindRenewLease: true, rpc.KindRegisterWorker: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindRenewMembership: true,
-}
--- a/internal/server/config_test.go
+++ b/internal/server/configuration_test.go
@@ -11,31 +11,31 @@
 	"tealpond/internal/transport"
 )
 
-// responseTo gives the answer to an ask that is answered at once.
-func responseTo(handler func(*Replica, []byte, *transport.Stream, replyFunc), replica *Replica) rpc.Response {
+// responseTo gives the response to a request that is answered at once.
+func responseTo(handler leaderHandler, replica *Replica) rpc.Response {
 	var received rpc.Response
 	handler(replica, nil, nil, replica.withAppliedVersions(func(response rpc.Response) { received = response }))
 	return received
 }
 
 // TestConfigurationIsReadAsSent: before there is one, callers are told to come back;
-// then it is given as sent, and each answer names its version.
+// then it is given as sent, and each response names its version.
 func TestConfigurationIsReadAsSent(t *testing.T) {
-	replica := &Replica{state: state.New(state.Limits{})}
-	for name, handler := range map[string]func(*Replica, []byte, *transport.Stream, replyFunc){"read": (*Replica).handleGetConfig, "limits": (*Replica).handleGetLimits} {
-		if response := responseTo(handler, replica); response.Code != 503 || response.RetryAfterMs == 0 {
+	replica := newReplica()
+	for name, handler := range map[string]leaderHandler{"read": (*Replica).handleGetConfig, "limits": (*Replica).handleGetLimits} {
+		if response := responseTo(handler, replica); response.Code != rpc.CodeUnavailable || response.RetryAfterMs == 0 {
 			t.Errorf("%s before the first: %d, come back in %d ms", name, response.Code, response.RetryAfterMs)
 		}
 	}
 	raw := []byte(`{"configVersion":7,"routeList":[],"serviceList":[],"limits":{"maxBodyBytes":99}}`)
-	if outcome := (&state.ReplaceConfiguration{Raw: raw}).Apply(replica.state); outcome.Code != 200 {
+	if outcome := (&state.ReplaceConfiguration{Raw: raw}).Apply(replica.state); outcome.Code != state.CodeOK {
 		t.Fatal(outcome)
 	}
-	if response := responseTo((*Replica).handleGetConfig, replica); response.Code != 200 || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
+	if response := responseTo((*Replica).handleGetConfig, replica); response.Code != rpc.CodeOK || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("read: %+v", response)
 	}
 	var limits clusterconfig.Limits
-	if response := responseTo((*Replica).handleGetLimits, replica); response.Code != 200 || transport.Decode(response.Body, &limits) != nil || limits.MaxBodyBytes != 99 || response.Value != 7 || response.ConfigVersion != 7 {
+	if response := responseTo((*Replica).handleGetLimits, replica); response.Code != rpc.CodeOK || transport.Decode(response.Body, &limits) != nil || limits.MaxBodyBytes != 99 || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("limits: %+v, %+v", response, limits)
 	}
 }
@@ -48,9 +48,9 @@
 		for i := range routes {
 			list = append(list, fmt.Sprintf(`{"name":"r-%07d","hostName":"nony%d.example","pathPrefix":"/lohu%d/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"s","maxTries":4,"stretch":1.5}`, i, i/10, i))
 		}
-		replica := &Replica{state: state.New(state.Limits{})}
+		replica := newReplica()
 		raw := `{"configVersion":7,"routeList":[` + strings.Join(list, ",") + `],"serviceList":[{"name":"s"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
-		if outcome := (&state.ReplaceConfiguration{Raw: []byte(raw)}).Apply(replica.state); outcome.Code != 200 {
+		if outcome := (&state.ReplaceConfiguration{Raw: []byte(raw)}).Apply(replica.state); outcome.Code != state.CodeOK {
 			t.Fatal(outcome)
 		}
 		limitsBytes, configBytes := len(transport.Encode(responseTo((*Replica).handleGetLimits, replica))), len(transport.Encode(responseTo((*Replica).handleGetConfig, replica)))
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -13,35 +13,13 @@
 // handleTransport takes a frame from a stream, or the end of the stream.
 func (r *Replica) handleTransport(ctx context.Context, event *transport.Event) {
 	if event.Closed {
-		for address, stream := range r.connections {
-			if stream == event.Stream {
-				delete(r.connections, address)
-			}
-		}
-		maps.DeleteFunc(r.inbound, func(_ string, stream *transport.Stream) bool { return stream == event.Stream })
-		r.dropSessions(event.Stream)
+		r.handleStreamClosed(event.Stream)
 		return
 	}
 	r.metrics.count("bytes_in", len(event.Frame.Body))
 	switch event.Frame.Kind {
 	case rpc.FrameRaft:
-		r.metrics.count("raft_in", 1)
-		if r.writeQueueFull() {
-			return
-		}
-		var message raft.Message
-		if transport.Decode(event.Frame.Body, &message) != nil || message.To != r.self.ID {
-			// Addresses are reused: this message is meant for another disk.
-			return
-		}
-		if r.node == nil {
-			if len(r.persisted.Founders) == 0 {
-				return
-			}
-			r.startNode(r.persisted.Snapshot)
-		}
-		r.inbound[message.From] = event.Stream
-		r.node.Step(message, time.Now())
+		r.handleRaftFrame(event.Frame.Body, event.Stream)
 	case frameSnapshotChunk:
 		r.handleSnapshotChunk(ctx, event.Frame.Body, event.Stream)
 	case frameSnapshotAck:
@@ -49,17 +27,52 @@
 	case frameDigest:
 		r.handleDigestReport(event.Frame.Body)
 	case rpc.FrameRequest:
-		var request rpc.Request
-		if transport.Decode(event.Frame.Body, &request) != nil {
-			event.Stream.Close()
+		r.handleRequestFrame(event.Frame, event.Stream)
+	}
+}
+
+// handleStreamClosed forgets a stream that ended.
+func (r *Replica) handleStreamClosed(closed *transport.Stream) {
+	isClosed := func(_ string, stream *transport.Stream) bool { return stream == closed }
+	maps.DeleteFunc(r.connections, isClosed)
+	maps.DeleteFunc(r.inbound, isClosed)
+	r.dropSessions(closed)
+}
+
+// handleRaftFrame hands a message of the consensus protocol to the node, which is
+// started by it if this replica is bound to a first cluster.
+func (r *Replica) handleRaftFrame(body []byte, stream *transport.Stream) {
+	r.metrics.count("raft_in", 1)
+	if r.writeQueueFull() {
+		return
+	}
+	var message raft.Message
+	if transport.Decode(body, &message) != nil || message.To != r.self.ID {
+		// Addresses are reused: this message is meant for another member.
+		return
+	}
+	if r.node == nil {
+		if len(r.persisted.Founders) == 0 {
 			return
 		}
-		stream, id := event.Stream, event.Frame.ID
-		r.metrics.count("ask_"+request.Kind, 1)
-		r.handleRequest(request, stream, r.withAppliedVersions(func(response rpc.Response) {
-			stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(response)})
-		}))
+		r.startNode(r.persisted.Snapshot)
+	}
+	r.inbound[message.From] = stream
+	r.node.Step(message, time.Now())
+}
+
+// handleRequestFrame handles a request, and sends the response on its stream.
+func (r *Replica) handleRequestFrame(frame transport.Frame, stream *transport.Stream) {
+	var request rpc.Request
+	if transport.Decode(frame.Body, &request) != nil {
+		stream.Close()
+		return
 	}
+	id := frame.ID
+	r.metrics.count("ask_"+request.Kind, 1)
+	r.handleRequest(request, stream, r.withAppliedVersions(func(response rpc.Response) {
+		stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(response)})
+	}))
 }
 
 // sendRaftMessages sends messages of the consensus protocol to other members.
@@ -77,7 +90,7 @@
 	}
 }
 
-// sendFrame sends a frame to another member; false if there is no connection yet, and
+// sendFrame sends a frame to another member; false if there is no stream yet, and
 // the frame is lost.
 func (r *Replica) sendFrame(ctx context.Context, to string, frame transport.Frame) bool {
 	address := r.addressOf(to)
@@ -99,21 +112,21 @@
 }
 
 // sendOnInbound answers a member on the stream by which it was last heard: a
-// candidate knows no addresses yet, and the first answer after a snapshot, which
+// candidate knows no addresses yet, and the first response after a snapshot, which
 // names them, must not be lost while a new connection is being made.
 func (r *Replica) sendOnInbound(to string, frame transport.Frame) bool {
 	stream := r.inbound[to]
 	return stream != nil && stream.Send(frame)
 }
 
-// addressOf is the address of the member with a disk; empty if unknown.
-func (r *Replica) addressOf(diskID string) string {
+// addressOf is the address of a member; empty if unknown.
+func (r *Replica) addressOf(memberID string) string {
 	for _, voter := range r.node.Voters() {
-		if voter.ID == diskID {
+		if voter.ID == memberID {
 			return voter.Addr
 		}
 	}
-	return r.addresses[diskID]
+	return r.addresses[memberID]
 }
 
 // dial connects to a peer in the background, unless that is under way or failed
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -8,7 +8,8 @@
 	"tealpond/internal/state"
 )
 
-// logJob tells how a job went: each step as width, wait, placing and work.
+// logJob logs how a job went: each step as its tasks x milli-CPU, and the ms until it
+// was ready, until all of it was placed, and until it was complete.
 func (r *Replica) logJob(job *state.Job) {
 	var steps strings.Builder
 	for _, instance := range job.Instances {
@@ -17,11 +18,11 @@
 			fmt.Fprintf(&steps, "%dx%d:%d+%d+%d ", job.Steps[i].TaskCount, job.Steps[i].CPUUnits, step.ReadyAt-instance.CreatedAt, step.LastBookedAt-step.ReadyAt, step.CompletedAt-step.LastBookedAt)
 		}
 	}
-	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "lane", job.Route, "priority", job.Priority, "state", job.Status(),
-		"took_ms", job.EndedAt-job.CreatedAt, "aim_ms", job.TargetTurnaroundMs(), "steps", strings.TrimSpace(steps.String()))
+	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "route", job.Route, "priority", job.Priority, "state", job.Status(),
+		"took_ms", job.EndedAt-job.CreatedAt, "target_ms", job.TargetTurnaroundMs(), "steps", strings.TrimSpace(steps.String()))
 }
 
-// logCapacity tells, once a second, how full the workers are.
+// logCapacity logs, once a second, how full the workers are.
 func (r *Replica) logCapacity(now time.Time) {
 	if now.Sub(r.capacityLoggedAt) < time.Second {
 		return
@@ -44,11 +45,11 @@
 			cpuByPriority[job.Priority] += allocation.MilliCPU
 		}
 	}
-	_ = r.log.Log("level", "debug", "event", "room", "workers", workers, "cpu", totalCPU, "used", usedCPU, "mem", totalMemory, "used_mem", usedMemory,
+	_ = r.log.Log("level", "debug", "event", "capacity.measured", "workers", workers, "cpu", totalCPU, "cpu_used", usedCPU, "mem", totalMemory, "mem_used", usedMemory,
 		"waiting", r.state.PendingWork()/1000, "p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
 }
 
-// logRun tells how a run went.
+// logRun logs how a run went.
 func (r *Replica) logRun(completed state.ClosedRun) {
 	allocation := completed.Allocation
 	job, worker := r.state.Jobs[allocation.Job], r.state.Workers[allocation.Worker]
@@ -56,6 +57,6 @@
 		return
 	}
 	step := job.Steps[allocation.Step]
-	_ = r.log.Log("level", "debug", "event", "run.ended", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy, "how", completed.Result, "why", allocation.StopReason, "worker", worker.Node,
-		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt, "estimate_ms", step.EstimateMs, "far", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
+	_ = r.log.Log("level", "debug", "event", "run.completed", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy, "result", completed.Result, "reason", allocation.StopReason, "worker", worker.Node,
+		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt, "estimate_ms", step.EstimateMs, "remote", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
 }
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -16,7 +16,7 @@
 	"tealpond/internal/tuning"
 )
 
-// handleEvents takes what other tasks of the core have sent to its loop.
+// handleEvents takes what runs beside the loop has sent to it.
 func (h *harness) handleEvents() {
 	synctest.Wait()
 	for len(h.replica.events) > 0 {
@@ -24,17 +24,17 @@
 	}
 }
 
-// reportDigest has another replica report its sum.
-func (h *harness) reportDigest(from string, index, sum uint64) {
-	h.replica.handleEvent(h.t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, sum, programVersion})}}})
+// reportDigest has another replica report its digest.
+func (h *harness) reportDigest(from string, index, digest uint64) {
+	h.replica.handleEvent(h.t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, digest, programVersion})}}})
 }
 
-// applyUpTo settles entries until the state has applied one.
+// applyUpTo commits entries until the state has applied one.
 func (h *harness) applyUpTo(index uint64) {
 	h.t.Helper()
 	for i := 0; h.replica.state.AppliedIndex < index && i < 20000; i++ {
 		if h.replica.node.LastIndex() < index {
-			h.replica.enqueueCommand("sweep", &state.CollectGarbage{}, nil)
+			h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, nil)
 		}
 		time.Sleep(3 * time.Millisecond)
 		h.endTurn()
@@ -47,21 +47,21 @@
 	}
 }
 
-// useDataDir gives the core a real disk, which can be put aside.
+// useDataDir gives the replica a real storage, which can be set aside.
 func (h *harness) useDataDir(dir string) {
 	h.replica.settings.DataDir = dir
 	h.replica.stopWriter = func() {}
 }
 
-// TestLeaderLogsDigestOfMajority, and takes its state anew if it is the
-// one that differs.
+// TestLeaderLogsDigestOfMajority: the leader puts the digest of the majority into the
+// log, and discards its own state if it is the one that differs.
 func TestLeaderLogsDigestOfMajority(t *testing.T) {
 	const at = tuning.DigestInterval
 	for name, test := range map[string]struct {
-		b, c      uint64 // what the others report, against this one's sum
+		b, c      uint64 // what the others report, against this one's digest
 		reports   int
-		agreed    bool
-		retires   bool
+		confirmed bool
+		discards  bool
 		disagrees bool
 	}{
 		"all equal":             {0, 0, 2, true, false, false},
@@ -79,21 +79,21 @@
 				h.applyUpTo(at)
 				own, ok := h.replica.digests.own[at]
 				if !ok || own == 0 {
-					t.Fatalf("no sum at %d", at)
+					t.Fatalf("no digest at %d", at)
 				}
 				h.reportDigest("b", at, own+test.b)
 				if test.reports > 1 {
 					h.reportDigest("c", at, own+test.c)
 				}
-				agreed := false
-				for _, r := range h.replica.commands {
-					agreed = agreed || r.Name == "agree"
+				confirmed := false
+				for _, command := range h.replica.commands {
+					confirmed = confirmed || command.Name == state.CommandConfirmDigest
 				}
-				if agreed != test.agreed || (h.replica.digests.divergedAt > 0) != test.retires || h.replica.digests.decided[at] != (test.agreed || test.retires || test.disagrees) {
-					t.Errorf("agreed %v, differs at %d, dealt with %v", agreed, h.replica.digests.divergedAt, h.replica.digests.decided[at])
+				if confirmed != test.confirmed || (h.replica.digests.divergedAt > 0) != test.discards || h.replica.digests.decided[at] != (test.confirmed || test.discards || test.disagrees) {
+					t.Errorf("confirmed %v, diverged at %d, decided %v", confirmed, h.replica.digests.divergedAt, h.replica.digests.decided[at])
 				}
 				h.endTurn()
-				if (h.replica.node == nil) != test.retires {
+				if (h.replica.node == nil) != test.discards {
 					t.Errorf("its node: %v", h.replica.node)
 				}
 			})
@@ -101,9 +101,23 @@
 	}
 }
 
-// TestDivergedReplicaRejoinsWithNewIdentity: it hears of the majority's sum by the
-// log, votes and answers no more, puts its disk aside, and comes back under a
-// new identity with an empty state.
+// follow has the replica, as a follower, commit one entry of the leader "b".
+func (h *harness) follow(index uint64, data []byte) {
+	h.t.Helper()
+	last := index - 1
+	logTerm, _ := h.replica.node.TermAt(last)
+	h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: logTerm, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
+	h.endTurn()
+}
+
+// confirmDigest is an entry that confirms a digest.
+func confirmDigest(index, digest uint64, version string) []byte {
+	return commandEntry(state.CommandConfirmDigest, &state.ConfirmDigest{Index: index, Digest: digest, ProgramVersion: version})
+}
+
+// TestDivergedReplicaRejoinsWithNewIdentity: it hears of the majority's digest by the
+// log, votes and answers no more, sets its storage aside, and comes back under a new
+// identity with an empty state.
 func TestDivergedReplicaRejoinsWithNewIdentity(t *testing.T) {
 	dir := t.TempDir()
 	opened, persisted, _, err := storage.Open(dir)
@@ -116,45 +130,28 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.useDataDir(dir)
-		follow := func(index uint64, data []byte) {
-			last := index - 1
-			logTerm, _ := h.replica.node.TermAt(last)
-			h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: logTerm, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
-			h.endTurn()
-		}
-		entry := func(kind string, command state.Command) []byte {
-			return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand(kind, command)}})
-		}
-		follow(2, entry("limits", &state.SetLimits{}))
-		for i := uint64(3); i <= tuning.DigestInterval; i++ {
-			follow(i, appointmentEntry("z"))
+		const at = tuning.DigestInterval
+		h.follow(2, commandEntry(state.CommandSetLimits, &state.SetLimits{}))
+		for i := uint64(3); i <= at; i++ {
+			h.follow(i, appointmentEntry("z"))
 		}
-		own, ok := h.replica.digests.own[tuning.DigestInterval]
+		own, ok := h.replica.digests.own[at]
 		if !ok {
-			t.Fatal("it has no sum")
+			t.Fatal("it has no digest")
 		}
-		follow(tuning.DigestInterval+1, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own, ProgramVersion: programVersion}))
-		follow(tuning.DigestInterval+2, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own + 1, ProgramVersion: "another"}))
-		follow(tuning.DigestInterval+3, entry("agree", &state.ConfirmDigest{Index: 7, Digest: own + 1, ProgramVersion: programVersion}))
+		h.follow(at+1, confirmDigest(at, own, programVersion))
+		h.follow(at+2, confirmDigest(at, own+1, "another"))
+		h.follow(at+3, confirmDigest(7, own+1, programVersion))
 		if h.replica.node == nil {
-			t.Fatal("retired without a cause")
+			t.Fatal("it discarded its state without a cause")
 		}
 		unknown := 0
-		h.replica.pending[tuning.DigestInterval+9] = pendingEntry{term: 3, replies: []func(state.Outcome, bool){func(state.Outcome, bool) { unknown++ }}}
-		follow(tuning.DigestInterval+4, entry("agree", &state.ConfirmDigest{Index: tuning.DigestInterval, Digest: own + 1, ProgramVersion: programVersion}))
+		h.replica.pending[at+9] = pendingEntry{term: 3, replies: []commandReply{func(state.Outcome, bool) { unknown++ }}}
+		h.follow(at+4, confirmDigest(at, own+1, programVersion))
 		if h.replica.node != nil || unknown != 1 || h.replica.self.ID != "" {
 			t.Fatalf("it goes on as %q, callers heard %d answers", h.replica.self.ID, unknown)
 		}
-		h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
-		h.replica.handleEvent(t.Context(), Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
-		if h.endTurn(); h.replica.node != nil {
-			t.Fatal("it takes part again with its old state")
-		}
-		code := 0
-		h.replica.handleRequest(rpc.Request{Kind: rpc.KindGetConfig}, nil, func(response rpc.Response) { code = response.Code })
-		if code != rpc.CodeNotLeader {
-			t.Errorf("it answers %d", code)
-		}
+		h.checkTakesNoPart()
 		for h.replica.node == nil {
 			h.handleEvents()
 			time.Sleep(time.Millisecond)
@@ -168,14 +165,30 @@
 		// The writes of the identity before count no more.
 		h.replica.handleEvent(t.Context(), Event{Written: []storage.WriteRequest{{}}})
 		if h.replica.writesInFlight != 0 {
-			t.Error("a write of the old disk was counted")
+			t.Error("a write of the old storage was counted")
 		}
 		h.replica.stopWriter()
 	})
 }
 
-// TestSnapshotsAreTakenAtFixedIndexes: at the same ones on each replica, however
-// many entries settle in one turn; and one that a received snapshot overtook is
+// checkTakesNoPart checks that the replica neither votes, nor starts by a proposal,
+// nor answers for the leader.
+func (h *harness) checkTakesNoPart() {
+	h.t.Helper()
+	h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
+	h.replica.handleEvent(h.t.Context(), Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
+	if h.endTurn(); h.replica.node != nil {
+		h.t.Fatal("it takes part again with its old state")
+	}
+	code := 0
+	h.replica.handleRequest(rpc.Request{Kind: rpc.KindGetConfig}, nil, func(response rpc.Response) { code = response.Code })
+	if code != rpc.CodeNotLeader {
+		h.t.Errorf("it answers %d", code)
+	}
+}
+
+// TestSnapshotsAreTakenAtFixedIndexes: at the same ones on each replica, however many
+// entries are committed in one turn; and one that a received snapshot overtook is
 // dropped.
 func TestSnapshotsAreTakenAtFixedIndexes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -192,10 +205,10 @@
 		h.endTurn()
 		h.endTurn()
 		if h.replica.state.AppliedIndex != tuning.SnapshotInterval+200 || !h.replica.encodingSnapshot {
-			t.Fatalf("at %d, cutting: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
+			t.Fatalf("at %d, encoding: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
 		}
 		h.handleEvents()
-		jobs := h.endTurn()
+		writes := h.endTurn()
 		if h.replica.latestSnapshot == nil || h.replica.latestSnapshot.Index != tuning.SnapshotInterval || h.replica.digests.own[tuning.SnapshotInterval] != state.SnapshotDigest(h.replica.latestSnapshot.Data) {
 			t.Fatalf("the snapshot: %v", h.replica.latestSnapshot)
 		}
@@ -203,8 +216,8 @@
 		if err != nil || store.BindSnapshotIndex(tuning.SnapshotInterval) != nil || store.Aggregators["z"].Revision != 1 || store.Aggregators["late"].Revision != 0 || h.replica.state.Aggregators["late"].Revision != 1 {
 			t.Errorf("it holds what came after it: %v", err)
 		}
-		if len(jobs) != 1 || jobs[0].LocalSnapshot != h.replica.latestSnapshot {
-			t.Errorf("the disk was given %v", jobs)
+		if len(writes) != 1 || writes[0].LocalSnapshot != h.replica.latestSnapshot {
+			t.Errorf("the storage was given %v", writes)
 		}
 
 		stale := &encodedSnapshot{h.replica.node, &raft.Snapshot{Index: tuning.SnapshotInterval * 2, Data: []byte{1}}, 1}
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -9,34 +9,43 @@
 	"tealpond/internal/transport"
 )
 
-// EnableFederation turns moving on.
+// loanSlices is into how many slices the whole capacity is cut for loans.
+const loanSlices = 64
+
+// EnableFederation turns federation on. It must be called before Run.
 func (r *Replica) EnableFederation(config federation.Settings) { r.federation = &config }
 
-// FederationWork shows the mover what there is to do.
+// FederationWork shows the offloader what there is to do; on a replica that does
+// not lead, and when ctx ends, that is nothing.
 func (r *Replica) FederationWork(ctx context.Context) federation.PendingWork {
-	var w federation.PendingWork
-	if a, ok := r.sendLocal(ctx, rpc.KindFederationWork, nil); ok {
-		_ = transport.Decode(a.Body, &w)
+	var work federation.PendingWork
+	if response, ok := r.callLoop(ctx, rpc.KindFederationWork, nil); ok {
+		_ = transport.Decode(response.Body, &work) // by this process itself
 	}
-	return w
+	return work
 }
 
-// Propose puts a command of the mover's into the log.
-func (r *Replica) Propose(ctx context.Context, kind string, cmd state.Command) (state.Outcome, bool) {
-	a, ok := r.sendLocal(ctx, rpc.KindPropose, transport.Encode(state.EncodeCommand(kind, cmd)))
-	return state.Outcome{Code: state.Code(a.Code), Text: a.Text, Value: a.Value}, ok && a.Code >= 100
+// Propose puts a command of the offloader's into the log, under the name by which
+// package state registers it, and waits for its outcome; false if it is unknown
+// whether it takes effect.
+func (r *Replica) Propose(ctx context.Context, name string, command state.Command) (state.Outcome, bool) {
+	response, ok := r.callLoop(ctx, rpc.KindPropose, transport.Encode(state.EncodeCommand(name, command)))
+	// The codes below 100 are those of package rpc, for a command without an outcome.
+	return state.Outcome{Code: state.Code(response.Code), Text: response.Text, Value: response.Value}, ok && response.Code >= 100
 }
 
-// sendLocal sends a request to the loop of this process.
-func (r *Replica) sendLocal(ctx context.Context, kind string, body []byte) (rpc.Response, bool) {
+// callLoop sends a request of the offloader to the loop of this process and waits
+// for the response; false when ctx ends.
+func (r *Replica) callLoop(ctx context.Context, kind string, body []byte) (rpc.Response, bool) {
 	received := make(chan rpc.Response, 1)
-	select {
-	case r.events <- Event{FederationRequest: &LocalRequest{Request: rpc.Request{Kind: kind, Body: body}, Reply: func(response rpc.Response) {
+	reply := func(response rpc.Response) {
 		select {
 		case received <- response:
 		default:
 		}
-	}}}:
+	}
+	select {
+	case r.events <- Event{FederationRequest: &LocalRequest{Request: rpc.Request{Kind: kind, Body: body}, Reply: reply}}:
 	case <-ctx.Done():
 		return rpc.Response{}, false
 	}
@@ -48,81 +57,95 @@
 	}
 }
 
-// handleFederationRequest answers the mover of this process; streams can't reach it.
+// handleFederationRequest answers the offloader of this process; streams can't reach
+// it.
 func (r *Replica) handleFederationRequest(local *LocalRequest) {
 	if r.node == nil || !r.node.LeaderReady() || !r.leading || r.federation == nil {
-		local.Reply(rpc.Response{Code: rpc.CodeNotLeader})
+		local.Reply(responseNotLeader)
 		return
 	}
 	switch local.Request.Kind {
 	case rpc.KindFederationWork:
-		local.Reply(rpc.Response{Code: 200, Body: transport.Encode(r.collectFederationWork())})
+		local.Reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(federationWork(r.state, r.federation))})
 	case rpc.KindPropose:
 		var command state.EncodedCommand
 		if transport.Decode(local.Request.Body, &command) != nil {
-			local.Reply(rpc.Response{Code: 400})
+			local.Reply(responseBadRequest)
 			return
 		}
-		r.commands = append(r.commands, command)
-		r.replies = append(r.replies, outcomeReply(local.Reply))
+		r.enqueueEncoded(command, outcomeReply(local.Reply))
 	}
 }
 
 // handleFederationCall answers the leader of another cluster.
-func (r *Replica) handleFederationCall(raw []byte, _ *transport.Stream, reply replyFunc) {
+func (r *Replica) handleFederationCall(body []byte, _ *transport.Stream, reply replyFunc) {
 	if r.federation == nil {
-		reply(rpc.Response{Code: 404, Text: "moving is off"})
+		reply(rpc.Response{Code: rpc.CodeNotFound, Text: "moving is off"})
 		return
 	}
-	request, reason := r.federation.Verify(raw)
+	request, reason := r.federation.Verify(body)
 	if reason != "" {
-		_ = r.log.Log("level", "warn", "event", "peer.refused", "why", reason)
-		reply(rpc.Response{Code: 403, Text: reason})
+		_ = r.log.Log("level", "warn", "event", "federation.call_refused", "reason", reason)
+		reply(rpc.Response{Code: rpc.CodeForbidden, Text: reason})
 		return
 	}
-	respond := func(result string, n int64) {
-		reply(rpc.Response{Code: 200, Body: transport.Encode(federation.Response{Status: result, Epoch: r.state.Epoch, Index: r.state.AppliedIndex, MilliCPU: n})})
+	respond := func(status string, value int64) {
+		reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(federation.Response{Status: status, Epoch: r.state.Epoch, Index: r.state.AppliedIndex, MilliCPU: value})})
 	}
-	respondOutcome := func(outcome state.Outcome, ok bool) {
-		if !ok {
-			reply(rpc.Response{Code: rpc.CodeLeadershipLost})
+	respondOutcome := func(outcome state.Outcome, known bool) {
+		if !known {
+			reply(responseOutcomeUnknown)
 			return
 		}
 		// A job that was taken is looked up again: it may have ended since.
-		result := outcome.Text
-		if job := r.state.Jobs[request.JobID]; result == "taken" && job != nil {
-			result = state.IncomingJobStatus(job)
+		status := outcome.Text
+		if job := r.state.Jobs[request.JobID]; status == "taken" && job != nil {
+			status = state.IncomingJobStatus(job)
 		}
-		respond(result, outcome.Value)
+		respond(status, outcome.Value)
 	}
 	switch request.Kind {
 	case federation.CallLoan:
-		work := r.collectFederationWork()
-		spare := r.federation.LendableMilliCPU(work)
-		if r.federation.Crowded(work) || spare < request.MilliCPU {
-			respond("crowded", spare)
-			return
-		}
-		service := r.serviceToLend()
-		slice := max(work.CapacityMilliCPU/64, 1)
-		r.enqueueCommand("lend", &state.LendCapacity{ID: request.Loan, Peer: request.From, Service: service, MilliCPU: spare, MinMilliCPU: request.MilliCPU, DurationMs: request.DurationMs, SliceMilliCPU: slice, Slices: int(r.federation.LendShare * 64)}, func(outcome state.Outcome, ok bool) {
-			if !ok {
-				reply(rpc.Response{Code: rpc.CodeLeadershipLost})
-				return
-			}
-			result := "lent"
-			if outcome.Code != 200 {
-				result = "full"
-			}
-			respond(result, outcome.Value)
-		})
+		r.lendCapacity(&request, reply, respond)
 	case federation.CallOffer:
-		r.enqueueCommand("accept", &state.AcceptJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Route: request.Route, Loan: request.Loan, Job: request.Job}, respondOutcome)
+		r.enqueueCommand(state.CommandAcceptJob, &state.AcceptJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Route: request.Route, Loan: request.Loan, Job: request.Job}, respondOutcome)
 	case federation.CallRelease:
-		r.enqueueCommand("release", &state.ReleaseJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID}, respondOutcome)
+		r.enqueueCommand(state.CommandReleaseJob, &state.ReleaseJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID}, respondOutcome)
 	case federation.CallVoidOffer:
-		r.enqueueCommand("void", &state.VoidOffer{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Cancel: request.Cancel}, respondOutcome)
+		r.enqueueCommand(state.CommandVoidOffer, &state.VoidOffer{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Cancel: request.Cancel}, respondOutcome)
 	default:
-		reply(rpc.Response{Code: 400, Text: "unknown call"})
+		reply(rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown call"})
+	}
+}
+
+// lendCapacity lends another cluster what this one can spare, if that is enough for
+// the call.
+func (r *Replica) lendCapacity(request *federation.Call, reply replyFunc, respond func(status string, value int64)) {
+	work := federationWork(r.state, r.federation)
+	spare := r.federation.LendableMilliCPU(work)
+	if r.federation.Crowded(work) || spare < request.MilliCPU {
+		respond("crowded", spare)
+		return
+	}
+	loan := &state.LendCapacity{
+		ID:            request.Loan,
+		Peer:          request.From,
+		Service:       serviceToLend(r.state),
+		MilliCPU:      spare,
+		MinMilliCPU:   request.MilliCPU,
+		DurationMs:    request.DurationMs,
+		SliceMilliCPU: max(work.CapacityMilliCPU/loanSlices, 1),
+		Slices:        int(r.federation.LendShare * loanSlices),
 	}
+	r.enqueueCommand(state.CommandLendCapacity, loan, func(outcome state.Outcome, known bool) {
+		if !known {
+			reply(responseOutcomeUnknown)
+			return
+		}
+		status := "lent"
+		if outcome.Code != state.CodeOK {
+			status = "full"
+		}
+		respond(status, outcome.Value)
+	})
 }
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -6,57 +6,48 @@
 	"tealpond/internal/state"
 )
 
-// collectFederationWork gathers open moves, candidates and the record of demand.
-func (r *Replica) collectFederationWork() federation.PendingWork {
-	store := r.state
-	work := federation.PendingWork{IsLeader: true, Epoch: store.Epoch, Index: r.state.AppliedIndex, WallMs: store.WallClock, Demand: map[int64]float64{}}
-	movable, remoteRoutes := map[string]bool{}, map[string]string{}
-	services := map[string]bool{}
-	for _, configured := range r.federation.Routes {
-		movable[configured.LocalRoute] = true
-		remoteRoutes[configured.LocalRoute] = configured.PeerRoute
-		if local := store.Routes[configured.LocalRoute]; local != nil {
-			services[local.TargetService] = true
-		}
+// federationWork is what the offloader works on: the open transfers, the jobs that
+// may be offered to another cluster, and the record of demand.
+func federationWork(store *state.Store, config *federation.Settings) federation.PendingWork {
+	work := federation.PendingWork{IsLeader: true, Epoch: store.Epoch, Index: store.AppliedIndex, WallMs: store.WallClock, Demand: map[int64]float64{}}
+	peerRoutes := map[string]string{} // by the local route
+	for _, route := range config.Routes {
+		peerRoutes[route.LocalRoute] = route.PeerRoute
 	}
 	for _, job := range store.OpenJobs() {
 		if job.AtPeer() {
-			work.OpenTransfers = append(work.OpenTransfers, federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferNumber: job.Transfer.OfferID, State: job.Transfer.State, CancelRequested: job.Transfer.CancelRequested, Route: remoteRoutes[job.Route],
-				Job: protocol.Job{Spec: job.Spec, Steps: job.Steps}})
+			transfer := openTransfer(job)
+			transfer.CancelRequested, transfer.Route = job.Transfer.CancelRequested, peerRoutes[job.Route]
+			transfer.Job = protocol.Job{Spec: job.Spec, Steps: job.Steps}
+			work.OpenTransfers = append(work.OpenTransfers, transfer)
 			continue
 		}
-		if movable[job.Route] && !job.Started && job.PeriodicInstances == 0 && !job.Transfer.Incoming && !hasLongRunningStep(job) {
-			cpu := int64(0)
-			for _, step := range job.Steps {
-				cpu = max(cpu, step.CPUUnits*int64(step.TaskCount))
-			}
-			work.Candidates = append(work.Candidates, federation.Candidate{JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: cpu, Offers: job.Transfer.OfferCount})
-		}
-	}
-	if len(services) == 0 {
-		for name := range store.Services {
-			services[name] = true
+		if _, federated := peerRoutes[job.Route]; federated && mayBeOffered(job) {
+			work.Candidates = append(work.Candidates, federation.Candidate{JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: widestStep(job), Offers: job.Transfer.OfferCount})
 		}
 	}
 	for _, job := range store.Jobs {
 		if job.EndedAt != 0 && job.AtPeer() && job.Transfer.State == state.TransferAccepted {
-			work.OpenTransfers = append(work.OpenTransfers, federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferNumber: job.Transfer.OfferID, State: job.Transfer.State, Finished: true})
+			transfer := openTransfer(job)
+			transfer.Finished = true
+			work.OpenTransfers = append(work.OpenTransfers, transfer)
 		}
 	}
-	for name, route := range store.Routes {
-		if services[route.TargetService] {
-			for bucket, demand := range store.Demand[name] {
-				work.Demand[bucket] += demand
-			}
-		}
-	}
-	for name := range services {
-		capacity, _ := store.SchedulableCapacity(name)
-		work.CapacityMilliCPU += capacity.MilliCPU
-	}
+	addDemand(&work, store, federatedServices(store, config))
 	return work
 }
 
+// openTransfer is a job's transfer as the offloader sees it.
+func openTransfer(job *state.Job) federation.OpenTransfer {
+	return federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferNumber: job.Transfer.OfferID, State: job.Transfer.State}
+}
+
+// mayBeOffered tells whether a job may be offered to another cluster: nothing of it
+// has begun, it is to end, and it is not another cluster's.
+func mayBeOffered(job *state.Job) bool {
+	return !job.Started && job.PeriodicInstances == 0 && !job.Transfer.Incoming && !hasLongRunningStep(job)
+}
+
 // hasLongRunningStep tells whether a job has a long-running step.
 func hasLongRunningStep(job *state.Job) bool {
 	for _, step := range job.Steps {
@@ -67,12 +58,53 @@
 	return false
 }
 
-// serviceToLend is the service whose room is lent: the first by name.
-func (r *Replica) serviceToLend() string {
+// widestStep is the milli-CPU of a job's widest step.
+func widestStep(job *state.Job) int64 {
+	widest := int64(0)
+	for _, step := range job.Steps {
+		widest = max(widest, step.CPUUnits*int64(step.TaskCount))
+	}
+	return widest
+}
+
+// federatedServices are the services of the federated routes, or all services if
+// none of these routes is known.
+func federatedServices(store *state.Store, config *federation.Settings) map[string]bool {
+	services := map[string]bool{}
+	for _, federated := range config.Routes {
+		if route := store.Routes[federated.LocalRoute]; route != nil {
+			services[route.TargetService] = true
+		}
+	}
+	if len(services) == 0 {
+		for service := range store.Services {
+			services[service] = true
+		}
+	}
+	return services
+}
+
+// addDemand adds the record of demand on some services, and their capacity.
+func addDemand(work *federation.PendingWork, store *state.Store, services map[string]bool) {
+	for name, route := range store.Routes {
+		if services[route.TargetService] {
+			for bucket, demand := range store.Demand[name] {
+				work.Demand[bucket] += demand
+			}
+		}
+	}
+	for service := range services {
+		capacity, _ := store.SchedulableCapacity(service)
+		work.CapacityMilliCPU += capacity.MilliCPU
+	}
+}
+
+// serviceToLend is the service whose capacity is lent: the first by name.
+func serviceToLend(store *state.Store) string {
 	first := ""
-	for name := range r.state.Services {
-		if first == "" || name < first {
-			first = name
+	for service := range store.Services {
+		if first == "" || service < first {
+			first = service
 		}
 	}
 	return first
--- /dev/null
+++ b/internal/server/federation_work_test.go
@@ -0,0 +1,99 @@
+package server
+
+import (
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"testing"
+
+	"tealpond/internal/federation"
+	"tealpond/internal/protocol"
+	"tealpond/internal/state"
+)
+
+// storeWithJobs is a state with the routes "fed" and "local", of the services "s1" and
+// "s2", a worker of 4000 milli-CPU for each service, and one job for each name.
+func storeWithJobs(t *testing.T, jobs map[string]protocol.Job) *state.Store {
+	t.Helper()
+	store := state.New(state.Limits{})
+	apply := func(command state.Command) {
+		t.Helper()
+		if outcome := command.Apply(store); outcome.Code != state.CodeOK {
+			t.Fatalf("%T: %+v", command, outcome)
+		}
+	}
+	route := `{"name":"%s","hostName":"h.example","pathPrefix":"/%[1]s/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"%s","maxTries":4,"stretch":1.5}`
+	apply(&state.ReplaceConfiguration{Raw: []byte(`{"configVersion":7,"routeList":[` + fmt.Sprintf(route, "fed", "s1") + `,` + fmt.Sprintf(route, "local", "s2") +
+		`],"serviceList":[{"name":"s1"},{"name":"s2"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`)})
+	for _, service := range []string{"s1", "s2"} {
+		apply(&state.RegisterWorker{ID: "w-" + service, Node: "n-" + service, Service: service, Capacity: protocol.Resources{CPUUnits: 4000, MemoryMB: 1000}})
+	}
+	for _, name := range slices.Sorted(maps.Keys(jobs)) {
+		path := "/fed/" + name
+		if name == "elsewhere" {
+			path = "/local/" + name
+		}
+		apply(&state.SubmitJob{Host: "h.example", Path: path, ID: name, Job: jobs[name], DemandBucket: 3})
+	}
+	return store
+}
+
+// federatedRoutes are the settings that federate the route "fed".
+var federatedRoutes = &federation.Settings{Routes: []federation.Route{{LocalRoute: "fed", PeerRoute: "theirs"}}}
+
+// plainJob is a job of one short task.
+var plainJob = protocol.Job{Spec: "spec", Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}
+
+// TestFederationWorkOffersUntouchedJobs: jobs of a federated route that end, of which
+// nothing has begun, and which aren't another cluster's.
+func TestFederationWorkOffersUntouchedJobs(t *testing.T) {
+	wide := protocol.Job{Steps: []protocol.Step{plainJob.Steps[0], {TaskCount: 4, CPUUnits: 200, EstimateMs: 1000}}}
+	lasting := protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, LongRunning: true}}}
+	periodic := protocol.Job{Steps: plainJob.Steps, PeriodicInstances: 2, FirstRunMs: 1 << 50, IntervalMs: 1000}
+	store := storeWithJobs(t, map[string]protocol.Job{"wide": wide, "lasting": lasting, "periodic": periodic, "begun": plainJob, "incoming": plainJob, "elsewhere": plainJob})
+	store.Jobs["begun"].Started = true
+	store.Jobs["incoming"].Transfer.Incoming = true
+	want := []federation.Candidate{{JobID: "wide", Route: "fed", MilliCPU: 800}}
+	if got := federationWork(store, federatedRoutes).Candidates; !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, want %+v", got, want)
+	}
+	if got := federationWork(store, &federation.Settings{}).Candidates; len(got) != 0 {
+		t.Errorf("without federated routes: %+v", got)
+	}
+}
+
+// TestFederationWorkListsOpenTransfers: those under way with the job itself, and those
+// that have ended here and are to be confirmed.
+func TestFederationWorkListsOpenTransfers(t *testing.T) {
+	store := storeWithJobs(t, map[string]protocol.Job{"here": plainJob, "offered": plainJob, "finished": plainJob})
+	store.Jobs["offered"].Transfer = state.JobTransfer{Peer: "p", OfferID: 5, State: state.TransferOffered, CancelRequested: true}
+	store.Jobs["finished"].Transfer = state.JobTransfer{Peer: "p", OfferID: 6, State: state.TransferAccepted}
+	store.Jobs["finished"].EndedAt = 1
+	work := federationWork(store, federatedRoutes)
+	// The store still lists the job whose end this test has written as open.
+	open := slices.DeleteFunc(work.OpenTransfers, func(transfer federation.OpenTransfer) bool { return transfer.JobID == "finished" && !transfer.Finished })
+	want := []federation.OpenTransfer{
+		{JobID: "offered", Peer: "p", OfferNumber: 5, State: state.TransferOffered, CancelRequested: true, Route: "theirs", Job: plainJob},
+		{JobID: "finished", Peer: "p", OfferNumber: 6, State: state.TransferAccepted, Finished: true},
+	}
+	if !reflect.DeepEqual(open, want) {
+		t.Errorf("%+v, want %+v", open, want)
+	}
+}
+
+// TestFederationWorkCountsFederatedServices: demand and capacity are those of the
+// services of the federated routes; of all, if there are none.
+func TestFederationWorkCountsFederatedServices(t *testing.T) {
+	store := storeWithJobs(t, map[string]protocol.Job{"a": plainJob, "elsewhere": plainJob})
+	federated, all := federationWork(store, federatedRoutes), federationWork(store, &federation.Settings{})
+	if federated.CapacityMilliCPU != 4000 || all.CapacityMilliCPU != 8000 {
+		t.Errorf("capacity %d and %d milli-CPU", federated.CapacityMilliCPU, all.CapacityMilliCPU)
+	}
+	if federated.Demand[3] <= 0 || all.Demand[3] != 2*federated.Demand[3] {
+		t.Errorf("demand %v and %v", federated.Demand, all.Demand)
+	}
+	if service := serviceToLend(store); service != "s1" {
+		t.Errorf("%q is lent", service)
+	}
+}
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/transport"
 )
 
-// TestFrameBytes holds the frames between core daemons against the golden bytes.
+// TestFrameBytes holds the frames between servers against the golden bytes.
 func TestFrameBytes(t *testing.T) {
 	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
 	message := raft.Message{Kind: raft.MsgSnapshot, From: "from", To: "to", Term: 1, Index: 2, LogTerm: 3, Commit: 4, Entries: []raft.Entry{}, SendStamp: 5, WallClock: 6,
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -17,8 +17,8 @@
 	"tealpond/internal/tuning"
 )
 
-// harness is a core without its loop, streams and disk: a test hands it messages
-// and calls rest as the loop would. It runs in a bubble of virtual time.
+// harness is a replica without its loop, streams and storage: a test hands it
+// messages and calls endTurn as the loop would. It runs in a bubble of virtual time.
 type harness struct {
 	t       *testing.T
 	replica *Replica
@@ -26,14 +26,14 @@
 
 var testVoters = []raft.Member{{Node: "n-a", ID: "a"}, {Node: "n-b", ID: "b"}, {Node: "n-c", ID: "c"}}
 
-// newHarness gives the core of the first voter, founded and empty.
+// newHarness gives the replica of the first voter, bootstrapped and empty.
 func newHarness(t *testing.T) *harness {
-	replica := &Replica{log: log.NewNopLogger(), self: testVoters[0], writeQueue: make(chan storage.WriteRequest, 1024), events: make(chan Event, 64),
-		connections: map[string]*transport.Stream{}, dialing: map[string]time.Time{}, addresses: map[string]string{}, inbound: map[string]*transport.Stream{},
-		pending: map[uint64]pendingEntry{}, leases: map[string]*workerLease{}, memberLeases: map[string]memberLease{}, statusWaiters: map[string][]statusWaiter{},
-		sessions: map[string]*agentSession{}, pendingAssignments: map[*transport.Stream][]rpc.Assignment{}, aggregator: aggregator.New("a"), memberSets: map[string]memberSet{},
-		appointments: newAppointments(), digests: newDigestTracker(), outgoingSnapshots: map[string]*snapshotSender{}, incomingSnapshots: map[string]*snapshotReceiver{}, cancelWaiters: map[string][]replyFunc{}, trace: tracing.NewRing(16), metrics: newLoopMetrics(false), settings: settings.File{NodeName: "n-a"},
-		state: state.New(state.Limits{}), leaseDuration: tuning.MaxLeaseDuration}
+	t.Helper()
+	replica := newReplica()
+	replica.log, replica.trace, replica.settings = log.NewNopLogger(), tracing.NewRing(16), settings.File{NodeName: "n-a"}
+	replica.self, replica.aggregator = testVoters[0], aggregator.New("a")
+	replica.events, replica.writeQueue = make(chan Event, 64), make(chan storage.WriteRequest, 1024)
+	replica.leaseDuration = tuning.MaxLeaseDuration
 	replica.storageOpened.Store(true)
 	replica.startNode(raft.Snapshot{Index: 1, Voters: testVoters})
 	return &harness{t: t, replica: replica}
@@ -48,17 +48,18 @@
 // endTurn ends a turn of the loop and has all writes of it succeed.
 func (h *harness) endTurn() []storage.WriteRequest {
 	h.replica.endTurn(h.t.Context(), time.Now())
-	var jobs []storage.WriteRequest
+	var writes []storage.WriteRequest
 	for len(h.replica.writeQueue) > 0 {
-		jobs = append(jobs, <-h.replica.writeQueue)
+		writes = append(writes, <-h.replica.writeQueue)
 	}
-	if len(jobs) > 0 {
-		h.replica.handleEvent(h.t.Context(), Event{Written: jobs})
+	if len(writes) > 0 {
+		h.replica.handleEvent(h.t.Context(), Event{Written: writes})
 	}
-	return jobs
+	return writes
 }
 
-// becomeLeader has the others elect this core and settles the first entry of its term.
+// becomeLeader has the others elect this replica and commits the first entry of its
+// term.
 func (h *harness) becomeLeader() {
 	h.t.Helper()
 	node := h.replica.node
@@ -77,7 +78,7 @@
 	if !h.replica.leading {
 		h.t.Fatal("it does not lead")
 	}
-	// What a new leader puts into the log is settled too.
+	// What a new leader puts into the log is committed too.
 	time.Sleep(time.Second / 10)
 	h.endTurn()
 	h.acknowledge("b")
@@ -89,7 +90,12 @@
 	h.receive(raft.Message{Kind: raft.MsgAppendResponse, From: from, Term: h.replica.node.Term(), Index: h.replica.node.LastIndex(), SendStamp: time.Now().UnixNano()})
 }
 
-// appointmentEntry is an entry that gives a zone's duty to nobody, to be seen in the state.
+// commandEntry is the data of an entry with one command.
+func commandEntry(name string, command state.Command) []byte {
+	return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand(name, command)}})
+}
+
+// appointmentEntry is an entry that appoints nobody for a zone, to be seen in the state.
 func appointmentEntry(zone string) []byte {
-	return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand("appoint", &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: zone}})}})
+	return commandEntry(state.CommandAppointAggregator, &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: zone}})
 }
--- a/internal/server/job_status.go
+++ b/internal/server/job_status.go
@@ -8,42 +8,44 @@
 	"tealpond/internal/tuning"
 )
 
-// handleJobStatus answers with a job's state, or with a queue's length.
-func (r *Replica) handleJobStatus(raw []byte, _ *transport.Stream, reply replyFunc) {
-	_, route, id, ok := r.findRoute(raw, reply)
+// statusWaiter is a status request that waits for a moment, so that a job's last
+// completions can be applied.
+type statusWaiter struct {
+	reply replyFunc
+	until time.Time
+}
+
+// handleJobStatus answers with a job's state, or, for a path without an ID, with
+// the number of jobs that wait on the route.
+func (r *Replica) handleJobStatus(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
+	route, id, ok := r.findRoute(request, reply)
 	if !ok {
 		return
 	}
 	if id == "" {
-		reply(rpc.Response{Code: 200, Text: "count", Value: int64(r.state.PendingJobs(route.Name))})
+		reply(rpc.Response{Code: rpc.CodeOK, Text: "count", Value: int64(r.state.PendingJobs(route.Name))})
 		return
 	}
 	if status, ok := r.state.JobStatus(id); ok {
 		if r.state.Jobs[id].InFinalRuns() {
-			// Wait for a moment: the job's last ends may be on their way through
-			// the log, and an older answer costs the client another poll.
+			// Its last completions may be on their way through the log, and an
+			// older answer costs the client another poll.
 			r.statusWaiters[id] = append(r.statusWaiters[id], statusWaiter{reply, time.Now().Add(tuning.StatusSettleWait)})
 			return
 		}
-		reply(rpc.Response{Code: 200, Text: status})
+		reply(rpc.Response{Code: rpc.CodeOK, Text: status})
 		return
 	}
 	if !validJobID(id) {
-		reply(rpc.Response{Code: 400, Text: "the ID wants 16 hex digits"})
+		reply(responseBadJobID)
 		return
 	}
-	reply(rpc.Response{Code: 410, Text: "no such job"})
-}
-
-// statusWaiter is a status request that waits for a moment, so that a job's last
-// ends can be applied.
-type statusWaiter struct {
-	reply replyFunc
-	until time.Time
+	reply(responseNoSuchJob)
 }
 
 // replyToStatusWaiters answers status requests whose job has ended, or that have
-// waited long enough; it returns when to come back.
+// waited long enough; it returns after how long the next one must be answered, 0
+// for none.
 func (r *Replica) replyToStatusWaiters(now time.Time) time.Duration {
 	wake := time.Duration(0)
 	for id, waiters := range r.statusWaiters {
@@ -61,9 +63,9 @@
 			case !r.leading || !r.node.HasLease(now):
 				waiter.reply(rpc.Response{Code: rpc.CodeNotLeader, Leader: r.leaderAddress()})
 			case job == nil:
-				waiter.reply(rpc.Response{Code: 410, Text: "no such job"})
+				waiter.reply(responseNoSuchJob)
 			default:
-				waiter.reply(rpc.Response{Code: 200, Text: job.Status()})
+				waiter.reply(rpc.Response{Code: rpc.CodeOK, Text: job.Status()})
 			}
 		}
 		if len(keep) == 0 {
--- a/internal/server/leader_test.go
+++ b/internal/server/leader_test.go
@@ -19,15 +19,15 @@
 		at, unknown := h.replica.leadingSince, 0
 		h.replica.leadingTerm--
 		h.replica.leases["w"] = &workerLease{grantedAt: time.Now()}
-		h.replica.pending[999] = pendingEntry{replies: []func(state.Outcome, bool){func(_ state.Outcome, ok bool) {
-			if !ok {
+		h.replica.pending[999] = pendingEntry{replies: []commandReply{func(_ state.Outcome, known bool) {
+			if !known {
 				unknown++
 			}
 		}}}
 		time.Sleep(time.Millisecond)
 		h.endTurn()
 		if !h.replica.leading || h.replica.leadingTerm != h.replica.node.Term() || !h.replica.leadingSince.After(at) || h.replica.leases["w"] != nil || unknown != 1 {
-			t.Errorf("it goes on as in the term before: %d answers, grants %v", unknown, h.replica.leases)
+			t.Errorf("it goes on as in the term before: %d replies, leases %v", unknown, h.replica.leases)
 		}
 	})
 }
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2, Entries: []raft.Entry{{Index: 2, Term: 3,
-			Data: transport.Encode(state.Batch{Clock: 1_000_000, Commands: []state.EncodedCommand{state.EncodeCommand("sweep", &state.CollectGarbage{})}})}}})
+			Data: transport.Encode(state.Batch{Clock: 1_000_000, Commands: []state.EncodedCommand{state.EncodeCommand(state.CommandCollectGarbage, &state.CollectGarbage{})}})}}})
 		h.endTurn()
 		time.Sleep(time.Second)
 		h.becomeLeader()
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -9,17 +9,21 @@
 	"tealpond/internal/tuning"
 )
 
-// codeStillNeeded answers KindReleaseZones where the others can't do without the disk yet; the
-// asker comes again after RetryAfterMs.
-const codeStillNeeded = 425
+const (
+	// codeStillNeeded answers rpc.KindReleaseZones where the others can't do without
+	// the server yet, which asks again after Response.RetryAfterMs.
+	codeStillNeeded = 425
+	// leavePollInterval is how often a leaving server looks whether it may end.
+	leavePollInterval = 20 * time.Millisecond
+)
 
-// leaveTimeout is the longest that a daemon waits before it ends.
+// leaveTimeout is the longest that a server waits before it ends.
 func (r *Replica) leaveTimeout() time.Duration {
 	return max(tuning.LeadershipTransferTimeout, time.Duration(r.settings.Bounds.GraceS*tuning.ShutdownWaitFraction*float64(time.Second)))
 }
 
 // Leave hands over leadership or aggregation before the process ends, and waits,
-// up to a bound, while the others could not do without this disk.
+// up to a bound, while the others could not do without this server's storage.
 func (r *Replica) Leave() {
 	done := make(chan struct{})
 	r.events <- Event{Leave: done}
@@ -29,7 +33,7 @@
 	}
 }
 
-// beginLeave begins to leave.
+// beginLeave begins to leave; done is closed once the process may end.
 func (r *Replica) beginLeave(ctx context.Context, done chan struct{}) {
 	r.leaveWaiters = append(r.leaveWaiters, done)
 	if len(r.leaveWaiters) > 1 {
@@ -44,11 +48,11 @@
 	}
 }
 
-// requestLeave has this daemon's zones given to their standbys, and asks the leader
+// requestLeave has this server's zones given to their standbys, and asks the leader
 // until it may end.
 func (r *Replica) requestLeave(ctx context.Context) {
 	r.leaveRequested = true
-	r.aggregator.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
+	r.aggregator.FailAll(responseNotLeader)
 	if !r.node.IsVoter(r.self.ID) {
 		r.finishLeaving()
 		return
@@ -59,7 +63,7 @@
 		defer cancel()
 		for callCtx.Err() == nil {
 			response := r.leaderClient.Call(callCtx, rpc.KindReleaseZones, &rpc.ZoneRelease{Disk: r.self.ID})
-			if response.Code == 200 {
+			if response.Code == rpc.CodeOK {
 				break
 			}
 			select {
@@ -82,7 +86,8 @@
 	r.leaveWaiters = nil
 }
 
-// continueLeave takes the next step of leaving; it returns when to come back, or 0.
+// continueLeave takes the next step of leaving; it returns after how long the next
+// one is due, 0 if this server isn't leaving.
 func (r *Replica) continueLeave(ctx context.Context, now time.Time) time.Duration {
 	switch {
 	case len(r.leaveWaiters) == 0:
@@ -97,11 +102,11 @@
 		// Leadership was lost without a transfer.
 		r.requestLeave(ctx)
 	}
-	return 20 * time.Millisecond
+	return leavePollInterval
 }
 
-// transferLeadership transfers leadership once the others can do without this disk, or
-// when there is just enough time left for it. Until then this daemon goes on
+// transferLeadership transfers leadership once the others can do without this
+// server, or when there is just enough time left for it. Until then it goes on
 // leading, and may itself put a candidate in its place.
 func (r *Replica) transferLeadership(now time.Time) {
 	if len(r.node.Voters()) == 1 {
@@ -118,14 +123,9 @@
 	}
 }
 
-// handleReleaseZones takes the duties from a daemon that ends; its standbys take over.
-// Whoever waits for a voter's place may have its.
-func (r *Replica) handleReleaseZones(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var request rpc.ZoneRelease
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
+// handleReleaseZones takes its zones from a server that leaves; the standbys take
+// over. A candidate that waits for a voter's place may have its.
+func (r *Replica) handleReleaseZones(request *rpc.ZoneRelease, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
 	r.appointments.leavingUntil[request.Disk] = now.Add(tuning.ShutdownExclusionPeriod)
 	r.appointAggregators(now)
@@ -139,5 +139,5 @@
 		reply(rpc.Response{Code: codeStillNeeded, Text: reason, RetryAfterMs: tuning.ShutdownPollInterval.Milliseconds()})
 		return
 	}
-	reply(rpc.Response{Code: 200})
+	reply(responseOK)
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,28 +11,44 @@
 	"tealpond/internal/tuning"
 )
 
-// Event is an input of the core's loop. Exactly one of its fields is set, except
-// that By goes with Wrote and Bad.
+const (
+	// eventQueueLength bounds the events that wait for the loop; senders block
+	// beyond it.
+	eventQueueLength = 4096
+	// redialDelay is the pause after a failed dial to a peer.
+	redialDelay = 100 * time.Millisecond
+)
+
+// Event is an input of the loop. Exactly one of its fields is set, except that
+// WrittenBy goes with Written and WriteErr.
 type Event struct {
-	Transport         *transport.Event
+	// Transport is a frame of a stream, or the stream's end.
+	Transport *transport.Event
+	// Request is a request of this process, FederationRequest one of its
+	// offloader.
 	Request           *LocalRequest
 	FederationRequest *LocalRequest
-	Written           []storage.WriteRequest
-	WriteErr          error
-	PeerDialed        *dialedPeer
-	BootstrapProposal *rpc.BootstrapProposal
-	StorageOpened     *openedStorage
-	Leave             chan struct{}
-	// WrittenBy is the disk that Wrote and Bad come from.
+	// Written are writes that were synced, WriteErr says why writes failed that
+	// are being retried; WrittenBy is the storage that tells so.
+	Written   []storage.WriteRequest
+	WriteErr  error
 	WrittenBy *storage.Store
-	// SnapshotEncoded is a snapshot that was encoded, NewIdentity the empty disk of a
-	// replica that starts over.
+	// PeerDialed is the outcome of dialing a peer.
+	PeerDialed *dialedPeer
+	// BootstrapProposal is a seed's response to this candidate.
+	BootstrapProposal *rpc.BootstrapProposal
+	// StorageOpened is the storage, once it could be opened.
+	StorageOpened *openedStorage
+	// SnapshotEncoded is a snapshot that is ready to be written.
 	SnapshotEncoded *encodedSnapshot
-	NewIdentity     *newIdentity
-	// LeaveGranted tells that the others can do without this daemon, which leaves.
-	LeaveGranted bool
-	// LeaderResponse is the leader's answer to a batch of this daemon's aggregator.
+	// NewIdentity is the empty storage of a replica that starts over.
+	NewIdentity *newIdentity
+	// LeaderResponse is the leader's response to a batch of this server's aggregator.
 	LeaderResponse *leaderResponse
+	// Leave asks the replica to leave; the channel is closed once the process may
+	// end. LeaveGranted is the leader's consent.
+	Leave        chan struct{}
+	LeaveGranted bool
 }
 
 // LocalRequest is a request of this process.
@@ -47,11 +63,13 @@
 	stream  *transport.Stream
 }
 
-// Run is the core's loop. It returns when ctx ends.
+// Run is the event loop. It returns nil when ctx ends.
 func (r *Replica) Run(ctx context.Context) error {
 	go r.openStorage(ctx)
 	go r.runAnnouncer(ctx)
-	daemon.Loop(ctx, r.events, func(event Event) { r.handleEvent(ctx, event) }, func(now time.Time) time.Duration { return r.endTurn(ctx, now) })
+	daemon.Loop(ctx, r.events,
+		func(event Event) { r.handleEvent(ctx, event) },
+		func(now time.Time) time.Duration { return r.endTurn(ctx, now) })
 	return nil
 }
 
@@ -70,34 +88,13 @@
 	case event.FederationRequest != nil:
 		r.handleFederationRequest(event.FederationRequest)
 	case (event.Written != nil || event.WriteErr != nil) && event.WrittenBy != r.disk:
-		// A write of the identity that this daemon has given up.
+		// A write of the identity that this server has given up.
 	case event.Written != nil:
-		r.metrics.count("disk_writes", 1)
-		r.metrics.count("disk_jobs", len(event.Written))
-		for _, write := range event.Written {
-			r.writesInFlight--
-			if r.node != nil {
-				if write.Ready.MustSync() {
-					r.node.WriteSynced(write.Ready.WriteToken)
-				}
-				r.sendRaftMessages(ctx, write.Ready.MessagesAfterSync)
-				if write.LocalSnapshot != nil {
-					r.node.Compact(write.LocalSnapshot.Index - min(write.LocalSnapshot.Index, tuning.SnapshotTrailingEntries))
-				}
-			}
-		}
+		r.handleWritten(ctx, event.Written)
 	case event.WriteErr != nil:
-		_ = r.log.Log("level", "error", "event", "disk.refused", "why", event.WriteErr)
+		_ = r.log.Log("level", "error", "event", "storage.write_failed", "error", event.WriteErr)
 	case event.PeerDialed != nil:
-		delete(r.dialing, event.PeerDialed.address)
-		if event.PeerDialed.stream != nil {
-			r.connections[event.PeerDialed.address] = event.PeerDialed.stream
-			if r.node != nil {
-				r.resumeTransfers(ctx)
-			}
-		} else {
-			r.dialing[event.PeerDialed.address] = time.Now().Add(100 * time.Millisecond)
-		}
+		r.handlePeerDialed(ctx, event.PeerDialed)
 	case event.LeaderResponse != nil:
 		r.handleLeaderResponse(event.LeaderResponse)
 	case event.StorageOpened != nil:
@@ -111,8 +108,40 @@
 	}
 }
 
+// handleWritten sends what waited for writes to be synced.
+func (r *Replica) handleWritten(ctx context.Context, writes []storage.WriteRequest) {
+	r.metrics.count("disk_writes", 1)
+	r.metrics.count("disk_jobs", len(writes))
+	for _, write := range writes {
+		r.writesInFlight--
+		if r.node == nil {
+			continue
+		}
+		if write.Ready.MustSync() {
+			r.node.WriteSynced(write.Ready.WriteToken)
+		}
+		r.sendRaftMessages(ctx, write.Ready.MessagesAfterSync)
+		if write.LocalSnapshot != nil {
+			r.node.Compact(write.LocalSnapshot.Index - min(write.LocalSnapshot.Index, tuning.SnapshotTrailingEntries))
+		}
+	}
+}
+
+// handlePeerDialed takes a new connection to a peer, or puts off the next attempt.
+func (r *Replica) handlePeerDialed(ctx context.Context, dialed *dialedPeer) {
+	if dialed.stream == nil {
+		r.dialing[dialed.address] = time.Now().Add(redialDelay)
+		return
+	}
+	delete(r.dialing, dialed.address)
+	r.connections[dialed.address] = dialed.stream
+	if r.node != nil {
+		r.resumeTransfers(ctx)
+	}
+}
+
 // endTurn does what is due after the events of a turn of the loop; it returns
-// when to come back.
+// after how long it must run again at the latest, 0 for only after an event.
 func (r *Replica) endTurn(ctx context.Context, now time.Time) time.Duration {
 	if r.node == nil {
 		return 0
@@ -128,9 +157,7 @@
 	// which the entries above it don't follow.
 	r.drainNode(ctx)
 	for _, wait := range []time.Duration{r.leaderWork(now), r.sendBatches(ctx, now), r.proposeQueued(now)} {
-		if wait > 0 && wait < wake {
-			wake = wait
-		}
+		wake = sooner(wake, wait)
 	}
 	r.drainNode(ctx)
 	if r.digests.divergedAt > 0 {
@@ -139,11 +166,14 @@
 	}
 	r.sendAssignments()
 	r.replyToCancelWaiters()
-	if wait := r.replyToStatusWaiters(now); wait > 0 && wait < wake {
-		wake = wait
-	}
-	if wait := r.continueLeave(ctx, now); wait > 0 {
-		wake = min(wake, wait)
+	wake = sooner(wake, r.replyToStatusWaiters(now))
+	return sooner(wake, r.continueLeave(ctx, now))
+}
+
+// sooner is the shorter of two waits, of which wait may be 0 for none.
+func sooner(wake, wait time.Duration) time.Duration {
+	if wait > 0 && wait < wake {
+		return wait
 	}
 	return wake
 }
@@ -152,20 +182,20 @@
 // snapshot is installed before any entry is applied.
 func (r *Replica) drainNode(ctx context.Context) {
 	for {
-		output := r.node.Ready()
-		if !output.IsEmpty() {
-			r.sendRaftMessages(ctx, output.Messages)
-			if output.Snapshot != nil {
-				r.installSnapshot(output.Snapshot)
+		ready := r.node.Ready()
+		if !ready.IsEmpty() {
+			r.sendRaftMessages(ctx, ready.Messages)
+			if ready.Snapshot != nil {
+				r.installSnapshot(ready.Snapshot)
 			}
-			if output.MustSync() || len(output.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
+			if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
 				r.writesInFlight++
-				r.writeQueue <- storage.WriteRequest{Ready: output}
+				r.writeQueue <- storage.WriteRequest{Ready: ready}
 			} else {
-				r.sendRaftMessages(ctx, output.MessagesAfterSync)
+				r.sendRaftMessages(ctx, ready.MessagesAfterSync)
 			}
 		}
-		if !r.apply(ctx) && output.IsEmpty() {
+		if !r.apply(ctx) && ready.IsEmpty() {
 			return
 		}
 	}
--- a/internal/server/membership_leases.go
+++ b/internal/server/membership_leases.go
@@ -15,18 +15,16 @@
 	renewedAt time.Time
 }
 
+// memberKey is the key of a daemon in Replica.memberLeases.
+func memberKey(node, role string) string { return node + "/" + role }
+
 // handleRenewMembership renews a daemon's membership lease.
-func (r *Replica) handleRenewMembership(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var lease rpc.MembershipLease
-	if transport.Decode(raw, &lease) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	r.memberLeases[lease.Node+"/"+lease.Role] = memberLease{lease, time.Now()}
-	reply(rpc.Response{Code: 200})
+func (r *Replica) handleRenewMembership(lease *rpc.MembershipLease, _ *transport.Stream, reply replyFunc) {
+	r.memberLeases[memberKey(lease.Node, lease.Role)] = memberLease{*lease, time.Now()}
+	reply(responseOK)
 }
 
-// handleListMembers lists the daemons that hold a membership lease, and the core.
+// handleListMembers lists the daemons that hold a membership lease.
 func (r *Replica) handleListMembers(_ []byte, _ *transport.Stream, reply replyFunc) {
 	var members []rpc.MembershipLease
 	for key, lease := range r.memberLeases {
@@ -37,9 +35,8 @@
 		members = append(members, lease.MembershipLease)
 	}
 	sort.Slice(members, func(a, b int) bool { return members[a].Node+members[a].Role < members[b].Node+members[b].Role })
-	reply(rpc.Response{Code: 200, Body: transport.Encode(members)})
+	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(members)})
 }
 
-// zoneOf is the zone of a core daemon, from its membership lease; empty if
-// unknown.
-func (r *Replica) zoneOf(node string) string { return r.memberLeases[node+"/edge"].Zone }
+// zoneOf is the zone of a server, from its membership lease; empty if unknown.
+func (r *Replica) zoneOf(node string) string { return r.memberLeases[memberKey(node, serverRole)].Zone }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/tuning"
 )
 
-// cluster is a core that leads as "a", with other members on a network and a
+// cluster is a replica that leads as "a", with other members on a network and a
 // clock of the test's own.
 type cluster struct {
 	t       *testing.T
@@ -22,9 +22,11 @@
 	down    map[string]bool
 }
 
-func testVoter(node, disk string) raft.Member { return raft.Member{Node: node, ID: disk, Addr: disk} }
+// testVoter is a member whose address is its ID.
+func testVoter(node, id string) raft.Member { return raft.Member{Node: node, ID: id, Addr: id} }
 
 func newCluster(t *testing.T) *cluster {
+	t.Helper()
 	c := &cluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*raft.Node{}, down: map[string]bool{}}
 	var voters []raft.Member
 	for _, name := range []string{"a", "b", "c"} {
@@ -33,7 +35,8 @@
 	for _, name := range []string{"a", "b", "c"} {
 		c.start(name, raft.Snapshot{Index: 1, Voters: voters})
 	}
-	c.replica = &Replica{log: log.NewNopLogger(), self: voters[0], node: c.nodes["a"], addresses: map[string]string{}, appointments: newAppointments()}
+	c.replica = newReplica()
+	c.replica.log, c.replica.self, c.replica.node = log.NewNopLogger(), voters[0], c.nodes["a"]
 	c.replica.bootstrap.MinVoters = 3
 	c.now = c.now.Add(3 * time.Second)
 	c.replica.node.Tick(c.now)
@@ -44,15 +47,16 @@
 	return c
 }
 
-func (c *cluster) start(disk string, snapshot raft.Snapshot) {
-	node := raft.New(disk, raft.HardState{Term: 1}, snapshot, nil, c.now, raft.Config{HeartbeatInterval: tuning.HeartbeatInterval, ElectionTimeout: tuning.ElectionTimeout, ElectionJitter: tuning.ElectionTimeoutJitter,
-		CheckQuorumTimeout: tuning.QuorumLossTimeout, LeaseFraction: tuning.LeaderLeaseFraction, MaxInflightEntries: tuning.MaxInflightEntries, MaxAppendBytes: tuning.MaxAppendBytes}, int64(disk[0]))
+// start starts the node of a member.
+func (c *cluster) start(id string, snapshot raft.Snapshot) {
+	node := raft.New(id, raft.HardState{Term: 1}, snapshot, nil, c.now, raft.Config{HeartbeatInterval: tuning.HeartbeatInterval, ElectionTimeout: tuning.ElectionTimeout, ElectionJitter: tuning.ElectionTimeoutJitter,
+		CheckQuorumTimeout: tuning.QuorumLossTimeout, LeaseFraction: tuning.LeaderLeaseFraction, MaxInflightEntries: tuning.MaxInflightEntries, MaxAppendBytes: tuning.MaxAppendBytes}, int64(id[0]))
 	node.SetSnapshotSource(func() *raft.Snapshot {
 		i := node.AppliedIndex()
 		term, _ := node.TermAt(i)
 		return &raft.Snapshot{Index: i, Term: term, Voters: node.VotersAt(i), OutgoingVoters: node.OutgoingVotersAt(i)}
 	})
-	c.nodes[disk] = node
+	c.nodes[id] = node
 }
 
 // run plays some time; of those that are up, only a looks at its clock, so that
@@ -69,6 +73,7 @@
 	}
 }
 
+// deliver sends what a node has ready; false if that is nothing.
 func (c *cluster) deliver(node *raft.Node) bool {
 	output := node.Ready()
 	if output.IsEmpty() {
@@ -86,13 +91,14 @@
 	return true
 }
 
-// addCandidate starts a daemon with an empty disk that asks for a place.
-func (c *cluster) addCandidate(node, disk string) {
-	c.start(disk, raft.Snapshot{})
-	c.replica.candidatesByDisk()[disk] = testVoter(node, disk)
+// addCandidate starts a member with an empty storage, "d", that asks for a place.
+func (c *cluster) addCandidate(node string) {
+	c.start("d", raft.Snapshot{})
+	c.replica.candidatesByID()["d"] = testVoter(node, "d")
 }
 
-func (c *cluster) voterDisks() string {
+// voterIDs shows the voters and, during a change, those before it.
+func (c *cluster) voterIDs() string {
 	voters, old := c.replica.node.VoterSets()
 	var names []string
 	for _, voter := range slices.Concat(voters, old) {
@@ -102,19 +108,19 @@
 }
 
 // reconcileTwice gives the candidate time to catch up, and shows the voters right
-// after the swap (with those before it) and once the change is over.
+// after the proposal (with those before it) and once the change is over.
 func (c *cluster) reconcileTwice() (during, after string) {
 	c.replica.reconcileVoters(c.now)
 	c.run(time.Second)
 	c.replica.reconcileVoters(c.now)
-	during = c.voterDisks()
+	during = c.voterIDs()
 	c.run(time.Second)
-	return during, c.voterDisks()
+	return during, c.voterIDs()
 }
 
 func TestCandidateReplacesVoterInOneChange(t *testing.T) {
 	for _, test := range []struct {
-		why         string
+		name        string
 		node        string
 		fault       func(c *cluster)
 		during, end string
@@ -122,46 +128,46 @@
 		{"nobody is gone", "node-d", func(c *cluster) {}, "[a b c]", "[a b c]"},
 		{"c is frozen for a moment", "node-d", func(c *cluster) { c.down["c"] = true }, "[a b c]", "[a b c]"},
 		{"c is silent", "node-d", func(c *cluster) { c.down["c"] = true; c.run(tuning.VoterReplacementTimeout) }, "[a b d a b c]", "[a b d]"},
-		{"b came back with another disk", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
-		{"its own old disk first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
+		{"b came back with another identity", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
+		{"its own old identity first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
 		{"c said that it leaves", "node-d", func(c *cluster) { c.replica.appointments.leavingUntil["c"] = c.now.Add(tuning.ShutdownExclusionPeriod) }, "[a b d a b c]", "[a b d]"},
 		{"the leader leaves", "node-d", func(c *cluster) { c.replica.leaveWaiters = []chan struct{}{nil} }, "[d b c a b c]", "[d b c]"},
 	} {
 		c := newCluster(t)
-		c.addCandidate(test.node, "d")
+		c.addCandidate(test.node)
 		test.fault(c)
 		if during, end := c.reconcileTwice(); during != test.during || end != test.end {
-			t.Errorf("%s: voters %s, then %s", test.why, during, end)
+			t.Errorf("%s: voters %s, then %s", test.name, during, end)
 		}
 	}
 }
 
 func TestLeavingVoterStaysWhileOthersAreNotHealthy(t *testing.T) {
 	for _, test := range []struct {
-		why   string
+		name  string
 		fault func(c *cluster)
 		want  string
 	}{
 		{"all are well", func(c *cluster) {}, ""},
-		{"a candidate catches up", func(c *cluster) { c.addCandidate("node-d", "d"); c.replica.reconcileVoters(c.now) }, "a candidate is about to take a place"},
+		{"a candidate catches up", func(c *cluster) { c.addCandidate("node-d"); c.replica.reconcileVoters(c.now) }, "a candidate is about to take a place"},
 		{"the other voter is silent", func(c *cluster) { c.down["c"] = true; c.run(tuning.ElectionTimeout + tuning.AggregatorSilenceTimeout) }, "another voter is silent or lags"},
 		{"a change is under way", func(c *cluster) {
-			c.addCandidate("node-c", "d")
+			c.addCandidate("node-c")
 			c.down["c"] = true
 			c.replica.reconcileVoters(c.now)
 			c.run(time.Second)
 			c.replica.reconcileVoters(c.now)
 		}, "a change of the voters is under way"},
 		{"it was replaced", func(c *cluster) {
-			c.addCandidate("node-d", "d")
+			c.addCandidate("node-d")
 			c.replica.appointments.leavingUntil["b"] = c.now.Add(time.Hour)
 			c.reconcileTwice()
 		}, ""},
 	} {
 		c := newCluster(t)
 		test.fault(c)
-		if why := c.replica.reasonToStay("b"); why != test.want {
-			t.Errorf("%s: %q", test.why, why)
+		if reason := c.replica.reasonToStay("b"); reason != test.want {
+			t.Errorf("%s: %q", test.name, reason)
 		}
 	}
 }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -1,12 +1,13 @@
 package server
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 )
 
-// loopMetrics counts what this daemon's loop does, by cause, for the debug log. A
-// nil meter counts nothing and costs nothing.
+// loopMetrics counts what the loop does, by cause, for the debug log. A nil value
+// counts nothing and costs nothing.
 type loopMetrics struct {
 	since     time.Time
 	counts    map[string]int64
@@ -20,14 +21,14 @@
 	return &loopMetrics{counts: map[string]int64{}, durations: map[string]time.Duration{}}
 }
 
-// count counts n of what.
+// count adds n to a counter.
 func (m *loopMetrics) count(name string, n int) {
 	if m != nil {
 		m.counts[name] += int64(n)
 	}
 }
 
-// startTimer begins to time a cause; the function it gives ends that.
+// startTimer begins to time a cause; the function it returns ends that.
 func (m *loopMetrics) startTimer(name string) func() {
 	if m == nil {
 		return func() {}
@@ -43,21 +44,11 @@
 		return nil
 	}
 	m.since = now
-	line := []any{"level", "debug", "event", "loop"}
-	var names []string
-	for name := range m.counts {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
+	line := []any{"level", "debug", "event", "loop.measured"}
+	for _, name := range slices.Sorted(maps.Keys(m.counts)) {
 		line = append(line, name, m.counts[name])
 	}
-	names = names[:0]
-	for name := range m.durations {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	for _, name := range names {
+	for _, name := range slices.Sorted(maps.Keys(m.durations)) {
 		line = append(line, name+"_us", m.durations[name].Microseconds())
 	}
 	m.counts, m.durations = map[string]int64{}, map[string]time.Duration{}
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -1,7 +1,3 @@
-// Package server runs a replica of the cluster's state: the consensus node, its
-// disk and the state machine, and, while it leads, the clock, the scheduler, the
-// leases of the workers and the orders to side daemons. All of it belongs to one
-// loop (Run), which takes events and never blocks on the network or the disk.
 package server
 
 import (
@@ -28,135 +24,182 @@
 	"tealpond/internal/tuning"
 )
 
-// Replica is one replica; its fields belong to its loop, except for the atomic ones.
+// Replica is one server's replica of the cluster's state. Its fields belong to its
+// event loop, except for the atomic ones; its exported methods are safe for
+// concurrent use.
 type Replica struct {
-	settings  settings.File
-	log       log.Logger
-	self      raft.Member
-	persisted storage.Recovered
-	disk      *storage.Store
-	node      *raft.Node
-	state     *state.Store
-
-	events       chan Event
-	writeQueue   chan storage.WriteRequest
-	leaderClient *discovery.Client
-	bootstrap    bootstrap.Coordinator
-
-	connections     map[string]*transport.Stream // by address, dialed
-	dialing         map[string]time.Time
-	addresses       map[string]string            // disk to address
-	inbound         map[string]*transport.Stream // disk to the stream it came by
+	settings    settings.File
+	log         log.Logger
+	trace       *tracing.Ring
+	metrics     *loopMetrics
+	debug       bool   // lines of level debug are kept
+	incarnation string // the ID of this process
+
+	// Identity, storage and consensus. The node is nil until the storage is open
+	// and this server belongs, or wants to belong, to a cluster.
+	self               raft.Member
+	disk               *storage.Store
+	persisted          storage.Recovered
+	node               *raft.Node
+	state              *state.Store
+	writeQueue         chan storage.WriteRequest
+	writesInFlight     int
+	stopWriter         context.CancelFunc
+	storageOpened      atomic.Bool
+	storageLagLoggedAt time.Time // when it was last logged that the storage is behind
+	identityResets     int
+	digests            digestTracker
+	lastSnapshotIndex  uint64         // of the newest snapshot that the storage was given
+	latestSnapshot     *raft.Snapshot // for followers that lag
+	encodingSnapshot   bool
+	outgoingSnapshots  map[string]*snapshotSender // by the follower's ID
+	incomingSnapshots  map[string]*snapshotReceiver
+
+	// Other daemons.
+	events          chan Event
+	leaderClient    *discovery.Client
+	seeds           atomic.Pointer[[]string]
+	bootstrap       bootstrap.Coordinator
 	joinRequestedAt time.Time
+	connections     map[string]*transport.Stream // dialed, by address
+	dialing         map[string]time.Time         // by address; zero while under way, else when to retry
+	addresses       map[string]string            // by member ID, of members that aren't voters
+	inbound         map[string]*transport.Stream // by member ID, the stream it was last heard on
 
-	pending                   map[uint64]pendingEntry
-	commands                  []state.EncodedCommand
-	replies                   []func(state.Outcome, bool)
-	leases                    map[string]*workerLease
-	sessions                  map[string]*agentSession // side daemons connected to this one, by worker
-	sessionsUnsynced          bool
-	pendingAssignments        map[*transport.Stream][]rpc.Assignment
-	aggregator                *aggregator.Batcher
-	memberSets                map[string]memberSet // by the disk of the aggregator
-	appointments              appointments
-	leaderSeenAt              time.Time
-	memberLeases              map[string]memberLease
-	statusWaiters             map[string][]statusWaiter
+	// Commands and those who wait for them.
+	pending       map[uint64]pendingEntry // by log index
+	commands      []state.EncodedCommand  // of the next entry
+	replies       []commandReply          // of the same commands
+	proposedAt    time.Time
+	statusWaiters map[string][]statusWaiter // by job ID
+	cancelWaiters map[string][]replyFunc    // by job ID
+	queuedWork    int64                     // core-ms that wait, as of queuedWorkAt
+	queuedWorkAt  time.Time
+	federation    *federation.Settings // nil while federation is off
+
+	// Agents that are connected to this replica, and their assignments.
+	sessions           map[string]*agentSession // by worker ID
+	sessionsUnsynced   bool
+	pendingAssignments map[*transport.Stream][]rpc.Assignment
+	aggregator         *aggregator.Batcher
+	leaderSeenAt       time.Time // when a leader was last known
+
+	// The term of leadership.
 	leading                   bool
 	leadingSince              time.Time
 	leadingTerm               uint64
-	clockBase                 int64
-	planDue                   bool // the state changed since the scheduler ran
-	plansProposed             bool // a booking is proposed and not yet applied
-	proposedAt                time.Time
-	garbageCollectionProposed bool // a sweep for timed jobs is proposed and not yet applied
-	preemptedAt               time.Time
-	lastSnapshotIndex         uint64         // the index of the newest snapshot that the disk was given
-	latestSnapshot            *raft.Snapshot // the newest snapshot, for members that lag
-	encodingSnapshot          bool           // a snapshot is being encoded
-	digests                   digestTracker
-	stopWriter                context.CancelFunc
-	identityResets            int
-	outgoingSnapshots         map[string]*snapshotSender // snapshots on their way, by disk
-	incomingSnapshots         map[string]*snapshotReceiver
-	writesInFlight            int
-	garbageCollectedAt        time.Time
-	rollupsRebuiltAt          time.Time
+	clockBase                 int64 // the state's clock when the term began, in ms
 	wallClockOffset           int64
 	wallClockKnown            bool
+	leases                    map[string]*workerLease // by worker ID
+	memberSets                map[string]memberSet    // by the aggregator's member ID
+	memberLeases              map[string]memberLease  // by node and role
+	appointments              appointments
+	membership                membershipTracker
+	planner                   scheduler.Planner
+	planDue                   bool // the state changed since the planner ran
+	plansProposed             bool // and not yet applied
+	garbageCollectionProposed bool // and not yet applied
+	garbageCollectedAt        time.Time
+	rollupsRebuiltAt          time.Time
+	preemptedAt               time.Time
 	periodicWorkAt            time.Time
-	queuedWork                int64 // work that waits, as of queuedWorkAt
-	queuedWorkAt              time.Time
 	capacityLoggedAt          time.Time
-	leaveWaiters              []chan struct{}
-	leaveDeadline             time.Time
-	transferringLeadership    bool // leadership is being transferred
-	leaveRequested            bool // the leader is asked whether this daemon may end
 	leaseDuration             time.Duration
-	membership                membershipTracker
-	federation                *federation.Settings
-	cancelWaiters             map[string][]replyFunc
-	trace                     *tracing.Ring
-	incarnation               string
-	debug                     bool
-	planner                   scheduler.Planner
-	metrics                   *loopMetrics
-	seeds                     atomic.Pointer[[]string]
-	storageOpened             atomic.Bool
-	storageLagLoggedAt        time.Time // when it was last logged that the disk is behind
+
+	// The end of the process.
+	leaveWaiters           []chan struct{}
+	leaveDeadline          time.Time
+	transferringLeadership bool
+	leaveRequested         bool // the leader is being asked whether this server may end
 }
 
-// New builds the core; Run opens its disk. Until that is open there is no node,
-// and requests that need one are answered as by a daemon without state.
+// stateLimits are the limits in this server's settings; a leader puts them into the log.
+func stateLimits(config settings.File) state.Limits {
+	return state.Limits{
+		JobRetentionMs: int64(config.Bounds.StatusS*1000) + tuning.JobRetentionMargin.Milliseconds(),
+		MaxReplans:     tuning.MaxReplans,
+		RemoteFactor:   config.Bounds.SpreadFactor,
+	}
+}
+
+// New builds a replica; Run opens its storage. Until that is open there is no
+// node, and requests that need one are answered as by a daemon without state.
 func New(env daemon.Environment, leaderClient *discovery.Client) (*Replica, error) {
-	replica := &Replica{trace: env.Trace, incarnation: env.Incarnation, debug: env.Debug, settings: env.Settings, log: env.Log, leaderClient: leaderClient,
-		self:   raft.Member{Node: env.Settings.NodeName, Addr: env.Settings.InternalAddress()},
-		events: make(chan Event, 4096), writeQueue: make(chan storage.WriteRequest, tuning.StorageQueueLength),
-		connections: map[string]*transport.Stream{}, dialing: map[string]time.Time{}, addresses: map[string]string{}, inbound: map[string]*transport.Stream{},
-		pending: map[uint64]pendingEntry{}, leases: map[string]*workerLease{}, memberLeases: map[string]memberLease{}, statusWaiters: map[string][]statusWaiter{},
-		sessions: map[string]*agentSession{}, pendingAssignments: map[*transport.Stream][]rpc.Assignment{}, aggregator: aggregator.New(""), memberSets: map[string]memberSet{}, appointments: newAppointments(), digests: newDigestTracker(), outgoingSnapshots: map[string]*snapshotSender{}, incomingSnapshots: map[string]*snapshotReceiver{}, cancelWaiters: map[string][]replyFunc{},
-		leaseDuration: env.Settings.LeaseDuration(tuning.MaxLeaseDuration), metrics: newLoopMetrics(env.Debug)}
-	replica.SetSeeds(env.Settings.SeedAddresses())
-	replica.bootstrap.MinVoters = 2*env.Settings.Tolerance.LostMachines + 1
-	replica.state = state.New(state.Limits{})
-	return replica, nil
+	r := newReplica()
+	r.settings, r.log, r.trace, r.debug, r.incarnation = env.Settings, env.Log, env.Trace, env.Debug, env.Incarnation
+	r.metrics = newLoopMetrics(env.Debug)
+	r.self = raft.Member{Node: env.Settings.NodeName, Addr: env.Settings.InternalAddress()}
+	r.events = make(chan Event, eventQueueLength)
+	r.writeQueue = make(chan storage.WriteRequest, tuning.StorageQueueLength)
+	r.leaderClient = leaderClient
+	r.leaseDuration = env.Settings.LeaseDuration(tuning.MaxLeaseDuration)
+	r.SetSeeds(env.Settings.SeedAddresses())
+	r.bootstrap.MinVoters = 2*env.Settings.Tolerance.LostMachines + 1
+	return r, nil
 }
 
-// stateLimits are the limits in this daemon's settings; a leader puts them into the log.
-func stateLimits(config settings.File) state.Limits {
-	return state.Limits{JobRetentionMs: int64(config.Bounds.StatusS*1000) + tuning.JobRetentionMargin.Milliseconds(), MaxReplans: tuning.MaxReplans,
-		RemoteFactor: config.Bounds.SpreadFactor}
+// newReplica makes the tables of a replica, all empty.
+func newReplica() *Replica {
+	return &Replica{
+		state:              state.New(state.Limits{}),
+		digests:            newDigestTracker(),
+		outgoingSnapshots:  map[string]*snapshotSender{},
+		incomingSnapshots:  map[string]*snapshotReceiver{},
+		connections:        map[string]*transport.Stream{},
+		dialing:            map[string]time.Time{},
+		addresses:          map[string]string{},
+		inbound:            map[string]*transport.Stream{},
+		pending:            map[uint64]pendingEntry{},
+		statusWaiters:      map[string][]statusWaiter{},
+		cancelWaiters:      map[string][]replyFunc{},
+		sessions:           map[string]*agentSession{},
+		pendingAssignments: map[*transport.Stream][]rpc.Assignment{},
+		aggregator:         aggregator.New(""),
+		leases:             map[string]*workerLease{},
+		memberSets:         map[string]memberSet{},
+		memberLeases:       map[string]memberLease{},
+		appointments:       newAppointments(),
+	}
 }
 
-// startNode starts the consensus node at a snapshot, with the log that the disk
+// startNode starts the consensus node at a snapshot, with the log that the storage
 // holds above it.
 func (r *Replica) startNode(snapshot raft.Snapshot) {
 	seed := fnv.New64()
-	_, _ = seed.Write([]byte(r.self.ID))
+	_, _ = seed.Write([]byte(r.self.ID)) // a hash never fails to write
 	if r.state.AppliedIndex == 0 {
 		// The limits come by the log, also where there is no state yet.
 		r.state.Limits = state.Limits{}
 	}
 	if err := r.state.BindSnapshotIndex(snapshot.Index); err != nil {
-		panic("core: " + err.Error())
+		panic("server: " + err.Error())
 	}
-	r.node = raft.New(r.self.ID, r.persisted.HardState, snapshot, r.persisted.Entries, time.Now(), raft.Config{HeartbeatInterval: tuning.HeartbeatInterval, ElectionTimeout: tuning.ElectionTimeout,
-		ElectionJitter: tuning.ElectionTimeoutJitter, CheckQuorumTimeout: tuning.QuorumLossTimeout, LeaseFraction: tuning.LeaderLeaseFraction, MaxInflightEntries: tuning.MaxInflightEntries, MaxAppendBytes: tuning.MaxAppendBytes},
-		int64(seed.Sum64())^time.Now().UnixNano())
+	r.node = raft.New(r.self.ID, r.persisted.HardState, snapshot, r.persisted.Entries, time.Now(), raft.Config{
+		HeartbeatInterval:  tuning.HeartbeatInterval,
+		ElectionTimeout:    tuning.ElectionTimeout,
+		ElectionJitter:     tuning.ElectionTimeoutJitter,
+		CheckQuorumTimeout: tuning.QuorumLossTimeout,
+		LeaseFraction:      tuning.LeaderLeaseFraction,
+		MaxInflightEntries: tuning.MaxInflightEntries,
+		MaxAppendBytes:     tuning.MaxAppendBytes,
+	}, int64(seed.Sum64())^time.Now().UnixNano())
 	r.node.SetWallClock(func() int64 { return time.Now().UnixMilli() })
 	r.node.SetSnapshotSource(r.snapshotForFollower)
 	r.persisted.Entries = nil
 	r.persisted.Snapshot.Data = nil
-	_ = r.log.Log("level", "info", "event", "core.start", "disk", r.self.ID, "term", r.node.Term(), "last", r.node.LastIndex(), "voters", len(r.node.Voters()))
+	_ = r.log.Log("level", "info", "event", "raft.started", "disk", r.self.ID, "term", r.node.Term(), "last", r.node.LastIndex(), "voters", len(r.node.Voters()))
 }
 
-// SetSeeds replaces the addresses of the seeds. It is safe for concurrent use.
+// SetSeeds replaces the addresses of the seeds.
 func (r *Replica) SetSeeds(addresses []string) { r.seeds.Store(&addresses) }
 
-// Deliver hands the loop an event of an accepted stream.
+// Deliver hands the loop an event of an accepted stream. It blocks while the
+// loop's queue is full.
 func (r *Replica) Deliver(event transport.Event) { r.events <- Event{Transport: &event} }
 
-// HandleLocal hands the loop a request of this process; reply is called in the loop.
+// HandleLocal hands the loop a request of this process; reply is called in the
+// loop and must not block.
 func (r *Replica) HandleLocal(request rpc.Request, reply func(rpc.Response)) {
 	r.events <- Event{Request: &LocalRequest{Request: request, Reply: reply}}
 }
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -4,45 +4,64 @@
 	"time"
 
 	"tealpond/internal/rpc"
-	"tealpond/internal/state"
 	"tealpond/internal/transport"
 )
 
 // replyFunc answers a request; it is called once, in the loop.
 type replyFunc = func(rpc.Response)
 
-// replicaHandlers handle the requests that any core daemon answers.
-var replicaHandlers = map[string]func(*Replica, []byte, replyFunc){
+// replicaHandler handles a request that any replica answers.
+type replicaHandler = func(r *Replica, body []byte, reply replyFunc)
+
+// leaderHandler handles a request that only a leader with a valid lease answers;
+// stream is nil for a request of this process, or of an aggregator's batch.
+type leaderHandler = func(r *Replica, body []byte, stream *transport.Stream, reply replyFunc)
+
+// replicaHandlers are the requests that any replica answers, by kind.
+var replicaHandlers = map[string]replicaHandler{
 	rpc.KindLeader:        (*Replica).handleLeaderInfo,
 	rpc.KindBootstrap:     (*Replica).handleBootstrapAnnouncement,
 	rpc.KindTrace:         (*Replica).handleTrace,
 	rpc.KindClusterState:  (*Replica).handleClusterState,
-	requestAnnouncerState: func(c *Replica, _ []byte, reply replyFunc) { reply(c.announcerResponse()) },
+	requestAnnouncerState: func(r *Replica, _ []byte, reply replyFunc) { reply(r.announcerResponse()) },
 }
 
-// leaderHandlers handle those that only a leader with a valid lease answers.
-var leaderHandlers map[string]func(*Replica, []byte, *transport.Stream, replyFunc)
+// leaderHandlers are the requests that only a leader answers, by kind.
+var leaderHandlers map[string]leaderHandler
 
 func init() {
-	// Set here, since some handlers look others up in this table.
-	leaderHandlers = map[string]func(*Replica, []byte, *transport.Stream, replyFunc){
-		rpc.KindJoin:              (*Replica).handleJoin,
-		rpc.KindRenewMembership:   (*Replica).handleRenewMembership,
-		rpc.KindSubmitJob:         (*Replica).handleSubmitJob,
-		rpc.KindJobStatus:         (*Replica).handleJobStatus,
-		rpc.KindCancelJob:         (*Replica).handleCancelJob,
-		rpc.KindPutConfig:         (*Replica).handlePutConfig,
+	// Set here, since handleBatch looks others up in this table.
+	leaderHandlers = map[string]leaderHandler{
+		rpc.KindJoin:              decoded((*Replica).handleJoin),
+		rpc.KindRenewMembership:   decoded((*Replica).handleRenewMembership),
+		rpc.KindListMembers:       (*Replica).handleListMembers,
+		rpc.KindReleaseZones:      decoded((*Replica).handleReleaseZones),
+		rpc.KindSubmitJob:         decoded((*Replica).handleSubmitJob),
+		rpc.KindJobStatus:         decoded((*Replica).handleJobStatus),
+		rpc.KindCancelJob:         decoded((*Replica).handleCancelJob),
+		rpc.KindPutConfig:         decoded((*Replica).handlePutConfig),
 		rpc.KindGetConfig:         (*Replica).handleGetConfig,
 		rpc.KindGetLimits:         (*Replica).handleGetLimits,
-		rpc.KindRegisterWorker:    (*Replica).handleRegisterWorker,
-		rpc.KindRenewLease:        (*Replica).handleRenewLease,
-		rpc.KindReportCompletions: (*Replica).handleReportCompletions,
-		rpc.KindSetEligibility:    (*Replica).handleSetEligibility,
-		rpc.KindListMembers:       (*Replica).handleListMembers,
+		rpc.KindRegisterWorker:    decoded((*Replica).handleRegisterWorker),
+		rpc.KindRenewLease:        decoded((*Replica).handleRenewLease),
+		rpc.KindReportCompletions: decoded((*Replica).handleReportCompletions),
+		rpc.KindSetEligibility:    decoded((*Replica).handleSetEligibility),
+		rpc.KindLeaseBatch:        decoded((*Replica).handleLeaseBatch),
+		rpc.KindBatch:             decoded((*Replica).handleBatch),
 		rpc.KindFederationCall:    (*Replica).handleFederationCall,
-		rpc.KindLeaseBatch:        (*Replica).handleLeaseBatch,
-		rpc.KindBatch:             (*Replica).handleBatch,
-		rpc.KindReleaseZones:      (*Replica).handleReleaseZones,
+	}
+}
+
+// decoded makes a handler of one that takes the decoded body. A body that can't be
+// decoded is answered with rpc.CodeBadRequest.
+func decoded[T any](handle func(r *Replica, request *T, stream *transport.Stream, reply replyFunc)) leaderHandler {
+	return func(r *Replica, body []byte, stream *transport.Stream, reply replyFunc) {
+		request := new(T)
+		if transport.Decode(body, request) != nil {
+			reply(responseBadRequest)
+			return
+		}
+		handle(r, request, stream, reply)
 	}
 }
 
@@ -54,10 +73,10 @@
 	}
 	handler := leaderHandlers[request.Kind]
 	if handler == nil {
-		reply(rpc.Response{Code: 400, Text: "unknown ask"})
+		reply(responseUnknownKind)
 		return
 	}
-	if r.node == nil || !r.node.LeaderReady() || !r.leading || !r.node.HasLease(time.Now()) {
+	if !r.leadsWithLease(time.Now()) {
 		if r.node != nil && !r.leading && r.enqueueForLeader(request, stream, reply) {
 			return
 		}
@@ -67,7 +86,13 @@
 	handler(r, request.Body, stream, reply)
 }
 
-// withAppliedVersions adds to each answer the versions that this daemon has applied.
+// leadsWithLease tells whether this replica leads, is ready to, and no other can
+// have been elected yet.
+func (r *Replica) leadsWithLease(now time.Time) bool {
+	return r.node != nil && r.node.LeaderReady() && r.leading && r.node.HasLease(now)
+}
+
+// withAppliedVersions adds to each response the versions that this replica has applied.
 func (r *Replica) withAppliedVersions(reply replyFunc) replyFunc {
 	return func(response rpc.Response) {
 		response.ConfigVersion = max(response.ConfigVersion, r.state.Configuration.Version)
@@ -86,28 +111,17 @@
 	return r.addressOf(r.node.Leader())
 }
 
-// handleLeaderInfo tells what this daemon knows of the leader.
+// handleLeaderInfo tells what this replica knows of the leader.
 func (r *Replica) handleLeaderInfo(_ []byte, reply replyFunc) {
 	info := rpc.LeaderInfo{}
 	if r.node != nil {
 		info.Term = r.node.Term()
-		info.IsLeader = r.leading && r.node.LeaderReady() && r.node.HasLease(time.Now())
+		info.IsLeader = r.leadsWithLease(time.Now())
 		info.Leader = r.leaderAddress()
 		info.IsAggregator = info.Leader != "" && r.isAggregating(time.Now())
 		for _, voter := range r.node.Voters() {
 			info.KnownServers = append(info.KnownServers, voter.Addr)
 		}
 	}
-	reply(rpc.Response{Code: 200, Body: transport.Encode(info)})
-}
-
-// outcomeReply answers a request with the outcome of its command.
-func outcomeReply(reply replyFunc) func(state.Outcome, bool) {
-	return func(outcome state.Outcome, ok bool) {
-		if !ok {
-			reply(rpc.Response{Code: rpc.CodeLeadershipLost})
-			return
-		}
-		reply(rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value})
-	}
+	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(info)})
 }
--- /dev/null
+++ b/internal/server/responses.go
@@ -0,0 +1,37 @@
+package server
+
+import (
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+)
+
+// Responses that several handlers give. Their texts are shown to clients.
+var (
+	responseOK            = rpc.Response{Code: rpc.CodeOK}
+	responseBadRequest    = rpc.Response{Code: rpc.CodeBadRequest}
+	responseUnknownKind   = rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown ask"}
+	responseBadJobID      = rpc.Response{Code: rpc.CodeBadRequest, Text: "the ID wants 16 hex digits"}
+	responseNoSuchRoute   = rpc.Response{Code: rpc.CodeNotFound, Text: "no such queue"}
+	responseNoSuchJob     = rpc.Response{Code: rpc.CodeGone, Text: "no such job"}
+	responseNotConfigured = rpc.Response{Code: rpc.CodeUnavailable, Text: "not configured yet", RetryAfterMs: 1000}
+	responseOverloaded    = rpc.Response{Code: rpc.CodeTooManyRequests, Text: "more work than can be finished", RetryAfterMs: 2000}
+	responseNotLeader     = rpc.Response{Code: rpc.CodeNotLeader}
+	// responseOutcomeUnknown: the command may or may not be in the log.
+	responseOutcomeUnknown = rpc.Response{Code: rpc.CodeLeadershipLost}
+)
+
+// commandReply tells what became of a command. If known is false the outcome is
+// empty, and whether the command takes effect isn't known. It is called once, in
+// the loop.
+type commandReply = func(outcome state.Outcome, known bool)
+
+// outcomeReply answers a request with the outcome of its command.
+func outcomeReply(reply replyFunc) commandReply {
+	return func(outcome state.Outcome, known bool) {
+		if !known {
+			reply(responseOutcomeUnknown)
+			return
+		}
+		reply(rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value})
+	}
+}
--- a/internal/server/scheduling.go
+++ b/internal/server/scheduling.go
@@ -1,46 +1,81 @@
 package server
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"tealpond/internal/scheduler"
+	"tealpond/internal/state"
 	"tealpond/internal/tuning"
 )
 
-// updatePlanner tells the scheduler which workers are silent or sick, and how
-// fast the others are.
-func (r *Replica) updatePlanner(now time.Time) {
-	silent, speed := map[string]bool{}, map[string]float64{}
-	var ratios []int64
-	for id, lease := range r.leases {
-		if now.Sub(lease.heardAt) > tuning.WorkerSilenceTimeout || lease.expiring {
-			silent[id] = true
-		}
-		if lease.runtimeRatio > 0 {
-			ratios = append(ratios, lease.runtimeRatio)
-		}
+// minRuntimeReports is how many workers must have reported the length of their runs
+// before they are compared with each other.
+const minRuntimeReports = 3
+
+// schedule proposes the planner's plans and preemptions for what changed since it
+// last ran. Only one set of plans is proposed at a time.
+func (r *Replica) schedule(now time.Time) {
+	if !r.planDue || r.plansProposed {
+		return
+	}
+	r.planDue = false
+	stopTimer := r.metrics.startTimer("plan")
+	plans := r.planner.Plan(r.state)
+	stopTimer()
+	if len(plans) > 0 {
+		r.plansProposed = true
+		r.enqueueCommand(state.CommandApplyPlans, &state.ApplyPlans{Plans: plans}, func(state.Outcome, bool) { r.plansProposed = false })
+	}
+	if now.Sub(r.preemptedAt) < tuning.PreemptionInterval {
+		return
 	}
-	if len(ratios) >= 3 {
-		sort.Slice(ratios, func(a, b int) bool { return ratios[a] < ratios[b] })
-		median := float64(max(ratios[len(ratios)/2], 1))
+	if preempted := r.planner.Preemptions(r.state); len(preempted) > 0 {
+		r.preemptedAt = now
+		_ = r.log.Log("level", "debug", "event", "preemption.requested", "runs", len(preempted))
+		r.enqueueCommand(state.CommandStopRuns, &state.StopRuns{Allocations: preempted, Reason: "pushed out"}, nil)
+	}
+}
+
+// updatePlanner tells the planner which workers are silent or unhealthy, and how
+// much slower than the others each is.
+func (r *Replica) updatePlanner(now time.Time) {
+	slowdown := map[string]float64{}
+	if median, ok := medianRuntimePercent(r.leases); ok {
 		r.planner.EstimateRatio = median / 100
 		for id, lease := range r.leases {
-			if lease.runtimeRatio > 0 {
-				speed[id] = scheduler.DampSlowdown(float64(lease.runtimeRatio) / median)
+			if lease.runtimePercent > 0 {
+				slowdown[id] = scheduler.DampSlowdown(float64(lease.runtimePercent) / median)
 			}
 		}
 	}
-	unhealthy := map[string]bool{}
-	for id := range r.leases {
+	silent, unhealthy := map[string]bool{}, map[string]bool{}
+	for id, lease := range r.leases {
 		if pace, ok := r.planner.Pace(id, r.state.Clock); ok {
-			speed[id] = pace
+			slowdown[id] = pace
+		}
+		if now.Sub(lease.heardAt) > tuning.WorkerSilenceTimeout || lease.expiring {
+			silent[id] = true
 		}
-	}
-	for id := range r.leases {
 		if worker := r.state.Workers[id]; worker != nil && (worker.Unhealthy || worker.LeaseExpired) {
 			unhealthy[id] = true
 		}
 	}
-	r.planner.SilentWorkers, r.planner.UnhealthyWorkers, r.planner.Slowdown = silent, unhealthy, speed
+	r.planner.SilentWorkers, r.planner.UnhealthyWorkers, r.planner.Slowdown = silent, unhealthy, slowdown
+}
+
+// medianRuntimePercent is the median of what the workers report of the length of
+// their runs, in percent of the estimates and at least 1; false if too few do.
+func medianRuntimePercent(leases map[string]*workerLease) (float64, bool) {
+	var reported []int64
+	for _, lease := range leases {
+		if lease.runtimePercent > 0 {
+			reported = append(reported, lease.runtimePercent)
+		}
+	}
+	if len(reported) < minRuntimeReports {
+		return 0, false
+	}
+	slices.Sort(reported)
+	return float64(max(reported[len(reported)/2], 1)), true
 }
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -6,35 +6,35 @@
 	"tealpond/internal/transport"
 )
 
-// agentSession is a side daemon connected to this replica, leader or not: its
-// orders are read from this replica's applied state and go down this stream.
+// agentSession is an agent connected to this replica, leader or not: its
+// assignments are read from this replica's applied state and go down this stream.
 type agentSession struct {
 	stream *transport.Stream
 	fence  int64
-	// knownIndex is the log index of the newest state that the side daemon was told
-	// of. Orders are held back until this replica has applied it: an older state
+	// knownIndex is the log index of the newest state that the agent was told of.
+	// Assignments are held back until this replica has applied it: an older state
 	// may name a run that is over, and which runs elsewhere by now.
 	knownIndex uint64
-	synced     bool
+	synced     bool // all of the worker's allocations were sent on this stream
 }
 
-// openSession notes the stream by which a side daemon renews its lease.
-func (r *Replica) openSession(request rpc.LeaseRenewal, stream *transport.Stream) {
+// openSession notes the stream by which an agent renews its lease.
+func (r *Replica) openSession(renewal *rpc.LeaseRenewal, stream *transport.Stream) {
 	if stream == nil {
 		return
 	}
-	session := r.sessions[request.Worker]
-	if session == nil || session.stream != stream || session.fence != request.Fence {
-		session = &agentSession{stream: stream, fence: request.Fence, knownIndex: request.KnownIndex}
-		r.sessions[request.Worker] = session
+	session := r.sessions[renewal.Worker]
+	if session == nil || session.stream != stream || session.fence != renewal.Fence {
+		session = &agentSession{stream: stream, fence: renewal.Fence, knownIndex: renewal.KnownIndex}
+		r.sessions[renewal.Worker] = session
 		r.sessionsUnsynced = true
 	}
-	// A side daemon that is synced again may have learnt of a newer state.
-	session.knownIndex = max(session.knownIndex, request.KnownIndex)
+	// An agent that is synced again may have learnt of a newer state.
+	session.knownIndex = max(session.knownIndex, renewal.KnownIndex)
 }
 
-// syncSessions tells side daemons that connected anew all that is booked on
-// their workers: orders of their previous connection may be lost.
+// syncSessions sends agents that connected anew all allocations on their workers:
+// assignments on their previous connection may be lost.
 func (r *Replica) syncSessions() {
 	if !r.sessionsUnsynced {
 		return
@@ -65,7 +65,7 @@
 	}
 }
 
-// dropSessions forgets the side daemons of a stream that ended.
+// dropSessions forgets the agents of a stream that ended.
 func (r *Replica) dropSessions(stream *transport.Stream) {
 	for workerID, session := range r.sessions {
 		if session.stream == stream {
@@ -74,8 +74,17 @@
 	}
 }
 
-// queueAssignment queues a start or a stop for the side daemon of its worker, if that is
-// connected to this replica.
+// closeSessions ends all sessions and their streams: agents whose stream is closed
+// look for another server at once.
+func (r *Replica) closeSessions() {
+	for _, session := range r.sessions {
+		session.stream.Close()
+	}
+	r.sessions = map[string]*agentSession{}
+}
+
+// queueAssignment queues the start or stop of a run for the agent of its worker, if
+// that is connected to this replica.
 func (r *Replica) queueAssignment(allocation *state.Allocation) {
 	session := r.sessions[allocation.Worker]
 	worker := r.state.Workers[allocation.Worker]
@@ -106,7 +115,7 @@
 	r.pendingAssignments[session.stream] = append(r.pendingAssignments[session.stream], assignment)
 }
 
-// sendAssignments sends the orders of this turn, one frame for each stream.
+// sendAssignments sends the assignments of this turn, one frame for each stream.
 func (r *Replica) sendAssignments() {
 	for _, id := range r.state.TakeChangedRuns() {
 		if allocation := r.state.Allocations[id]; allocation != nil {
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -18,39 +18,40 @@
 	digest   uint64
 }
 
-// beginSnapshot begins a snapshot at the last entry applied.
+// beginSnapshot copies the state as of the last entry applied. The first result
+// has all but the data, which the second encodes; that may run beside the loop.
 func (r *Replica) beginSnapshot() (*raft.Snapshot, *state.Snapshot) {
 	index := r.state.AppliedIndex
 	term, ok := r.node.TermAt(index)
 	if !ok {
-		panic("core: a snapshot at an entry that the log does not know")
+		panic("server: a snapshot at an entry that the log does not know")
 	}
 	return &raft.Snapshot{Index: index, Term: term, Voters: r.node.VotersAt(index), OutgoingVoters: r.node.OutgoingVotersAt(index)}, r.state.Snapshot()
 }
 
-// snapshotForFollower is a snapshot for a member that lags: the newest one, since
+// snapshotForFollower is a snapshot for a follower that lags: the newest one, since
 // the log holds what follows it. If there is none yet it is taken at once.
 func (r *Replica) snapshotForFollower() *raft.Snapshot {
 	if r.latestSnapshot == nil {
-		snapshot, frozen := r.beginSnapshot()
-		snapshot.Data = frozen.Encode()
+		snapshot, copied := r.beginSnapshot()
+		snapshot.Data = copied.Encode()
 		r.latestSnapshot = snapshot
 	}
 	return r.latestSnapshot
 }
 
-// takeSnapshotIfDue begins a snapshot at indexes that are the same on all replicas, so
-// that their digests can be compared. Only the copy is made on the loop: to encode the
-// state of a large cluster takes longer than followers wait for a heartbeat.
+// takeSnapshotIfDue begins a snapshot at indexes that are the same on all replicas,
+// so that their digests can be compared. Only the copy is made on the loop: to encode
+// the state of a large cluster takes longer than followers wait for a heartbeat.
 func (r *Replica) takeSnapshotIfDue(ctx context.Context, index uint64) {
 	if index%tuning.SnapshotInterval != 0 || r.encodingSnapshot {
 		return
 	}
 	r.encodingSnapshot = true
-	snapshot, frozen := r.beginSnapshot()
+	snapshot, copied := r.beginSnapshot()
 	node := r.node
 	go func() {
-		snapshot.Data = frozen.Encode()
+		snapshot.Data = copied.Encode()
 		select {
 		case r.events <- Event{SnapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}}:
 		case <-ctx.Done():
@@ -58,8 +59,8 @@
 	}()
 }
 
-// handleSnapshotEncoded has a snapshot written, unless a newer one was received. The one
-// before stays valid until it is synced: the disk replaces it in one step.
+// handleSnapshotEncoded has a snapshot written, unless a newer one was received. The
+// one before stays valid until it is synced: the storage replaces it in one step.
 func (r *Replica) handleSnapshotEncoded(ctx context.Context, encoded *encodedSnapshot) {
 	if encoded.node != r.node {
 		return
@@ -82,14 +83,14 @@
 		err = store.BindSnapshotIndex(snapshot.Index)
 	}
 	if err != nil {
-		panic("core: unreadable snapshot: " + err.Error())
+		panic("server: unreadable snapshot: " + err.Error())
 	}
 	r.state = store
 	r.lastSnapshotIndex, r.latestSnapshot = snapshot.Index, snapshot
 	r.planDue = true
-	r.digests.own = map[uint64]uint64{} // they were of the state before
-	// Nobody will apply the entries that these wait for: they are part of
-	// the snapshot, if anywhere.
+	r.digests.discardOwn()
+	// Nobody will apply the entries that these wait for: they are part of the
+	// snapshot, if anywhere.
 	for index := range r.pending {
 		if index <= snapshot.Index {
 			r.abandonEntry(index)
--- a/internal/server/snapshot_exchange.go
+++ b/internal/server/snapshot_exchange.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/tuning"
 )
 
-// sendSnapshot begins to send a snapshot, or sends a piece again that may be lost.
+// sendSnapshot begins to send a snapshot, or sends a chunk again that may be lost.
 func (r *Replica) sendSnapshot(ctx context.Context, message raft.Message) {
 	now := time.Now()
 	sender := r.outgoingSnapshots[message.To]
@@ -23,10 +23,10 @@
 	}
 }
 
-// sendChunk sends the piece that the receiver lacks.
+// sendChunk sends the chunk that the receiver lacks.
 func (r *Replica) sendChunk(ctx context.Context, sender *snapshotSender, now time.Time) {
 	if !r.sendFrame(ctx, sender.message.To, transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(sender.nextChunk(now))}) {
-		sender.sentAt = time.Time{} // nothing is under way
+		sender.sentAt = time.Time{}
 	}
 }
 
@@ -40,10 +40,10 @@
 	}
 }
 
-// handleSnapshotAck sends the next piece.
-func (r *Replica) handleSnapshotAck(ctx context.Context, raw []byte) {
+// handleSnapshotAck sends the next chunk.
+func (r *Replica) handleSnapshotAck(ctx context.Context, body []byte) {
 	var ack snapshotAck
-	if transport.Decode(raw, &ack) != nil || ack.To != r.self.ID || r.node == nil {
+	if transport.Decode(body, &ack) != nil || ack.To != r.self.ID || r.node == nil {
 		return
 	}
 	now := time.Now()
@@ -52,17 +52,18 @@
 	}
 }
 
-// handleSnapshotChunk takes a piece, and hands the message on once it is whole.
-func (r *Replica) handleSnapshotChunk(ctx context.Context, raw []byte, stream *transport.Stream) {
+// handleSnapshotChunk takes a chunk, and hands the message to the node once all of
+// the snapshot is there.
+func (r *Replica) handleSnapshotChunk(ctx context.Context, body []byte, stream *transport.Stream) {
 	var chunk snapshotChunk
-	if transport.Decode(raw, &chunk) != nil || chunk.Msg.To != r.self.ID || chunk.Msg.Snapshot == nil || r.node == nil || chunk.Total <= 0 || chunk.Total > tuning.MaxFrameBytes {
+	if transport.Decode(body, &chunk) != nil || chunk.Msg.To != r.self.ID || chunk.Msg.Snapshot == nil || r.node == nil || chunk.Total <= 0 || chunk.Total > tuning.MaxFrameBytes {
 		return
 	}
 	from, snapshot := chunk.Msg.From, chunk.Msg.Snapshot
 	r.inbound[from] = stream
 	receiver := r.incomingSnapshots[from]
-	if receiver == nil || receiver.index != snapshot.Index || receiver.term != snapshot.Term || receiver.total != chunk.Total {
-		receiver = &snapshotReceiver{index: snapshot.Index, term: snapshot.Term, total: chunk.Total}
+	if !receiver.expects(chunk) {
+		receiver = newSnapshotReceiver(chunk)
 		r.incomingSnapshots[from] = receiver
 	}
 	received, complete := receiver.add(chunk)
--- a/internal/server/snapshot_test.go
+++ b/internal/server/snapshot_test.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/state"
 )
 
-// snapshotOf is a snapshot at an entry, of a state that has a zone's duty.
+// snapshotOf is a snapshot at an entry, of a state that has an aggregator for a zone.
 func snapshotOf(t *testing.T, index uint64, zone string) *raft.Snapshot {
 	t.Helper()
 	store := state.New(state.Limits{})
@@ -20,9 +20,9 @@
 	return &raft.Snapshot{Index: index, Term: 3, Voters: testVoters, Data: store.EncodeSnapshot()}
 }
 
-// TestSnapshotAndAppendInOneTurnBothApply: the loop drains a snapshot and entries above
-// it before it rests. Applied to the state before the snapshot, the entries
-// would be lost with that state.
+// TestSnapshotAndAppendInOneTurnBothApply: the loop takes a snapshot and entries above
+// it in one turn. Applied to the state before the snapshot, the entries would be lost
+// with that state.
 func TestSnapshotAndAppendInOneTurnBothApply(t *testing.T) {
 	for name, more := range map[string]bool{"snapshot first": false, "entries, snapshot, entries": true} {
 		t.Run(name, func(t *testing.T) {
@@ -47,47 +47,48 @@
 				if _, ok := h.replica.state.Aggregators["old"]; ok || h.replica.state.AppliedIndex != 13 || h.replica.node.AppliedIndex() != 13 {
 					t.Errorf("state at %d, node at %d: %v", h.replica.state.AppliedIndex, h.replica.node.AppliedIndex(), h.replica.state.Aggregators)
 				}
-				if point, _ := h.replica.beginSnapshot(); point.Index != 13 {
-					t.Errorf("a snapshot taken now is at %d", point.Index)
+				if snapshot, _ := h.replica.beginSnapshot(); snapshot.Index != 13 {
+					t.Errorf("a snapshot taken now is at %d", snapshot.Index)
 				}
-				if point := h.replica.snapshotForFollower(); point.Index != 10 {
-					t.Errorf("a member that lags is sent a snapshot at %d, not the one received", point.Index)
+				if snapshot := h.replica.snapshotForFollower(); snapshot.Index != 10 {
+					t.Errorf("a member that lags is sent a snapshot at %d, not the one received", snapshot.Index)
 				}
 			})
 		})
 	}
 }
 
-// TestInstalledSnapshotAbandonsPendingEntries: who waits for an entry that a snapshot covers is told
-// that its outcome isn't known, and orders of the old state are not sent.
+// TestInstalledSnapshotAbandonsPendingEntries: who waits for an entry that a snapshot
+// covers is told that its outcome isn't known, and assignments of the old state are
+// not sent.
 func TestInstalledSnapshotAbandonsPendingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		reply := ""
-		h.replica.pending[5] = pendingEntry{term: 2, replies: []func(state.Outcome, bool){nil, func(_ state.Outcome, ok bool) {
-			reply = map[bool]string{true: "clear", false: "unclear"}[ok]
+		h.replica.pending[5] = pendingEntry{term: 2, replies: []commandReply{nil, func(_ state.Outcome, known bool) {
+			reply = map[bool]string{true: "known", false: "unknown"}[known]
 		}}}
 		h.replica.pendingAssignments[nil] = nil
 		h.replica.sessions["w"] = &agentSession{synced: true}
 		h.replica.installSnapshot(snapshotOf(t, 10, "z"))
-		if reply != "unclear" || len(h.replica.pending) != 0 {
+		if reply != "unknown" || len(h.replica.pending) != 0 {
 			t.Errorf("the caller heard %q, %d wait", reply, len(h.replica.pending))
 		}
 		if len(h.replica.pendingAssignments) != 0 || h.replica.sessions["w"].synced || !h.replica.sessionsUnsynced {
-			t.Error("side daemons go on with what the old state told")
+			t.Error("agents go on with what the old state told")
 		}
 	})
 }
 
 // TestReplacedProposalIsAnsweredAsUnknown: a deposed leader's entry is replaced by
-// one with fewer commands, settled before this core has resigned.
+// one with fewer commands, committed before this replica has stepped down.
 func TestReplacedProposalIsAnsweredAsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.becomeLeader()
 		var replies []bool
 		for range 3 {
-			h.replica.enqueueCommand("sweep", &state.CollectGarbage{}, func(_ state.Outcome, ok bool) { replies = append(replies, ok) })
+			h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, func(_ state.Outcome, ok bool) { replies = append(replies, ok) })
 		}
 		time.Sleep(time.Second / 10)
 		last := h.replica.node.LastIndex()
@@ -106,20 +107,20 @@
 	})
 }
 
-// TestOverwrittenPendingEntryIsAnswered: a proposal at an index for which an earlier one
-// still waits must not take its answer away.
+// TestOverwrittenPendingEntryIsAnswered: a proposal at an index for which an earlier
+// one still waits must not take its reply away.
 func TestOverwrittenPendingEntryIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.becomeLeader()
 		heard := 0
-		h.replica.pending[h.replica.node.LastIndex()+1] = pendingEntry{term: 1, replies: []func(state.Outcome, bool){func(_ state.Outcome, ok bool) {
+		h.replica.pending[h.replica.node.LastIndex()+1] = pendingEntry{term: 1, replies: []commandReply{func(_ state.Outcome, ok bool) {
 			if !ok {
 				heard++
 			}
 		}}}
 		time.Sleep(time.Second / 10)
-		h.replica.enqueueCommand("sweep", &state.CollectGarbage{}, nil)
+		h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, nil)
 		h.endTurn()
 		if heard != 1 {
 			t.Errorf("the earlier caller heard %d answers", heard)
--- a/internal/server/snapshot_transfer.go
+++ b/internal/server/snapshot_transfer.go
@@ -7,10 +7,12 @@
 	"tealpond/internal/tuning"
 )
 
-// A snapshot goes to a member that lags in bounded pieces, one under way at a
+// A snapshot goes to a follower that lags in bounded chunks, one under way at a
 // time, so that heartbeats and entries on the same stream don't wait behind it.
-// The consensus node sees one message, when it is whole. It sends a snapshot
+// The consensus node sees one message, when all of it is there. It sends a snapshot
 // again until it is answered; that does not restart a transfer in progress.
+//
+// Sender and receiver are pure: chunks and acknowledgements in, chunks out.
 
 // Frames of a transfer.
 const (
@@ -18,29 +20,30 @@
 	frameSnapshotAck   = byte(66)
 )
 
-// snapshotChunk is a part of a snapshot's bytes.
+// snapshotChunk is a part of a snapshot's data. It is encoded by the names of its
+// fields, which therefore stay.
 type snapshotChunk struct {
-	Msg    raft.Message // the message, its point without the bytes
-	Total  int
-	Offset int
+	Msg    raft.Message // the message, its snapshot without the data
+	Total  int          // length of the whole data, in bytes
+	Offset int          // of this part, in bytes
 	Data   []byte
 }
 
-// snapshotAck tells the sender how many bytes of a snapshot the receiver holds. Like
-// piece it is encoded by the names of its fields.
+// snapshotAck tells the sender how many bytes of a snapshot the receiver holds. It
+// is encoded by the names of its fields, which therefore stay.
 type snapshotAck struct {
 	From, To string
 	Index    uint64
-	Have     int
+	Have     int // in bytes
 }
 
-// snapshotSender is a transfer to one member.
+// snapshotSender is a transfer to one follower.
 type snapshotSender struct {
-	message      raft.Message
+	message      raft.Message // its snapshot without the data
 	data         []byte
-	acknowledged int // that many bytes have arrived
-	sentAt       time.Time
-	progressedAt time.Time // when it last made progress
+	acknowledged int       // bytes that the receiver holds
+	sentAt       time.Time // when the last chunk was sent; zero if none is under way
+	progressedAt time.Time // when more bytes were last acknowledged
 }
 
 // newSnapshotSender begins a transfer of the snapshot in a message.
@@ -67,18 +70,21 @@
 	return now.Sub(s.progressedAt) < tuning.SnapshotTransferStallTimeout
 }
 
-// nextChunk is the piece that the receiver lacks. Once all has arrived it is empty,
-// and makes the receiver answer again: its first answer may be lost.
+// nextChunk is the chunk that the receiver lacks. Once all has arrived it is empty,
+// and makes the receiver respond again: its first response may be lost.
 func (s *snapshotSender) nextChunk(now time.Time) snapshotChunk {
 	s.sentAt = now
 	return snapshotChunk{s.message, len(s.data), s.acknowledged, s.data[s.acknowledged:min(s.acknowledged+tuning.SnapshotChunkBytes, len(s.data))]}
 }
 
-// acknowledge takes the receiver's acknowledgement; true if another piece is due.
+// acknowledge takes the receiver's acknowledgement; true if another chunk is due.
 func (s *snapshotSender) acknowledge(ack snapshotAck, now time.Time) bool {
-	if s == nil || ack.Index != s.message.Snapshot.Index || ack.Have < 0 || ack.Have > len(s.data) || ack.Have == s.acknowledged && ack.Have > 0 {
+	if s == nil || ack.Index != s.message.Snapshot.Index || ack.Have < 0 || ack.Have > len(s.data) {
 		return false
 	}
+	if ack.Have == s.acknowledged && ack.Have > 0 {
+		return false // doubled
+	}
 	// Less than before: the receiver was restarted and begins again.
 	if ack.Have > s.acknowledged {
 		s.progressedAt = now
@@ -87,15 +93,25 @@
 	return !s.complete()
 }
 
-// snapshotReceiver is a transfer from one member.
+// snapshotReceiver is a transfer from the leader.
 type snapshotReceiver struct {
-	index, term uint64
-	total       int
-	data        []byte
+	index, term uint64 // of the snapshot
+	total       int    // length of the whole data, in bytes
+	data        []byte // what has arrived of it
+}
+
+// newSnapshotReceiver begins to receive the snapshot that a chunk belongs to.
+func newSnapshotReceiver(chunk snapshotChunk) *snapshotReceiver {
+	return &snapshotReceiver{index: chunk.Msg.Snapshot.Index, term: chunk.Msg.Snapshot.Term, total: chunk.Total}
+}
+
+// expects tells whether a chunk belongs to this transfer.
+func (s *snapshotReceiver) expects(chunk snapshotChunk) bool {
+	return s != nil && s.index == chunk.Msg.Snapshot.Index && s.term == chunk.Msg.Snapshot.Term && s.total == chunk.Total
 }
 
-// add adds a piece, which must be the one after the last; it gives the bytes
-// held, and whether that is all.
+// add adds a chunk, which counts only if it is the one after the last; it gives how
+// many bytes are held, and whether that is all.
 func (s *snapshotReceiver) add(chunk snapshotChunk) (int, bool) {
 	if chunk.Offset == len(s.data) && len(s.data)+len(chunk.Data) <= s.total {
 		s.data = append(s.data, chunk.Data...)
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -12,8 +12,8 @@
 	"tealpond/internal/tuning"
 )
 
-// TestSnapshotTransferCompletesOverLossyLink: pieces and answers are lost and doubled by lot, and
-// the receiver is started anew in the middle.
+// TestSnapshotTransferCompletesOverLossyLink: chunks and acknowledgements are lost
+// and doubled by lot, and the receiver is started anew in the middle.
 func TestSnapshotTransferCompletesOverLossyLink(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -21,31 +21,7 @@
 		random.Read(data)
 		now := time.Unix(0, 0)
 		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "a", To: "b", Term: 3, Snapshot: &raft.Snapshot{Index: 9, Term: 2, Data: data}}, now)
-		fresh := func() *snapshotReceiver { return &snapshotReceiver{index: 9, term: 2, total: len(data)} }
-		receiver, restarts, complete := fresh(), random.Intn(3), false
-		for step := 0; !complete; step++ {
-			if step > 10000 {
-				t.Fatalf("seed %d: it does not arrive", seed)
-			}
-			now = now.Add(tuning.SnapshotChunkRetryInterval)
-			chunk := sender.nextChunk(now)
-			if len(chunk.Data) > tuning.SnapshotChunkBytes {
-				t.Fatalf("a piece of %d bytes", len(chunk.Data))
-			}
-			if random.Intn(5) == 0 {
-				continue // the piece is lost
-			}
-			if restarts > 0 && random.Intn(6) == 0 {
-				receiver, restarts = fresh(), restarts-1
-			}
-			for range 1 + random.Intn(6)/5 {
-				have := 0
-				if have, complete = receiver.add(chunk); random.Intn(5) == 0 {
-					continue // the answer is lost
-				}
-				sender.acknowledge(snapshotAck{"b", "a", 9, have}, now)
-			}
-		}
+		receiver, now := transferOverLossyLink(t, seed, sender, now, random)
 		if !bytes.Equal(receiver.data, data) {
 			t.Fatalf("seed %d: other bytes arrived", seed)
 		}
@@ -55,7 +31,7 @@
 			t.Fatal("what has arrived is sent again")
 		}
 		if sender.serves(raft.Message{Term: 4, Snapshot: again.Snapshot}, now) || sender.serves(raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 10}}, now) {
-			t.Fatal("it stands for another leader's, or a newer snapshot")
+			t.Fatal("it serves another leader's, or a newer snapshot")
 		}
 		// The receiver was started anew, without it.
 		if sender.acknowledge(snapshotAck{"b", "a", 9, 0}, now); !sender.serves(again, now) || sender.serves(again, now.Add(tuning.SnapshotTransferStallTimeout)) {
@@ -64,28 +40,79 @@
 	}
 }
 
-// TestSnapshotIsInstalledOnceComplete: a received snapshot is installed once it is whole; a
-// piece for another identity, or a transfer that is overtaken, changes nothing.
+// transferOverLossyLink plays a transfer until all has arrived; it gives the receiver
+// and the time by then.
+func transferOverLossyLink(t *testing.T, seed int64, sender *snapshotSender, now time.Time, random *rand.Rand) (*snapshotReceiver, time.Time) {
+	t.Helper()
+	fresh := func() *snapshotReceiver { return &snapshotReceiver{index: 9, term: 2, total: len(sender.data)} }
+	receiver, restarts, complete := fresh(), random.Intn(3), false
+	for step := 0; !complete; step++ {
+		if step > 10000 {
+			t.Fatalf("seed %d: it does not arrive", seed)
+		}
+		now = now.Add(tuning.SnapshotChunkRetryInterval)
+		chunk := sender.nextChunk(now)
+		if len(chunk.Data) > tuning.SnapshotChunkBytes {
+			t.Fatalf("a chunk of %d bytes", len(chunk.Data))
+		}
+		if random.Intn(5) == 0 {
+			continue // the chunk is lost
+		}
+		if restarts > 0 && random.Intn(6) == 0 {
+			receiver, restarts = fresh(), restarts-1
+		}
+		for range 1 + random.Intn(6)/5 {
+			have := 0
+			if have, complete = receiver.add(chunk); random.Intn(5) == 0 {
+				continue // the acknowledgement is lost
+			}
+			sender.acknowledge(snapshotAck{"b", "a", 9, have}, now)
+		}
+	}
+	return receiver, now
+}
+
+// TestSnapshotReceiverExpectsItsSnapshot: a chunk of another snapshot, or of another
+// length, begins a transfer of its own.
+func TestSnapshotReceiverExpectsItsSnapshot(t *testing.T) {
+	chunk := func(index, term uint64, total int) snapshotChunk {
+		return snapshotChunk{Msg: raft.Message{Snapshot: &raft.Snapshot{Index: index, Term: term}}, Total: total}
+	}
+	receiver := newSnapshotReceiver(chunk(9, 2, 100))
+	if !receiver.expects(chunk(9, 2, 100)) {
+		t.Error("its own chunk is not expected")
+	}
+	var none *snapshotReceiver
+	if none.expects(chunk(9, 2, 100)) || receiver.expects(chunk(10, 2, 100)) || receiver.expects(chunk(9, 3, 100)) || receiver.expects(chunk(9, 2, 101)) {
+		t.Error("another chunk is expected")
+	}
+	if have, complete := receiver.add(snapshotChunk{Offset: 50, Data: make([]byte, 50)}); have != 0 || complete {
+		t.Errorf("a chunk ahead of the others was taken: %d bytes", have)
+	}
+}
+
+// TestSnapshotIsInstalledOnceComplete: a received snapshot is installed once all of it is
+// there; a chunk for another identity, or a transfer that is overtaken, changes nothing.
 func TestSnapshotIsInstalledOnceComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		point := snapshotOf(t, 10, "z")
-		whole := point.Data
+		snapshot := snapshotOf(t, 10, "z")
+		data := snapshot.Data
 		give := func(to string, offset, end int) {
-			point := *point
-			point.Data = nil
+			withoutData := *snapshot
+			withoutData.Data = nil
 			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(snapshotChunk{
-				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &point}, len(whole), offset, whole[offset:end]})}}})
+				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &withoutData}, len(data), offset, data[offset:end]})}}})
 			h.endTurn()
 		}
-		half := len(whole) / 2
+		half := len(data) / 2
 		give("a", 0, half)
-		give("other", half, len(whole))
+		give("other", half, len(data))
 		give("a", 0, half)
 		if h.replica.state.AppliedIndex != 1 {
 			t.Fatalf("half a snapshot was installed: %d", h.replica.state.AppliedIndex)
 		}
-		give("a", half, len(whole))
+		give("a", half, len(data))
 		if h.replica.state.AppliedIndex != 10 || len(h.replica.incomingSnapshots) != 0 {
 			t.Fatalf("the state is at %d, %d transfers left", h.replica.state.AppliedIndex, len(h.replica.incomingSnapshots))
 		}
@@ -96,22 +123,22 @@
 	})
 }
 
-// TestLostSnapshotResponseIsRepeated: all pieces have arrived, the answer of
-// the agreement was lost. When the agreement repeats the message, it goes without
-// the bytes, and the receiver answers by what it holds.
+// TestLostSnapshotResponseIsRepeated: all chunks have arrived, the response of
+// the consensus protocol was lost. When that repeats the message, it goes without the
+// data, and the receiver responds by what it holds.
 func TestLostSnapshotResponseIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		point := snapshotOf(t, 10, "z")
+		snapshot := snapshotOf(t, 10, "z")
 		now := time.Now()
-		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "b", To: "a", Term: 3, Snapshot: point}, now)
+		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "b", To: "a", Term: 3, Snapshot: snapshot}, now)
 		give := func(chunk snapshotChunk) {
 			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}}})
 		}
 		for !sender.complete() {
 			chunk := sender.nextChunk(now)
 			give(chunk)
-			sender.acknowledge(snapshotAck{"a", "b", point.Index, chunk.Offset + len(chunk.Data)}, now)
+			sender.acknowledge(snapshotAck{"a", "b", snapshot.Index, chunk.Offset + len(chunk.Data)}, now)
 		}
 		h.endTurn()
 		if h.replica.state.AppliedIndex != 10 {
@@ -124,7 +151,7 @@
 		give(again)
 		out := h.replica.node.Ready()
 		if len(out.Messages)+len(out.MessagesAfterSync) != 1 {
-			t.Errorf("%d answers", len(out.Messages)+len(out.MessagesAfterSync))
+			t.Errorf("%d responses", len(out.Messages)+len(out.MessagesAfterSync))
 		}
 	})
 }
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -8,63 +8,115 @@
 	"tealpond/internal/tuning"
 )
 
-var moveStateNames = map[byte]string{state.TransferNone: "home", state.TransferOffered: "offered", state.TransferAccepted: "taken", state.TransferReleased: "released"}
-
-// stateTables lays the state out, each table bounded.
-func stateTables(r *Replica) []rpc.Table {
-	store := r.state
-	add := func(table *rpc.Table, row ...any) {
-		if len(table.Rows) >= tuning.MaxQueryRows {
-			table.Truncated = true
-			return
-		}
-		table.Rows = append(table.Rows, row)
+// The tables of the state as operators query them. The names of tables and columns
+// are part of that interface; some are older than the names in the code. Each table
+// is cut at tuning.MaxQueryRows.
+
+// newTable is an empty table.
+func newTable(name string, columns ...string) rpc.Table {
+	return rpc.Table{Name: name, Columns: columns}
+}
+
+// addRow adds a row, unless the table is full.
+func addRow(table *rpc.Table, row ...any) {
+	if len(table.Rows) >= tuning.MaxQueryRows {
+		table.Truncated = true
+		return
 	}
-	daemons := rpc.Table{Name: "daemons", Columns: []string{"node", "role", "zone", "addr", "seen_ms"}}
-	for _, lease := range r.memberLeases {
-		add(&daemons, lease.Node, lease.Role, lease.Zone, lease.Addr, time.Since(lease.renewedAt).Milliseconds())
+	table.Rows = append(table.Rows, row)
+}
+
+// daemonTable lists the daemons with a membership lease.
+func daemonTable(leases map[string]memberLease) rpc.Table {
+	table := newTable("daemons", "node", "role", "zone", "addr", "seen_ms")
+	for _, lease := range leases {
+		addRow(&table, lease.Node, lease.Role, lease.Zone, lease.Addr, time.Since(lease.renewedAt).Milliseconds())
 	}
-	workers := rpc.Table{Name: "workers", Columns: []string{"id", "node", "service", "zone", "rack", "cpu", "cpu_used", "mem", "mem_used", "gpus", "fence", "draining", "sick", "lost", "dead"}}
+	return table
+}
+
+// stateTables are the tables of the replicated state.
+func stateTables(store *state.Store) []rpc.Table {
+	devices, bookings := deviceTables(store)
+	return []rpc.Table{workerTable(store), devices, bookings, allocationTable(store), routeTable(store), jobTable(store), transferTable(store), rollupTable(store), aggregatorTable(store)}
+}
+
+func workerTable(store *state.Store) rpc.Table {
+	table := newTable("workers", "id", "node", "service", "zone", "rack", "cpu", "cpu_used", "mem", "mem_used", "gpus", "fence", "draining", "sick", "lost", "dead")
 	for _, worker := range store.Workers {
-		add(&workers, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(), worker.Capacity.CPUUnits, worker.UsedMilliCPU, worker.Capacity.MemoryMB, worker.UsedMemoryMB, worker.Capacity.GPUs, worker.Fence, worker.Draining, worker.Unhealthy, worker.LeaseExpired, worker.Dead)
+		addRow(&table, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(), worker.Capacity.CPUUnits, worker.UsedMilliCPU, worker.Capacity.MemoryMB, worker.UsedMemoryMB, worker.Capacity.GPUs, worker.Fence, worker.Draining, worker.Unhealthy, worker.LeaseExpired, worker.Dead)
 	}
-	devices := rpc.Table{Name: "devices", Columns: []string{"id", "class", "worker", "healthy", "bookings"}}
-	bookings := rpc.Table{Name: "bookings", Columns: []string{"device", "alloc", "from_ms", "to_ms"}}
+	return table
+}
+
+// deviceTables lists the devices, and the reservations on them.
+func deviceTables(store *state.Store) (devices, reservations rpc.Table) {
+	devices = newTable("devices", "id", "class", "worker", "healthy", "bookings")
+	reservations = newTable("bookings", "device", "alloc", "from_ms", "to_ms")
 	for _, device := range store.Devices {
-		add(&devices, device.ID, device.Class, device.Worker, device.Healthy, len(device.Reservations))
-		for _, booking := range device.Reservations {
+		addRow(&devices, device.ID, device.Class, device.Worker, device.Healthy, len(device.Reservations))
+		for _, reservation := range device.Reservations {
 			var until any
-			if booking.To != state.Forever {
-				until = booking.To
+			if reservation.To != state.Forever {
+				until = reservation.To
 			}
-			add(&bookings, device.ID, booking.Allocation, booking.From, until)
+			addRow(&reservations, device.ID, reservation.Allocation, reservation.From, until)
 		}
 	}
-	allocations := rpc.Table{Name: "allocs", Columns: []string{"id", "worker", "task", "run", "cpu", "mem", "gpus", "since_ms", "stopping", "why"}}
+	return devices, reservations
+}
+
+func allocationTable(store *state.Store) rpc.Table {
+	table := newTable("allocs", "id", "worker", "task", "run", "cpu", "mem", "gpus", "since_ms", "stopping", "why")
 	for _, allocation := range store.Allocations {
-		add(&allocations, allocation.ID, allocation.Worker, allocation.TaskName(), allocation.Run, allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.BookedAt, allocation.Stopping, allocation.StopReason)
+		addRow(&table, allocation.ID, allocation.Worker, allocation.TaskName(), allocation.Run, allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.BookedAt, allocation.Stopping, allocation.StopReason)
 	}
-	routes := rpc.Table{Name: "inboxes", Columns: []string{"name", "host", "prefix", "service", "priority", "target_ms", "stretch", "max_rounds", "waiting"}}
+	return table
+}
+
+func routeTable(store *state.Store) rpc.Table {
+	table := newTable("inboxes", "name", "host", "prefix", "service", "priority", "target_ms", "stretch", "max_rounds", "waiting")
 	for _, route := range store.Configuration.Routes {
-		add(&routes, route.Name, route.HostName, route.PathPrefix, route.TargetService, route.Priority, route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobs(route.Name))
+		addRow(&table, route.Name, route.HostName, route.PathPrefix, route.TargetService, route.Priority, route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobs(route.Name))
 	}
-	jobs := rpc.Table{Name: "jobs", Columns: []string{"id", "inbox", "service", "priority", "state", "born_ms", "ended_ms", "steps", "run_times"}}
+	return table
+}
+
+func jobTable(store *state.Store) rpc.Table {
+	table := newTable("jobs", "id", "inbox", "service", "priority", "state", "born_ms", "ended_ms", "steps", "run_times")
 	for _, job := range store.Jobs {
-		add(&jobs, job.ID, job.Route, job.Service, job.Priority, job.Status(), job.CreatedAt, job.EndedAt, len(job.Steps), job.PeriodicInstances)
+		addRow(&table, job.ID, job.Route, job.Service, job.Priority, job.Status(), job.CreatedAt, job.EndedAt, len(job.Steps), job.PeriodicInstances)
 	}
-	moves := rpc.Table{Name: "moves", Columns: []string{"job", "inbox", "peer", "no", "state", "guest", "job_state", "born_ms", "ended_ms"}}
+	return table
+}
+
+// transferStateNames are the states of a job's transfer between clusters, as the
+// table names them.
+var transferStateNames = map[byte]string{state.TransferNone: "home", state.TransferOffered: "offered", state.TransferAccepted: "taken", state.TransferReleased: "released"}
+
+// transferTable lists the jobs that were offered to or by another cluster.
+func transferTable(store *state.Store) rpc.Table {
+	table := newTable("moves", "job", "inbox", "peer", "no", "state", "guest", "job_state", "born_ms", "ended_ms")
 	for _, job := range store.Jobs {
 		if job.Transfer.OfferID > 0 {
-			add(&moves, job.ID, job.Route, job.Transfer.Peer, job.Transfer.OfferID, moveStateNames[job.Transfer.State], job.Transfer.Incoming, job.Status(), job.CreatedAt, job.EndedAt)
+			addRow(&table, job.ID, job.Route, job.Transfer.Peer, job.Transfer.OfferID, transferStateNames[job.Transfer.State], job.Transfer.Incoming, job.Status(), job.CreatedAt, job.EndedAt)
 		}
 	}
-	rollups := rpc.Table{Name: "rollups", Columns: []string{"service", "cpu_total", "cpu_allocatable", "cpu_allocated", "mem_total", "mem_allocatable", "mem_allocated", "gpu_total", "gpu_allocated", "draining", "unreachable", "at_ms"}}
-	for name, rollup := range store.Rollups {
-		add(&rollups, name, rollup.TotalMilliCPU, rollup.AllocatableMilliCPU, rollup.UsedMilliCPU, rollup.TotalMemoryMB, rollup.AllocatableMemoryMB, rollup.UsedMemoryMB, rollup.TotalGPUs, rollup.UsedGPUs, rollup.Draining, rollup.Unreachable, rollup.RebuiltAt)
+	return table
+}
+
+func rollupTable(store *state.Store) rpc.Table {
+	table := newTable("rollups", "service", "cpu_total", "cpu_allocatable", "cpu_allocated", "mem_total", "mem_allocatable", "mem_allocated", "gpu_total", "gpu_allocated", "draining", "unreachable", "at_ms")
+	for service, rollup := range store.Rollups {
+		addRow(&table, service, rollup.TotalMilliCPU, rollup.AllocatableMilliCPU, rollup.UsedMilliCPU, rollup.TotalMemoryMB, rollup.AllocatableMemoryMB, rollup.UsedMemoryMB, rollup.TotalGPUs, rollup.UsedGPUs, rollup.Draining, rollup.Unreachable, rollup.RebuiltAt)
 	}
-	aggregators := rpc.Table{Name: "duties", Columns: []string{"zone", "no", "holder", "addr", "next_addr"}}
+	return table
+}
+
+func aggregatorTable(store *state.Store) rpc.Table {
+	table := newTable("duties", "zone", "no", "holder", "addr", "next_addr")
 	for _, aggregator := range store.Aggregators {
-		add(&aggregators, aggregator.Zone, aggregator.Revision, aggregator.Member, aggregator.Address, aggregator.StandbyAddress)
+		addRow(&table, aggregator.Zone, aggregator.Revision, aggregator.Member, aggregator.Address, aggregator.StandbyAddress)
 	}
-	return []rpc.Table{daemons, workers, devices, bookings, allocations, routes, jobs, moves, rollups, aggregators}
+	return table
 }
--- a/internal/server/storage_lag.go
+++ b/internal/server/storage_lag.go
@@ -6,27 +6,28 @@
 	"tealpond/internal/tuning"
 )
 
-// writeQueueFull tells whether so many writes wait for the disk that nothing more may
-// be taken on. Messages of the agreement are dropped then, as if the network
-// had lost them: the member can't acknowledge them, and the leader sends them
-// again.
+// writeQueueFull tells whether so many writes wait for the storage that nothing more
+// may be taken on. Messages of the consensus protocol are dropped then, as if the
+// network had lost them: the member can't acknowledge them, and the leader sends
+// them again.
 func (r *Replica) writeQueueFull() bool { return r.writesInFlight >= tuning.MaxPendingStorageWrites }
 
-// watchStorageLag says when the disk does not serve, and hands the lead on: a leader
-// whose own disk hangs or refuses commits only by all the others, and if it
-// ends then, what it alone holds in memory is gone.
+// watchStorageLag transfers leadership when the storage does not keep up: a leader
+// whose own storage hangs or refuses commits only by all the others, and if it ends
+// then, what it alone holds in memory is gone.
 func (r *Replica) watchStorageLag(now time.Time) {
 	if r.disk != nil {
 		r.handleStorageLag(now, r.disk.WriteLag(now))
 	}
 }
 
-// handleStorageLag takes note of for how long the disk has synced nothing.
+// handleStorageLag logs, once in a while, for how long the storage has synced
+// nothing, and transfers leadership if that is too long.
 func (r *Replica) handleStorageLag(now time.Time, lag time.Duration) {
 	if lag < tuning.StorageStallTimeout || now.Sub(r.storageLagLoggedAt) < tuning.StorageWarningInterval {
 		return
 	}
 	r.storageLagLoggedAt = now
 	transferred := r.node.IsLeader() && r.node.TransferLeadership()
-	_ = r.log.Log("level", "error", "event", "disk.behind", "for", lag, "jobs", r.writesInFlight, "handed", transferred)
+	_ = r.log.Log("level", "error", "event", "storage.fell_behind", "lag", lag, "writes", r.writesInFlight, "transferred", transferred)
 }
--- a/internal/server/storage_lag_test.go
+++ b/internal/server/storage_lag_test.go
@@ -16,15 +16,15 @@
 	"tealpond/internal/tuning"
 )
 
-// electLeader makes the node of c the leader of three, with one follower that
-// answers.
+// electLeader makes the node of a replica the leader of three, with one follower that
+// responds.
 func electLeader(t *testing.T, replica *Replica) {
 	t.Helper()
 	voters := []raft.Member{{Node: "a", ID: replica.self.ID}, {Node: "b", ID: "b"}, {Node: "d", ID: "d"}}
 	replica.startNode(raft.Snapshot{Index: 1, Voters: voters})
 	time.Sleep(10 * time.Second)
 	replica.node.Tick(time.Now())
-	answer := func(message raft.Message) {
+	respond := func(message raft.Message) {
 		message.From, message.To = "b", replica.self.ID
 		replica.node.Step(message, time.Now())
 	}
@@ -33,13 +33,13 @@
 		replica.node.WriteSynced(output.WriteToken)
 		return output
 	}
-	answer(raft.Message{Kind: raft.MsgPreVoteResponse, Term: replica.node.Term() + 1})
+	respond(raft.Message{Kind: raft.MsgPreVoteResponse, Term: replica.node.Term() + 1})
 	synced()
-	answer(raft.Message{Kind: raft.MsgVoteResponse, Term: replica.node.Term()})
+	respond(raft.Message{Kind: raft.MsgVoteResponse, Term: replica.node.Term()})
 	output := synced()
 	for _, message := range append(output.Messages, output.MessagesAfterSync...) {
 		if message.To == "b" && message.Kind == raft.MsgAppend {
-			answer(raft.Message{Kind: raft.MsgAppendResponse, Term: message.Term, Index: replica.node.LastIndex(), SendStamp: message.SendStamp})
+			respond(raft.Message{Kind: raft.MsgAppendResponse, Term: message.Term, Index: replica.node.LastIndex(), SendStamp: message.SendStamp})
 		}
 	}
 	replica.node.Ready()
@@ -49,6 +49,7 @@
 	}
 }
 
+// newTestReplica gives a replica as New builds it, without identity or node.
 func newTestReplica(t *testing.T, dir string) *Replica {
 	t.Helper()
 	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
@@ -60,7 +61,7 @@
 	return replica
 }
 
-// newTestLeader gives a core that leads, with the identity "a".
+// newTestLeader gives a replica that leads, with the identity "a".
 func newTestLeader(t *testing.T, dir string) *Replica {
 	t.Helper()
 	replica := newTestReplica(t, dir)
@@ -69,17 +70,18 @@
 	return replica
 }
 
-// A leader whose disk syncs nothing hands the lead on, once a second as long as
-// it leads; one whose disk keeps up does not.
+// TestLeaderWithStalledStorageTransfersLeadership: a leader whose storage syncs
+// nothing transfers leadership, once a second as long as it leads; one whose storage
+// keeps up does not.
 func TestLeaderWithStalledStorageTransfersLeadership(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		replica := newTestLeader(t, dir)
 		for _, test := range []struct {
-			behind time.Duration
-			want   int
+			lag  time.Duration
+			want int
 		}{{0, 0}, {tuning.StorageStallTimeout - 1, 0}, {tuning.StorageStallTimeout, 1}, {tuning.StorageStallTimeout, 0}} {
-			replica.handleStorageLag(time.Now(), test.behind)
+			replica.handleStorageLag(time.Now(), test.lag)
 			sent := 0
 			for _, message := range replica.node.Ready().Messages {
 				if message.Kind == raft.MsgTimeoutNow {
@@ -87,13 +89,14 @@
 				}
 			}
 			if sent != test.want {
-				t.Fatalf("%v behind: handed on %d times, want %d", test.behind, sent, test.want)
+				t.Fatalf("%v behind: transferred %d times, want %d", test.lag, sent, test.want)
 			}
 		}
 	})
 }
 
-// With too many writes under way no command is taken on.
+// TestFullWriteQueueRefusesProposals: with too many writes under way no command is
+// taken on.
 func TestFullWriteQueueRefusesProposals(t *testing.T) {
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -104,7 +107,7 @@
 		}{{tuning.MaxPendingStorageWrites - 1, true}, {tuning.MaxPendingStorageWrites, false}} {
 			replica.writesInFlight = test.writes
 			last, answered := replica.node.LastIndex(), false
-			replica.commands, replica.replies = []state.EncodedCommand{{}}, []func(state.Outcome, bool){func(_ state.Outcome, ok bool) { answered = !ok }}
+			replica.commands, replica.replies = []state.EncodedCommand{{}}, []commandReply{func(_ state.Outcome, known bool) { answered = !known }}
 			time.Sleep(time.Second)
 			replica.proposeQueued(time.Now())
 			if taken := replica.node.LastIndex() > last; taken != test.taken || answered == test.taken {
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -10,27 +10,27 @@
 	"tealpond/internal/tuning"
 )
 
-// openedStorage is the opened disk, what it holds, and the state of its snapshot.
+// openedStorage is the opened storage, what it holds, and the state of its snapshot.
 type openedStorage struct {
 	disk           *storage.Store
 	persisted      storage.Recovered
 	store          *state.Store
-	setAsideReason string // why an earlier file was put aside
+	setAsideReason string // why an earlier file was set aside; empty if none was
 }
 
-// StorageOpened tells whether the disk has been opened. Until then this daemon has no
-// identity: it neither votes nor acknowledges, forwards what it can and is not
-// ready.
+// StorageOpened tells whether the storage has been opened. Until then this server
+// has no identity: it neither votes nor acknowledges, forwards what it can and is
+// not ready.
 func (r *Replica) StorageOpened() bool { return r.storageOpened.Load() }
 
-// openStorage opens the disk beside the loop, for as long as it takes, and hands
+// openStorage opens the storage beside the loop, for as long as it takes, and hands
 // it to the loop.
 func (r *Replica) openStorage(ctx context.Context) {
 	dir := r.settings.DataDir
-	logWaiting := func(err error) {
-		_ = r.log.Log("level", "error", "event", "disk.waits", "dir", dir, "why", err)
+	logFailure := func(err error) {
+		_ = r.log.Log("level", "error", "event", "storage.open_failed", "dir", dir, "error", err)
 	}
-	opened, persisted, setAsideReason, err := storage.OpenWithRetry(ctx, dir, logWaiting)
+	opened, persisted, setAsideReason, err := storage.OpenWithRetry(ctx, dir, logFailure)
 	if err != nil {
 		return
 	}
@@ -39,10 +39,10 @@
 		// The record on disk is whole, so it is this program that can't read it.
 		// To take another identity would give up what was acknowledged for a
 		// fault that a newer program may not have.
-		logWaiting(err)
+		logFailure(err)
 		select {
 		case <-ctx.Done():
-			_ = opened.Close()
+			r.closeStorage(opened)
 			return
 		case <-time.After(tuning.StorageWarningInterval):
 		}
@@ -51,14 +51,22 @@
 	select {
 	case r.events <- Event{StorageOpened: &openedStorage{opened, persisted, store, setAsideReason}}:
 	case <-ctx.Done():
-		_ = opened.Close()
+		r.closeStorage(opened)
 	}
 }
 
-// handleStorageOpened takes the identity and what the disk holds, and starts the node.
+// closeStorage closes a storage that is not used, as the process ends.
+func (r *Replica) closeStorage(opened *storage.Store) {
+	if err := opened.Close(); err != nil {
+		_ = r.log.Log("level", "warn", "event", "storage.close_failed", "error", err)
+	}
+}
+
+// handleStorageOpened takes the identity and what the storage holds, and starts the
+// node.
 func (r *Replica) handleStorageOpened(ctx context.Context, opened *openedStorage) {
 	if opened.setAsideReason != "" {
-		_ = r.log.Log("level", "warn", "event", "disk.foreign", "why", opened.setAsideReason, "disk", opened.persisted.ID)
+		_ = r.log.Log("level", "warn", "event", "storage.file_set_aside", "reason", opened.setAsideReason, "disk", opened.persisted.ID)
 	}
 	r.disk, r.persisted, r.state, r.self.ID = opened.disk, opened.persisted, opened.store, opened.persisted.ID
 	r.aggregator = aggregator.New(r.self.ID)
@@ -66,7 +74,7 @@
 	r.storageOpened.Store(true)
 	r.startWriter(ctx)
 	// A node that is only bound is not started: the other founders may be bound
-	// to nothing yet. A message from one of them, or the seed's answer, starts it.
+	// to nothing yet. A message from one of them, or the seed's response, starts it.
 	if r.persisted.HardState.Term > 0 || len(r.persisted.Founders) == 0 && (r.persisted.Snapshot.Index > 0 || !r.settings.FirstStart) {
 		r.startNode(r.persisted.Snapshot)
 	}
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -29,15 +29,34 @@
 	return nil
 }
 
-// A disk that does not serve must not end the daemon, cost it its identity or
-// keep it from answering; it says so, and starts once the disk serves.
+// wait waits for the line of an event.
+func (e eventLog) wait(event string) {
+	for logged := range e {
+		if logged == event {
+			return
+		}
+	}
+}
+
+// ask gives the response to a request of this process.
+func ask(replica *Replica, kind string) rpc.Response {
+	received := make(chan rpc.Response, 1)
+	replica.HandleLocal(rpc.Request{Kind: kind}, func(response rpc.Response) { received <- response })
+	return <-received
+}
+
+// TestReplicaWaitsForItsStorage: a storage that does not serve must not end the
+// daemon, cost it its identity or keep it from answering; it says so, and starts once
+// the storage serves.
 func TestReplicaWaitsForItsStorage(t *testing.T) {
 	dir := t.TempDir()
 	opened, persisted, _, err := storage.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = opened.Close()
+	if err := opened.Close(); err != nil {
+		t.Fatal(err)
+	}
 	other, err := bolt.Open(filepath.Join(dir, "tealpond.db"), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -57,31 +76,21 @@
 		_ = replica.Run(ctx)
 		close(done)
 	}()
-	wait := func(event string) {
-		for e := range logged {
-			if e == event {
-				return
-			}
-		}
-	}
-	ask := func(kind string) rpc.Response {
-		got := make(chan rpc.Response, 1)
-		replica.HandleLocal(rpc.Request{Kind: kind}, func(response rpc.Response) { got <- response })
-		return <-got
-	}
-	wait("disk.waits")
+	logged.wait("storage.open_failed")
 	var info rpc.LeaderInfo
-	if response := ask(rpc.KindLeader); response.Code != 200 || transport.Decode(response.Body, &info) != nil || info.IsLeader {
+	if response := ask(replica, rpc.KindLeader); response.Code != rpc.CodeOK || transport.Decode(response.Body, &info) != nil || info.IsLeader {
 		t.Errorf("%+v %+v", response, info)
 	}
-	if response := ask(rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
+	if response := ask(replica, rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
 		t.Errorf("%+v", response)
 	}
 	if replica.StorageOpened() {
-		t.Error("ready without a disk")
+		t.Error("ready without a storage")
+	}
+	if err := other.Close(); err != nil {
+		t.Fatal(err)
 	}
-	_ = other.Close()
-	wait("core.start")
+	logged.wait("raft.started")
 	got := make(chan string, 1)
 	replica.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(rpc.Response) { got <- replica.self.ID })
 	if id := <-got; id != persisted.ID || !replica.StorageOpened() {
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"errors"
 	"sort"
 	"time"
 
@@ -10,28 +11,34 @@
 	"tealpond/internal/tuning"
 )
 
-// workerLease is a side daemon's lease on a worker, as the leader sees it.
+// Why a worker's lease is not renewed.
+var (
+	errWorkerGone   = errors.New("the worker is not registered any more")
+	errLeaseNotHeld = errors.New("the agent does not hold the worker's lease")
+)
+
+// workerLease is an agent's lease on a worker, as the leader sees it.
 type workerLease struct {
-	grantedAt    time.Time
-	expiring     bool      // its end is being put into the log
-	heardAt      time.Time // the last sign of life, also without a grant
-	runtimeRatio int64     // rpc.LeaseRenewal.Ratio
+	grantedAt      time.Time
+	expiring       bool      // its expiry is being put into the log
+	heardAt        time.Time // the last sign of life, also without a renewal
+	runtimePercent int64     // see rpc.LeaseRenewal
+}
+
+// newWorkerLease is a lease that begins now.
+func newWorkerLease(now time.Time) *workerLease {
+	return &workerLease{grantedAt: now, heardAt: now}
 }
 
 // handleRenewLease renews a worker's lease.
-func (r *Replica) handleRenewLease(raw []byte, stream *transport.Stream, reply replyFunc) {
-	var request rpc.LeaseRenewal
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
+func (r *Replica) handleRenewLease(request *rpc.LeaseRenewal, stream *transport.Stream, reply replyFunc) {
+	if err := r.renewLease(request.Worker, request.Fence, time.Now()); err != nil {
+		reply(rpc.Response{Code: leaseRefusalCode(err), Text: "take the worker up again"})
 		return
 	}
-	if code := r.renewLease(request.Worker, request.Fence, time.Now()); code != 200 {
-		reply(rpc.Response{Code: code, Text: "take the worker up again"})
-		return
-	}
-	r.leases[request.Worker].runtimeRatio = request.RuntimePercent
+	r.leases[request.Worker].runtimePercent = request.RuntimePercent
 	r.openSession(request, stream)
-	response := rpc.Response{Code: 200, Value: r.leaseDuration.Milliseconds()}
+	response := rpc.Response{Code: rpc.CodeOK, Value: r.leaseDuration.Milliseconds()}
 	response.Aggregator, response.StandbyAggregator = r.aggregatorAddresses(request.Worker)
 	reply(response)
 }
@@ -45,60 +52,71 @@
 	members     []rpc.BatchMember
 }
 
-// handleLeaseBatch renews the leases of all workers that ask for it in a batch.
-func (r *Replica) handleLeaseBatch(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var request rpc.LeaseBatch
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	set := r.memberSets[request.AggregatorDisk]
-	if request.Members != nil {
-		set = memberSet{request.AggregatorProcess, request.SetNumber, request.Members}
-		r.memberSets[request.AggregatorDisk] = set
+// matches tells whether the set is the one that a batch numbers.
+func (s memberSet) matches(batch *rpc.LeaseBatch) bool {
+	return s.incarnation == batch.AggregatorProcess && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
+}
+
+// handleLeaseBatch renews the leases of all workers that ask for it in a batch of
+// an aggregator.
+func (r *Replica) handleLeaseBatch(batch *rpc.LeaseBatch, _ *transport.Stream, reply replyFunc) {
+	set := r.memberSets[batch.AggregatorDisk]
+	if batch.Members != nil {
+		set = memberSet{batch.AggregatorProcess, batch.SetNumber, batch.Members}
+		r.memberSets[batch.AggregatorDisk] = set
 	}
-	if set.incarnation != request.AggregatorProcess || set.number != request.SetNumber || len(request.Requested) != (len(set.members)+7)/8 {
-		reply(rpc.Response{Code: 428, Text: "tell the set whole"})
+	if !set.matches(batch) {
+		reply(rpc.Response{Code: rpc.CodeUnknownSet, Text: "tell the set whole"})
 		return
 	}
 	now := time.Now()
 	var refusals []rpc.MemberRefusal
 	for i, member := range set.members {
-		if request.IsRequested(i) {
-			if code := r.renewLease(member.Worker, member.Fence, now); code != 200 {
-				refusals = append(refusals, rpc.MemberRefusal{Member: i, Code: code})
+		if batch.IsRequested(i) {
+			if err := r.renewLease(member.Worker, member.Fence, now); err != nil {
+				refusals = append(refusals, rpc.MemberRefusal{Member: i, Code: leaseRefusalCode(err)})
 			}
 		}
 	}
-	for _, ratio := range request.Runtimes {
-		if ratio.Member >= 0 && ratio.Member < len(set.members) {
-			if lease := r.leases[set.members[ratio.Member].Worker]; lease != nil {
-				lease.runtimeRatio = ratio.RuntimePercent
+	for _, runtime := range batch.Runtimes {
+		if runtime.Member >= 0 && runtime.Member < len(set.members) {
+			if lease := r.leases[set.members[runtime.Member].Worker]; lease != nil {
+				lease.runtimePercent = runtime.RuntimePercent
 			}
 		}
 	}
-	response := rpc.Response{Code: 200, Value: r.leaseDuration.Milliseconds()}
+	response := rpc.Response{Code: rpc.CodeOK, Value: r.leaseDuration.Milliseconds()}
 	if len(refusals) > 0 {
 		response.Body = transport.Encode(refusals)
 	}
 	reply(response)
 }
 
-// renewLease renews a worker's lease from now on; the code is that of an HTTP answer.
-func (r *Replica) renewLease(id string, fence int64, now time.Time) int {
-	worker := r.state.Workers[id]
+// renewLease renews a worker's lease from now on. The error is errWorkerGone or
+// errLeaseNotHeld.
+func (r *Replica) renewLease(workerID string, fence int64, now time.Time) error {
+	worker := r.state.Workers[workerID]
 	if worker == nil || worker.Dead {
-		return 410
+		return errWorkerGone
 	}
-	lease := r.leases[id]
+	lease := r.leases[workerID]
 	if worker.LeaseExpired || worker.Fence != fence || lease == nil || lease.expiring {
-		return 409
+		return errLeaseNotHeld
 	}
 	lease.grantedAt, lease.heardAt = now, now
-	return 200
+	return nil
+}
+
+// leaseRefusalCode is the code by which an agent is told that its lease was not
+// renewed.
+func leaseRefusalCode(err error) int {
+	if errors.Is(err, errWorkerGone) {
+		return rpc.CodeGone
+	}
+	return rpc.CodeConflict
 }
 
-// expireWorkerLeases ends the leases of workers that were granted nothing for so long
+// expireWorkerLeases ends the leases of workers that were not renewed for so long
 // that all their runs must be over.
 func (r *Replica) expireWorkerLeases(now time.Time) {
 	timeout := time.Duration(float64(r.leaseDuration)*tuning.LeaseClockDriftFactor) + tuning.LeaseExpiryMargin
@@ -116,7 +134,7 @@
 	}
 	if len(expired) > 0 {
 		sort.Slice(expired, func(a, b int) bool { return expired[a].ID < expired[b].ID })
-		_ = r.log.Log("level", "warn", "event", "worker.lapsed", "workers", len(expired), "first", expired[0].ID)
-		r.enqueueCommand("lapse", &state.ExpireLeases{Workers: expired}, nil)
+		_ = r.log.Log("level", "warn", "event", "lease.expired", "workers", len(expired), "worker", expired[0].ID)
+		r.enqueueCommand(state.CommandExpireLeases, &state.ExpireLeases{Workers: expired}, nil)
 	}
 }
--- a/internal/server/aggregation_test.go
+++ b/internal/server/worker_leases_test.go
@@ -10,9 +10,10 @@
 )
 
 // leaderWithWorkers is as much of a leader as answers an aggregator, with workers
-// that were taken up; fences by worker.
+// that were registered; fences by worker.
 func leaderWithWorkers(workers ...string) (*Replica, map[string]int64) {
-	replica := &Replica{memberSets: map[string]memberSet{}, leases: map[string]*workerLease{}, state: state.New(state.Limits{}), leaseDuration: time.Second}
+	replica := newReplica()
+	replica.leaseDuration = time.Second
 	fences := map[string]int64{}
 	for _, w := range workers {
 		fences[w] = (&state.RegisterWorker{ID: w, Node: "node-" + w}).Apply(replica.state).Value
@@ -21,13 +22,13 @@
 	return replica, fences
 }
 
-// renewedWorkers sends a batch and gives the code and who was granted by it.
+// renewedWorkers sends a batch and gives the code and whose leases were renewed.
 func renewedWorkers(replica *Replica, request rpc.LeaseBatch) (int, string) {
 	for _, lease := range replica.leases {
 		lease.grantedAt = time.Time{}
 	}
 	code := 0
-	replica.handleLeaseBatch(transport.Encode(&request), nil, func(response rpc.Response) { code = response.Code })
+	leaderHandlers[rpc.KindLeaseBatch](replica, transport.Encode(&request), nil, func(response rpc.Response) { code = response.Code })
 	renewed := ""
 	for _, w := range []string{"a", "b", "c"} {
 		if lease := replica.leases[w]; lease != nil && !lease.grantedAt.IsZero() {
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -4,59 +4,41 @@
 	"sort"
 	"time"
 
-	"tealpond/internal/rpc"
 	"tealpond/internal/state"
 	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
 
-// handleRegisterWorker gives a worker to a side daemon, under a new fence.
-func (r *Replica) handleRegisterWorker(raw []byte, stream *transport.Stream, reply replyFunc) {
-	var request state.RegisterWorker
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	r.enqueueCommand("takeup", &request, func(outcome state.Outcome, ok bool) {
-		if ok && outcome.Code == 200 {
-			lease := r.leases[request.ID]
-			if lease == nil || lease.expiring {
+// handleRegisterWorker gives a worker to an agent, under a new fence.
+func (r *Replica) handleRegisterWorker(request *state.RegisterWorker, _ *transport.Stream, reply replyFunc) {
+	r.enqueueCommand(state.CommandRegisterWorker, request, func(outcome state.Outcome, known bool) {
+		if known && outcome.Code == state.CodeOK {
+			if lease := r.leases[request.ID]; lease == nil || lease.expiring {
 				// The lease begins now: no run of an earlier one can be left,
 				// and silence is counted from here.
-				lease = &workerLease{grantedAt: time.Now(), heardAt: time.Now()}
-				r.leases[request.ID] = lease
+				r.leases[request.ID] = newWorkerLease(time.Now())
 			}
-			_ = r.log.Log("level", "info", "event", "worker.takeup", "worker", request.ID, "node", request.Node, "fence", outcome.Value)
+			_ = r.log.Log("level", "info", "event", "worker.registered", "worker", request.ID, "node", request.Node, "fence", outcome.Value)
 		}
-		outcomeReply(reply)(outcome, ok)
+		outcomeReply(reply)(outcome, known)
 	})
 }
 
-// handleSetEligibility takes a worker's draining, sickness or sign-off.
-func (r *Replica) handleSetEligibility(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var request state.SetEligibility
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
-	r.enqueueCommand("eligible", &request, outcomeReply(reply))
+// handleSetEligibility takes a worker's draining, ill health or sign-off.
+func (r *Replica) handleSetEligibility(request *state.SetEligibility, _ *transport.Stream, reply replyFunc) {
+	r.enqueueCommand(state.CommandSetEligibility, request, outcomeReply(reply))
 }
 
-// handleReportCompletions takes the ends of runs that a side daemon reports.
-func (r *Replica) handleReportCompletions(raw []byte, _ *transport.Stream, reply replyFunc) {
-	var request state.ReportCompletions
-	if transport.Decode(raw, &request) != nil {
-		reply(rpc.Response{Code: 400})
-		return
-	}
+// handleReportCompletions takes the completions of runs that an agent reports.
+func (r *Replica) handleReportCompletions(request *state.ReportCompletions, _ *transport.Stream, reply replyFunc) {
 	if lease := r.leases[request.Worker]; lease != nil {
 		lease.heardAt = time.Now()
 	}
-	r.enqueueCommand("ends", &request, outcomeReply(reply))
+	r.enqueueCommand(state.CommandReportCompletions, request, outcomeReply(reply))
 }
 
-// stopRunsOfLeavingWorkers stops what still runs on workers that are about to leave: it would
-// die there, and its text would be lost.
+// stopRunsOfLeavingWorkers stops what still runs on workers that are about to
+// leave: the runs would die there, and their checkpoints would be lost.
 func (r *Replica) stopRunsOfLeavingWorkers(now time.Time) {
 	leadTime := r.settings.Bounds.StopGraceMs + tuning.DrainStopLead.Milliseconds()
 	var ids []uint64
@@ -72,20 +54,20 @@
 	}
 	if len(ids) > 0 {
 		sort.Slice(ids, func(a, b int) bool { return ids[a] < ids[b] })
-		r.enqueueCommand("halt", &state.StopRuns{Allocations: ids, Reason: "worker leaves"}, nil)
+		r.enqueueCommand(state.CommandStopRuns, &state.StopRuns{Allocations: ids, Reason: "worker leaves"}, nil)
 	}
 }
 
-// aggregatorAddresses gives the addresses of the aggregator of a worker's zone and of its
-// standby; the first is empty if it is this daemon.
-func (r *Replica) aggregatorAddresses(workerID string) (string, string) {
+// aggregatorAddresses gives the addresses of the aggregator of a worker's zone and
+// of its standby; the first is empty if it is this server.
+func (r *Replica) aggregatorAddresses(workerID string) (aggregator, standby string) {
 	worker := r.state.Workers[workerID]
 	if worker == nil {
 		return "", ""
 	}
-	aggregator := r.state.Aggregators[worker.Zone]
-	if aggregator.Member == r.self.ID {
-		return "", aggregator.StandbyAddress
+	appointed := r.state.Aggregators[worker.Zone]
+	if appointed.Member == r.self.ID {
+		return "", appointed.StandbyAddress
 	}
-	return aggregator.Address, aggregator.StandbyAddress
+	return appointed.Address, appointed.StandbyAddress
 }
