--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -6,8 +6,8 @@
 	"tealpond/internal/protocol"
 )
 
-// TestDigestChainTellsReplicasApart: by an entry, by an outcome, by a count of rows;
-// and it is the same where nothing differs.
+// TestDigestChainTellsReplicasApart shows that chains differ by an entry, by an
+// outcome or by a number of rows, and are the same where nothing differs.
 func TestDigestChainTellsReplicasApart(t *testing.T) {
 	build := func() *fixture {
 		f := newFixture(t)
@@ -15,13 +15,13 @@
 		if f.store.DigestChain != 0 {
 			t.Fatal("a chain before the log began one")
 		}
-		f.apply("limits", &SetLimits{Limits: f.store.Limits})
+		f.apply(&SetLimits{Limits: f.store.Limits})
 		return f
 	}
 	for name, c := range map[string]struct {
-		change func(f *fixture)
-		sick   bool // the entry that follows is another
-		same   bool
+		change    func(f *fixture)
+		unhealthy bool // the entry that follows is another
+		same      bool
 	}{
 		"nothing":  {func(*fixture) {}, false, true},
 		"entry":    {func(*fixture) {}, true, false},
@@ -34,22 +34,22 @@
 	} {
 		x, y := build(), build()
 		c.change(y)
-		x.apply("eligible", &SetEligibility{ID: "a"})
-		y.apply("eligible", &SetEligibility{ID: "a", Unhealthy: c.sick})
+		x.apply(&SetEligibility{ID: "a"})
+		y.apply(&SetEligibility{ID: "a", Unhealthy: c.unhealthy})
 		if x.store.DigestChain == 0 || (x.store.DigestChain == y.store.DigestChain) != c.same {
 			t.Errorf("%s: chains %x and %x", name, x.store.DigestChain, y.store.DigestChain)
 		}
 	}
 }
 
-// TestDigestChainBeginsOnce: a later leader's limits do not begin it anew, or what
-// differed before would be forgotten.
+// TestDigestChainBeginsOnce: the limits of a later leader don't begin the chain
+// anew, or what differed before would be forgotten.
 func TestDigestChainBeginsOnce(t *testing.T) {
 	f := newFixture(t)
-	f.apply("limits", &SetLimits{})
+	f.apply(&SetLimits{})
 	from, chain := f.store.DigestChainFrom, f.store.DigestChain
-	f.apply("limits", &SetLimits{})
+	f.apply(&SetLimits{})
 	if from == 0 || f.store.DigestChainFrom != from || f.store.DigestChain == chain {
-		t.Errorf("begun at %d, then at %d", from, f.store.DigestChainFrom)
+		t.Errorf("the chain began at %d, then at %d", from, f.store.DigestChainFrom)
 	}
 }
--- a/internal/state/export_test.go
+++ b/internal/state/export_test.go
@@ -1,16 +1,11 @@
 package state
 
-// CommandNames lists the registered commands, for tests outside the package.
+// CommandNames lists the names of the registered commands, for tests outside
+// the package.
 func CommandNames() []string {
-	var out []string
-	for k := range commandConstructors {
-		out = append(out, k)
+	var names []string
+	for name := range commandConstructors {
+		names = append(names, name)
 	}
-	return out
-}
-
-// SnapshotStore is what a frozen state holds.
-func SnapshotStore(f *Snapshot) *Store {
-	f.Encode()
-	return f.store
+	return names
 }
--- a/internal/state/fuzz_test.go
+++ b/internal/state/fuzz_test.go
@@ -7,8 +7,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzDecodeSnapshot: a snapshot that was changed on its way is an error or a state, but
-// never a panic; a state that loads saves and loads again to the same bytes.
+// FuzzDecodeSnapshot: a snapshot that was changed on its way is an error or a
+// state, but never a panic. A state that is decoded can be encoded and decoded
+// again.
 func FuzzDecodeSnapshot(f *testing.F) {
 	s := New(Limits{JobRetentionMs: 1000, MaxReplans: 2, RemoteFactor: 1})
 	f.Add(s.EncodeSnapshot())
@@ -34,14 +35,15 @@
 			return
 		}
 		if _, err := DecodeSnapshot(s.EncodeSnapshot(), Limits{}); err != nil {
-			t.Fatalf("what was loaded and saved does not load: %v", err)
+			t.Fatalf("what was decoded and encoded can't be decoded: %v", err)
 		}
 	})
 }
 
-// A state of more rows than the library's own bound was saved and then never
-// loaded again, at a restart or by a member that was sent it.
-func TestLargeTablesLoadAgain(t *testing.T) {
+// TestLargeTablesAreDecodedAgain: a state of more rows than the library's own bound
+// was saved and then never loaded again, at a restart or by a member that was
+// sent it.
+func TestLargeTablesAreDecodedAgain(t *testing.T) {
 	const rows = 140_000
 	s := New(Limits{})
 	s.VoidedOffers = map[string]int64{}
--- /dev/null
+++ b/internal/state/generator_test.go
@@ -0,0 +1,281 @@
+package state_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand"
+	"slices"
+	"sort"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpond/internal/clusterconfig"
+	"tealpond/internal/protocol"
+	"tealpond/internal/state"
+)
+
+// generator makes commands by lot. Most of them are sensible against the state,
+// as those of a leader are.
+type generator struct {
+	*rand.Rand
+	store   *state.Store
+	version int64
+	jobs    int
+	workers int
+}
+
+const nodeCount, routeCount = 5, 3
+
+func (g *generator) oneOf(of ...string) string { return of[g.Intn(len(of))] }
+
+func (g *generator) jobID() string { return fmt.Sprintf("%016x", 1+g.Intn(g.jobs+2)) }
+
+func (g *generator) node() string { return fmt.Sprint("n", g.Intn(nodeCount)) }
+
+func (g *generator) route() string { return fmt.Sprint("l", g.Intn(routeCount+1)) }
+
+// worker is one that the state knows; seldom one that is dead.
+func (g *generator) worker() *state.Worker {
+	var ids []string
+	for id, w := range g.store.Workers {
+		if !w.Dead || g.Intn(10) == 0 {
+			ids = append(ids, id)
+		}
+	}
+	if len(ids) == 0 {
+		return &state.Worker{ID: "none"}
+	}
+	sort.Strings(ids)
+	return g.store.Workers[ids[g.Intn(len(ids))]]
+}
+
+// allocation is one that the state knows.
+func (g *generator) allocation() *state.Allocation {
+	var ids []uint64
+	for id := range g.store.Allocations {
+		ids = append(ids, id)
+	}
+	if len(ids) == 0 {
+		return &state.Allocation{ID: 1, Job: "none", Worker: "none"}
+	}
+	slices.Sort(ids)
+	return g.store.Allocations[ids[g.Intn(len(ids))]]
+}
+
+func (g *generator) labels() protocol.Labels {
+	var out protocol.Labels
+	for _, l := range []string{"fast", "r1", "r2"} {
+		if g.Intn(4) == 0 {
+			out = append(out, l)
+		}
+	}
+	return out
+}
+
+func (g *generator) job() protocol.Job {
+	j := protocol.Job{Spec: fmt.Sprint("spec", g.Intn(100))}
+	for i := range 1 + g.Intn(3) {
+		st := protocol.Step{TaskCount: 1 + g.Intn(3), CPUUnits: int64(g.Intn(60)), MemoryMB: int64(g.Intn(40)), GPUs: g.Intn(8) / 7, EstimateMs: int64(g.Intn(500)),
+			Checkpoints: g.Intn(2) == 0, Gang: g.Intn(3) == 0, SameRack: g.Intn(3) == 0, MaxPerWorker: g.Intn(3), Speculative: g.Intn(4) == 0, LongRunning: g.Intn(12) == 0}
+		if g.Intn(5) == 0 {
+			st.RequiredLabels = g.labels()
+		}
+		if g.Intn(3) == 0 {
+			st.PreferredRack = g.oneOf("r1", "r2")
+		}
+		for d := range i {
+			if g.Intn(2) == 0 {
+				st.DependsOn = append(st.DependsOn, d)
+			}
+		}
+		j.Steps = append(j.Steps, st)
+	}
+	if g.Intn(6) == 0 {
+		j.PeriodicInstances, j.FirstRunMs, j.IntervalMs = 1+g.Intn(4), g.store.WallClock+int64(g.Intn(500)), int64(1+g.Intn(300))
+	}
+	return j
+}
+
+func (g *generator) configuration() []byte {
+	configuration := clusterconfig.Config{Version: g.version + int64(g.Intn(3))}
+	for i := range routeCount {
+		if g.Intn(6) == 0 {
+			continue
+		}
+		configuration.Routes = append(configuration.Routes, clusterconfig.Route{Name: fmt.Sprint("l", i), HostName: g.oneOf("h", "H2"), PathPrefix: fmt.Sprintf("/%s%d/", g.oneOf("p", "q"), i), Kind: "writing",
+			TimeoutMs: 1000, TargetMs: int64(g.Intn(500)), Priority: g.Intn(3), TargetService: g.oneOf("s", "t"), MaxAttempts: g.Intn(3), Stretch: 1 + g.Float64()})
+	}
+	configuration.Services = []clusterconfig.Service{{Name: "s", EnforcesResources: true}, {Name: "t"}}
+	raw, err := json.Marshal(configuration)
+	if err != nil {
+		panic(err)
+	}
+	if configuration.Version > g.version {
+		g.version = configuration.Version
+	}
+	return raw
+}
+
+// plan places the tasks of a step on workers by lot, some of them on an older
+// version.
+func (g *generator) plan() state.Plan {
+	var ids []string
+	for id, j := range g.store.Jobs {
+		if j.EndedAt == 0 && len(j.Instances) > 0 {
+			ids = append(ids, id)
+		}
+	}
+	if len(ids) == 0 {
+		return state.Plan{Job: "none"}
+	}
+	sort.Strings(ids)
+	j := g.store.Jobs[ids[g.Intn(len(ids))]]
+	step := g.Intn(len(j.Steps))
+	p := state.Plan{Job: j.ID, Instance: g.Intn(len(j.Instances)), Step: step, AllOrNothing: j.IsGang(step)}
+	for x := range j.Steps[step].TaskCount {
+		w := g.worker()
+		p.Placements = append(p.Placements, state.Placement{TaskIndex: x, Worker: w.ID, WorkerVersion: w.Version - uint64(g.Intn(4)/3)})
+		if j.Steps[step].Speculative && g.Intn(2) == 0 {
+			o := g.worker()
+			p.Placements = append(p.Placements, state.Placement{TaskIndex: x, Copy: 1, Worker: o.ID, WorkerVersion: o.Version})
+		}
+	}
+	return p
+}
+
+// offer is that of a job's transfer, or seldom another: its peer and its ID.
+func (g *generator) offer(job string) (string, int64) {
+	if j := g.store.Jobs[job]; j != nil && j.Transfer.OfferID > 0 && g.Intn(5) > 0 {
+		return j.Transfer.Peer, j.Transfer.OfferID
+	}
+	return g.oneOf("p1", "p2"), int64(g.Intn(30))
+}
+
+// commandMakers has a maker for each registered command, and how often it comes
+// by.
+var commandMakers = map[string]struct {
+	often int
+	make  func(g *generator) state.Command
+}{
+	state.CommandReplaceConfiguration: {2, func(g *generator) state.Command {
+		return &state.ReplaceConfiguration{BaseVersion: g.store.Configuration.Version - int64(g.Intn(8)/7), Raw: g.configuration()}
+	}},
+	state.CommandSubmitJob: {10, func(g *generator) state.Command {
+		g.jobs++
+		c := &state.SubmitJob{Host: g.oneOf("h", "h", "h2"), Path: fmt.Sprintf("/%s%d/x", g.oneOf("p", "q"), g.Intn(routeCount)), ID: g.jobID(), Job: g.job()}
+		if g.Intn(2) == 0 {
+			c.DemandBucket = g.store.WallClock / 100
+		}
+		return c
+	}},
+	state.CommandApplyPlans: {20, func(g *generator) state.Command {
+		c := &state.ApplyPlans{}
+		for range 1 + g.Intn(3) {
+			c.Plans = append(c.Plans, g.plan())
+		}
+		return c
+	}},
+	state.CommandReportCompletions: {16, func(g *generator) state.Command {
+		a := g.allocation()
+		w := g.store.Workers[a.Worker]
+		if w == nil {
+			w = &state.Worker{ID: a.Worker}
+		}
+		c := &state.ReportCompletions{Worker: w.ID, Fence: w.Fence - int64(g.Intn(12)/11)}
+		for i := range 1 + g.Intn(2) {
+			c.Completions = append(c.Completions, protocol.Completion{Sequence: w.LastCompletion + int64(i) + 1, Task: a.TaskName(), Run: a.Run - g.Intn(12)/11,
+				Result: g.oneOf("done", "done", "done", "failed", "stopped", "refused", "lapsed", "crashed"), Checkpoint: g.oneOf("", "text")})
+			a = g.allocation()
+		}
+		if g.Intn(3) == 0 {
+			c.Checkpoints = []protocol.RunProgress{{Task: a.TaskName(), Run: a.Run, Checkpoint: fmt.Sprint("s", g.Intn(9))}}
+		}
+		return c
+	}},
+	state.CommandSetEligibility: {3, func(g *generator) state.Command {
+		return &state.SetEligibility{ID: g.worker().ID, Draining: g.Intn(4) == 0, LeavesInMs: int64(g.Intn(500) - 100), Leaving: g.Intn(12) == 0, Unhealthy: g.Intn(4) == 0}
+	}},
+	state.CommandExpireLeases: {1, func(g *generator) state.Command {
+		a, b := g.worker(), g.worker()
+		return &state.ExpireLeases{Workers: []state.FencedWorker{{ID: a.ID, Fence: a.Fence}, {ID: b.ID, Fence: b.Fence}}}
+	}},
+	state.CommandRegisterWorker: {4, func(g *generator) state.Command {
+		w, node := g.worker(), g.node()
+		id := w.ID
+		if g.Intn(3) == 0 || id == "none" {
+			g.workers++
+			id = fmt.Sprint("w", g.workers)
+		} else {
+			node = w.Node
+		}
+		return &state.RegisterWorker{ID: id, Node: node, AgentProcess: fmt.Sprint(g.workers), Service: g.oneOf("s", "s", "t"), Zone: g.oneOf("z1", "z2"), Labels: append(g.labels(), g.oneOf("r1", "r2")),
+			Capacity: protocol.Resources{CPUUnits: 200, MemoryMB: 200, GPUs: 2}, Draining: g.Intn(12) == 0, LeavesInMs: int64(g.Intn(500) - 250)}
+	}},
+	state.CommandStopRuns: {2, func(g *generator) state.Command {
+		return &state.StopRuns{Allocations: []uint64{g.allocation().ID, g.allocation().ID}, Reason: g.oneOf("pushed", "stuck")}
+	}},
+	state.CommandCollectGarbage: {2, func(g *generator) state.Command { return &state.CollectGarbage{RebuildRollups: g.Intn(2) == 0} }},
+	state.CommandCancelJob:      {1, func(g *generator) state.Command { return &state.CancelJob{ID: g.jobID()} }},
+	state.CommandAppointAggregator: {1, func(g *generator) state.Command {
+		z := g.oneOf("z1", "z2")
+		return &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: z, Member: g.oneOf("a", "b"), Address: "x"}, BaseRevision: g.store.Aggregators[z].Revision}
+	}},
+	state.CommandSetLimits: {1, func(g *generator) state.Command {
+		return &state.SetLimits{Limits: state.Limits{JobRetentionMs: int64(g.Intn(4) * 300), MaxReplans: g.Intn(3), RemoteFactor: 1 + 2*g.Float64()}}
+	}},
+	state.CommandConfirmDigest: {1, func(g *generator) state.Command {
+		return &state.ConfirmDigest{Index: g.store.AppliedIndex, Digest: g.Uint64()}
+	}},
+	state.CommandSetEpoch: {1, func(g *generator) state.Command { return &state.SetEpoch{Epoch: g.oneOf("e1", "e2")} }},
+	state.CommandOfferJob: {2, func(g *generator) state.Command { return &state.OfferJob{Job: g.jobID(), Peer: g.oneOf("p1", "p2")} }},
+	state.CommandSettleTransfer: {3, func(g *generator) state.Command {
+		id := g.jobID()
+		peer, offerID := g.offer(id)
+		return &state.SettleTransfer{Job: id, OfferID: offerID, Peer: peer, Epoch: g.oneOf("e", "e", "e", "e", "e", "f"), Index: g.store.LastID, Answer: g.oneOf("taken", "refused", "voided", "done", "failed", "called_off", "released")}
+	}},
+	state.CommandLendCapacity: {1, func(g *generator) state.Command {
+		return &state.LendCapacity{ID: fmt.Sprint("loan", g.Intn(6)), Peer: g.oneOf("p1", "p2"), Service: g.oneOf("s", "t"), MilliCPU: int64(g.Intn(100)), MinMilliCPU: 10, DurationMs: int64(g.Intn(2000)), Slices: 6, SliceMilliCPU: 20}
+	}},
+	state.CommandAcceptJob: {3, func(g *generator) state.Command {
+		g.jobs++
+		j := g.job()
+		j.PeriodicInstances = 0
+		c := &state.AcceptJob{Peer: g.oneOf("p1", "p2"), OfferID: int64(1 + g.Intn(30)), ID: g.jobID(), Route: g.route(), Loan: fmt.Sprint("loan", g.Intn(6)), Job: j}
+		if l := g.store.Loans[c.Loan]; l != nil {
+			c.Peer = l.Peer
+		}
+		return c
+	}},
+	state.CommandVoidOffer: {1, func(g *generator) state.Command {
+		id := g.jobID()
+		peer, offerID := g.offer(id)
+		return &state.VoidOffer{Peer: peer, OfferID: offerID, ID: id, Cancel: g.Intn(2) == 0}
+	}},
+	state.CommandReleaseJob: {1, func(g *generator) state.Command {
+		id := g.jobID()
+		peer, offerID := g.offer(id)
+		return &state.ReleaseJob{Peer: peer, OfferID: offerID, ID: id}
+	}},
+}
+
+// entry makes one entry of the log, of some commands.
+func (g *generator) entry(clock, wall int64, count map[string]int) []byte {
+	var lot []string
+	for _, k := range state.CommandNames() {
+		for range commandMakers[k].often {
+			lot = append(lot, k)
+		}
+	}
+	sort.Strings(lot)
+	b := state.Batch{Clock: clock, WallClock: wall}
+	for range 1 + g.Intn(4) {
+		k := g.oneOf(lot...)
+		count[k]++
+		b.Commands = append(b.Commands, state.EncodeCommand(k, commandMakers[k].make(g)))
+	}
+	raw, err := cbor.Marshal(b)
+	if err != nil {
+		panic(err)
+	}
+	return raw
+}
--- /dev/null
+++ b/internal/state/outcome_test.go
@@ -0,0 +1,37 @@
+package state
+
+import (
+	"maps"
+	"testing"
+)
+
+// TestOutcomeCodesKeepTheirNumbers holds the codes against the numbers that
+// stand in the digest chain and in responses between daemons.
+func TestOutcomeCodesKeepTheirNumbers(t *testing.T) {
+	for code, number := range map[Code]int{
+		CodeOK: 200, CodeAccepted: 202, CodeInvalid: 400, CodeNotFound: 404, CodeConflict: 409,
+		CodeGone: 410, CodePreconditionFailed: 412, CodeUnavailable: 503, CodeUnknown: 504,
+	} {
+		if int(code) != number {
+			t.Errorf("%d instead of %d", code, number)
+		}
+	}
+}
+
+// TestWordsOfOthersStay holds results, statuses and answers against the words
+// that runners, clients and peers know.
+func TestWordsOfOthersStay(t *testing.T) {
+	words := map[string]string{
+		"ResultDone": ResultDone, "ResultFailed": ResultFailed, "ResultRefused": ResultRefused, "ResultLeaseExpired": ResultLeaseExpired, "ResultCrashed": ResultCrashed,
+		"StatusPending": StatusPending, "StatusRunning": StatusRunning, "StatusDone": StatusDone, "StatusFailed": StatusFailed, "StatusCanceled": StatusCanceled,
+		"AnswerAccepted": AnswerAccepted, "AnswerRefused": AnswerRefused, "AnswerVoided": AnswerVoided, "AnswerReleased": AnswerReleased,
+	}
+	want := map[string]string{
+		"ResultDone": "done", "ResultFailed": "failed", "ResultRefused": "refused", "ResultLeaseExpired": "lapsed", "ResultCrashed": "crashed",
+		"StatusPending": "pending", "StatusRunning": "serving", "StatusDone": "done", "StatusFailed": "failed", "StatusCanceled": "called_off",
+		"AnswerAccepted": "taken", "AnswerRefused": "refused", "AnswerVoided": "voided", "AnswerReleased": "released",
+	}
+	if !maps.Equal(words, want) {
+		t.Errorf("%v instead of %v", words, want)
+	}
+}
--- /dev/null
+++ b/internal/state/scheduling_index_test.go
@@ -0,0 +1,174 @@
+package state
+
+import (
+	"fmt"
+	"testing"
+
+	"tealpond/internal/protocol"
+)
+
+// schedulingIndexFault holds the index, as it was kept up, against a recount
+// from the tables.
+func schedulingIndexFault(s *Store) string {
+	for _, check := range []func(*Store) string{workerPositionFault, usageFault, capacityFault, placeableStepsFault} {
+		if fault := check(s); fault != "" {
+			return fault
+		}
+	}
+	return ""
+}
+
+// workerPositionFault finds a worker that does not stand where its row says:
+// once in the class of its free CPU and under each of its labels if it is
+// schedulable, and else nowhere.
+func workerPositionFault(s *Store) string {
+	for _, worker := range s.Workers {
+		want := 0
+		if worker.Schedulable() {
+			want = 1
+		}
+		found, fault := countInClasses(s, worker)
+		if fault != "" {
+			return fault
+		}
+		if found != want {
+			return fmt.Sprintf("%s stands %d times in the classes, want %d", worker.ID, found, want)
+		}
+		for _, label := range worker.Labels {
+			if found := countWorker(s.WorkersWithLabel(worker.Service, label), worker); found != want {
+				return fmt.Sprintf("%s stands %d times under label %s, want %d", worker.ID, found, label, want)
+			}
+		}
+	}
+	return ""
+}
+
+// countInClasses counts a worker in the classes of free CPU. It is a fault if it
+// stands in another than its own, or not where it says.
+func countInClasses(s *Store, worker *Worker) (count int, fault string) {
+	classes := s.index.byFreeCPU[worker.Service]
+	if classes == nil {
+		return 0, ""
+	}
+	for class := range classes {
+		for i, other := range classes[class].workers {
+			if other != worker {
+				continue
+			}
+			count++
+			if class != freeCPUClass(worker.FreeMilliCPU()) || worker.position.cpuOffset != i {
+				return count, fmt.Sprintf("%s with %d free stands in class %d at %d", worker.ID, worker.FreeMilliCPU(), class, i)
+			}
+		}
+	}
+	return count, ""
+}
+
+func countWorker(workers []*Worker, worker *Worker) int {
+	count := 0
+	for _, other := range workers {
+		if other == worker {
+			count++
+		}
+	}
+	return count
+}
+
+// usageFault holds what runs hold by service and priority against a recount.
+func usageFault(s *Store) string {
+	recounted := map[ServicePriority]Resources{}
+	for _, a := range s.Allocations {
+		if job := s.Jobs[a.Job]; job != nil {
+			k := ServicePriority{job.Service, job.Priority}
+			recounted[k] = Resources{recounted[k].MilliCPU + a.MilliCPU, recounted[k].MemoryMB + a.MemoryMB}
+		}
+	}
+	for k, used := range s.index.used {
+		if recounted[k] != used {
+			return fmt.Sprintf("%v holds %v, recounted %v", k, used, recounted[k])
+		}
+	}
+	for k, used := range recounted {
+		if s.index.used[k] != used {
+			return fmt.Sprintf("%v holds %v, recounted %v", k, s.index.used[k], used)
+		}
+	}
+	return ""
+}
+
+// capacityFault holds the schedulable capacity of services against a recount.
+func capacityFault(s *Store) string {
+	capacity, workers := map[string]Resources{}, map[string]int{}
+	for _, worker := range s.Workers {
+		if worker.Schedulable() {
+			c := capacity[worker.Service]
+			capacity[worker.Service] = Resources{c.MilliCPU + worker.Capacity.CPUUnits, c.MemoryMB + worker.Capacity.MemoryMB}
+			workers[worker.Service]++
+		}
+	}
+	for service := range workers {
+		if c, n := s.SchedulableCapacity(service); c != capacity[service] || n != workers[service] {
+			return fmt.Sprintf("%s has capacity %v of %d workers, recounted %v of %d", service, c, n, capacity[service], workers[service])
+		}
+	}
+	return ""
+}
+
+// placeableStepsFault finds a step that has tasks to place and isn't listed, or
+// one that is listed though its job has ended.
+func placeableStepsFault(s *Store) string {
+	for _, job := range s.openJobs {
+		for _, instance := range job.Instances {
+			for i := range instance.Steps {
+				if !hasTasksToPlace(instance, &instance.Steps[i]) {
+					continue
+				}
+				if _, ok := s.index.placeableSteps[StepRef{job.ID, instance.Number, i}]; !ok {
+					return fmt.Sprintf("%s step %d has tasks to place and isn't listed", job.ID, i)
+				}
+			}
+		}
+	}
+	for ref := range s.index.placeableSteps {
+		if s.openJobs[ref.Job] == nil {
+			return fmt.Sprintf("%v is listed and its job has ended", ref)
+		}
+	}
+	return ""
+}
+
+func hasTasksToPlace(instance *JobInstance, stepState *StepState) bool {
+	waits := false
+	for i := range stepState.Tasks {
+		waits = waits || !stepState.Tasks[i].Done && len(stepState.Tasks[i].Allocations) == 0
+	}
+	return waits && stepState.Ready && !instance.Failed
+}
+
+// TestSchedulingIndexFaultCatchesPlantedBreaks shows that each part of the
+// recount can fail.
+func TestSchedulingIndexFaultCatchesPlantedBreaks(t *testing.T) {
+	for name, plant := range map[string]func(s *Store){
+		"class":          func(s *Store) { s.Workers["a"].UsedMilliCPU += 600 },
+		"unschedulable":  func(s *Store) { s.Workers["a"].Unhealthy = true },
+		"label":          func(s *Store) { s.index.byLabel["s"]["r1"].workers = nil },
+		"usage":          func(s *Store) { s.index.used[ServicePriority{"s", 0}] = Resources{1, 1} },
+		"capacity":       func(s *Store) { s.index.capacity["s"] = Resources{} },
+		"missing step":   func(s *Store) { delete(s.index.placeableSteps, StepRef{"j", 0, 0}) },
+		"step of no job": func(s *Store) { s.index.placeableSteps[StepRef{"x", 0, 0}] = struct{}{} },
+		"offset":         func(s *Store) { s.Workers["a"].position.cpuOffset = 7 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(t)
+			f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+			f.submit("j", protocol.Step{TaskCount: 2, CPUUnits: 10})
+			if fault := schedulingIndexFault(f.store); fault != "" {
+				t.Fatal(fault)
+			}
+			plant(f.store)
+			if schedulingIndexFault(f.store) == "" {
+				t.Error("the planted break was not caught")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/state/submit_job_test.go
@@ -0,0 +1,28 @@
+package state
+
+import (
+	"testing"
+
+	"tealpond/internal/protocol"
+)
+
+func TestResubmittedJobKeepsTheFirstBody(t *testing.T) {
+	f := newFixture(t)
+	f.submit("j", protocol.Step{TaskCount: 1})
+	f.submit("j", protocol.Step{TaskCount: 7})
+	if n := f.store.Jobs["j"].Steps[0].TaskCount; n != 1 {
+		t.Fatalf("the second body stands: %d tasks", n)
+	}
+}
+
+func TestPeriodicJobFallsDue(t *testing.T) {
+	f := newFixture(t)
+	f.apply(&SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}, PeriodicInstances: 3, FirstRunMs: 1000, IntervalMs: 500}})
+	j := f.store.Jobs["j"]
+	for _, c := range []struct{ wall, instances int64 }{{999, 0}, {1000, 1}, {1400, 1}, {2100, 3}} {
+		f.store.AdvanceClock(f.now, c.wall)
+		if int64(len(j.Instances)) != c.instances {
+			t.Errorf("at %d: %d instances, want %d", c.wall, len(j.Instances), c.instances)
+		}
+	}
+}
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -6,68 +6,72 @@
 	"tealpond/internal/protocol"
 )
 
+// newLoanFixture makes a state that lends 100 thousandths of a core to a peer.
 func newLoanFixture(t *testing.T) *fixture {
+	t.Helper()
 	f := newFixture(t)
 	f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
-	if o := f.apply("lend", &LendCapacity{ID: "l", Peer: "p", Service: "s", MilliCPU: 100, MinMilliCPU: 50, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != 200 || o.Value != 100 {
+	if o := f.apply(&LendCapacity{ID: "l", Peer: "p", Service: "s", MilliCPU: 100, MinMilliCPU: 50, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeOK || o.Value != 100 {
 		t.Fatalf("loan: %+v", o)
 	}
 	return f
 }
 
-func (f *fixture) acceptJob(no int64, loan string) Outcome {
-	return f.apply("accept", &AcceptJob{Peer: "p", OfferID: no, ID: "j", Route: "a", Loan: loan, Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 4, CPUUnits: 50}}}})
+// acceptJob accepts, or refuses, a peer's offer of job j under a loan.
+func (f *fixture) acceptJob(offerID int64, loan string) Outcome {
+	f.t.Helper()
+	return f.apply(&AcceptJob{Peer: "p", OfferID: offerID, ID: "j", Route: "a", Loan: loan, Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 4, CPUUnits: 50}}}})
 }
 
 func TestCapacityIsLentOnce(t *testing.T) {
 	f := newLoanFixture(t)
-	if o := f.apply("lend", &LendCapacity{ID: "m", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != 409 {
+	if o := f.apply(&LendCapacity{ID: "m", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeConflict {
 		t.Fatalf("lent twice: %+v", o)
 	}
 	f.now += 2000
-	if o := f.apply("lend", &LendCapacity{ID: "n", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != 200 {
+	if o := f.apply(&LendCapacity{ID: "n", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeOK {
 		t.Fatalf("not lent again after the end: %+v", o)
 	}
 }
 
 func TestOfferIsAcceptedAtMostOnce(t *testing.T) {
 	f := newLoanFixture(t)
-	if o := f.acceptJob(7, "l"); o.Text != "taken" {
+	if o := f.acceptJob(7, "l"); o.Text != AnswerAccepted {
 		t.Fatalf("%+v", o)
 	}
-	if o := f.acceptJob(7, "l"); o.Text != "taken" || len(f.store.Jobs) != 1 {
+	if o := f.acceptJob(7, "l"); o.Text != AnswerAccepted || len(f.store.Jobs) != 1 {
 		t.Fatalf("repeated: %+v", o)
 	}
-	if o := f.apply("void", &VoidOffer{Peer: "p", OfferID: 7, ID: "j"}); o.Text != "taken" {
-		t.Fatalf("a void of what was taken: %+v", o)
+	if o := f.apply(&VoidOffer{Peer: "p", OfferID: 7, ID: "j"}); o.Text != AnswerAccepted {
+		t.Fatalf("what was accepted is voided: %+v", o)
 	}
-	f.apply("release", &ReleaseJob{Peer: "p", OfferID: 7, ID: "j"})
+	f.apply(&ReleaseJob{Peer: "p", OfferID: 7, ID: "j"})
 	delete(f.store.Jobs, "j")
-	if o := f.acceptJob(7, "l"); o.Text != "refused" {
+	if o := f.acceptJob(7, "l"); o.Text != AnswerRefused {
 		t.Fatalf("a late copy after its end was released: %+v", o)
 	}
 }
 
 func TestVoidedOfferIsNeverAccepted(t *testing.T) {
 	f := newLoanFixture(t)
-	if o := f.apply("void", &VoidOffer{Peer: "p", OfferID: 7, ID: "j"}); o.Text != "voided" {
+	if o := f.apply(&VoidOffer{Peer: "p", OfferID: 7, ID: "j"}); o.Text != AnswerVoided {
 		t.Fatalf("%+v", o)
 	}
-	if o := f.acceptJob(7, "l"); o.Text != "refused" || f.store.Jobs["j"] != nil {
+	if o := f.acceptJob(7, "l"); o.Text != AnswerRefused || f.store.Jobs["j"] != nil {
 		t.Fatalf("%+v", o)
 	}
-	if o := f.acceptJob(8, "l"); o.Text != "taken" {
+	if o := f.acceptJob(8, "l"); o.Text != AnswerAccepted {
 		t.Fatalf("a newer offer: %+v", o)
 	}
 }
 
-func TestRefusalHolds(t *testing.T) {
+func TestRefusedOfferIsNeverAccepted(t *testing.T) {
 	f := newLoanFixture(t)
-	if o := f.acceptJob(7, "none"); o.Text != "refused" {
+	if o := f.acceptJob(7, "none"); o.Text != AnswerRefused {
 		t.Fatalf("%+v", o)
 	}
-	if o := f.acceptJob(7, "l"); o.Text != "refused" {
-		t.Fatalf("a refused offer was taken later: %+v", o)
+	if o := f.acceptJob(7, "l"); o.Text != AnswerRefused {
+		t.Fatalf("a refused offer was accepted later: %+v", o)
 	}
 }
 
@@ -77,11 +81,11 @@
 	a := f.store.Workers["a"]
 	var items []Placement
 	for i := range 4 {
-		items = append(items, Placement{TaskIndex: i, Worker: "a", WorkerVersion: a.Version})
+		items = append(items, placementOn(a, i))
 	}
 	f.applyPlan("j", 0, false, items...)
 	if a.UsedMilliCPU != 100 {
-		t.Fatalf("guests hold %d of a loan of 100", a.UsedMilliCPU)
+		t.Fatalf("incoming jobs hold %d of a loan of 100", a.UsedMilliCPU)
 	}
 }
 
@@ -89,31 +93,31 @@
 	f := newFixture(t)
 	a := f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	f.submit("j", protocol.Step{TaskCount: 1})
-	no := f.apply("offer", &OfferJob{Job: "j", Peer: "p"}).Value
-	f.applyPlan("j", 0, false, Placement{Worker: "a", WorkerVersion: a.Version})
+	offerID := f.apply(&OfferJob{Job: "j", Peer: "p"}).Value
+	f.applyPlan("j", 0, false, placementOn(a, 0))
 	if len(f.store.Allocations) != 0 {
 		t.Fatal("it runs here while the peer may have it")
 	}
-	say := func(what string, index uint64) Outcome {
-		return f.apply("settle", &SettleTransfer{Job: "j", OfferID: no, Peer: "p", Epoch: "e", Index: index, Answer: what})
+	settle := func(answer string, index uint64) Outcome {
+		return f.apply(&SettleTransfer{Job: "j", OfferID: offerID, Peer: "p", Epoch: "e", Index: index, Answer: answer})
 	}
-	if o := f.apply("cancel", &CancelJob{ID: "j"}); o.Code != 202 {
-		t.Fatalf("called off while the peer may run it: %+v", o)
+	if o := f.apply(&CancelJob{ID: "j"}); o.Code != CodeAccepted {
+		t.Fatalf("canceled while the peer may run it: %+v", o)
 	}
-	say("taken", 9)
-	if o := say("voided", 10); o.Code != 409 {
-		t.Fatalf("a peer that denies what it took is believed: %+v", o)
+	settle(AnswerAccepted, 9)
+	if o := settle(AnswerVoided, 10); o.Code != CodeConflict {
+		t.Fatalf("a peer that denies what it accepted is believed: %+v", o)
 	}
-	if o := say("done", 5); o.Code != 409 || f.store.Jobs["j"].Done {
+	if o := settle(StatusDone, 5); o.Code != CodeConflict || f.store.Jobs["j"].Done {
 		t.Fatalf("a peer with an older state is believed: %+v", o)
 	}
-	if o := f.apply("settle", &SettleTransfer{Job: "j", OfferID: no, Peer: "p", Epoch: "other", Index: 50, Answer: "done"}); o.Code != 409 {
+	if o := f.apply(&SettleTransfer{Job: "j", OfferID: offerID, Peer: "p", Epoch: "other", Index: 50, Answer: StatusDone}); o.Code != CodeConflict {
 		t.Fatalf("another history is believed: %+v", o)
 	}
-	if say("done", 11); !f.store.Jobs["j"].Done {
+	if settle(StatusDone, 11); !f.store.Jobs["j"].Done {
 		t.Fatal("its end isn't kept")
 	}
-	if say("released", 12); f.store.Jobs["j"].heldForPeer() {
+	if settle(AnswerReleased, 12); f.store.Jobs["j"].heldForPeer() {
 		t.Fatal("kept after it was released")
 	}
 }
@@ -122,10 +126,10 @@
 	f := newFixture(t)
 	a := f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	f.submit("j", protocol.Step{TaskCount: 1})
-	no := f.apply("offer", &OfferJob{Job: "j", Peer: "p"}).Value
-	f.apply("settle", &SettleTransfer{Job: "j", OfferID: no, Peer: "p", Epoch: "e", Index: 1, Answer: "voided"})
-	f.applyPlan("j", 0, false, Placement{Worker: "a", WorkerVersion: a.Version})
+	offerID := f.apply(&OfferJob{Job: "j", Peer: "p"}).Value
+	f.apply(&SettleTransfer{Job: "j", OfferID: offerID, Peer: "p", Epoch: "e", Index: 1, Answer: AnswerVoided})
+	f.applyPlan("j", 0, false, placementOn(a, 0))
 	if len(f.store.Allocations) != 1 {
-		t.Fatal("it does not start at home")
+		t.Fatal("it does not start at the source")
 	}
 }
