--- /dev/null
+++ b/internal/agent/fixture_test.go
@@ -0,0 +1,254 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
+)
+
+// testConfig is a configuration with one route, to service s.
+const testConfig = `{"configVersion":1,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],"serviceList":[{"name":"s","guards":true}]}`
+
+// fixture is an agent without its loop, over a state without a log.
+type fixture struct {
+	t          *testing.T
+	mu         sync.Mutex // requests come concurrently
+	state      *state.Store
+	agent      *Agent
+	session    *runnerSession
+	dropReport func(*state.ReportCompletions) bool // reports that never reach the state, nor get a response
+	reports    int                                 // reports that reached the state
+}
+
+// execute applies a command to the state.
+func (f *fixture) execute(kind string, c state.Command) state.Outcome {
+	return f.state.ApplyEntry(f.state.AppliedIndex+1, transport.Encode(state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}))[0]
+}
+
+// newFixture gives a worker w to which n tasks of job j are allocated as run 1.
+func newFixture(t *testing.T, n int) *fixture {
+	t.Helper()
+	f := &fixture{t: t, state: state.New(state.Limits{JobRetentionMs: 1e6, MaxReplans: 2})}
+	f.execute(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{Raw: []byte(testConfig)})
+	fence := f.execute(state.CommandRegisterWorker, &state.RegisterWorker{ID: "w", Node: "n", Service: "s", Capacity: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, LeavesInMs: -1}).Value
+	f.execute(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: n, EstimateMs: 100}}}})
+	var placements []state.Placement
+	for i := range n {
+		placements = append(placements, state.Placement{TaskIndex: i, Worker: "w", WorkerVersion: f.state.Workers["w"].Version})
+	}
+	f.execute(state.CommandApplyPlans, &state.ApplyPlans{Plans: []state.Plan{{Job: "j", Placements: placements}}})
+	f.agent = &Agent{log: log.NewNopLogger(), now: time.Now(), trace: tracing.NewRing(64), events: make(chan event, 64), ctx: t.Context()}
+	f.agent.callLeader = f.callLeader
+	f.session = &runnerSession{id: "w", fence: fence, listed: true, runs: map[string]*taskRun{}}
+	f.agent.session = f.session
+	return f
+}
+
+// callLeader carries out a request on the state.
+func (f *fixture) callLeader(ctx context.Context, kind string, body any) rpc.Response {
+	report, ok := body.(*state.ReportCompletions)
+	if ok && f.dropReport != nil && f.dropReport(report) {
+		<-ctx.Done()
+		return rpc.Response{Code: rpc.CodeTimeout}
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var outcome state.Outcome
+	switch command := body.(type) {
+	case *state.ReportCompletions:
+		f.reports++
+		outcome = f.execute(state.CommandReportCompletions, command)
+	case *state.RegisterWorker:
+		outcome = f.execute(state.CommandRegisterWorker, command)
+	case *state.SetEligibility:
+		outcome = f.execute(state.CommandSetEligibility, command)
+	default:
+		f.t.Errorf("request %s", kind)
+	}
+	return rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value}
+}
+
+// settle lets all requests that are in flight come to their ends.
+func (f *fixture) settle() {
+	for {
+		synctest.Wait()
+		select {
+		case e := <-f.agent.events:
+			f.agent.handle(e)
+		default:
+			return
+		}
+	}
+}
+
+// assign brings the assignment that the leader sends for an allocated task.
+func (f *fixture) assign(index int) {
+	f.agent.handleAssignment(rpc.Assignment{Worker: "w", Fence: f.session.fence, Task: fmt.Sprintf("j.0.0.%d", index), Run: 1, EstimateMs: 100})
+}
+
+// listCompletions brings an answer to a poll that lists these tasks as done, with
+// sequence index + 1.
+func (f *fixture) listCompletions(indexes ...int) {
+	response := RunnerResponse{StatusCode: 200, KeepAlive: protocol.KeepAliveResponse{ClockMs: 5}}
+	for _, i := range indexes {
+		response.KeepAlive.Ended = append(response.KeepAlive.Ended, []any{float64(i + 1), fmt.Sprintf("j.0.0.%d", i), float64(1), "done", ""})
+	}
+	f.session.lastPoll++
+	f.agent.handleKeepAlive(f.session, protocol.KeepAliveRequest{AcknowledgedSequence: f.session.committedSequence}, f.session.lastPoll, response)
+}
+
+// check demands that completions up to a sequence are committed and acknowledged,
+// and that so many allocations are open.
+func (f *fixture) check(committed int64, open int) {
+	f.t.Helper()
+	if w := f.state.Workers["w"]; w.LastCompletion != committed || f.session.committedSequence != committed {
+		f.t.Errorf("the state holds completions up to %d and the runner is told %d, want %d", w.LastCompletion, f.session.committedSequence, committed)
+	}
+	if len(f.state.Allocations) != open {
+		f.t.Errorf("%d allocations are open, want %d", len(f.state.Allocations), open)
+	}
+}
+
+// heartbeat brings a heartbeat and gives the status of its answer, or 0.
+func (f *fixture) heartbeat(id, state string, sequence int64) int {
+	f.t.Helper()
+	request := &heartbeatRequest{id: id, status: make(chan int, 1), heartbeat: protocol.Heartbeat{Service: "s", State: state,
+		FreeResources: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, Sequence: sequence}}
+	f.agent.handle(event{heartbeat: request})
+	f.settle()
+	return statusOf(request.status)
+}
+
+// signOff brings a sign-off and gives the status of its answer, or 0.
+func (f *fixture) signOff(id string) int {
+	f.t.Helper()
+	request := &signOffRequest{id: id, status: make(chan int, 1)}
+	f.agent.handle(event{signOff: request})
+	f.settle()
+	return statusOf(request.status)
+}
+
+// statusOf is the status that was answered, or 0 if none was yet.
+func statusOf(answers chan int) int {
+	select {
+	case status := <-answers:
+		return status
+	default:
+		return 0
+	}
+}
+
+// checkLeavesIn demands that the state holds that a worker leaves in so many ms.
+func (f *fixture) checkLeavesIn(id string, wantMs int64) {
+	f.t.Helper()
+	w := f.state.Workers[id]
+	if w == nil || !w.Draining || w.Schedulable() {
+		f.t.Fatalf("%s is not leaving: %+v", id, w)
+	}
+	if left := w.LeavesAt - time.Now().UnixMilli(); left != wantMs {
+		f.t.Errorf("%s leaves in %d ms, want %d", id, left, wantMs)
+	}
+}
+
+// noLeader responds as where no leader is known.
+func noLeader(context.Context, string, any) rpc.Response {
+	return rpc.Response{Code: rpc.CodeNoLeader}
+}
+
+// scriptedRunner is a runner whose answers a test gives; a path without one leaves
+// calls unanswered.
+type scriptedRunner struct {
+	mu        sync.Mutex
+	responses map[string]RunnerResponse
+	calls     []string // path, and the run's task
+}
+
+// Call notes the call and gives the scripted response; without one it waits for
+// the end of the context.
+func (r *scriptedRunner) Call(ctx context.Context, _, path string, body any) RunnerResponse {
+	r.mu.Lock()
+	task := ""
+	switch b := body.(type) {
+	case protocol.StartRequest:
+		task = b.TaskID
+	case protocol.StopRequest:
+		task = b.TaskID
+	}
+	r.calls = append(r.calls, path+" "+task)
+	response, ok := r.responses[path]
+	r.mu.Unlock()
+	if !ok {
+		<-ctx.Done()
+	}
+	return response
+}
+
+// respond scripts the response to calls of a path.
+func (r *scriptedRunner) respond(path string, response RunnerResponse) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.responses[path] = response
+}
+
+// silence leaves calls of a path unanswered.
+func (r *scriptedRunner) silence(path string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.responses, path)
+}
+
+// count gives how many calls of a path came.
+func (r *scriptedRunner) count(path string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	n := 0
+	for _, m := range r.calls {
+		if strings.HasPrefix(m, path) {
+			n++
+		}
+	}
+	return n
+}
+
+// listRunning is an answer to a poll: these tasks run, as run 1.
+func listRunning(tasks ...string) RunnerResponse {
+	response := RunnerResponse{StatusCode: 200, KeepAlive: protocol.KeepAliveResponse{ClockMs: 5}}
+	for _, t := range tasks {
+		response.KeepAlive.Running = append(response.KeepAlive.Running, []any{t, float64(1), "", float64(10)})
+	}
+	return response
+}
+
+// newFixtureWithRunner is a fixture of one task with a runner, and a lease that
+// lasts.
+func newFixtureWithRunner(t *testing.T) (*fixture, *scriptedRunner) {
+	t.Helper()
+	f := newFixture(t, 1)
+	runner := &scriptedRunner{responses: map[string]RunnerResponse{pathKeepAlive: listRunning()}}
+	f.agent.runner = runner
+	f.session.clockMs, f.session.clockReadAt, f.session.leaseUntilMs, f.session.renewingLease = 1, time.Now(), 1e9, true
+	f.session.lastResponseAt = time.Now()
+	return f, runner
+}
+
+// advance lets the agent's loop go on for so long.
+func (f *fixture) advance(d time.Duration) {
+	for till := time.Now().Add(d); time.Now().Before(till); {
+		f.agent.advance(time.Now())
+		synctest.Wait()
+		f.settle()
+		time.Sleep(5 * time.Millisecond)
+	}
+}
