--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -77,7 +77,7 @@
 	default:
 		f.t.Errorf("request %s", kind)
 	}
-	return rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value}
+	return rpc.Response{Code: rpc.Code(outcome.Code), Text: outcome.Text, Value: outcome.Value}
 }
 
 // settle lets all requests that are in flight come to their ends.
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -89,7 +89,7 @@
 		case *state.SetEligibility:
 			outcome = m.execute(kind, c)
 		}
-		response = rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value}
+		response = rpc.Response{Code: rpc.Code(outcome.Code), Text: outcome.Text, Value: outcome.Value}
 	})
 	return response
 }
--- a/internal/aggregator/renewals.go
+++ b/internal/aggregator/renewals.go
@@ -112,7 +112,7 @@
 	if response.Code == rpc.CodeOK {
 		b.leaderHasSet = b.leaderHasSet || sameSlice(sent.members, b.members)
 	}
-	codes := map[string]int{}
+	codes := map[string]rpc.Code{}
 	for _, refusal := range refusals {
 		if refusal.Member >= 0 && refusal.Member < len(sent.members) {
 			codes[sent.members[refusal.Member].Worker] = refusal.Code
--- a/internal/api/history_test.go
+++ b/internal/api/history_test.go
@@ -98,7 +98,7 @@
 	if outcome.Code == 200 {
 		c.configsInForce = append(c.configsInForce, string(replace.Raw))
 	}
-	return rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value}
+	return rpc.Response{Code: rpc.Code(outcome.Code), Text: outcome.Text, Value: outcome.Value}
 }
 
 // read answers from the leader's replica.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -76,8 +76,8 @@
 	nobody := func(context.Context, rpc.Request) rpc.Response { return rpc.Response{Code: rpc.CodeNoLeader} }
 	for _, c := range []struct {
 		name string
-		own  int // 0: no answer
-		want int
+		own  rpc.Code // 0: no answer
+		want rpc.Code
 	}{{"not the leader", rpc.CodeNotLeader, rpc.CodeNoLeader}, {"the term was lost", rpc.CodeLeadershipLost, rpc.CodeTimeout}, {"silent", 0, rpc.CodeTimeout}, {"answered", 412, 412}} {
 		synctest.Test(t, func(t *testing.T) {
 			got := callLocalThenLeader(t.Context(), rpc.Request{}, func(_ rpc.Request, reply func(rpc.Response)) {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -104,7 +104,7 @@
 	if response.Code == rpc.CodeOK {
 		return nil
 	}
-	refused := &statusError{status: response.Code, text: response.Text}
+	refused := &statusError{status: int(response.Code), text: response.Text}
 	refused.retryAfterSeconds = (response.RetryAfterMs + 999) / 1000
 	if call == configChange || call == configRead {
 		// Operators are told when to come again for each failure that may
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -84,7 +84,7 @@
 }
 
 // call sends a request and gives the code of the response and how long it took.
-func (f *fixture) call(kind string, timeout time.Duration) (int, time.Duration) {
+func (f *fixture) call(kind string, timeout time.Duration) (rpc.Code, time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	start := time.Now()
@@ -186,9 +186,9 @@
 func TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		code int
+		code rpc.Code
 		ok   bool
-		want int
+		want rpc.Code
 	}{
 		{"not the leader any more", rpc.CodeNotLeader, true, rpc.CodeNoLeader},
 		{"lost its term with the request under way", rpc.CodeLeadershipLost, true, rpc.CodeTimeout},
--- a/internal/rpc/leases.go
+++ b/internal/rpc/leases.go
@@ -47,7 +47,7 @@
 type MemberRefusal struct {
 	_      struct{} `cbor:",toarray"`
 	Member int      // its place in the set
-	Code   int      // one of the Code constants
+	Code   Code     // one of the Code constants
 }
 
 // Batch carries several requests of agents.
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -22,7 +22,7 @@
 // Response is the answer to a Request.
 type Response struct {
 	_    struct{} `cbor:",toarray"`
-	Code int      // one of the Code constants, or another HTTP status
+	Code Code     // one of the Code constants, or another HTTP status
 	Text string   // the reason of a refusal, which a client may be shown
 	// Value is a number whose meaning depends on the kind: the version of a
 	// configuration, a fence, the length of a lease in ms.
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -180,7 +180,7 @@
 	if h.endTurn(); h.replica.node != nil {
 		h.t.Fatal("it takes part again with its old state")
 	}
-	code := 0
+	var code rpc.Code
 	h.replica.handleRequest(rpc.Request{Kind: rpc.KindGetConfig}, nil, func(response rpc.Response) { code = response.Code })
 	if code != rpc.CodeNotLeader {
 		h.t.Errorf("it answers %d", code)
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -32,6 +32,6 @@
 			reply(responseOutcomeUnknown)
 			return
 		}
-		reply(rpc.Response{Code: int(outcome.Code), Text: outcome.Text, Value: outcome.Value})
+		reply(rpc.Response{Code: rpc.Code(outcome.Code), Text: outcome.Text, Value: outcome.Value})
 	}
 }
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -109,7 +109,7 @@
 
 // leaseRefusalCode is the code by which an agent is told that its lease was not
 // renewed.
-func leaseRefusalCode(err error) int {
+func leaseRefusalCode(err error) rpc.Code {
 	if errors.Is(err, errWorkerGone) {
 		return rpc.CodeGone
 	}
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -23,11 +23,11 @@
 }
 
 // renewedWorkers sends a batch and gives the code and whose leases were renewed.
-func renewedWorkers(replica *Replica, request rpc.LeaseBatch) (int, string) {
+func renewedWorkers(replica *Replica, request rpc.LeaseBatch) (rpc.Code, string) {
 	for _, lease := range replica.leases {
 		lease.grantedAt = time.Time{}
 	}
-	code := 0
+	var code rpc.Code
 	leaderHandlers[rpc.KindLeaseBatch](replica, transport.Encode(&request), nil, func(response rpc.Response) { code = response.Code })
 	renewed := ""
 	for _, w := range []string{"a", "b", "c"} {
