--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -85,7 +85,7 @@
 		batch.Renewals.AggregatorProcess = r.incarnation
 		request = rpc.Request{Kind: rpc.KindLeaseBatch, Body: transport.Encode(batch.Renewals)}
 	}
-	r.metrics.count("raised_"+request.Kind, 1)
+	r.metrics.count("batch_"+request.Kind, 1)
 	callCtx, cancel := context.WithTimeout(ctx, tuning.AggregatorRequestTimeout)
 	// Enqueued from the loop, so that batches reach the leader in order.
 	await := r.leaderClient.Enqueue(callCtx, request)
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -13,7 +13,7 @@
 
 // handleBatch answers the requests of an aggregator's batch, all in one response.
 func (r *Replica) handleBatch(batch *rpc.Batch, _ *transport.Stream, reply replyFunc) {
-	r.metrics.count("many_asks", len(batch.Requests))
+	r.metrics.count("batched_requests", len(batch.Requests))
 	responses := make([]rpc.Response, len(batch.Requests))
 	remaining, unknown := len(batch.Requests), false
 	for i, request := range batch.Requests {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -69,7 +69,7 @@
 		return
 	}
 	id := frame.ID
-	r.metrics.count("ask_"+request.Kind, 1)
+	r.metrics.count("request_"+request.Kind, 1)
 	r.handleRequest(request, stream, r.withAppliedVersions(func(response rpc.Response) {
 		stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(response)})
 	}))
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -45,17 +45,23 @@
 	return route, id, true
 }
 
+// findJobRoute is findRoute for a request that must name a job.
+func (r *Replica) findJobRoute(request *rpc.JobRequest, reply replyFunc) (*clusterconfig.Route, string, bool) {
+	route, id, ok := r.findRoute(request, reply)
+	if ok && !validJobID(id) {
+		reply(responseBadJobID)
+		return nil, "", false
+	}
+	return route, id, ok
+}
+
 // handleSubmitJob puts a job into the log. A job whose ID is known already stays as
 // it is.
 func (r *Replica) handleSubmitJob(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
-	route, id, ok := r.findRoute(request, reply)
+	route, id, ok := r.findJobRoute(request, reply)
 	if !ok {
 		return
 	}
-	if !validJobID(id) {
-		reply(responseBadJobID)
-		return
-	}
 	if r.state.Jobs[id] == nil && r.overloaded(route) {
 		reply(responseOverloaded)
 		return
@@ -80,14 +86,10 @@
 
 // handleCancelJob cancels a job.
 func (r *Replica) handleCancelJob(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
-	_, id, ok := r.findRoute(request, reply)
+	_, id, ok := r.findJobRoute(request, reply)
 	if !ok {
 		return
 	}
-	if !validJobID(id) {
-		reply(responseBadJobID)
-		return
-	}
 	r.trace.Record(id, "cancel ordered", int64(r.node.LastIndex()+1), "")
 	r.enqueueCommand(state.CommandCancelJob, &state.CancelJob{ID: id}, r.withTrace(id, "cancel settled", r.cancelReply(id, reply)))
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -75,7 +75,7 @@
 
 // handleEvent takes one event.
 func (r *Replica) handleEvent(ctx context.Context, event Event) {
-	defer r.metrics.startTimer("take")()
+	defer r.metrics.startTimer("handle_event")()
 	switch {
 	case event.Transport != nil:
 		r.handleTransport(ctx, event.Transport)
@@ -110,8 +110,8 @@
 
 // handleWritten sends what waited for writes to be synced.
 func (r *Replica) handleWritten(ctx context.Context, writes []storage.WriteRequest) {
-	r.metrics.count("disk_writes", 1)
-	r.metrics.count("disk_jobs", len(writes))
+	r.metrics.count("storage_batches", 1)
+	r.metrics.count("storage_writes", len(writes))
 	for _, write := range writes {
 		r.writesInFlight--
 		if r.node == nil {
@@ -146,11 +146,11 @@
 	if r.node == nil {
 		return 0
 	}
-	r.metrics.count("loops", 1)
+	r.metrics.count("turns", 1)
 	if line := r.metrics.logLine(now); line != nil {
 		_ = r.log.Log(line...)
 	}
-	defer r.metrics.startTimer("rest")()
+	defer r.metrics.startTimer("end_turn")()
 	wake := r.node.Tick(now)
 	r.watchStorageLag(now)
 	// Before anything is applied: a snapshot that came in replaces the state
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -124,8 +124,8 @@
 	}
 	r.syncSessions()
 	for stream, assignments := range r.pendingAssignments {
-		r.metrics.count("orders", len(assignments))
-		r.metrics.count("order_frames", 1)
+		r.metrics.count("assignments", len(assignments))
+		r.metrics.count("assignment_frames", 1)
 		stream.Send(transport.Frame{Kind: rpc.FrameAssignments, Body: transport.Encode(assignments)})
 		delete(r.pendingAssignments, stream)
 	}
