--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -68,18 +68,14 @@
 		s.leaderAddress = s.discovery.CurrentAddress
 	}
 	if env.Settings.HoldsState() {
-		replica, err := server.New(env, s.discovery)
-		if err != nil {
-			return nil, err
-		}
-		s.replica = replica
+		s.replica = server.New(env, s.discovery)
 		if env.FederationFile != "" {
 			routes, err := federation.Load(env.FederationFile)
 			if err != nil {
 				return nil, err
 			}
-			replica.EnableFederation(routes)
-			s.offloader = federation.New(routes, env.Log, replica)
+			s.replica.EnableFederation(routes)
+			s.offloader = federation.New(routes, env.Log, s.replica)
 		}
 	}
 	return s, nil
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -92,11 +92,7 @@
 	sender := r.aggregator
 	go func() {
 		defer cancel()
-		event := Event{LeaderResponse: &leaderResponse{sender, batch, await()}}
-		select {
-		case r.events <- event:
-		case <-ctx.Done():
-		}
+		r.post(ctx, Event{LeaderResponse: &leaderResponse{sender, batch, await()}})
 	}()
 }
 
--- a/internal/server/announcer_test.go
+++ b/internal/server/announcer_test.go
@@ -5,21 +5,15 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/daemon"
 	"tealpond/internal/raft"
 	"tealpond/internal/rpc"
-	"tealpond/internal/settings"
 )
 
 // TestRestartedCandidateBindsToItsBootstrapSet: a candidate that was ended before it
 // bound itself comes back with firstStart false. The set that names it waits for
 // it; it must bind itself, and not stand by until a cluster takes it in.
 func TestRestartedCandidateBindsToItsBootstrapSet(t *testing.T) {
-	config := settings.File{NodeName: "a", DataDir: t.TempDir(), LossCounts: true, IPAddress: "10.0.0.1", InnerPortRange: []int{7720, 7721}}
-	replica, err := New(daemon.Environment{Settings: config, Log: log.NewNopLogger()}, nil)
-	if err != nil {
-		t.Fatal(err)
-	}
+	replica := New(testEnvironment(t.TempDir(), log.NewNopLogger()), nil)
 	go replica.openStorage(t.Context())
 	replica.handleEvent(t.Context(), <-replica.events)
 	others := []raft.Member{{Node: "b", ID: "b"}, {Node: "c", ID: "c"}}
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -1,6 +1,8 @@
 package server
 
-import "testing"
+import (
+	"testing"
+)
 
 // TestLowerMedian: of two in the middle the lower one, so that no run starts too early.
 func TestLowerMedian(t *testing.T) {
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -44,9 +44,7 @@
 		default:
 		}
 	}
-	select {
-	case r.events <- Event{FederationRequest: &LocalRequest{Request: rpc.Request{Kind: kind, Body: body}, Reply: reply}}:
-	case <-ctx.Done():
+	if !r.post(ctx, Event{FederationRequest: &LocalRequest{Request: rpc.Request{Kind: kind, Body: body}, Reply: reply}}) {
 		return rpc.Response{}, false
 	}
 	select {
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -7,6 +7,7 @@
 	"github.com/go-kit/log"
 
 	"tealpond/internal/aggregator"
+	"tealpond/internal/daemon"
 	"tealpond/internal/raft"
 	"tealpond/internal/rpc"
 	"tealpond/internal/settings"
@@ -39,6 +40,12 @@
 	return &harness{t: t, replica: replica}
 }
 
+// testEnvironment is that of a server with its data in a folder.
+func testEnvironment(dir string, logger log.Logger) daemon.Environment {
+	return daemon.Environment{Log: logger, Trace: tracing.NewRing(16),
+		Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true}}
+}
+
 // receive hands the node a message as it comes in on a stream.
 func (h *harness) receive(message raft.Message) {
 	message.To = h.replica.self.ID
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -24,10 +24,7 @@
 	ctx, r.stopWriter = context.WithCancel(ctx)
 	opened := r.disk
 	go opened.Run(ctx, r.writeQueue, func(writes []storage.WriteRequest, err error) {
-		select {
-		case r.events <- Event{Written: writes, WriteErr: err, WrittenBy: opened}:
-		case <-ctx.Done():
-		}
+		r.post(ctx, Event{Written: writes, WriteErr: err, WrittenBy: opened})
 	})
 }
 
@@ -63,10 +60,7 @@
 	for {
 		opened, persisted, err := storage.ResetIdentity(dataDir)
 		if err == nil {
-			select {
-			case r.events <- Event{NewIdentity: &newIdentity{opened, persisted}}:
-			case <-ctx.Done():
-			}
+			r.post(ctx, Event{NewIdentity: &newIdentity{opened, persisted}})
 			return
 		}
 		_ = r.log.Log("level", "error", "event", "replica.reset_failed", "error", err)
--- a/internal/server/jobs_test.go
+++ b/internal/server/jobs_test.go
@@ -1,6 +1,8 @@
 package server
 
-import "testing"
+import (
+	"testing"
+)
 
 func TestValidJobID(t *testing.T) {
 	for id, want := range map[string]bool{
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -71,10 +71,7 @@
 			case <-callCtx.Done():
 			}
 		}
-		select {
-		case r.events <- Event{LeaveGranted: true}:
-		case <-ctx.Done():
-		}
+		r.post(ctx, Event{LeaveGranted: true})
 	}()
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -73,6 +73,16 @@
 	return nil
 }
 
+// post hands the loop an event from a goroutine beside it; false if ctx ended first.
+func (r *Replica) post(ctx context.Context, event Event) bool {
+	select {
+	case r.events <- event:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
 // handleEvent takes one event.
 func (r *Replica) handleEvent(ctx context.Context, event Event) {
 	defer r.metrics.startTimer("handle_event")()
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -125,7 +125,7 @@
 
 // New builds a replica; Run opens its storage. Until that is open there is no
 // node, and requests that need one are answered as by a daemon without state.
-func New(env daemon.Environment, leaderClient *discovery.Client) (*Replica, error) {
+func New(env daemon.Environment, leaderClient *discovery.Client) *Replica {
 	r := newReplica()
 	r.settings, r.log, r.trace, r.debug, r.incarnation = env.Settings, env.Log, env.Trace, env.Debug, env.Incarnation
 	r.metrics = newLoopMetrics(env.Debug)
@@ -136,7 +136,7 @@
 	r.leaseDuration = env.Settings.LeaseDuration(tuning.MaxLeaseDuration)
 	r.SetSeeds(env.Settings.SeedAddresses())
 	r.bootstrap.MinVoters = 2*env.Settings.Tolerance.LostMachines + 1
-	return r, nil
+	return r
 }
 
 // newReplica makes the tables of a replica, all empty.
--- a/internal/server/scheduling_test.go
+++ b/internal/server/scheduling_test.go
@@ -1,6 +1,8 @@
 package server
 
-import "testing"
+import (
+	"testing"
+)
 
 // TestMedianRuntimePercent: workers that report nothing don't count, and two are too
 // few to be compared.
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -52,10 +52,7 @@
 	node := r.node
 	go func() {
 		snapshot.Data = copied.Encode()
-		select {
-		case r.events <- Event{SnapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}}:
-		case <-ctx.Done():
-		}
+		r.post(ctx, Event{SnapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}})
 	}()
 }
 
--- a/internal/server/storage_lag_test.go
+++ b/internal/server/storage_lag_test.go
@@ -7,12 +7,9 @@
 
 	"github.com/go-kit/log"
 
-	"tealpond/internal/daemon"
 	"tealpond/internal/discovery"
 	"tealpond/internal/raft"
-	"tealpond/internal/settings"
 	"tealpond/internal/state"
-	"tealpond/internal/tracing"
 	"tealpond/internal/tuning"
 )
 
@@ -49,22 +46,10 @@
 	}
 }
 
-// newTestReplica gives a replica as New builds it, without identity or node.
-func newTestReplica(t *testing.T, dir string) *Replica {
-	t.Helper()
-	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
-		Log: log.NewNopLogger(), Trace: tracing.NewRing(16)}
-	replica, err := New(env, discovery.NewClient(discovery.Options{}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return replica
-}
-
 // newTestLeader gives a replica that leads, with the identity "a".
 func newTestLeader(t *testing.T, dir string) *Replica {
 	t.Helper()
-	replica := newTestReplica(t, dir)
+	replica := New(testEnvironment(dir, log.NewNopLogger()), discovery.NewClient(discovery.Options{}))
 	replica.self.ID = "a"
 	electLeader(t, replica)
 	return replica
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -48,9 +48,7 @@
 		}
 		store, err = state.DecodeSnapshot(persisted.Snapshot.Data, state.Limits{})
 	}
-	select {
-	case r.events <- Event{StorageOpened: &openedStorage{opened, persisted, store, setAsideReason}}:
-	case <-ctx.Done():
+	if !r.post(ctx, Event{StorageOpened: &openedStorage{opened, persisted, store, setAsideReason}}) {
 		r.closeStorage(opened)
 	}
 }
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -5,15 +5,11 @@
 	"path/filepath"
 	"testing"
 
-	"github.com/go-kit/log"
 	bolt "go.etcd.io/bbolt"
 
-	"tealpond/internal/daemon"
 	"tealpond/internal/discovery"
 	"tealpond/internal/rpc"
-	"tealpond/internal/settings"
 	"tealpond/internal/storage"
-	"tealpond/internal/tracing"
 	"tealpond/internal/transport"
 )
 
@@ -62,13 +58,7 @@
 		t.Fatal(err)
 	}
 	logged := make(eventLog, 1000)
-	env := daemon.Environment{Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true},
-		Log: log.Logger(logged), Trace: tracing.NewRing(16)}
-	leaderClient := discovery.NewClient(discovery.Options{})
-	replica, err := New(env, leaderClient)
-	if err != nil {
-		t.Fatal(err)
-	}
+	replica := New(testEnvironment(dir, logged), discovery.NewClient(discovery.Options{}))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	done := make(chan struct{})
