--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -14,7 +14,7 @@
 )
 
 func init() {
-	daemon.Register(daemon.RoleSpec{Name: "side", Description: "orders the runner on its machine", New: func(env daemon.Environment) (daemon.Role, error) {
+	daemon.Register(daemon.RoleSpec{Name: "side", Description: "manages the runner on its machine", New: func(env daemon.Environment) (daemon.Role, error) {
 		return New(env, newHTTPRunnerClient(env.Settings.RunnerAddress)), nil
 	}})
 }
--- /dev/null
+++ b/internal/api/frames.go
@@ -0,0 +1,58 @@
+package api
+
+import (
+	"context"
+	"time"
+
+	"tealpond/internal/bootstrap"
+	"tealpond/internal/daemon"
+	"tealpond/internal/rpc"
+	"tealpond/internal/transport"
+)
+
+// bootstrapRequest is a candidate's announcement with the channel for its reply.
+type bootstrapRequest struct {
+	message rpc.BootstrapAnnouncement
+	reply   chan rpc.BootstrapProposal
+}
+
+// handleFrame answers the requests of other daemons where this one holds no
+// state.
+func (s *Server) handleFrame(event transport.Event) {
+	if event.Closed || event.Frame.Kind != rpc.FrameRequest {
+		return
+	}
+	var request rpc.Request
+	if transport.Decode(event.Frame.Body, &request) != nil {
+		event.Stream.Close()
+		return
+	}
+	response := rpc.Response{Code: rpc.CodeNotLeader}
+	switch request.Kind {
+	case rpc.KindLeader:
+		if len(request.Body) > 0 {
+			s.discovery.AddServer(string(request.Body))
+		}
+		view := rpc.LeaderInfo{KnownServers: s.discovery.KnownServers()}
+		response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(view)}
+	case rpc.KindTrace:
+		response = rpc.HandleTrace(s.env.Trace, s.settings.NodeName, "edge", request.Body)
+	case rpc.KindBootstrap:
+		var message rpc.BootstrapAnnouncement
+		if transport.Decode(request.Body, &message) == nil {
+			pending := bootstrapRequest{message, make(chan rpc.BootstrapProposal, 1)}
+			s.bootstraps <- pending
+			response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(<-pending.reply)}
+		}
+	}
+	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
+}
+
+// runBootstrap coordinates the bootstrap of a new cluster where this daemon holds
+// no state itself.
+func (s *Server) runBootstrap(ctx context.Context) {
+	coordinator := bootstrap.Coordinator{MinVoters: 2*s.settings.Tolerance.LostMachines + 1}
+	daemon.Loop(ctx, s.bootstraps, func(request bootstrapRequest) {
+		request.reply <- coordinator.HandleAnnouncement(request.message, time.Now())
+	}, func(time.Time) time.Duration { return 0 })
+}
--- /dev/null
+++ b/internal/api/listeners.go
@@ -0,0 +1,53 @@
+package api
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/labstack/echo/v4"
+
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// listen opens the HTTP listeners that the settings name and serves on them.
+func (s *Server) listen(ctx context.Context) ([]*http.Server, error) {
+	clients, readiness, operators := echo.New(), echo.New(), echo.New()
+	clients.Any("/*", s.serveJob)
+	readiness.GET("/-/readiness", s.serveReadiness)
+	operators.POST("/-/Config.Replace", s.serveConfigReplace)
+	operators.GET("/-/Config.Read", s.serveConfigRead)
+	addresses := s.settings.ListenAddresses
+	var httpServers []*http.Server
+	for _, listener := range []struct {
+		address     string
+		router      *echo.Echo
+		idleTimeout time.Duration
+	}{
+		{addresses.FrontHTTP, clients, tuning.DefaultIdleTimeout},
+		{addresses.Readiness, readiness, time.Minute},
+		{addresses.Control, operators, tuning.DefaultIdleTimeout},
+	} {
+		if listener.address == "" {
+			continue
+		}
+		listener.router.HideBanner, listener.router.HidePort = true, true
+		socket, err := transport.Listen(ctx, listener.address)
+		if err != nil {
+			return nil, err
+		}
+		httpServer := &http.Server{Handler: listener.router, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: listener.idleTimeout, MaxHeaderBytes: tuning.MaxHeaderBytes}
+		httpServers = append(httpServers, httpServer)
+		go func() { _ = httpServer.Serve(socket) }() // until Run closes it
+	}
+	return httpServers, nil
+}
+
+// serveReadiness serves GET /-/readiness: 200 while the leader is in reach.
+func (s *Server) serveReadiness(c echo.Context) error {
+	if s.ready() {
+		return c.NoContent(http.StatusOK)
+	}
+	return c.NoContent(http.StatusServiceUnavailable)
+}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -3,14 +3,11 @@
 import (
 	"context"
 	"errors"
-	"net/http"
 	"sync/atomic"
 	"time"
 
 	"github.com/go-kit/log"
-	"github.com/labstack/echo/v4"
 
-	"tealpond/internal/bootstrap"
 	"tealpond/internal/daemon"
 	"tealpond/internal/discovery"
 	"tealpond/internal/federation"
@@ -22,7 +19,7 @@
 )
 
 func init() {
-	daemon.Register(daemon.RoleSpec{Name: "edge", Description: "takes clients' and operators' calls; holds state where it has a disk", AcceptsFederationFile: true, New: newServer})
+	daemon.Register(daemon.RoleSpec{Name: "edge", Description: "serves clients and operators; holds state where it has a disk", AcceptsFederationFile: true, New: newServer})
 }
 
 // Server is the edge role: the HTTP listeners of a daemon and, where the daemon
@@ -47,12 +44,6 @@
 	limitsStale   chan struct{} // holds a token once a newer version was heard of
 }
 
-// bootstrapRequest is a candidate's announcement with the channel for its reply.
-type bootstrapRequest struct {
-	message rpc.BootstrapAnnouncement
-	reply   chan rpc.BootstrapProposal
-}
-
 // newServer builds the edge role; with a disk it holds a replica of the state.
 func newServer(env daemon.Environment) (daemon.Role, error) {
 	s := &Server{settings: env.Settings, log: env.Log, env: env, bootstraps: make(chan bootstrapRequest), leaderContact: newLeaderContact(), limitsStale: make(chan struct{}, 1)}
@@ -154,47 +145,6 @@
 	}
 }
 
-// handleFrame answers the requests of other daemons where this one holds no
-// state.
-func (s *Server) handleFrame(event transport.Event) {
-	if event.Closed || event.Frame.Kind != rpc.FrameRequest {
-		return
-	}
-	var request rpc.Request
-	if transport.Decode(event.Frame.Body, &request) != nil {
-		event.Stream.Close()
-		return
-	}
-	response := rpc.Response{Code: rpc.CodeNotLeader}
-	switch request.Kind {
-	case rpc.KindLeader:
-		if len(request.Body) > 0 {
-			s.discovery.AddServer(string(request.Body))
-		}
-		view := rpc.LeaderInfo{KnownServers: s.discovery.KnownServers()}
-		response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(view)}
-	case rpc.KindTrace:
-		response = rpc.HandleTrace(s.env.Trace, s.settings.NodeName, "edge", request.Body)
-	case rpc.KindBootstrap:
-		var message rpc.BootstrapAnnouncement
-		if transport.Decode(request.Body, &message) == nil {
-			bootstrap := bootstrapRequest{message, make(chan rpc.BootstrapProposal, 1)}
-			s.bootstraps <- bootstrap
-			response = rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(<-bootstrap.reply)}
-		}
-	}
-	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
-}
-
-// runBootstrap coordinates the bootstrap of a new cluster where this daemon holds
-// no state itself.
-func (s *Server) runBootstrap(ctx context.Context) {
-	coordinator := bootstrap.Coordinator{MinVoters: 2*s.settings.Tolerance.LostMachines + 1}
-	daemon.Loop(ctx, s.bootstraps, func(request bootstrapRequest) {
-		request.reply <- coordinator.HandleAnnouncement(request.message, time.Now())
-	}, func(time.Time) time.Duration { return 0 })
-}
-
 // renewMembership renews this daemon's membership lease, which also tests the way
 // to the leader and brings the newest version of the configuration.
 func (s *Server) renewMembership(ctx context.Context) {
@@ -219,44 +169,3 @@
 	}
 	return !s.leaving.Load() && s.leaderContact.heardWithin(tuning.LeaderContactTimeout)
 }
-
-// listen opens the HTTP listeners that the settings name and serves on them.
-func (s *Server) listen(ctx context.Context) ([]*http.Server, error) {
-	clients, readiness, operators := echo.New(), echo.New(), echo.New()
-	clients.Any("/*", s.serveJob)
-	readiness.GET("/-/readiness", s.serveReadiness)
-	operators.POST("/-/Config.Replace", s.serveConfigReplace)
-	operators.GET("/-/Config.Read", s.serveConfigRead)
-	addresses := s.settings.ListenAddresses
-	var httpServers []*http.Server
-	for _, listener := range []struct {
-		address     string
-		router      *echo.Echo
-		idleTimeout time.Duration
-	}{
-		{addresses.FrontHTTP, clients, tuning.DefaultIdleTimeout},
-		{addresses.Readiness, readiness, time.Minute},
-		{addresses.Control, operators, tuning.DefaultIdleTimeout},
-	} {
-		if listener.address == "" {
-			continue
-		}
-		listener.router.HideBanner, listener.router.HidePort = true, true
-		socket, err := transport.Listen(ctx, listener.address)
-		if err != nil {
-			return nil, err
-		}
-		httpServer := &http.Server{Handler: listener.router, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: listener.idleTimeout, MaxHeaderBytes: tuning.MaxHeaderBytes}
-		httpServers = append(httpServers, httpServer)
-		go func() { _ = httpServer.Serve(socket) }() // until Run closes it
-	}
-	return httpServers, nil
-}
-
-// serveReadiness serves GET /-/readiness: 200 while the leader is in reach.
-func (s *Server) serveReadiness(c echo.Context) error {
-	if s.ready() {
-		return c.NoContent(http.StatusOK)
-	}
-	return c.NoContent(http.StatusServiceUnavailable)
-}
