--- /dev/null
+++ b/internal/transport/frame.go
@@ -0,0 +1,69 @@
+package transport
+
+import (
+	"encoding/binary"
+
+	"github.com/fxamacker/cbor/v2"
+	"storj.io/drpc"
+
+	"tealpond/internal/tuning"
+)
+
+// Frame is one message between daemons. What the kinds mean, and whether the ID
+// joins a response to its request, is up to the daemons.
+type Frame struct {
+	Kind byte
+	ID   uint64
+	Body []byte // see Encode
+}
+
+// frameHeaderBytes is the size of kind and ID before the body.
+const frameHeaderBytes = 9
+
+// frameEncoding encodes a frame as its kind, its ID (big-endian) and its body.
+type frameEncoding struct{}
+
+func (frameEncoding) Marshal(message drpc.Message) ([]byte, error) {
+	frame := message.(*Frame)
+	raw := make([]byte, frameHeaderBytes+len(frame.Body))
+	raw[0] = frame.Kind
+	binary.BigEndian.PutUint64(raw[1:], frame.ID)
+	copy(raw[frameHeaderBytes:], frame.Body)
+	return raw, nil
+}
+
+func (frameEncoding) Unmarshal(raw []byte, message drpc.Message) error {
+	if len(raw) < frameHeaderBytes {
+		return Error.New("short frame")
+	}
+	frame := message.(*Frame)
+	frame.Kind = raw[0]
+	frame.ID = binary.BigEndian.Uint64(raw[1:])
+	frame.Body = append([]byte(nil), raw[frameHeaderBytes:]...)
+	return nil
+}
+
+// Encode encodes the body of a frame as CBOR. It panics if the type has no CBOR
+// form, which is an error in the program.
+func Encode(body any) []byte {
+	raw, err := cbor.Marshal(body)
+	if err != nil {
+		panic("link: " + err.Error())
+	}
+	return raw
+}
+
+// decoder decodes the bodies of frames. A body is checked as a whole before anything
+// is allocated for it, so that a length can't promise more than is there; these
+// limits keep a few bytes from becoming a large number of elements.
+var decoder = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: tuning.MaxFrameElements, MaxMapPairs: tuning.MaxFrameElements, MaxNestedLevels: tuning.MaxFrameNesting,
+		IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	if err != nil {
+		panic("link: " + err.Error())
+	}
+	return mode
+}()
+
+// Decode decodes the body of a frame. Errors are of class Error.
+func Decode(raw []byte, body any) error { return Error.Wrap(decoder.Unmarshal(raw, body)) }
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -5,31 +5,30 @@
 	"testing"
 )
 
-// FuzzFrame: any bytes are a frame or an error, and a frame lays itself out as
-// it came.
+// FuzzFrame: any bytes are a frame or an error, and a frame is encoded as it came.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{1, 2, 3})
 	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0, 9})
 	f.Add(append([]byte{2, 0, 0, 0, 0, 0, 0, 0, 9}, Encode([]string{"a", "b"})...))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var x Frame
-		if err := (frameEncoding{}).Unmarshal(raw, &x); err != nil {
+		var frame Frame
+		if err := (frameEncoding{}).Unmarshal(raw, &frame); err != nil {
 			if len(raw) >= 9 {
 				t.Fatal(err)
 			}
 			return
 		}
-		again, err := frameEncoding{}.Marshal(&x)
+		again, err := frameEncoding{}.Marshal(&frame)
 		if err != nil || !bytes.Equal(again, raw) {
 			t.Fatalf("%x became %x: %v", raw, again, err)
 		}
 		var body any
-		_ = Decode(x.Body, &body)
+		_ = Decode(frame.Body, &body)
 	})
 }
 
-// What a hostile body could make of few bytes is bounded.
+// TestOversizedBodiesAreRejected: what a hostile body can make of few bytes is bounded.
 func TestOversizedBodiesAreRejected(t *testing.T) {
 	deep := bytes.Repeat([]byte{0x81}, 20)
 	wide := append([]byte{0x9a, 0, 1, 0x86, 0xa0}, make([]byte, 100_000)...)
@@ -41,7 +40,7 @@
 	} {
 		var v any
 		if Decode(raw, &v) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- /dev/null
+++ b/internal/transport/network.go
@@ -0,0 +1,66 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"tealpond/internal/tuning"
+)
+
+// Network opens connections and ports. Daemons use TCP; tests put a network of their
+// own, with partitions and delays, into the context.
+type Network interface {
+	Dial(ctx context.Context, addr string) (net.Conn, error)
+	Listen(ctx context.Context, addr string) (net.Listener, error)
+}
+
+type networkKey struct{}
+
+// WithNetwork returns a context in which Dial, Serve and Listen use a network.
+func WithNetwork(ctx context.Context, network Network) context.Context {
+	return context.WithValue(ctx, networkKey{}, network)
+}
+
+func networkOf(ctx context.Context) Network {
+	if network, ok := ctx.Value(networkKey{}).(Network); ok {
+		return network
+	}
+	return tcpNetwork{}
+}
+
+// Listen opens a port on the context's network. Errors are of class Error.
+func Listen(ctx context.Context, addr string) (net.Listener, error) {
+	listener, err := networkOf(ctx).Listen(ctx, addr)
+	return listener, Error.Wrap(err)
+}
+
+// tcpNetwork is the network of real machines.
+type tcpNetwork struct{}
+
+// Dial opens a TCP connection that notices a lost peer.
+func (tcpNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: tuning.DialTimeout, Control: UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
+	return dialer.DialContext(ctx, "tcp", addr)
+}
+
+// Listen opens a TCP port whose connections notice a lost peer.
+func (tcpNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
+	config := net.ListenConfig{Control: UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
+	return config.Listen(ctx, "tcp", addr)
+}
+
+// UserTimeoutControl returns a Control function for net.Dialer and net.ListenConfig
+// that ends a connection whose data is not acknowledged within a limit (rounded down
+// to ms), by the option TCP_USER_TIMEOUT. A socket that refuses the option is used
+// without it.
+func UserTimeoutControl(limit time.Duration) func(network, address string, c syscall.RawConn) error {
+	return func(_, _ string, conn syscall.RawConn) error {
+		return conn.Control(func(fd uintptr) {
+			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit/time.Millisecond))
+		})
+	}
+}
