--- a/internal/tracing/ring_test.go
+++ b/internal/tracing/ring_test.go
@@ -6,26 +6,26 @@
 )
 
 func TestRingIsBoundedAndReportsHistoryStart(t *testing.T) {
-	r := NewRing(4)
-	r.Record("a", "taken", 1, "")
-	r.Record("a.0.0.1", "started", 1, "")
-	r.Record("ab", "taken", 1, "")
-	got, since := r.History("a")
+	ring := NewRing(4)
+	ring.Record("a", "taken", 1, "")
+	ring.Record("a.0.0.1", "started", 1, "")
+	ring.Record("ab", "taken", 1, "")
+	got, since := ring.History("a")
 	if len(got) != 2 || since != 0 {
-		t.Fatalf("%d marks since %d", len(got), since)
+		t.Fatalf("%d events since %d", len(got), since)
 	}
 	for i := range 4 {
-		r.Record("c", fmt.Sprint(i), 0, "")
+		ring.Record("c", fmt.Sprint(i), 0, "")
 	}
-	if got, since = r.History("a"); len(got) != 0 || since == 0 {
-		t.Fatalf("a ring that forgot does not say so: %d, %d", len(got), since)
+	if got, since = ring.History("a"); len(got) != 0 || since == 0 {
+		t.Fatalf("the ring does not report that it forgot: %d, %d", len(got), since)
 	}
-	if got, _ = r.History("c"); len(got) != 4 || got[0].Action != "0" || got[3].Action != "3" {
+	if got, _ = ring.History("c"); len(got) != 4 || got[0].Action != "0" || got[3].Action != "3" {
 		t.Fatalf("order: %v", got)
 	}
 }
 
 func TestNilRingRecordsNothing(t *testing.T) {
-	var r *Ring
-	r.Record("a", "taken", 0, "")
+	var ring *Ring
+	ring.Record("a", "taken", 0, "")
 }
