--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -2,23 +2,24 @@
 
 import (
 	"fmt"
+	"slices"
 	"sort"
 	"testing"
 	"time"
 )
 
-// testCluster is several nodes on a network, disks and a clock of the test's own.
+// testCluster is several nodes with disks, a network and a clock that the test controls.
 type testCluster struct {
 	t        *testing.T
 	now      time.Time
 	nodes    map[string]*Node
 	queue    []Message
-	cut      map[string]bool      // "a>b"
-	dropped  map[MessageKind]bool // kinds of messages
+	cut      map[string]bool // links, "a>b"
+	dropped  map[MessageKind]bool
 	disks    map[string]*testDisk
-	stalled  map[string]bool
-	unsynced map[string][]Ready
-	applied  map[string][]string // applied data
+	stalled  map[string]bool     // members whose disk does not write
+	unsynced map[string][]Ready  // what these have not written
+	applied  map[string][]string // commands
 	seed     int64
 }
 
@@ -31,20 +32,21 @@
 var testConfig = Config{HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond, ElectionJitter: 300 * time.Millisecond,
 	CheckQuorumTimeout: 900 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: 64, MaxAppendBytes: 1 << 20}
 
-func newTestCluster(t *testing.T, seed int64, names ...string) *testCluster {
+func newTestCluster(t *testing.T, seed int64, ids ...string) *testCluster {
 	c := &testCluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*Node{}, cut: map[string]bool{}, dropped: map[MessageKind]bool{}, disks: map[string]*testDisk{},
 		stalled: map[string]bool{}, unsynced: map[string][]Ready{}, applied: map[string][]string{}, seed: seed}
 	var voters []Member
-	for _, id := range names {
-		voters = append(voters, Member{Node: "node-" + id, ID: id, Addr: id})
+	for _, id := range ids {
+		voters = append(voters, testMember(id))
 	}
-	for _, id := range names {
+	for _, id := range ids {
 		c.disks[id] = &testDisk{snapshot: Snapshot{Index: 1, Voters: voters}}
 		c.start(id)
 	}
 	return c
 }
 
+// start starts a member from its disk, or from an empty one.
 func (c *testCluster) start(id string) {
 	disk := c.disks[id]
 	if disk == nil {
@@ -53,16 +55,16 @@
 	}
 	c.seed++
 	c.applied[id] = nil
-	for _, e := range disk.snapshot.Data {
-		c.applied[id] = append(c.applied[id], string(rune(e)))
+	for _, command := range disk.snapshot.Data {
+		c.applied[id] = append(c.applied[id], string(rune(command)))
 	}
 	node := New(id, disk.hardState, disk.snapshot, append([]Entry(nil), disk.log...), c.now, testConfig, c.seed*7919+int64(id[0]))
 	node.SetSnapshotSource(func() *Snapshot {
 		index := node.AppliedIndex()
 		term, _ := node.TermAt(index)
 		var data []byte
-		for _, s := range c.applied[id] {
-			data = append(data, s[0])
+		for _, command := range c.applied[id] {
+			data = append(data, command[0])
 		}
 		return &Snapshot{Index: index, Term: term, Voters: node.VotersAt(index), OutgoingVoters: node.OutgoingVotersAt(index), Data: data}
 	})
@@ -70,12 +72,13 @@
 	c.unsynced[id] = nil
 }
 
+// kill stops a member; what it has not written is lost.
 func (c *testCluster) kill(id string) {
 	delete(c.nodes, id)
 	c.unsynced[id] = nil
 }
 
-// write puts an out on a disk and sends what rested on it.
+// write puts a Ready on a member's disk and sends the messages that rest on it.
 func (c *testCluster) write(id string, ready Ready) {
 	disk := c.disks[id]
 	if ready.HardState != nil {
@@ -84,14 +87,14 @@
 	if ready.Snapshot != nil {
 		disk.snapshot, disk.log = *ready.Snapshot, nil
 	}
-	for _, e := range ready.Entries {
+	for _, entry := range ready.Entries {
 		keep := disk.log[:0:0]
-		for _, f := range disk.log {
-			if f.Index < e.Index {
-				keep = append(keep, f)
+		for _, old := range disk.log {
+			if old.Index < entry.Index {
+				keep = append(keep, old)
 			}
 		}
-		disk.log = append(keep, e)
+		disk.log = append(keep, entry)
 	}
 	if ready.MustSync() {
 		c.nodes[id].WriteSynced(ready.WriteToken)
@@ -99,6 +102,7 @@
 	c.queue = append(c.queue, ready.MessagesAfterSync...)
 }
 
+// drain does all that a member has ready, and applies what is committed.
 func (c *testCluster) drain(id string) {
 	node := c.nodes[id]
 	if node == nil {
@@ -110,8 +114,8 @@
 			c.queue = append(c.queue, ready.Messages...)
 			if ready.Snapshot != nil {
 				c.applied[id] = nil
-				for _, e := range ready.Snapshot.Data {
-					c.applied[id] = append(c.applied[id], string(rune(e)))
+				for _, command := range ready.Snapshot.Data {
+					c.applied[id] = append(c.applied[id], string(rune(command)))
 				}
 			}
 			if c.stalled[id] {
@@ -124,9 +128,9 @@
 				c.write(id, ready)
 			}
 		}
-		for _, e := range node.NextCommittedEntries() {
-			if e.Kind == EntryNormal {
-				c.applied[id] = append(c.applied[id], string(e.Data))
+		for _, entry := range node.NextCommittedEntries() {
+			if entry.Kind == EntryNormal {
+				c.applied[id] = append(c.applied[id], string(entry.Data))
 			}
 		}
 		if ready.IsEmpty() {
@@ -135,7 +139,8 @@
 	}
 }
 
-func (c *testCluster) names() []string {
+// ids returns the IDs of the members that run, sorted.
+func (c *testCluster) ids() []string {
 	var ids []string
 	for id := range c.nodes {
 		ids = append(ids, id)
@@ -144,10 +149,10 @@
 	return ids
 }
 
-// step moves time on by one beat's tenth and delivers all that is under way.
+// step moves time on by a tenth of a heartbeat interval and delivers all messages.
 func (c *testCluster) step() {
 	c.now = c.now.Add(10 * time.Millisecond)
-	for _, id := range c.names() {
+	for _, id := range c.ids() {
 		c.nodes[id].Tick(c.now)
 		c.drain(id)
 	}
@@ -165,36 +170,38 @@
 	c.checkAgreement()
 }
 
-// checkAgreement fails if two members applied different things in one place.
+// checkAgreement fails if two members applied different commands in one place.
 func (c *testCluster) checkAgreement() {
 	var longest []string
-	for _, d := range c.applied {
-		if len(d) > len(longest) {
-			longest = d
+	for _, commands := range c.applied {
+		if len(commands) > len(longest) {
+			longest = commands
 		}
 	}
-	for x, d := range c.applied {
-		for i := range d {
-			if d[i] != longest[i] {
-				c.t.Fatalf("%s applied %q at %d, another %q", x, d[i], i, longest[i])
+	for id, commands := range c.applied {
+		for i := range commands {
+			if commands[i] != longest[i] {
+				c.t.Fatalf("%s applied %q at %d, another %q", id, commands[i], i, longest[i])
 			}
 		}
 	}
 }
 
-func (c *testCluster) until(what string, ok func() bool) {
+// until runs steps until a condition holds, for 10 s at most.
+func (c *testCluster) until(condition string, holds func() bool) {
 	c.t.Helper()
 	for i := 0; i < 1000; i++ {
-		if ok() {
+		if holds() {
 			return
 		}
 		c.step()
 	}
-	c.t.Fatalf("not within 10 s: %s", what)
+	c.t.Fatalf("not within 10 s: %s", condition)
 }
 
+// leader returns the member that may serve reads, or nil.
 func (c *testCluster) leader() *Node {
-	for _, id := range c.names() {
+	for _, id := range c.ids() {
 		if node := c.nodes[id]; node.LeaderReady() && node.HasLease(c.now) {
 			return node
 		}
@@ -202,6 +209,7 @@
 	return nil
 }
 
+// commit proposes a command to the leader and waits until it is committed.
 func (c *testCluster) commit(command string) {
 	c.t.Helper()
 	c.until("a leader", func() bool { return c.leader() != nil })
@@ -211,137 +219,132 @@
 		c.t.Fatal("refused")
 	}
 	c.drain(leader.ID())
-	c.until("settled "+command, func() bool { return leader.CommitIndex() >= index })
+	c.until("committed "+command, func() bool { return leader.CommitIndex() >= index })
 }
 
-func (c *testCluster) hasApplied(id string, command string) bool {
-	for _, applied := range c.applied[id] {
-		if applied == command {
-			return true
-		}
-	}
-	return false
+func (c *testCluster) hasApplied(id, command string) bool {
+	return slices.Contains(c.applied[id], command)
 }
 
 func TestLearnerReplacesWipedVoter(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
-		n := newTestCluster(t, seed, "a", "b", "c")
-		n.commit("1")
-		n.commit("2")
-		l := n.leader()
-		gone := "a"
-		if l.ID() == "a" {
-			gone = "b"
+		c := newTestCluster(t, seed, "a", "b", "c")
+		c.commit("1")
+		c.commit("2")
+		leader := c.leader()
+		wiped := "a"
+		if leader.ID() == "a" {
+			wiped = "b"
 		}
-		n.kill(gone)
-		n.commit("3")
-		n.start("d")
-		l.AddLearner(Member{Node: "node-" + gone, ID: "d", Addr: "d"})
-		n.until("caught up", func() bool { return l.CaughtUp("d") })
-		var vs []Member
-		for _, v := range l.Voters() {
-			if v.ID != gone {
-				vs = append(vs, v)
+		c.kill(wiped)
+		c.commit("3")
+		c.start("d")
+		leader.AddLearner(Member{Node: "node-" + wiped, ID: "d", Addr: "d"})
+		c.until("caught up", func() bool { return leader.CaughtUp("d") })
+		var remaining []Member
+		for _, member := range leader.Voters() {
+			if member.ID != wiped {
+				remaining = append(remaining, member)
 			}
 		}
-		l.ProposeConfChange(vs)
-		n.until("removed", func() bool { return l.ConfIndex() <= l.CommitIndex() })
-		if !l.ProposeConfChange(append(vs, Member{Node: "node-" + gone, ID: "d", Addr: "d"})) {
+		leader.ProposeConfChange(remaining)
+		c.until("removed", func() bool { return leader.ConfIndex() <= leader.CommitIndex() })
+		if !leader.ProposeConfChange(append(remaining, Member{Node: "node-" + wiped, ID: "d", Addr: "d"})) {
 			t.Fatal("second change refused")
 		}
-		n.until("added", func() bool { return l.ConfIndex() <= l.CommitIndex() && n.nodes["d"].IsVoter("d") })
-		n.commit("4")
-		n.until("applied there", func() bool { return n.hasApplied("d", "4") && n.hasApplied("d", "1") })
+		c.until("added", func() bool { return leader.ConfIndex() <= leader.CommitIndex() && c.nodes["d"].IsVoter("d") })
+		c.commit("4")
+		c.until("applied there", func() bool { return c.hasApplied("d", "4") && c.hasApplied("d", "1") })
 	}
 }
 
 func TestKilledLeaderIsReplaced(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
-		n := newTestCluster(t, seed, "a", "b", "c")
-		n.commit("1")
-		old := n.leader().ID()
-		n.kill(old)
-		at := n.now
-		n.commit("2")
-		if d := n.now.Sub(at); d > 2500*time.Millisecond {
-			t.Errorf("seed %d: %v without a leader", seed, d)
+		c := newTestCluster(t, seed, "a", "b", "c")
+		c.commit("1")
+		killed := c.leader().ID()
+		c.kill(killed)
+		killedAt := c.now
+		c.commit("2")
+		if gap := c.now.Sub(killedAt); gap > 2500*time.Millisecond {
+			t.Errorf("seed %d: %v without a leader", seed, gap)
 		}
-		n.start(old)
-		n.until("back", func() bool { return n.hasApplied(old, "2") })
+		c.start(killed)
+		c.until("back", func() bool { return c.hasApplied(killed, "2") })
 	}
 }
 
 func TestLeaderBehindOneWayPartitionStepsDown(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
-		n := newTestCluster(t, seed, "a", "b", "c")
-		n.commit("1")
-		old := n.leader().ID()
+		c := newTestCluster(t, seed, "a", "b", "c")
+		c.commit("1")
+		cutOff := c.leader().ID()
 		// Others hear the leader, it doesn't hear them.
-		for _, x := range []string{"a", "b", "c"} {
-			n.cut[x+">"+old] = true
+		for _, id := range []string{"a", "b", "c"} {
+			c.cut[id+">"+cutOff] = true
 		}
-		n.until("another leads", func() bool { l := n.leader(); return l != nil && l.ID() != old })
-		n.commit("2")
-		for _, x := range []string{"a", "b", "c"} {
-			n.cut[x+">"+old] = false
+		c.until("another leads", func() bool { leader := c.leader(); return leader != nil && leader.ID() != cutOff })
+		c.commit("2")
+		for _, id := range []string{"a", "b", "c"} {
+			c.cut[id+">"+cutOff] = false
 		}
-		n.until("one leader", func() bool { return !n.nodes[old].IsLeader() && n.hasApplied(old, "2") })
+		c.until("one leader", func() bool { return !c.nodes[cutOff].IsLeader() && c.hasApplied(cutOff, "2") })
 	}
 }
 
 func TestFrozenLeaderHasNoLease(t *testing.T) {
-	n := newTestCluster(t, 1, "a", "b", "c")
-	n.commit("1")
-	old := n.leader()
-	frozen := n.nodes[old.ID()]
-	delete(n.nodes, old.ID())
-	n.until("another leads", func() bool { return n.leader() != nil })
-	if frozen.HasLease(n.now) {
-		t.Fatal("a thawed leader trusts its lease")
+	c := newTestCluster(t, 1, "a", "b", "c")
+	c.commit("1")
+	old := c.leader()
+	frozen := c.nodes[old.ID()]
+	delete(c.nodes, old.ID())
+	c.until("another leads", func() bool { return c.leader() != nil })
+	if frozen.HasLease(c.now) {
+		t.Fatal("a leader that was paused trusts its lease")
 	}
-	n.commit("2")
-	n.nodes[old.ID()] = frozen
-	n.until("it follows", func() bool { return !frozen.IsLeader() && n.hasApplied(old.ID(), "2") })
+	c.commit("2")
+	c.nodes[old.ID()] = frozen
+	c.until("it follows", func() bool { return !frozen.IsLeader() && c.hasApplied(old.ID(), "2") })
 }
 
 func TestLeaderWithStalledDiskStillCommits(t *testing.T) {
-	n := newTestCluster(t, 3, "a", "b", "c")
-	n.commit("1")
-	n.stalled[n.leader().ID()] = true
-	n.commit("2")
-	n.commit("3")
+	c := newTestCluster(t, 3, "a", "b", "c")
+	c.commit("1")
+	c.stalled[c.leader().ID()] = true
+	c.commit("2")
+	c.commit("3")
 }
 
 func TestLeadershipTransfer(t *testing.T) {
-	n := newTestCluster(t, 4, "a", "b", "c")
-	n.commit("1")
-	old := n.leader()
+	c := newTestCluster(t, 4, "a", "b", "c")
+	c.commit("1")
+	old := c.leader()
 	if !old.TransferLeadership() {
-		t.Fatal("nobody to hand over to")
+		t.Fatal("no voter to hand over to")
 	}
-	at := n.now
-	n.until("another leads", func() bool { l := n.leader(); return l != nil && l != old })
-	if n.now.Sub(at) > 300*time.Millisecond {
-		t.Errorf("handing over took %v", n.now.Sub(at))
+	startedAt := c.now
+	c.until("another leads", func() bool { leader := c.leader(); return leader != nil && leader != old })
+	if c.now.Sub(startedAt) > 300*time.Millisecond {
+		t.Errorf("the transfer took %v", c.now.Sub(startedAt))
 	}
-	n.commit("2")
+	c.commit("2")
 }
 
 func TestRestartOfAllMembers(t *testing.T) {
-	n := newTestCluster(t, 5, "a", "b", "c", "d", "e")
+	c := newTestCluster(t, 5, "a", "b", "c", "d", "e")
 	for i := range 9 {
-		n.commit(fmt.Sprint(i))
+		c.commit(fmt.Sprint(i))
 	}
-	for _, x := range n.names() {
-		n.kill(x)
+	for _, id := range c.ids() {
+		c.kill(id)
 	}
-	for _, x := range []string{"a", "b", "c", "d", "e"} {
-		n.start(x)
+	for _, id := range []string{"a", "b", "c", "d", "e"} {
+		c.start(id)
 	}
-	n.commit("z")
-	n.until("all have all", func() bool {
-		for _, x := range n.names() {
-			if !n.hasApplied(x, "z") || !n.hasApplied(x, "8") {
+	c.commit("z")
+	c.until("all have all", func() bool {
+		for _, id := range c.ids() {
+			if !c.hasApplied(id, "z") || !c.hasApplied(id, "8") {
 				return false
 			}
 		}
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -7,50 +7,50 @@
 
 func TestOwnVoteCountsOnlyAfterSync(t *testing.T) {
 	now := time.Unix(1000, 0)
-	n := New("a", HardState{Term: 1}, Snapshot{Index: 1, Voters: []Member{testMember("a")}}, nil, now, testConfig, 1)
-	n.Tick(now.Add(time.Minute))
-	o := n.Ready()
-	if o.HardState == nil || n.IsLeader() {
+	node := New("a", HardState{Term: 1}, Snapshot{Index: 1, Voters: []Member{testMember("a")}}, nil, now, testConfig, 1)
+	node.Tick(now.Add(time.Minute))
+	ready := node.Ready()
+	if ready.HardState == nil || node.IsLeader() {
 		t.Fatal("leads a term that its disk may forget, and could vote in once more")
 	}
-	if n.WriteSynced(o.WriteToken); !n.IsLeader() {
+	if node.WriteSynced(ready.WriteToken); !node.IsLeader() {
 		t.Fatal("does not lead with its own vote on disk")
 	}
 }
 
 func TestPreCandidateGrantsVotes(t *testing.T) {
-	n := followerWith(1)
-	n.receive(Message{Kind: MsgPreVoteResponse, From: "c", Term: 5, Reject: true})
-	n.Tick(n.now.Add(time.Minute))
-	if n.role != preCandidate || n.Term() != 5 {
-		t.Fatal("not the case that is meant")
+	node := followerWith(1)
+	node.receive(Message{Kind: MsgPreVoteResponse, From: "c", Term: 5, Reject: true})
+	node.Tick(node.now.Add(time.Minute))
+	if node.role != preCandidate || node.Term() != 5 {
+		t.Fatal("the node is not a pre-candidate")
 	}
-	n.receive(Message{Kind: MsgVote, From: "c", Term: 5, Index: 1})
-	o := n.Ready()
-	for _, m := range o.MessagesAfterSync {
-		if m.Kind == MsgVoteResponse && !m.Reject && o.HardState != nil && o.HardState.Vote == "c" {
-			// Late answers to its own question count no more.
-			n.receive(Message{Kind: MsgPreVoteResponse, From: "a", Term: 6})
-			if n.Term() != 5 {
-				t.Fatal("runs against the one whom it voted for")
+	node.receive(Message{Kind: MsgVote, From: "c", Term: 5, Index: 1})
+	ready := node.Ready()
+	for _, message := range ready.MessagesAfterSync {
+		if message.Kind == MsgVoteResponse && !message.Reject && ready.HardState != nil && ready.HardState.Vote == "c" {
+			// Late responses to its own requests no longer count.
+			node.receive(Message{Kind: MsgPreVoteResponse, From: "a", Term: 6})
+			if node.Term() != 5 {
+				t.Fatal("campaigns against the candidate that it voted for")
 			}
 			return
 		}
 	}
-	t.Fatal("keeps back a vote that it has promised to nobody")
+	t.Fatal("withholds a vote that it has promised to nobody")
 }
 
-// TestRepeatedVoteIsNotPersistedAgain, but still waits for the first write.
+// TestRepeatedVoteIsNotPersistedAgain: the second response still waits for the first write.
 func TestRepeatedVoteIsNotPersistedAgain(t *testing.T) {
-	n := followerWith(1)
-	n.now = n.now.Add(time.Minute)
-	ask := Message{Kind: MsgVote, From: "c", Term: 5, Index: 1}
-	n.receive(ask)
-	if o := n.Ready(); o.HardState == nil {
+	node := followerWith(1)
+	node.now = node.now.Add(time.Minute)
+	request := Message{Kind: MsgVote, From: "c", Term: 5, Index: 1}
+	node.receive(request)
+	if ready := node.Ready(); ready.HardState == nil {
 		t.Fatal("no vote")
 	}
-	n.receive(ask)
-	if o := n.Ready(); o.HardState != nil || len(o.Messages) > 0 || len(o.MessagesAfterSync) != 1 {
-		t.Fatalf("out %+v", o)
+	node.receive(request)
+	if ready := node.Ready(); ready.HardState != nil || len(ready.Messages) > 0 || len(ready.MessagesAfterSync) != 1 {
+		t.Fatalf("ready %+v", ready)
 	}
 }
--- a/internal/raft/exhaustive_copy_test.go
+++ b/internal/raft/exhaustive_copy_test.go
@@ -7,18 +7,18 @@
 	"unsafe"
 )
 
-// Copies and names of states of the exhaustive search, by reflection: the node
-// need not know of them.
+// Copies and hashes of states of the exhaustive search, by reflection, so that Node needs
+// no code for them.
 
-// deepCopyNode is a deep copy; only the source of lots is shared, which the timing
-// of the search leaves without effect.
+// deepCopyNode returns a deep copy. Only the source of random numbers is shared, which has no
+// effect with the configuration of the search.
 func deepCopyNode(n *Node) *Node {
 	c := *n
 	deepCopyInPlace(reflect.ValueOf(&c).Elem())
 	return &c
 }
 
-// deepCopyInPlace replaces what a value points to by copies.
+// deepCopyInPlace replaces all that a value points to by copies.
 func deepCopyInPlace(v reflect.Value) {
 	switch v.Type() {
 	case reflect.TypeFor[time.Time](), reflect.TypeFor[*rand.Rand]():
@@ -64,7 +64,7 @@
 	}
 }
 
-// isPlainData tells whether copies of a type share nothing that is changed in place.
+// isPlainData tells whether copies of a type share nothing that is ever changed in place.
 func isPlainData(t reflect.Type) bool {
 	switch t {
 	case reflect.TypeFor[Entry](), reflect.TypeFor[Member](), reflect.TypeFor[Message]():
@@ -73,7 +73,7 @@
 	return t.Kind() <= reflect.Float64 || t.Kind() == reflect.String
 }
 
-// hasher sums up a value, unexported fields too.
+// hasher hashes values, unexported fields too.
 type hasher struct{ sum uint64 }
 
 func newHasher() *hasher { return &hasher{14695981039346656037} }
@@ -103,11 +103,11 @@
 	case reflect.Float64:
 		h.mix(uint64(v.Float() * 1000))
 	case reflect.String:
-		s := v.String()
-		for i := range len(s) {
-			h.mix(uint64(s[i]))
+		text := v.String()
+		for i := range len(text) {
+			h.mix(uint64(text[i]))
 		}
-		h.mix(uint64(len(s)))
+		h.mix(uint64(len(text)))
 	case reflect.Struct:
 		for i := range v.NumField() {
 			h.add(v.Field(i))
@@ -129,10 +129,10 @@
 	case reflect.Map:
 		sum := uint64(v.Len())
 		for it := v.MapRange(); it.Next(); {
-			g := newHasher()
-			g.add(it.Key())
-			g.add(it.Value())
-			sum += g.sum
+			entry := newHasher()
+			entry.add(it.Key())
+			entry.add(it.Value())
+			sum += entry.sum
 		}
 		h.mix(sum)
 	}
--- a/internal/raft/exhaustive_state_test.go
+++ b/internal/raft/exhaustive_state_test.go
@@ -9,25 +9,24 @@
 	"time"
 )
 
-// A small exhaustive search: three members, and every order of a bounded
-// number of events. Messages may come in any order or, for as long as the
-// search goes, never; a write is synced at once or only later; what is not
-// synced is lost in a crash. States that were seen with as many events left are
-// not searched again.
+// A small exhaustive search: three members, and every order of a bounded number of events.
+// Messages may arrive in any order or, as far as the search goes, never; a write is synced
+// at once or only later; what is not synced is lost in a crash. States that were seen with
+// as many events left are not searched again.
 
 // searchState is one state of the search. A move copies what it changes.
 type searchState struct {
 	now         time.Time
 	members     [3]searchMember
-	messages    []searchMessage // sorted by name, since any may come next
+	messages    []searchMessage // sorted by hash, since any may arrive next
 	committed   []Entry         // the committed log, from index 2 on
-	committedIn []uint64        // the terms in which that was seen
+	committedIn []uint64        // the terms in which that was first seen
 	leaders     map[uint64]string
 	budget      [limitedKinds]int // how often each kind of event may still happen
 	lateSync    bool              // a sync is a move of its own
 }
 
-// searchMember is a node and its disk; name sums it up.
+// searchMember is a node and its disk, with a hash of both.
 type searchMember struct {
 	node      *Node
 	hardState HardState
@@ -50,19 +49,19 @@
 	limitedKinds
 	eventDeliver
 	eventSync
-	// In beginnings only: the leader proposes the voters without itself; it and
-	// one other exchange all that they have to say.
+	// In preludes only: the leader proposes the voters without itself; it and one
+	// other exchange all their messages.
 	eventConfChange
 	eventExchange
 )
 
 var searchIDs = []string{"a", "b", "c"}
 
-// No spread: the waits are the same each time, and no lot plays a part.
+// searchConfig has no jitter, so that nothing is drawn at random.
 var searchConfig = Config{HeartbeatInterval: 80 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, CheckQuorumTimeout: 650 * time.Millisecond,
 	LeaseFraction: 0.85, MaxInflightEntries: 8, MaxAppendBytes: 1 << 10}
 
-var searchSnapshot = Snapshot{Index: 1, Voters: []Member{modelVoter("a"), modelVoter("b"), modelVoter("c")}}
+var searchSnapshot = Snapshot{Index: 1, Voters: []Member{testMember("a"), testMember("b"), testMember("c")}}
 
 func newSearchState() *searchState {
 	s := &searchState{now: time.Unix(1000, 0), leaders: map[uint64]string{}}
@@ -72,34 +71,34 @@
 	return s
 }
 
-func (s *searchState) start(i int) {
-	m := &s.members[i]
-	m.pending = nil
-	m.node = New(searchIDs[i], m.hardState, searchSnapshot, slices.Clone(m.log), s.now, searchConfig, 1)
+func (s *searchState) start(index int) {
+	member := &s.members[index]
+	member.pending = nil
+	member.node = New(searchIDs[index], member.hardState, searchSnapshot, slices.Clone(member.log), s.now, searchConfig, 1)
 }
 
 // move is one event: its kind, and the member or the message that it is for.
 type move struct{ kind, at int }
 
 func (m move) String() string {
-	kind := [...]string{"timeout", "beat", "propose", "crash", "", "deliver", "sync", "change", "talk"}[m.kind]
+	kind := [...]string{"timeout", "heartbeat", "propose", "crash", "", "deliver", "sync", "conf change", "exchange"}[m.kind]
 	if m.kind == eventDeliver {
 		return fmt.Sprint(kind, " ", m.at)
 	}
 	return kind + " " + searchIDs[m.at]
 }
 
-// moves are all that may happen next.
+// moves returns all events that may happen next.
 func (s *searchState) moves() []move {
 	var moves []move
-	for i, m := range s.members {
-		leads := m.node.IsLeader()
+	for i, member := range s.members {
+		leads := member.node.IsLeader()
 		for kind, may := range [limitedKinds]bool{eventTimeout: !leads, eventHeartbeat: leads, eventPropose: leads, eventCrash: true} {
 			if may && s.budget[kind] > 0 {
 				moves = append(moves, move{kind, i})
 			}
 		}
-		if len(m.pending) > 0 {
+		if len(member.pending) > 0 {
 			moves = append(moves, move{eventSync, i})
 		}
 	}
@@ -111,171 +110,172 @@
 	return moves
 }
 
-// searchMutation is a planted break of the search; only its check counts then.
+// searchMutation is a bug in the harness of the search; only its check counts then.
 type searchMutation struct {
 	name            string
 	check           check
-	scenario        string // where it is looked for
-	tamper          func(*Message)
+	scenario        string // in which it must be found
+	alterMessage    func(*Message)
 	forgetHardState bool // a crash loses term and vote
-	earlySync       bool // entries are said to be synced before they are
+	earlySync       bool // entries are reported as synced before they are
 }
 
-// after is the state after a move, and what is wrong with it, or nothing.
+// after returns the state after a move, and the invariant that it violates, or the empty
+// string.
 func (s *searchState) after(next move, mutation searchMutation) (*searchState, string) {
 	after := *s
 	if next.kind < limitedKinds {
 		after.budget[next.kind]--
 	}
-	i := next.at
-	var msg Message
+	index := next.at
+	var message Message
 	if next.kind == eventDeliver {
-		msg = s.messages[i].Message
-		after.messages = slices.Delete(slices.Clone(s.messages), i, i+1)
-		i = slices.Index(searchIDs, msg.To)
+		message = s.messages[index].Message
+		after.messages = slices.Delete(slices.Clone(s.messages), index, index+1)
+		index = slices.Index(searchIDs, message.To)
 	}
-	m := &after.members[i]
+	member := &after.members[index]
 	if next.kind != eventCrash {
-		m.node = deepCopyNode(m.node)
+		member.node = deepCopyNode(member.node)
 	}
 	switch next.kind {
 	case eventTimeout:
 		after.now = after.now.Add(searchConfig.ElectionTimeout + 2*searchConfig.HeartbeatInterval)
-		m.node.Tick(after.now)
+		member.node.Tick(after.now)
 	case eventHeartbeat:
 		after.now = after.now.Add(searchConfig.HeartbeatInterval)
-		m.node.Tick(after.now)
+		member.node.Tick(after.now)
 	case eventPropose:
-		m.node.Propose([]byte{byte(after.budget[eventPropose])})
+		member.node.Propose([]byte{byte(after.budget[eventPropose])})
 	case eventCrash:
 		if mutation.forgetHardState {
-			m.hardState = HardState{}
+			member.hardState = HardState{}
 		}
-		after.start(i)
+		after.start(index)
 	case eventDeliver:
-		m.node.Step(msg, after.now)
+		member.node.Step(message, after.now)
 	case eventSync:
-		after.sync(m, mutation)
+		after.sync(member, mutation)
 	case eventConfChange:
-		m.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(m.node.Voters()), func(v Member) bool { return v.ID == m.node.ID() }))
+		member.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(member.node.Voters()), func(v Member) bool { return v.ID == member.node.ID() }))
 	}
-	violation := after.drain(m, mutation)
-	m.hash = hashOf(reflect.ValueOf(m).Elem())
+	violation := after.drain(member, mutation)
+	member.hash = hashOf(reflect.ValueOf(member).Elem())
 	return &after, violation
 }
 
-// sync makes all that a member handed out lasting.
-func (s *searchState) sync(m *searchMember, mutation searchMutation) {
-	writes := m.pending
-	m.pending = nil
+// sync makes all pending writes of a member durable.
+func (s *searchState) sync(member *searchMember, mutation searchMutation) {
+	writes := member.pending
+	member.pending = nil
 	for _, ready := range writes {
 		if ready.HardState != nil {
-			m.hardState = *ready.HardState
+			member.hardState = *ready.HardState
 		}
-		for _, e := range ready.Entries {
-			keep := len(m.log)
-			for keep > 0 && m.log[keep-1].Index >= e.Index {
+		for _, entry := range ready.Entries {
+			keep := len(member.log)
+			for keep > 0 && member.log[keep-1].Index >= entry.Index {
 				keep--
 			}
-			m.log = append(m.log[:keep:keep], e)
+			member.log = append(member.log[:keep:keep], entry)
 		}
 		if ready.WriteToken.Sequence > 0 {
-			m.node.WriteSynced(ready.WriteToken)
+			member.node.WriteSynced(ready.WriteToken)
 		}
 		s.send(ready.MessagesAfterSync, mutation)
 	}
 }
 
-func (s *searchState) send(messages []Message, b searchMutation) {
-	for _, x := range messages {
-		if b.tamper != nil {
-			b.tamper(&x)
+func (s *searchState) send(messages []Message, mutation searchMutation) {
+	for _, message := range messages {
+		if mutation.alterMessage != nil {
+			mutation.alterMessage(&message)
 		}
-		w := searchMessage{x, hashOf(reflect.ValueOf(x))}
-		at, _ := slices.BinarySearchFunc(s.messages, w, func(a, b searchMessage) int { return cmp.Compare(a.hash, b.hash) })
-		s.messages = slices.Insert(slices.Clone(s.messages), at, w)
+		sent := searchMessage{message, hashOf(reflect.ValueOf(message))}
+		place, _ := slices.BinarySearchFunc(s.messages, sent, func(left, right searchMessage) int { return cmp.Compare(left.hash, right.hash) })
+		s.messages = slices.Insert(slices.Clone(s.messages), place, sent)
 	}
 }
 
-// drain does what a member hands out, and checks the state.
-func (s *searchState) drain(m *searchMember, mutation searchMutation) string {
+// drain does all that a member has ready, and checks the state.
+func (s *searchState) drain(member *searchMember, mutation searchMutation) string {
 	for {
-		if violation := s.checkCommitted(m.node); violation != "" {
+		if violation := s.checkCommitted(member.node); violation != "" {
 			return violation
 		}
-		ready := m.node.Ready()
+		ready := member.node.Ready()
 		if ready.IsEmpty() {
-			return s.checkInvariants(m.node)
+			return s.checkInvariants(member.node)
 		}
 		s.send(ready.Messages, mutation)
 		if mutation.earlySync && len(ready.Entries) > 0 && ready.HardState == nil {
-			m.node.WriteSynced(ready.WriteToken)
+			member.node.WriteSynced(ready.WriteToken)
 			s.send(ready.MessagesAfterSync, mutation)
-			m.pending = append(slices.Clip(m.pending), Ready{Entries: ready.Entries})
+			member.pending = append(slices.Clip(member.pending), Ready{Entries: ready.Entries})
 			continue
 		}
-		if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && len(m.pending) > 0 {
-			m.pending = append(slices.Clip(m.pending), ready)
+		if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && len(member.pending) > 0 {
+			member.pending = append(slices.Clip(member.pending), ready)
 		} else {
 			s.send(ready.MessagesAfterSync, mutation)
 		}
 		if !s.lateSync {
-			s.sync(m, mutation)
+			s.sync(member, mutation)
 		}
 	}
 }
 
 // checkCommitted compares what a member applies with the committed log.
-func (s *searchState) checkCommitted(n *Node) string {
-	for _, e := range n.NextCommittedEntries() {
-		at := int(e.Index) - 2
-		if at == len(s.committed) {
-			s.committed = append(slices.Clip(s.committed), e)
-			s.committedIn = append(slices.Clip(s.committedIn), n.Term())
-		} else if at > len(s.committed) || !reflect.DeepEqual(s.committed[at], e) {
-			return fmt.Sprintf("%s: %s applies %v, committed are %v", checkCommitted, n.ID(), e, s.committed)
+func (s *searchState) checkCommitted(node *Node) string {
+	for _, entry := range node.NextCommittedEntries() {
+		position := int(entry.Index) - 2
+		if position == len(s.committed) {
+			s.committed = append(slices.Clip(s.committed), entry)
+			s.committedIn = append(slices.Clip(s.committedIn), node.Term())
+		} else if position > len(s.committed) || !reflect.DeepEqual(s.committed[position], entry) {
+			return fmt.Sprintf("%s: %s applies %v, committed are %v", checkCommitted, node.ID(), entry, s.committed)
 		}
 	}
 	return ""
 }
 
-func (s *searchState) checkInvariants(n *Node) string {
-	if old, known := s.leaders[n.Term()]; n.IsLeader() && known && old != n.ID() {
-		return fmt.Sprintf("%s: %s and %s in term %d", checkLeader, old, n.ID(), n.Term())
-	} else if n.IsLeader() && !known {
+func (s *searchState) checkInvariants(node *Node) string {
+	if old, known := s.leaders[node.Term()]; node.IsLeader() && known && old != node.ID() {
+		return fmt.Sprintf("%s: %s and %s in term %d", checkLeader, old, node.ID(), node.Term())
+	} else if node.IsLeader() && !known {
 		s.leaders = maps.Clone(s.leaders)
-		s.leaders[n.Term()] = n.ID()
-		for i, e := range s.committed {
-			if t, ok := n.TermAt(e.Index); s.committedIn[i] < n.Term() && (!ok || t != e.Term) {
-				return fmt.Sprintf("%s: %s in term %d lacks %d", checkLeaderCompleteness, n.ID(), n.Term(), e.Index)
+		s.leaders[node.Term()] = node.ID()
+		for i, entry := range s.committed {
+			if term, ok := node.TermAt(entry.Index); s.committedIn[i] < node.Term() && (!ok || term != entry.Term) {
+				return fmt.Sprintf("%s: %s in term %d lacks %d", checkLeaderCompleteness, node.ID(), node.Term(), entry.Index)
 			}
 		}
 	}
-	for _, o := range s.members {
-		same := false
-		for i := min(n.LastIndex(), o.node.LastIndex()); i > 1; i-- {
-			x, _ := n.TermAt(i)
-			y, _ := o.node.TermAt(i)
-			if same && x != y {
-				return fmt.Sprintf("%s: %s and %s differ at %d, and not above it", checkLogMatching, n.ID(), o.node.ID(), i)
+	for _, other := range s.members {
+		agreed := false
+		for i := min(node.LastIndex(), other.node.LastIndex()); i > 1; i-- {
+			term, _ := node.TermAt(i)
+			otherTerm, _ := other.node.TermAt(i)
+			if agreed && term != otherTerm {
+				return fmt.Sprintf("%s: %s and %s differ at %d, and not above it", checkLogMatching, node.ID(), other.node.ID(), i)
 			}
-			same = same || x == y
+			agreed = agreed || term == otherTerm
 		}
 	}
 	return ""
 }
 
-// hash names a state; two of one name go on alike.
+// hash returns a hash of a state; states of the same hash count as equal.
 func (s *searchState) hash() uint64 {
-	h := newHasher()
-	for _, m := range s.members {
-		h.mix(m.hash)
+	hasher := newHasher()
+	for _, member := range s.members {
+		hasher.mix(member.hash)
 	}
-	for _, x := range s.messages {
-		h.mix(x.hash)
+	for _, message := range s.messages {
+		hasher.mix(message.hash)
 	}
 	for _, v := range []any{s.now, s.committed, s.committedIn, s.leaders, s.budget} {
-		h.add(reflect.ValueOf(v))
+		hasher.add(reflect.ValueOf(v))
 	}
-	return h.sum
+	return hasher.sum
 }
--- a/internal/raft/exhaustive_test.go
+++ b/internal/raft/exhaustive_test.go
@@ -7,54 +7,56 @@
 	"testing"
 )
 
-// search goes through all states that a number of moves leads to.
+// search explores all states that a number of moves can lead to.
 type search struct {
 	mutation  searchMutation
-	seen      map[uint64]int8 // by name: the moves that were left there
+	seen      map[uint64]int8 // by hash: the number of moves that were left there
 	states    int
 	violation string
 	path      []move
 }
 
-func (x *search) explore(s *searchState, depth int) bool {
+// explore goes on from a state by a number of moves; false once an invariant is violated.
+func (s *search) explore(state *searchState, depth int) bool {
 	if depth == 0 {
 		return true
 	}
-	hash := s.hash()
-	if int(x.seen[hash]) >= depth {
+	hash := state.hash()
+	if int(s.seen[hash]) >= depth {
 		return true
 	}
-	if x.seen[hash] == 0 {
-		x.states++
+	if s.seen[hash] == 0 {
+		s.states++
 	}
-	x.seen[hash] = int8(depth)
-	for _, next := range s.moves() {
-		x.path = append(x.path, next)
-		after, violation := s.after(next, x.mutation)
-		if violation != "" && strings.HasPrefix(violation, string(x.mutation.check)) {
-			x.violation = violation
+	s.seen[hash] = int8(depth)
+	for _, next := range state.moves() {
+		s.path = append(s.path, next)
+		after, violation := state.after(next, s.mutation)
+		if violation != "" && strings.HasPrefix(violation, string(s.mutation.check)) {
+			s.violation = violation
 			return false
 		}
-		if violation == "" && !x.explore(after, depth-1) {
+		if violation == "" && !s.explore(after, depth-1) {
 			return false
 		}
-		x.path = x.path[:len(x.path)-1]
+		s.path = s.path[:len(s.path)-1]
 	}
 	return true
 }
 
-// searchScenario is a beginning, and the bounds of the search from there.
+// searchScenario is a state to start from, and the bounds of the search.
 type searchScenario struct {
 	name     string
-	prelude  []move // deliver: all until it is quiet; sync: what is on the wire is lost
+	prelude  []move // with deliverAll and loseAll
 	budget   [limitedKinds]int
 	lateSync bool
 	depth    int
 }
 
+// Moves of a prelude only.
 var (
-	deliverAll = move{eventDeliver, 0}
-	loseAll    = move{eventSync, 0}
+	deliverAll = move{eventDeliver, 0} // deliver messages until there are none
+	loseAll    = move{eventSync, 0}    // drop all messages
 )
 
 var searchScenarios = []searchScenario{
@@ -72,96 +74,99 @@
 	{"votes that are synced late", []move{{eventTimeout, 0}}, [limitedKinds]int{1, 0, 1, 1}, true, 7},
 }
 
-// exchange delivers what member 0 and another have for each other.
+// exchange delivers the messages between member 0 and another until there are none.
 func (s *searchState) exchange(other int, mutation searchMutation) *searchState {
 	pair := []string{searchIDs[0], searchIDs[other]}
 	for {
-		i := slices.IndexFunc(s.messages, func(x searchMessage) bool { return slices.Contains(pair, x.From) && slices.Contains(pair, x.To) })
-		if i < 0 {
+		index := slices.IndexFunc(s.messages, func(message searchMessage) bool {
+			return slices.Contains(pair, message.From) && slices.Contains(pair, message.To)
+		})
+		if index < 0 {
 			return s
 		}
-		s, _ = s.after(move{eventDeliver, i}, mutation)
+		s, _ = s.after(move{eventDeliver, index}, mutation)
 	}
 }
 
-// start plays the first moves of a scenario.
+// start returns the state after the prelude of a scenario.
 func (c searchScenario) start(mutation searchMutation) *searchState {
-	s := newSearchState()
+	state := newSearchState()
 	for _, next := range c.prelude {
-		s.budget = [limitedKinds]int{1, 1, 1, 1}
+		state.budget = [limitedKinds]int{1, 1, 1, 1}
 		switch next {
 		case deliverAll:
-			for len(s.messages) > 0 {
-				s, _ = s.after(deliverAll, mutation)
+			for len(state.messages) > 0 {
+				state, _ = state.after(deliverAll, mutation)
 			}
 		case loseAll:
-			s.messages = nil
+			state.messages = nil
 		default:
 			if next.kind == eventExchange {
-				s = s.exchange(next.at, mutation)
+				state = state.exchange(next.at, mutation)
 				continue
 			}
-			s, _ = s.after(next, mutation)
+			state, _ = state.after(next, mutation)
 		}
 	}
-	s.budget, s.lateSync = c.budget, c.lateSync
-	return s
+	state.budget, state.lateSync = c.budget, c.lateSync
+	return state
 }
 
 var modelDeeper = flag.Int("model.deeper", defaultDeeper, "moves by which the exhaustive search goes deeper; each takes some four times as long")
 
 func TestExhaustiveAtThreeMembers(t *testing.T) {
-	for _, c := range searchScenarios {
-		x := &search{seen: map[uint64]int8{}}
-		if !x.explore(c.start(x.mutation), c.depth+*modelDeeper) {
-			t.Errorf("%s: %v: %s", c.name, x.path, x.violation)
+	for _, scenario := range searchScenarios {
+		s := &search{seen: map[uint64]int8{}}
+		if !s.explore(scenario.start(s.mutation), scenario.depth+*modelDeeper) {
+			t.Errorf("%s: %v: %s", scenario.name, s.path, s.violation)
 		}
-		t.Logf("%s: %d states, all to depth %d", c.name, x.states, c.depth+*modelDeeper)
+		t.Logf("%s: %d states, all to depth %d", scenario.name, s.states, scenario.depth+*modelDeeper)
 	}
 }
 
-// TestExhaustiveSearchFindsInjectedBugs: the search finds what a planted break brings about.
+// TestExhaustiveSearchFindsInjectedBugs: the search finds the violation that a mutation
+// leads to.
 func TestExhaustiveSearchFindsInjectedBugs(t *testing.T) {
-	for _, b := range []searchMutation{
-		{name: "refused votes are counted", check: checkLeader, scenario: "two candidates", tamper: func(m *Message) {
-			if m.Kind == MsgVoteResponse {
-				m.Reject = false
+	for _, mutation := range []searchMutation{
+		{name: "rejected votes are counted", check: checkLeader, scenario: "two candidates", alterMessage: func(message *Message) {
+			if message.Kind == MsgVoteResponse {
+				message.Reject = false
 			}
 		}},
 		{name: "a crash loses term and vote", check: checkLeader, scenario: "two members agree, the third knows nothing", forgetHardState: true},
-		{name: "candidates say that they hold all", check: checkLeaderCompleteness, scenario: "entries that the third lacks", tamper: func(m *Message) {
-			if m.Kind == MsgVote || m.Kind == MsgPreVote {
-				m.Index, m.LogTerm = 1<<40, 1<<40
+		{name: "candidates say that they hold all", check: checkLeaderCompleteness, scenario: "entries that the third lacks", alterMessage: func(message *Message) {
+			if message.Kind == MsgVote || message.Kind == MsgPreVote {
+				message.Index, message.LogTerm = 1<<40, 1<<40
 			}
 		}},
-		{name: "entries are said to be synced before they are", check: checkLeaderCompleteness, scenario: "two members agree, the third knows nothing", earlySync: true},
-		{name: "an entry changes on its way", check: checkCommitted, scenario: "a leader with a committed entry", tamper: func(m *Message) {
-			if len(m.Entries) > 0 && m.To == "b" {
-				m.Entries = slices.Clone(m.Entries)
-				m.Entries[0].Data = []byte("other")
+		{name: "entries are reported as synced before they are", check: checkLeaderCompleteness, scenario: "two members agree, the third knows nothing", earlySync: true},
+		{name: "an entry changes on its way", check: checkCommitted, scenario: "a leader with a committed entry", alterMessage: func(message *Message) {
+			if len(message.Entries) > 0 && message.To == "b" {
+				message.Entries = slices.Clone(message.Entries)
+				message.Entries[0].Data = []byte("other")
 			}
 		}},
-		{name: "the term of an entry changes on its way", check: checkLogMatching, scenario: "entries that the third lacks", tamper: func(m *Message) {
-			if m.To == "b" {
-				m.Commit = 0 // or it would be seen when it is applied
+		{name: "the term of an entry changes on its way", check: checkLogMatching, scenario: "entries that the third lacks", alterMessage: func(message *Message) {
+			if message.To == "b" {
+				message.Commit = 0 // or it would be seen when it is applied
 			}
-			if len(m.Entries) > 0 && m.To == "b" && m.Entries[0].Index == 3 {
-				m.Entries = slices.Clone(m.Entries)
-				m.Entries[0].Term++
-			} else if m.To == "b" && m.Index == 3 {
-				m.LogTerm++
+			if len(message.Entries) > 0 && message.To == "b" && message.Entries[0].Index == 3 {
+				message.Entries = slices.Clone(message.Entries)
+				message.Entries[0].Term++
+			} else if message.To == "b" && message.Index == 3 {
+				message.LogTerm++
 			}
 		}},
 	} {
-		t.Run(string(b.check)+"/"+b.name, func(t *testing.T) {
-			i := slices.IndexFunc(searchScenarios, func(c searchScenario) bool { return c.name == b.scenario })
-			c := searchScenarios[i]
-			x := &search{seen: map[uint64]int8{}, mutation: b}
-			if !x.explore(c.start(b), c.depth) {
-				t.Logf("%s: %v: %s", c.name, x.path, x.violation)
+		t.Run(string(mutation.check)+"/"+mutation.name, func(t *testing.T) {
+			index := slices.IndexFunc(searchScenarios, func(scenario searchScenario) bool { return scenario.name == mutation.scenario })
+			scenario := searchScenarios[index]
+			s := &search{seen: map[uint64]int8{}, mutation: mutation}
+			if !s.explore(scenario.start(mutation), scenario.depth) {
+				t.Logf("%s: %v: %s", scenario.name, s.path, s.violation)
 				return
 			}
-			t.Error("not found")
+			t.Error("no violation was found")
 		})
 	}
 }
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -65,14 +65,14 @@
 	configuration := encodeConfChange(voters, nil)
 	golden.Text(t, "plain.txt", fmt.Sprintf("snapshot %x\nconfiguration %x\n", snapshot, configuration))
 
-	var point Snapshot
-	if err := cbor.Unmarshal(snapshot, &point); err != nil || point.Index != 401 || point.Term != 402 || len(point.Voters) != 2 ||
-		point.Voters[1] != voters[1] || string(point.Data) != "snapshot" || point.OutgoingVoters != nil {
-		t.Errorf("the snapshot decodes to %+v, %v", point, err)
+	var decoded Snapshot
+	if err := cbor.Unmarshal(snapshot, &decoded); err != nil || decoded.Index != 401 || decoded.Term != 402 || len(decoded.Voters) != 2 ||
+		decoded.Voters[1] != voters[1] || string(decoded.Data) != "snapshot" || decoded.OutgoingVoters != nil {
+		t.Errorf("the snapshot decodes to %+v, %v", decoded, err)
 	}
-	got, old, err := DecodeConfChange(configuration)
-	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || old != nil {
-		t.Errorf("the configuration decodes to %v, %v, %v", got, old, err)
+	got, outgoing, err := DecodeConfChange(configuration)
+	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || outgoing != nil {
+		t.Errorf("the configuration decodes to %v, %v, %v", got, outgoing, err)
 	}
 }
 
--- a/internal/raft/leader_transfer_test.go
+++ b/internal/raft/leader_transfer_test.go
@@ -4,61 +4,61 @@
 
 func TestLeaderResumesAfterLostTransfer(t *testing.T) {
 	for seed := int64(0); seed < 10; seed++ {
-		n := newTestCluster(t, seed, "a", "b", "c")
-		n.commit("1")
-		l := n.leader()
-		heard := func() bool {
-			return l.peers[n.others(l)[0]].match == l.LastIndex() && l.peers[n.others(l)[1]].match == l.LastIndex()
+		c := newTestCluster(t, seed, "a", "b", "c")
+		c.commit("1")
+		leader := c.leader()
+		allAcknowledged := func() bool {
+			return leader.peers[c.others(leader)[0]].match == leader.LastIndex() && leader.peers[c.others(leader)[1]].match == leader.LastIndex()
 		}
-		n.until("all have it", heard)
-		term := l.Term()
-		n.dropped[MsgTimeoutNow] = true
-		if !l.TransferLeadership() {
-			t.Fatal("no hand-over")
+		c.until("all have acknowledged all", allAcknowledged)
+		term := leader.Term()
+		c.dropped[MsgTimeoutNow] = true
+		if !leader.TransferLeadership() {
+			t.Fatal("no transfer")
 		}
-		start := n.now
-		for n.now.Sub(start) < testConfig.ElectionTimeout {
-			n.step()
-			if l.transferring && l.HasLease(n.now) {
+		start := c.now
+		for c.now.Sub(start) < testConfig.ElectionTimeout {
+			c.step()
+			if leader.transferring && leader.HasLease(c.now) {
 				t.Fatal("trusts its lease while it hands over")
 			}
 		}
-		if _, ok := l.Propose([]byte("x")); ok && l.Term() == term {
-			t.Fatal("leads on in the term in which the order may still arrive")
+		if _, ok := leader.Propose([]byte("x")); ok && leader.Term() == term {
+			t.Fatal("leads on in the term in which the message may still arrive")
 		}
-		n.until("leads on", func() bool { return l.LeaderReady() && l.HasLease(n.now) })
-		if n.now.Sub(start) > 2*testConfig.ElectionTimeout {
-			t.Fatalf("seed %d: %v without a leader", seed, n.now.Sub(start))
+		c.until("leads on", func() bool { return leader.LeaderReady() && leader.HasLease(c.now) })
+		if c.now.Sub(start) > 2*testConfig.ElectionTimeout {
+			t.Fatalf("seed %d: %v without a leader", seed, c.now.Sub(start))
 		}
-		n.dropped[MsgTimeoutNow] = false
-		// The lost order arrives after all: it is of an older term.
-		n.nodes[n.others(l)[0]].Step(Message{Kind: MsgTimeoutNow, From: l.ID(), To: n.others(l)[0], Term: term}, n.now)
-		n.commit("2")
-		if !l.IsLeader() || !l.TransferLeadership() {
-			t.Fatal("can't hand over once more")
+		c.dropped[MsgTimeoutNow] = false
+		// The lost message arrives after all: it is of an older term.
+		c.nodes[c.others(leader)[0]].Step(Message{Kind: MsgTimeoutNow, From: leader.ID(), To: c.others(leader)[0], Term: term}, c.now)
+		c.commit("2")
+		if !leader.IsLeader() || !leader.TransferLeadership() {
+			t.Fatal("can't transfer again")
 		}
-		n.until("another leads", func() bool { x := n.leader(); return x != nil && x != l })
+		c.until("another leads", func() bool { current := c.leader(); return current != nil && current != leader })
 	}
 }
 
 func TestTransferWaitsForTheLastEntry(t *testing.T) {
-	n := newTestCluster(t, 2, "a", "b", "c")
-	n.commit("1")
-	l := n.leader()
-	n.until("acknowledged", func() bool { return l.peers[n.others(l)[0]].match == l.LastIndex() })
-	l.Propose([]byte("2"))
-	if !l.TransferLeadership() {
-		t.Fatal("nobody to hand over to")
+	c := newTestCluster(t, 2, "a", "b", "c")
+	c.commit("1")
+	leader := c.leader()
+	c.untilAcknowledged(leader, c.others(leader)[0])
+	leader.Propose([]byte("2"))
+	if !leader.TransferLeadership() {
+		t.Fatal("no voter to hand over to")
 	}
-	for _, m := range l.Ready().Messages {
-		if m.Kind == MsgTimeoutNow {
-			t.Fatalf("%s is told to lead without the last entry", m.To)
+	for _, message := range leader.Ready().Messages {
+		if message.Kind == MsgTimeoutNow {
+			t.Fatalf("%s is told to lead without the last entry", message.To)
 		}
 	}
 	// The entry was lost with that; the next heartbeat brings it.
-	start := n.now
-	n.until("another leads", func() bool { x := n.leader(); return x != nil && x != l })
-	if n.now.Sub(start) > testConfig.ElectionTimeout {
-		t.Fatalf("handing over took %v", n.now.Sub(start))
+	start := c.now
+	c.until("another leads", func() bool { current := c.leader(); return current != nil && current != leader })
+	if c.now.Sub(start) > testConfig.ElectionTimeout {
+		t.Fatalf("the transfer took %v", c.now.Sub(start))
 	}
 }
--- a/internal/raft/model_checks_test.go
+++ b/internal/raft/model_checks_test.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
-// The checks of the model test. They look at all members, disks and messages
-// at each step, from outside, and know what was committed over all.
+// The checks of the model test. At each step they look at all members, disks and
+// messages from outside, and compare them with all that was ever committed.
 
+// check names an invariant.
 type check string
 
 const (
@@ -27,7 +28,7 @@
 var allChecks = []check{checkLeader, checkVote, checkElectedByMajority, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied, checkLinearizableReads,
 	checkDurable, checkPersistedBeforeSent, checkQuorumsIntersect, checkDisk, checkLiveness, checkPanic}
 
-// failure is the first check that failed.
+// failure is the first violation of an invariant.
 type failure struct {
 	check check
 	text  string
@@ -41,7 +42,7 @@
 	term, hash     uint64
 	kind           EntryKind
 	state          stateMachine // after it
-	lowestTermSeen uint64       // the lowest term in which it was seen committed
+	lowestTermSeen uint64       // in which it was known to be committed
 }
 
 type entryKey struct{ index, term uint64 }
@@ -53,8 +54,8 @@
 
 // checker holds what is known of the whole cluster.
 type checker struct {
-	w       *modelWorld
-	only    check // the one check that counts, or empty: all
+	world   *modelWorld
+	only    check // the one check that counts, or empty for all
 	failure *failure
 
 	first       uint64 // the index of log[0]
@@ -66,33 +67,33 @@
 	entries     map[entryKey]entryDigest
 	terms       map[string]uint64 // the highest term seen of a running member
 	commits     map[string]uint64
-	lastLedTerm map[string]uint64 // the term whose lead was looked at
-	readFloor   uint64            // index that each read that starts now must see
+	lastLedTerm map[string]uint64 // the newest term for which a member was checked as leader
+	readFloor   uint64            // a read that starts now must see this index
 	confIndex   uint64
 }
 
-func newChecker(w *modelWorld, only check) *checker {
-	return &checker{w: w, only: only, leaders: map[uint64]string{}, votes: map[voteKey]string{}, granted: map[uint64]map[string]map[string]bool{},
+func newChecker(world *modelWorld, only check) *checker {
+	return &checker{world: world, only: only, leaders: map[uint64]string{}, votes: map[voteKey]string{}, granted: map[uint64]map[string]map[string]bool{},
 		entries: map[entryKey]entryDigest{}, terms: map[string]uint64{}, commits: map[string]uint64{}, lastLedTerm: map[string]uint64{}}
 }
 
-func (c *checker) fail(k check, format string, args ...any) {
-	if c.failure == nil && (c.only == "" || c.only == k) {
-		c.failure = &failure{k, fmt.Sprintf(format, args...), c.w.step}
+func (c *checker) fail(violated check, format string, args ...any) {
+	if c.failure == nil && (c.only == "" || c.only == violated) {
+		c.failure = &failure{violated, fmt.Sprintf(format, args...), c.world.step}
 	}
 }
 
-// panicked ends a walk in which only another check counts.
+// panicked records a panic, also where only another check counts.
 func (c *checker) panicked(text string) {
 	if c.failure == nil {
-		c.failure = &failure{checkPanic, text, c.w.step}
+		c.failure = &failure{checkPanic, text, c.world.step}
 	}
 }
 
-func (c *checker) bootstrap(p Snapshot) {
-	c.first = p.Index
-	c.log = []committedEntry{{term: p.Term, state: decodeStateMachine(p.Data)}}
-	c.voterSets = voterIDSets(p.Voters, p.OutgoingVoters)
+func (c *checker) bootstrap(snapshot Snapshot) {
+	c.first = snapshot.Index
+	c.log = []committedEntry{{term: snapshot.Term, state: decodeStateMachine(snapshot.Data)}}
+	c.voterSets = voterIDSets(snapshot.Voters, snapshot.OutgoingVoters)
 }
 
 func (c *checker) last() uint64 { return c.first + uint64(len(c.log)) - 1 }
@@ -104,138 +105,139 @@
 	return &c.log[index-c.first]
 }
 
-// started looks at what a member found on its disk.
-func (c *checker) started(m *modelMember, recovered recoveredDisk) {
-	delete(c.terms, m.id)
-	delete(c.commits, m.id)
+// started checks what a member found on its disk.
+func (c *checker) started(member *modelMember, recovered recoveredDisk) {
+	delete(c.terms, member.id)
+	delete(c.commits, member.id)
 	prev, term := recovered.snapshot.Index, recovered.snapshot.Term
-	for _, e := range recovered.log {
-		if e.Index != prev+1 || e.Term < term {
-			c.fail(checkDisk, "%s: entry %d of term %d follows %d of term %d", m.id, e.Index, e.Term, prev, term)
+	for _, entry := range recovered.log {
+		if entry.Index != prev+1 || entry.Term < term {
+			c.fail(checkDisk, "%s: entry %d of term %d follows %d of term %d", member.id, entry.Index, entry.Term, prev, term)
 			return
 		}
-		prev, term = e.Index, e.Term
+		prev, term = entry.Index, entry.Term
 	}
-	c.state(m, "found on disk")
+	c.state(member, "found on disk")
 }
 
-// loaded looks at the state of a received snapshot.
-func (c *checker) loaded(m *modelMember, index uint64) {
-	if m.state.index != index {
-		c.fail(checkApplied, "%s: a snapshot up to %d holds the state at %d", m.id, index, m.state.index)
+// loaded checks the state of a received snapshot.
+func (c *checker) loaded(member *modelMember, index uint64) {
+	if member.state.index != index {
+		c.fail(checkApplied, "%s: a snapshot up to %d holds the state at %d", member.id, index, member.state.index)
 	}
-	c.state(m, "loaded")
+	c.state(member, "loaded")
 }
 
-func (c *checker) state(m *modelMember, how string) {
-	if m.state.index < c.first {
+func (c *checker) state(member *modelMember, how string) {
+	if member.state.index < c.first {
 		return
 	}
-	r := c.at(m.state.index)
-	if r == nil {
-		c.fail(checkCommitted, "%s: state at %d %s, committed are %d", m.id, m.state.index, how, c.last())
-	} else if r.state != m.state {
-		c.fail(checkApplied, "%s: state at %d %s differs", m.id, m.state.index, how)
+	committed := c.at(member.state.index)
+	if committed == nil {
+		c.fail(checkCommitted, "%s: state at %d %s, committed are %d", member.id, member.state.index, how, c.last())
+	} else if committed.state != member.state {
+		c.fail(checkApplied, "%s: state at %d %s differs", member.id, member.state.index, how)
 	}
 }
 
-// applying takes an entry into the committed log, or compares it.
-func (c *checker) applying(m *modelMember, e Entry) {
-	if e.Index != m.state.index+1 {
-		c.fail(checkApplied, "%s: applies %d to the state at %d", m.id, e.Index, m.state.index)
+// applying adds an entry that a member is about to apply to the committed log, or compares
+// it with that.
+func (c *checker) applying(member *modelMember, entry Entry) {
+	if entry.Index != member.state.index+1 {
+		c.fail(checkApplied, "%s: applies %d to the state at %d", member.id, entry.Index, member.state.index)
 	}
-	if e.Index == c.last()+1 {
-		c.log = append(c.log, committedEntry{term: e.Term, hash: hashEntry(e), kind: e.Kind, state: c.log[len(c.log)-1].state.apply(e), lowestTermSeen: m.node.Term()})
-		if e.Kind == EntryConfChange {
-			c.applyConfChange(m, e)
+	if entry.Index == c.last()+1 {
+		c.log = append(c.log, committedEntry{term: entry.Term, hash: hashEntry(entry), kind: entry.Kind, state: c.log[len(c.log)-1].state.apply(entry), lowestTermSeen: member.node.Term()})
+		if entry.Kind == EntryConfChange {
+			c.applyConfChange(entry)
 		}
 		return
 	}
-	r := c.at(e.Index)
+	committed := c.at(entry.Index)
 	switch {
-	case r == nil:
-		c.fail(checkCommitted, "%s: applies %d, committed are %d", m.id, e.Index, c.last())
-	case r.term != e.Term || r.hash != hashEntry(e):
-		c.fail(checkCommitted, "%s: entry %d of term %d, committed was one of term %d", m.id, e.Index, e.Term, r.term)
+	case committed == nil:
+		c.fail(checkCommitted, "%s: applies %d, committed are %d", member.id, entry.Index, c.last())
+	case committed.term != entry.Term || committed.hash != hashEntry(entry):
+		c.fail(checkCommitted, "%s: entry %d of term %d, committed was one of term %d", member.id, entry.Index, entry.Term, committed.term)
 	default:
-		r.lowestTermSeen = min(r.lowestTermSeen, m.node.Term())
+		committed.lowestTermSeen = min(committed.lowestTermSeen, member.node.Term())
 	}
 }
 
-func (c *checker) applyConfChange(m *modelMember, e Entry) {
-	sets, err := confChangeVoterSets(e.Data)
+func (c *checker) applyConfChange(entry Entry) {
+	sets, err := confChangeVoterSets(entry.Data)
 	if err != nil {
-		c.fail(checkQuorumsIntersect, "entry %d: %v", e.Index, err)
+		c.fail(checkQuorumsIntersect, "entry %d: %v", entry.Index, err)
 		return
 	}
 	if !quorumsIntersect(c.voterSets, sets) {
-		c.fail(checkQuorumsIntersect, "entry %d: %v after %v", e.Index, sets, c.voterSets)
+		c.fail(checkQuorumsIntersect, "entry %d: %v after %v", entry.Index, sets, c.voterSets)
 	}
-	c.voterSets, c.confIndex = sets, e.Index
+	c.voterSets, c.confIndex = sets, entry.Index
 }
 
-func (c *checker) applied(m *modelMember, e Entry) {
-	if r := c.at(e.Index); r != nil && r.state != m.state {
-		c.fail(checkApplied, "%s: state after %d differs", m.id, e.Index)
+func (c *checker) applied(member *modelMember, entry Entry) {
+	if committed := c.at(entry.Index); committed != nil && committed.state != member.state {
+		c.fail(checkApplied, "%s: state after %d differs", member.id, entry.Index)
 	}
 }
 
-func (c *checker) acknowledged(m *modelMember, e Entry, p proposal) {
-	if string(e.Data) != p.data {
-		c.fail(checkCommitted, "%s: %q was acknowledged, entry %d is %q", m.id, p.data, e.Index, e.Data)
+func (c *checker) acknowledged(member *modelMember, entry Entry, proposed proposal) {
+	if string(entry.Data) != proposed.data {
+		c.fail(checkCommitted, "%s: %q was acknowledged, entry %d is %q", member.id, proposed.data, entry.Index, entry.Data)
 	}
-	c.readFloor = max(c.readFloor, e.Index)
+	c.readFloor = max(c.readFloor, entry.Index)
 }
 
-func (c *checker) read(m *modelMember, r clientRead) {
-	if m.state.lastData < r.floor {
-		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began", m.id, m.node.Term(), m.state.lastData, r.floor)
+func (c *checker) read(member *modelMember, request clientRead) {
+	if member.state.lastData < request.floor {
+		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began", member.id, member.node.Term(), member.state.lastData, request.floor)
 	}
-	c.readFloor = max(c.readFloor, m.state.lastData)
+	c.readFloor = max(c.readFloor, member.state.lastData)
 }
 
-// appended looks at what a member adds to its log.
-func (c *checker) appended(m *modelMember, es []Entry) {
-	for _, e := range es {
-		prev, ok := m.node.TermAt(e.Index - 1)
-		if t, held := m.node.TermAt(e.Index); !ok || !held || t != e.Term {
+// appended checks entries that a member adds to its log.
+func (c *checker) appended(member *modelMember, entries []Entry) {
+	for _, entry := range entries {
+		prev, ok := member.node.TermAt(entry.Index - 1)
+		if term, held := member.node.TermAt(entry.Index); !ok || !held || term != entry.Term {
 			continue
 		}
-		k, l := entryKey{e.Index, e.Term}, entryDigest{hashEntry(e), prev}
-		if old, seen := c.entries[k]; seen && old != l {
-			c.fail(checkLogMatching, "%s: entry %d of term %d differs from another's, or what it follows does", m.id, e.Index, e.Term)
+		key, digest := entryKey{entry.Index, entry.Term}, entryDigest{hashEntry(entry), prev}
+		if earlier, seen := c.entries[key]; seen && earlier != digest {
+			c.fail(checkLogMatching, "%s: entry %d of term %d differs from another's, or what it follows does", member.id, entry.Index, entry.Term)
 		} else if !seen {
-			c.entries[k] = l
+			c.entries[key] = digest
 		}
 	}
 }
 
-// posted looks at a message at the moment when it may leave.
-func (c *checker) posted(m *modelMember, message Message) {
-	disk := &m.disk
+// posted checks a message at the moment when it may leave.
+func (c *checker) posted(member *modelMember, message Message) {
+	disk := &member.disk
 	switch {
 	case message.Kind == MsgVote || message.Kind == MsgVoteResponse && !message.Reject:
 		voted := message.To
 		if message.Kind == MsgVote {
-			voted = m.id
+			voted = member.id
 		}
-		k := voteKey{m.id, message.Term}
-		if old := c.votes[k]; old != "" && old != voted {
-			c.fail(checkVote, "%s votes for %s and %s in term %d", m.id, old, voted, message.Term)
+		key := voteKey{member.id, message.Term}
+		if earlier := c.votes[key]; earlier != "" && earlier != voted {
+			c.fail(checkVote, "%s votes for %s and %s in term %d", member.id, earlier, voted, message.Term)
 		}
-		c.votes[k] = voted
-		c.grant(message.Term, voted, m.id)
+		c.votes[key] = voted
+		c.grant(message.Term, voted, member.id)
 		if disk.hardState.Term < message.Term || disk.hardState.Term == message.Term && disk.hardState.Vote != voted {
-			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d", m.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
+			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d", member.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
 		}
 	case message.Kind == MsgAppendResponse || message.Kind == MsgAppend:
 		if disk.hardState.Term < message.Term {
-			c.fail(checkPersistedBeforeSent, "%s speaks in term %d, on disk is %d", m.id, message.Term, disk.hardState.Term)
+			c.fail(checkPersistedBeforeSent, "%s speaks in term %d, on disk is %d", member.id, message.Term, disk.hardState.Term)
 		}
-		// Above that term another leader may have replaced the entry since.
-		if message.Kind == MsgAppendResponse && !message.Reject && disk.hardState.Term == message.Term && m.node.Term() == message.Term {
-			if t, ok := m.node.TermAt(message.Index); ok && !disk.holds(message.Index, t) {
-				c.fail(checkPersistedBeforeSent, "%s acknowledges %d of term %d, which its disk does not hold", m.id, message.Index, t)
+		// In a later term another leader may have replaced the entry since.
+		if message.Kind == MsgAppendResponse && !message.Reject && disk.hardState.Term == message.Term && member.node.Term() == message.Term {
+			if term, ok := member.node.TermAt(message.Index); ok && !disk.holds(message.Index, term) {
+				c.fail(checkPersistedBeforeSent, "%s acknowledges %d of term %d, which its disk does not hold", member.id, message.Index, term)
 			}
 		}
 	}
@@ -251,67 +253,67 @@
 	c.granted[term][candidate][from] = true
 }
 
-// observe looks at a member after each input.
-func (c *checker) observe(m *modelMember) {
-	n := m.node
-	if n == nil {
+// observe checks a member after each input.
+func (c *checker) observe(member *modelMember) {
+	node := member.node
+	if node == nil {
 		return
 	}
-	if n.Term() < c.terms[m.id] {
-		c.fail(checkVote, "%s: term fell from %d to %d", m.id, c.terms[m.id], n.Term())
+	if node.Term() < c.terms[member.id] {
+		c.fail(checkVote, "%s: term fell from %d to %d", member.id, c.terms[member.id], node.Term())
 	}
-	c.terms[m.id] = n.Term()
-	if n.CommitIndex() < c.commits[m.id] {
-		c.fail(checkCommitted, "%s: commit fell from %d to %d", m.id, c.commits[m.id], n.CommitIndex())
+	c.terms[member.id] = node.Term()
+	if node.CommitIndex() < c.commits[member.id] {
+		c.fail(checkCommitted, "%s: commit fell from %d to %d", member.id, c.commits[member.id], node.CommitIndex())
 	}
-	if n.IsLeader() {
-		c.leaderElected(m)
-		if n.CommitIndex() > c.commits[m.id] && n.CommitIndex() > c.first {
-			c.durable(m)
+	if node.IsLeader() {
+		c.leaderElected(member)
+		if node.CommitIndex() > c.commits[member.id] && node.CommitIndex() > c.first {
+			c.durable(member)
 		}
 	}
-	c.commits[m.id] = n.CommitIndex()
+	c.commits[member.id] = node.CommitIndex()
 }
 
-func (c *checker) leaderElected(m *modelMember) {
-	n := m.node
-	if c.lastLedTerm[m.id] == n.Term() {
+func (c *checker) leaderElected(member *modelMember) {
+	node := member.node
+	if c.lastLedTerm[member.id] == node.Term() {
 		return
 	}
-	c.lastLedTerm[m.id] = n.Term()
-	c.w.note("leads", m.id, n.Term(), n.LastIndex())
-	c.w.counts["leaders"]++
-	if old, ok := c.leaders[n.Term()]; ok && old != m.id {
-		c.fail(checkLeader, "%s and %s in term %d", old, m.id, n.Term())
+	c.lastLedTerm[member.id] = node.Term()
+	c.world.note("leads", member.id, node.Term(), node.LastIndex())
+	c.world.counts["leaders"]++
+	if earlier, ok := c.leaders[node.Term()]; ok && earlier != member.id {
+		c.fail(checkLeader, "%s and %s in term %d", earlier, member.id, node.Term())
 	}
-	c.leaders[n.Term()] = m.id
-	votes := c.granted[n.Term()][m.id]
-	if !hasQuorum(currentVoterSets(n), func(id string) bool { return id == m.id || votes[id] }) {
-		c.fail(checkElectedByMajority, "%s in term %d: voters %v, votes of %v", m.id, n.Term(), currentVoterSets(n), votes)
+	c.leaders[node.Term()] = member.id
+	votes := c.granted[node.Term()][member.id]
+	if !hasQuorum(currentVoterSets(node), func(id string) bool { return id == member.id || votes[id] }) {
+		c.fail(checkElectedByMajority, "%s in term %d: voters %v, votes of %v", member.id, node.Term(), currentVoterSets(node), votes)
 	}
-	for i := c.last(); i > c.first; i-- {
-		r := c.at(i)
-		t, ok := n.TermAt(i)
-		if !ok && i <= n.LastIndex() {
-			break // in its snapshot
+	for index := c.last(); index > c.first; index-- {
+		committed := c.at(index)
+		term, ok := node.TermAt(index)
+		if !ok && index <= node.LastIndex() {
+			break // the leader's snapshot includes it
 		}
-		// What a later term committed, an earlier leader needs not hold.
-		if r.lowestTermSeen < n.Term() && (!ok || t != r.term) {
-			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d", m.id, n.Term(), i, r.term, n.LastIndex())
+		// A leader needs not hold what is committed in a later term.
+		if committed.lowestTermSeen < node.Term() && (!ok || term != committed.term) {
+			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d", member.id, node.Term(), index, committed.term, node.LastIndex())
 			break
 		}
 	}
 }
 
-// durable wants what a leader counts as committed on the disks of a majority;
-// a disk lost since counts as it was, since one in a minority may be lost.
-func (c *checker) durable(m *modelMember) {
-	i := m.node.CommitIndex()
-	t, ok := m.node.TermAt(i)
+// durable checks that what a leader counts as committed is on the disks of a quorum. A
+// disk that was lost since counts as it was, since a minority may lose theirs.
+func (c *checker) durable(member *modelMember) {
+	index := member.node.CommitIndex()
+	term, ok := member.node.TermAt(index)
 	if !ok {
 		return
 	}
-	if !hasQuorum(currentVoterSets(m.node), func(id string) bool { return c.w.byID[id].disk.holds(i, t) }) {
-		c.fail(checkDurable, "%s commits %d of term %d, voters %v", m.id, i, t, currentVoterSets(m.node))
+	if !hasQuorum(currentVoterSets(member.node), func(id string) bool { return c.world.byID[id].disk.holds(index, term) }) {
+		c.fail(checkDurable, "%s commits %d of term %d, voters %v", member.id, index, term, currentVoterSets(member.node))
 	}
 }
--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -5,68 +5,69 @@
 	"time"
 )
 
-// What the model test knows of configurations. A configuration is one set of
-// voters, or two while it is joint; a quorum is a majority of each.
+// Configurations in the model test: one set of voter IDs, or two while they are joint. A
+// quorum is a majority of each set.
 
-func memberIDs(vs []Member) []string {
-	var out []string
-	for _, v := range vs {
-		out = append(out, v.ID)
+func memberIDs(members []Member) []string {
+	var ids []string
+	for _, member := range members {
+		ids = append(ids, member.ID)
 	}
-	return out
+	return ids
 }
 
-// voterIDSets leaves out the voters before a change where there is none.
-func voterIDSets(voters, old []Member) [][]string {
+// voterIDSets returns one set, or two during a change.
+func voterIDSets(voters, outgoing []Member) [][]string {
 	sets := [][]string{memberIDs(voters)}
-	if len(old) > 0 {
-		sets = append(sets, memberIDs(old))
+	if len(outgoing) > 0 {
+		sets = append(sets, memberIDs(outgoing))
 	}
 	return sets
 }
 
-// currentVoterSets are the sets of which a member needs a majority each.
+// currentVoterSets returns the sets of a member's newest configuration.
 func currentVoterSets(n *Node) [][]string { return voterIDSets(n.VoterSets()) }
 
-// confChangeVoterSets are those of an entry of the log.
+// confChangeVoterSets returns the sets of a configuration entry.
 func confChangeVoterSets(data []byte) ([][]string, error) {
-	voters, old, err := DecodeConfChange(data)
-	return voterIDSets(voters, old), err
+	voters, outgoing, err := DecodeConfChange(data)
+	return voterIDSets(voters, outgoing), err
 }
 
-// allVoters are all that vote in one of the sets.
-func allVoters(n *Node) []string {
-	var out []string
-	for _, set := range currentVoterSets(n) {
+// allVoters returns the IDs in one or both of the sets.
+func allVoters(node *Node) []string {
+	var ids []string
+	for _, set := range currentVoterSets(node) {
 		for _, id := range set {
-			if !slices.Contains(out, id) {
-				out = append(out, id)
+			if !slices.Contains(ids, id) {
+				ids = append(ids, id)
 			}
 		}
 	}
-	return out
+	return ids
 }
 
-// hasQuorum tells whether those for whom has is true are a majority of each set.
-func hasQuorum(sets [][]string, has func(id string) bool) bool {
+// hasQuorum tells whether a majority of each set has granted something.
+func hasQuorum(sets [][]string, granted func(id string) bool) bool {
 	for _, set := range sets {
-		n := 0
+		count := 0
 		for _, id := range set {
-			if has(id) {
-				n++
+			if granted(id) {
+				count++
 			}
 		}
-		if n*2 <= len(set) && len(set) > 0 {
+		if count*2 <= len(set) && len(set) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// quorumsIntersect tells whether each quorum of one shares a member with each of the other.
-func quorumsIntersect(a, b [][]string) bool {
+// quorumsIntersect tells whether any two quorums of two configurations have a member in
+// common.
+func quorumsIntersect(first, second [][]string) bool {
 	var ids []string
-	for _, set := range append(append([][]string{}, a...), b...) {
+	for _, set := range append(append([][]string{}, first...), second...) {
 		for _, id := range set {
 			if !slices.Contains(ids, id) {
 				ids = append(ids, id)
@@ -74,70 +75,70 @@
 		}
 	}
 	for mask := 0; mask < 1<<len(ids); mask++ {
-		in := func(id string) bool { return mask>>slices.Index(ids, id)&1 == 1 }
-		if hasQuorum(a, in) && hasQuorum(b, func(id string) bool { return !in(id) }) {
+		inMask := func(id string) bool { return mask>>slices.Index(ids, id)&1 == 1 }
+		if hasQuorum(first, inMask) && hasQuorum(second, func(id string) bool { return !inMask(id) }) {
 			return false
 		}
 	}
 	return true
 }
 
-// changeCompleted tells whether the voters are as wanted, for good.
-func (w *modelWorld) changeCompleted(m *modelMember, change *voterChange) bool {
-	return !m.node.ConfChangePending() && (change.incoming == "" || m.node.IsVoter(change.incoming)) && (change.outgoing == "" || !m.node.IsVoter(change.outgoing))
+// changeCompleted tells whether a change is committed and completed.
+func (w *modelWorld) changeCompleted(member *modelMember, change *voterChange) bool {
+	return !member.node.ConfChangePending() && (change.incoming == "" || member.node.IsVoter(change.incoming)) && (change.outgoing == "" || !member.node.IsVoter(change.outgoing))
 }
 
-// proposeChange asks for the voters as wanted.
-func (w *modelWorld) proposeChange(n *Node, change *voterChange) bool {
-	voters := slices.DeleteFunc(slices.Clone(n.Voters()), func(v Member) bool { return v.ID == change.outgoing })
-	if change.incoming != "" && !n.IsVoter(change.incoming) {
-		voters = append(voters, modelVoter(change.incoming))
+// proposeChange proposes the voters after a change.
+func (w *modelWorld) proposeChange(node *Node, change *voterChange) bool {
+	voters := slices.DeleteFunc(slices.Clone(node.Voters()), func(member Member) bool { return member.ID == change.outgoing })
+	if change.incoming != "" && !node.IsVoter(change.incoming) {
+		voters = append(voters, testMember(change.incoming))
 	}
-	return n.ProposeConfChange(voters)
+	return node.ProposeConfChange(voters)
 }
 
-// operateMembership does what the core's leader does for its operators: bring a
-// candidate up to date, then change the voters.
-func (w *modelWorld) operateMembership(m *modelMember) {
-	if !m.node.LeaderReady() || !m.node.HasLease(m.clock(w.now)) || w.now-m.lastOperatedAt < w.profile.config.HeartbeatInterval {
+// operateMembership does what a leader of the package server does: it brings a learner up
+// to date, then changes the voters.
+func (w *modelWorld) operateMembership(member *modelMember) {
+	if !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) || w.now-member.lastOperatedAt < w.profile.config.HeartbeatInterval {
 		return
 	}
-	m.lastOperatedAt = w.now
-	w.replaceLostVoterFirst(m)
+	member.lastOperatedAt = w.now
+	w.replaceLostVoterFirst(member)
 	change := w.change
 	if change == nil {
 		return
 	}
-	if w.changeCompleted(m, change) {
-		w.note("changed", m.id, m.node.ConfIndex(), 0)
+	if w.changeCompleted(member, change) {
+		w.note("changed", member.id, member.node.ConfIndex(), 0)
 		w.counts["changes"]++
 		w.change = nil
 		w.retire(w.byID[change.outgoing])
 		return
 	}
-	if change.incoming != "" && !m.node.IsVoter(change.incoming) {
-		m.node.AddLearner(modelVoter(change.incoming))
-		if !m.node.CaughtUp(change.incoming) {
+	if change.incoming != "" && !member.node.IsVoter(change.incoming) {
+		member.node.AddLearner(testMember(change.incoming))
+		if !member.node.CaughtUp(change.incoming) {
 			return
 		}
 	}
-	if vs := m.node.Voters(); change.incoming == "" && len(vs) == 1 && vs[0].ID == change.outgoing {
-		w.change = nil // nobody would be left
+	if voters := member.node.Voters(); change.incoming == "" && len(voters) == 1 && voters[0].ID == change.outgoing {
+		w.change = nil // no voter would be left
 		return
 	}
-	w.checks.observe(m)
-	if w.proposeChange(m.node, change) {
+	w.checks.observe(member)
+	if w.proposeChange(member.node, change) {
 		change.proposed = true
-		w.note("change", m.id, m.node.ConfIndex(), 0)
+		w.note("change", member.id, member.node.ConfIndex(), 0)
 	}
 }
 
-// replaceLostVoterFirst has a voter without a disk replaced before any other leaves.
-func (w *modelWorld) replaceLostVoterFirst(m *modelMember) {
-	if c := w.change; c != nil && c.outgoing != "" && w.byID[c.outgoing].lost {
+// replaceLostVoterFirst lets a voter whose disk is lost be replaced before any other.
+func (w *modelWorld) replaceLostVoterFirst(member *modelMember) {
+	if change := w.change; change != nil && change.outgoing != "" && w.byID[change.outgoing].lost {
 		return
 	}
-	for _, id := range allVoters(m.node) {
+	for _, id := range allVoters(member.node) {
 		if !w.byID[id].lost {
 			continue
 		}
@@ -152,25 +153,25 @@
 	}
 }
 
-// retire ends a member that was voted out after a while, or lets it run on as
-// one who may come back.
-func (w *modelWorld) retire(o *modelMember) {
-	if o == nil || o.lost {
+// retire ends a member that was voted out after a while, or lets it run on as one that
+// may become a voter again.
+func (w *modelWorld) retire(member *modelMember) {
+	if member == nil || member.lost {
 		return
 	}
-	if o.idle = w.chance(0.3); o.idle {
+	if member.idle = w.chance(0.3); member.idle {
 		return
 	}
 	w.schedule(w.randomDelay(2*time.Second), func() {
-		if o.idle || w.change != nil && w.change.incoming == o.id {
-			return // wanted again
+		if member.idle || w.change != nil && w.change.incoming == member.id {
+			return // it is to be a voter again
 		}
-		w.crash(o, false)
-		o.retired = true
+		w.crash(member, false)
+		member.retired = true
 	})
 }
 
-// abandonChange ends a change whose candidate no leader has proposed yet.
+// abandonChange gives up a change that no leader has proposed yet.
 func (w *modelWorld) abandonChange(*modelMember) {
 	change := w.change
 	if change == nil || change.proposed || change.incoming == "" || change.outgoing != "" && w.byID[change.outgoing].lost {
@@ -178,17 +179,17 @@
 	}
 	w.change = nil
 	w.byID[change.incoming].idle = true
-	for _, m := range w.runningMembers() {
-		m.node.RemoveLearner(change.incoming)
+	for _, member := range w.runningMembers() {
+		member.node.RemoveLearner(change.incoming)
 	}
 }
 
-// pickLearner is who is to become a voter: a new member, or an idle one.
+// pickLearner returns the next member that is to become a voter: an idle or a new one.
 func (w *modelWorld) pickLearner() *modelMember {
-	for _, m := range w.runningMembers() {
-		if m.idle && !m.lost && w.chance(0.5) {
-			m.idle = false
-			return m
+	for _, member := range w.runningMembers() {
+		if member.idle && !member.lost && w.chance(0.5) {
+			member.idle = false
+			return member
 		}
 	}
 	return w.addAndStartMember()
--- a/internal/raft/model_faults_test.go
+++ b/internal/raft/model_faults_test.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// Faults, clients and changes of voters of the model test, all by lot.
+// Faults, clients and configuration changes of the model test, all drawn at random.
 
-// runningMembers are the members that run.
+// runningMembers returns the members whose process runs.
 func (w *modelWorld) runningMembers() []*modelMember {
-	var out []*modelMember
-	for _, m := range w.members {
-		if m.node != nil {
-			out = append(out, m)
+	var running []*modelMember
+	for _, member := range w.members {
+		if member.node != nil {
+			running = append(running, member)
 		}
 	}
-	return out
+	return running
 }
 
 func (w *modelWorld) randomRunningMember() *modelMember {
-	if ms := w.runningMembers(); len(ms) > 0 {
-		return ms[w.random.Intn(len(ms))]
+	if running := w.runningMembers(); len(running) > 0 {
+		return running[w.random.Intn(len(running))]
 	}
 	return nil
 }
 
-// runClients sends commands and reads, to those that say they lead, and at times
-// to any.
+// runClients sends commands and reads to members that say that they lead, and at times to
+// others.
 func (w *modelWorld) runClients() {
 	w.schedule(w.randomDelay(35*time.Millisecond), w.runClients)
-	for _, m := range w.runningMembers() {
-		if !m.node.IsLeader() && !w.chance(0.05) {
+	for _, member := range w.runningMembers() {
+		if !member.node.IsLeader() && !w.chance(0.05) {
 			continue
 		}
 		if w.chance(0.6) {
-			w.enqueue(m, input{read: &clientRead{floor: w.checks.readFloor}})
+			w.enqueue(member, input{read: &clientRead{floor: w.checks.readFloor}})
 		}
 		for w.chance(0.5) {
 			w.commands++
-			w.enqueue(m, input{command: fmt.Sprintf("c%d", w.commands)})
+			w.enqueue(member, input{command: fmt.Sprintf("c%d", w.commands)})
 		}
 	}
 }
 
-// injectFault brings about the next fault.
+// injectFault injects a fault, and schedules the next one.
 func (w *modelWorld) injectFault() {
 	if w.faultsStopped {
 		return
 	}
 	w.schedule(w.randomDelay(w.profile.meanFaultGap), w.injectFault)
 	if w.chance(0.1) {
-		// A while without new faults, so that the log goes on.
+		// The network works again, so that the log can grow.
 		w.healNetwork()
 		w.schedule(w.randomDelay(time.Second), func() {})
 	}
-	m := w.randomRunningMember()
-	if m == nil {
+	member := w.randomRunningMember()
+	if member == nil {
 		return
 	}
 	faults := []struct {
@@ -63,56 +63,56 @@
 		run   func(*modelMember)
 	}{
 		{12, w.cutLink}, {4, w.isolate}, {4, w.partition}, {10, func(*modelMember) { w.healNetwork() }}, {8, w.reconnectMember},
-		{8, w.freeze}, {8, func(m *modelMember) { w.crashAndRestart(m, false) }}, {8, func(m *modelMember) { w.crashAndRestart(m, true) }},
-		{2, w.powerLoss}, {4, w.stallDisk}, {6, w.transferLeadership}, {6, func(m *modelMember) { w.enqueue(m, input{snapshot: true}) }},
+		{8, w.freeze}, {8, func(member *modelMember) { w.crashAndRestart(member, false) }}, {8, func(member *modelMember) { w.crashAndRestart(member, true) }},
+		{2, w.powerLoss}, {4, w.stallDisk}, {6, w.transferLeadership}, {6, func(member *modelMember) { w.enqueue(member, input{snapshot: true}) }},
 		{6, w.requestConfChange}, {3, w.loseDisk}, {1, w.abandonChange}, {3, w.setEagerCommitPeers},
 	}
 	sum := 0
-	for _, f := range faults {
-		sum += f.share
+	for _, fault := range faults {
+		sum += fault.share
 	}
 	draw := w.random.Intn(sum)
-	for _, f := range faults {
-		if draw -= f.share; draw < 0 {
-			f.run(m)
+	for _, fault := range faults {
+		if draw -= fault.share; draw < 0 {
+			fault.run(member)
 			return
 		}
 	}
 }
 
-func (w *modelWorld) cutLink(m *modelMember) {
-	o := w.members[w.random.Intn(len(w.members))]
-	w.note("cut>"+o.id, m.id, 0, 0)
-	w.net.link(m.id, o.id).cut = true
+func (w *modelWorld) cutLink(member *modelMember) {
+	other := w.members[w.random.Intn(len(w.members))]
+	w.note("cut>"+other.id, member.id, 0, 0)
+	w.net.link(member.id, other.id).cut = true
 	if w.chance(0.5) {
-		w.net.link(o.id, m.id).cut = true
+		w.net.link(other.id, member.id).cut = true
 	}
 }
 
-// isolate cuts a member from all others: what it says, what it hears, or both.
-func (w *modelWorld) isolate(m *modelMember) {
-	way := w.random.Intn(3)
-	w.note("isolate", m.id, uint64(way), 0)
-	for _, o := range w.members {
-		if way != 0 {
-			w.net.link(m.id, o.id).cut = true
+// isolate cuts what a member sends, what it receives, or both.
+func (w *modelWorld) isolate(member *modelMember) {
+	direction := w.random.Intn(3)
+	w.note("isolate", member.id, uint64(direction), 0)
+	for _, other := range w.members {
+		if direction != 0 {
+			w.net.link(member.id, other.id).cut = true
 		}
-		if way != 1 {
-			w.net.link(o.id, m.id).cut = true
+		if direction != 1 {
+			w.net.link(other.id, member.id).cut = true
 		}
 	}
 }
 
 func (w *modelWorld) partition(*modelMember) {
 	side := map[string]bool{}
-	for _, m := range w.members {
-		side[m.id] = w.chance(0.5)
+	for _, member := range w.members {
+		side[member.id] = w.chance(0.5)
 	}
 	w.note("partition", "", 0, 0)
-	for _, a := range w.members {
-		for _, b := range w.members {
-			if side[a.id] != side[b.id] {
-				w.net.link(a.id, b.id).cut = true
+	for _, from := range w.members {
+		for _, to := range w.members {
+			if side[from.id] != side[to.id] {
+				w.net.link(from.id, to.id).cut = true
 			}
 		}
 	}
@@ -120,79 +120,78 @@
 
 func (w *modelWorld) healNetwork() {
 	w.note("heal", "", 0, 0)
-	for _, a := range w.members {
-		for _, b := range w.members {
-			w.net.link(a.id, b.id).cut = false
+	for _, from := range w.members {
+		for _, to := range w.members {
+			w.net.link(from.id, to.id).cut = false
 		}
 	}
 }
 
-func (w *modelWorld) reconnectMember(m *modelMember) {
-	for _, o := range w.members {
-		w.net.reconnect(m.id, o.id)
+func (w *modelWorld) reconnectMember(member *modelMember) {
+	for _, other := range w.members {
+		w.net.reconnect(member.id, other.id)
 	}
 }
 
-// freeze stops a process for a while; its clock goes on.
-func (w *modelWorld) freeze(m *modelMember) {
-	w.note("freeze", m.id, 0, 0)
-	m.frozen = true
-	life := m.incarnation
+// freeze pauses a process for a while; its clock goes on.
+func (w *modelWorld) freeze(member *modelMember) {
+	w.note("freeze", member.id, 0, 0)
+	member.frozen = true
+	incarnation := member.incarnation
 	w.schedule(w.randomDelay(700*time.Millisecond), func() {
-		if m.incarnation == life {
-			w.note("thaw", m.id, 0, 0)
-			m.frozen = false
-			w.scheduleTurn(m)
+		if member.incarnation == incarnation {
+			w.note("thaw", member.id, 0, 0)
+			member.frozen = false
+			w.scheduleTurn(member)
 		}
 	})
 }
 
-func (w *modelWorld) crashAndRestart(m *modelMember, power bool) {
-	w.crash(m, power)
-	life := m.incarnation
+func (w *modelWorld) crashAndRestart(member *modelMember, power bool) {
+	w.crash(member, power)
+	incarnation := member.incarnation
 	w.schedule(w.randomDelay(800*time.Millisecond), func() {
-		if m.incarnation == life && !m.lost && !m.retired {
-			w.start(m)
+		if member.incarnation == incarnation && !member.lost && !member.retired {
+			w.start(member)
 		}
 	})
 }
 
-// powerLoss takes the power from a minority, or from all.
+// powerLoss takes the power from some members, or from all.
 func (w *modelWorld) powerLoss(*modelMember) {
 	all := w.chance(0.5)
-	for _, m := range w.runningMembers() {
+	for _, member := range w.runningMembers() {
 		if all || w.chance(0.4) {
-			w.crashAndRestart(m, true)
+			w.crashAndRestart(member, true)
 		}
 	}
 }
 
-func (w *modelWorld) stallDisk(m *modelMember) {
-	m.disk.stalledUntil = w.now + w.randomDelay(time.Second)
+func (w *modelWorld) stallDisk(member *modelMember) {
+	member.disk.stalledUntil = w.now + w.randomDelay(time.Second)
 }
 
-func (w *modelWorld) transferLeadership(m *modelMember) {
-	for _, o := range w.runningMembers() {
-		if o.node.IsLeader() {
-			m = o
+func (w *modelWorld) transferLeadership(member *modelMember) {
+	for _, other := range w.runningMembers() {
+		if other.node.IsLeader() {
+			member = other
 		}
 	}
-	w.enqueue(m, input{transfer: true})
+	w.enqueue(member, input{transfer: true})
 }
 
-// setEagerCommitPeers has a leader tell some members of each commit at once.
-func (w *modelWorld) setEagerCommitPeers(m *modelMember) {
-	some := map[string]bool{}
-	for _, o := range w.members {
-		some[o.id] = w.chance(0.5)
+// setEagerCommitPeers lets a member tell some others of each commit at once.
+func (w *modelWorld) setEagerCommitPeers(member *modelMember) {
+	peers := map[string]bool{}
+	for _, other := range w.members {
+		peers[other.id] = w.chance(0.5)
 	}
-	m.node.SetEagerCommitPeers(some)
+	member.node.SetEagerCommitPeers(peers)
 }
 
-// requestConfChange has the operator change the voters: replace one that lives, add
-// one, or take one out.
-func (w *modelWorld) requestConfChange(m *modelMember) {
-	ids := allVoters(m.node)
+// requestConfChange lets the operator replace a voter, add one, or remove one.
+func (w *modelWorld) requestConfChange(member *modelMember) {
+	ids := allVoters(member.node)
 	if w.change != nil || len(ids) == 0 {
 		return
 	}
@@ -213,28 +212,27 @@
 }
 
 func (w *modelWorld) addAndStartMember() *modelMember {
-	n := w.addMember()
-	w.start(n)
-	return n
+	member := w.addMember()
+	w.start(member)
+	return member
 }
 
-// loseDisk takes a disk away for good where every set of voters that a member
-// may still rest on can bear it; the daemon comes back with an empty one, as
-// another.
-func (w *modelWorld) loseDisk(m *modelMember) {
+// loseDisk takes a member's disk away, if every set of voters that any member may still
+// use keeps a majority; the daemon comes back with an empty disk, as another member.
+func (w *modelWorld) loseDisk(member *modelMember) {
 	for _, other := range w.members {
 		if other.node == nil && !other.lost && !other.retired {
-			return // what it knows of the voters is not seen now
+			return // the configuration on its disk is not known now
 		}
 		if other.node == nil {
 			continue
 		}
 		// The newest configuration may not be on any disk yet.
-		n := other.node
-		for _, set := range append(currentVoterSets(n), voterIDSets(n.VotersAt(n.CommitIndex()), n.OutgoingVotersAt(n.CommitIndex()))...) {
+		node := other.node
+		for _, set := range append(currentVoterSets(node), voterIDSets(node.VotersAt(node.CommitIndex()), node.OutgoingVotersAt(node.CommitIndex()))...) {
 			lost := 0
 			for _, id := range set {
-				if w.byID[id].lost || w.byID[id].retired || id == m.id {
+				if w.byID[id].lost || w.byID[id].retired || id == member.id {
 					lost++
 				}
 			}
@@ -243,33 +241,33 @@
 			}
 		}
 	}
-	w.note("disk lost", m.id, 0, 0)
+	w.note("disk lost", member.id, 0, 0)
 	w.counts["disks lost"]++
-	w.crash(m, true)
-	m.lost = true
-	if w.change != nil && w.change.incoming == m.id {
+	w.crash(member, true)
+	member.lost = true
+	if w.change != nil && w.change.incoming == member.id {
 		w.change.incoming = w.addAndStartMember().id
 	}
 }
 
-// heal ends all faults; members that have a disk run.
+// heal ends all faults and starts all members that have a disk.
 func (w *modelWorld) heal() {
 	w.faultsStopped = true
 	w.healNetwork()
 	w.net.reliable = true
-	for _, a := range w.members {
-		for _, b := range w.members {
-			w.net.reconnect(a.id, b.id) // nothing waits behind a message of before
+	for _, from := range w.members {
+		for _, to := range w.members {
+			w.net.reconnect(from.id, to.id) // no message waits for an earlier one
 		}
 	}
-	for _, m := range w.members {
-		m.disk.stalledUntil = 0
-		if m.frozen {
-			m.frozen = false
-			w.scheduleTurn(m)
+	for _, member := range w.members {
+		member.disk.stalledUntil = 0
+		if member.frozen {
+			member.frozen = false
+			w.scheduleTurn(member)
 		}
-		if m.node == nil && !m.lost && !m.retired {
-			w.start(m)
+		if member.node == nil && !member.lost && !member.retired {
+			w.start(member)
 		}
 	}
 }
--- a/internal/raft/model_harness_test.go
+++ b/internal/raft/model_harness_test.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// The harness of the model test: members, clocks, and the loop that drives a
-// Node, all under one seed. It uses the exported interface only, in the order
-// in which the daemon's own loop does (core.rest).
+// The harness of the model test: members, clocks, and the loop that drives a Node, all
+// from one seed. It uses the exported interface only, in the order in which the event
+// loop of the package server does.
 
-// walkProfile is what a seed draws once for its whole walk.
+// walkProfile is what a seed draws once for a whole walk.
 type walkProfile struct {
 	voters                    int
 	config                    Config
 	meanFaultGap              time.Duration // mean time between two faults
-	lossShare, duplicateShare float64       // share of messages lost, doubled
-	delayedShare              float64       // share of messages that are late
+	lossShare, duplicateShare float64       // shares of messages lost and duplicated
+	delayedShare              float64       // share of messages delayed
 	ordered                   bool          // messages of one connection keep their order
 	syncTime                  time.Duration // mean time of a write
 	snapshotEvery             uint64        // entries between two snapshots
 	snapshotKeep              uint64        // entries kept before a snapshot
 }
 
-func randomProfile(lot *rand.Rand) walkProfile {
-	p := walkProfile{voters: []int{3, 3, 3, 3, 5, 5, 4, 2, 1}[lot.Intn(9)]}
-	p.config = Config{HeartbeatInterval: 80 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, ElectionJitter: 200 * time.Millisecond,
-		CheckQuorumTimeout: 650 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: []int{2, 8, 64}[lot.Intn(3)], MaxAppendBytes: []int{1, 100, 4096}[lot.Intn(3)]}
-	p.meanFaultGap = time.Duration(30+lot.Intn(400)) * time.Millisecond
-	p.lossShare = []float64{0, 0.01, 0.1}[lot.Intn(3)]
-	p.duplicateShare = []float64{0, 0.02, 0.1}[lot.Intn(3)]
-	p.delayedShare = []float64{0, 0.02, 0.1}[lot.Intn(3)]
-	p.ordered = lot.Intn(2) == 0
-	p.syncTime = time.Duration(1+lot.Intn(15)) * time.Millisecond
-	p.snapshotEvery = uint64(3 + lot.Intn(25))
-	p.snapshotKeep = uint64(lot.Intn(6))
-	return p
+func randomProfile(random *rand.Rand) walkProfile {
+	profile := walkProfile{voters: []int{3, 3, 3, 3, 5, 5, 4, 2, 1}[random.Intn(9)]}
+	profile.config = Config{HeartbeatInterval: 80 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, ElectionJitter: 200 * time.Millisecond,
+		CheckQuorumTimeout: 650 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: []int{2, 8, 64}[random.Intn(3)], MaxAppendBytes: []int{1, 100, 4096}[random.Intn(3)]}
+	profile.meanFaultGap = time.Duration(30+random.Intn(400)) * time.Millisecond
+	profile.lossShare = []float64{0, 0.01, 0.1}[random.Intn(3)]
+	profile.duplicateShare = []float64{0, 0.02, 0.1}[random.Intn(3)]
+	profile.delayedShare = []float64{0, 0.02, 0.1}[random.Intn(3)]
+	profile.ordered = random.Intn(2) == 0
+	profile.syncTime = time.Duration(1+random.Intn(15)) * time.Millisecond
+	profile.snapshotEvery = uint64(3 + random.Intn(25))
+	profile.snapshotKeep = uint64(random.Intn(6))
+	return profile
 }
 
-// modelMember is one daemon: a disk for good, and a Node while it runs.
+// modelMember is one daemon: a disk, and a Node while it runs.
 type modelMember struct {
 	id                string
 	node              *Node // nil while it is down
-	incarnation       int   // counts the starts; events of an earlier life are void
+	incarnation       int   // counts starts and crashes; events of an earlier one are void
 	clockRate         float64
 	clockOffset       time.Duration
 	frozen            bool
-	lost              bool // the disk is gone for good
-	idle              bool // runs, without a vote as far as the operator knows
-	retired           bool // left the cluster, and ended
+	lost              bool // its disk is lost
+	idle              bool // runs, and is no voter as far as the operator knows
+	retired           bool // was voted out, and ended
 	inbox             []input
 	turnScheduled     bool
-	timerID           int // names the newest timer
+	timerID           int // of the newest timer; earlier ones are void
 	disk              modelDisk
-	writesInFlight    int // jobs given to the disk and not back
+	writesInFlight    int // writes that the disk has not reported
 	state             stateMachine
 	proposals         map[uint64]proposal
 	commands          []string // commands for the next turn
@@ -62,7 +62,7 @@
 	lastOperatedAt    time.Duration // when the operator last looked, as leader
 }
 
-// input is one thing that a loop takes in.
+// input is one thing that a member's loop handles; one field is set.
 type input struct {
 	message  *Message
 	written  []diskWrite
@@ -72,18 +72,19 @@
 	snapshot bool
 }
 
+// proposal is a command that waits for its commit.
 type proposal struct {
 	term uint64
 	data string
 }
 
-// clientRead is a client's read: it must see all that was known to be done at its start.
+// clientRead is a client's read: it must see the state at the floor or a later one.
 type clientRead struct{ floor uint64 }
 
 // voterChange is what the operator wants done to the voters.
 type voterChange struct {
 	outgoing, incoming string
-	proposed           bool // a leader has proposed it
+	proposed           bool // by a leader
 }
 
 // modelWorld is one walk.
@@ -102,15 +103,14 @@
 	change           *voterChange
 	commands         int
 	step             int
-	faultsStopped    bool // no more faults
+	faultsStopped    bool
 	trace            []string
 	tracing          bool
 	digest           uint64 // of all that happened: two walks of one seed are equal
 	counts           map[string]int
 	lastAckedIndex   uint64 // index of the newest acknowledged command
 	lastAckedCommand string
-	// How long it took until all was well once it was healed.
-	recovered time.Duration
+	recovered        time.Duration // from the end of all faults to the end of the walk
 }
 
 func newModelWorld(seed int64, mutation mutation, only check) *modelWorld {
@@ -120,10 +120,10 @@
 		mutation.profile(&w.profile)
 	}
 	w.checks = newChecker(w, only)
-	w.net = modelNetwork{w: w, links: map[string]*modelLink{}}
+	w.net = modelNetwork{world: w, links: map[string]*modelLink{}}
 	var voters []Member
 	for i := 0; i < w.profile.voters; i++ {
-		voters = append(voters, modelVoter(w.addMember().id))
+		voters = append(voters, testMember(w.addMember().id))
 	}
 	first := Snapshot{Index: 1, Voters: voters, Data: stateMachine{index: 1}.encode()}
 	w.checks.bootstrap(first)
@@ -136,32 +136,30 @@
 	return w
 }
 
-func modelVoter(id string) Member { return Member{Node: "node-" + id, ID: id, Addr: id} }
-
 func (w *modelWorld) addMember() *modelMember {
-	m := &modelMember{id: fmt.Sprintf("m%d", len(w.members)), clockRate: 0.99 + 0.02*w.random.Float64(), clockOffset: time.Duration(w.random.Intn(1e9))}
-	w.members = append(w.members, m)
-	w.byID[m.id] = m
-	return m
+	member := &modelMember{id: fmt.Sprintf("m%d", len(w.members)), clockRate: 0.99 + 0.02*w.random.Float64(), clockOffset: time.Duration(w.random.Intn(1e9))}
+	w.members = append(w.members, member)
+	w.byID[member.id] = member
+	return member
 }
 
-func (w *modelWorld) schedule(d time.Duration, run func()) {
+func (w *modelWorld) schedule(delay time.Duration, run func()) {
 	w.sequence++
-	heap.Push(&w.queue, event{w.now + d, w.sequence, run})
+	heap.Push(&w.queue, event{w.now + delay, w.sequence, run})
 }
 
-// randomDelay draws a time with the given mean.
+// randomDelay draws a delay with the given mean.
 func (w *modelWorld) randomDelay(mean time.Duration) time.Duration {
 	return time.Duration(w.random.ExpFloat64()*float64(mean)) + time.Microsecond
 }
 
-func (w *modelWorld) chance(p float64) bool { return w.random.Float64() < p }
+func (w *modelWorld) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// note keeps one line of what happened.
+// note adds an event to the digest and, if it is on, to the trace.
 func (w *modelWorld) note(kind, id string, a, b uint64) {
-	for _, s := range []string{kind, id} {
-		for i := 0; i < len(s); i++ {
-			w.digest = (w.digest ^ uint64(s[i])) * 1099511628211
+	for _, text := range []string{kind, id} {
+		for i := 0; i < len(text); i++ {
+			w.digest = (w.digest ^ uint64(text[i])) * 1099511628211
 		}
 	}
 	w.digest = (w.digest ^ a ^ b<<32 ^ uint64(w.now)) * 1099511628211
@@ -174,203 +172,205 @@
 	return time.Unix(1000, 0).Add(m.clockOffset + time.Duration(float64(now)*m.clockRate))
 }
 
-func (w *modelWorld) start(m *modelMember) {
-	m.incarnation++
-	m.frozen, m.inbox, m.turnScheduled, m.writesInFlight, m.commands = false, nil, false, 0, nil
-	m.proposals = map[uint64]proposal{}
-	held := m.disk.open(w, m)
-	m.state = decodeStateMachine(held.snapshot.Data)
-	m.lastSnapshotIndex = held.snapshot.Index
-	w.checks.started(m, held)
-	w.note("start", m.id, held.hardState.Term, held.snapshot.Index)
-	m.node = New(m.id, held.hardState, held.snapshot, held.log, m.clock(w.now), w.profile.config, w.random.Int63())
-	node := m.node
-	node.SetSnapshotSource(func() *Snapshot { return w.snapshot(m) })
-	w.scheduleTurn(m)
+func (w *modelWorld) start(member *modelMember) {
+	member.incarnation++
+	member.frozen, member.inbox, member.turnScheduled, member.writesInFlight, member.commands = false, nil, false, 0, nil
+	member.proposals = map[uint64]proposal{}
+	recovered := member.disk.open(w)
+	member.state = decodeStateMachine(recovered.snapshot.Data)
+	member.lastSnapshotIndex = recovered.snapshot.Index
+	w.checks.started(member, recovered)
+	w.note("start", member.id, recovered.hardState.Term, recovered.snapshot.Index)
+	member.node = New(member.id, recovered.hardState, recovered.snapshot, recovered.log, member.clock(w.now), w.profile.config, w.random.Int63())
+	node := member.node
+	node.SetSnapshotSource(func() *Snapshot { return w.snapshot(member) })
+	w.scheduleTurn(member)
 }
 
-// crash ends a process; with power the machine loses what was not synced.
-func (w *modelWorld) crash(m *modelMember, power bool) {
-	if m.node == nil {
+// crash ends a process; with power, the machine loses what was not synced.
+func (w *modelWorld) crash(member *modelMember, power bool) {
+	if member.node == nil {
 		return
 	}
-	w.note("crash", m.id, m.node.Term(), m.node.CommitIndex())
-	m.disk.crash(w, power)
-	m.node = nil
-	m.incarnation++
+	w.note("crash", member.id, member.node.Term(), member.node.CommitIndex())
+	member.disk.crash(w, power)
+	member.node = nil
+	member.incarnation++
 }
 
-// snapshot is the state of a member as core.point gives it.
-func (w *modelWorld) snapshot(m *modelMember) *Snapshot {
-	i := m.node.AppliedIndex()
-	t, _ := m.node.TermAt(i)
-	return &Snapshot{Index: i, Term: t, Voters: m.node.VotersAt(i), OutgoingVoters: m.node.OutgoingVotersAt(i), Data: m.state.encode()}
+// snapshot returns the state of a member as the package server does.
+func (w *modelWorld) snapshot(member *modelMember) *Snapshot {
+	index := member.node.AppliedIndex()
+	term, _ := member.node.TermAt(index)
+	return &Snapshot{Index: index, Term: term, Voters: member.node.VotersAt(index), OutgoingVoters: member.node.OutgoingVotersAt(index), Data: member.state.encode()}
 }
 
-// enqueue puts an input before a member's loop.
-func (w *modelWorld) enqueue(m *modelMember, in input) {
-	m.inbox = append(m.inbox, in)
-	w.scheduleTurn(m)
+// enqueue puts an input into a member's queue.
+func (w *modelWorld) enqueue(member *modelMember, in input) {
+	member.inbox = append(member.inbox, in)
+	w.scheduleTurn(member)
 }
 
-// scheduleTurn lets a member's loop turn, sometimes only when more has come in.
-func (w *modelWorld) scheduleTurn(m *modelMember) {
-	if m.turnScheduled || m.node == nil {
+// scheduleTurn lets a member's loop run, sometimes only after a while, so that more
+// inputs wait.
+func (w *modelWorld) scheduleTurn(member *modelMember) {
+	if member.turnScheduled || member.node == nil {
 		return
 	}
-	m.turnScheduled = true
+	member.turnScheduled = true
 	lag := time.Duration(0)
 	if w.chance(0.2) {
 		lag = time.Duration(w.random.Intn(20)) * time.Millisecond
 	}
-	life := m.incarnation
+	incarnation := member.incarnation
 	w.schedule(lag, func() {
-		if m.incarnation == life {
-			m.turnScheduled = false
-			w.runTurn(m)
+		if member.incarnation == incarnation {
+			member.turnScheduled = false
+			w.runTurn(member)
 		}
 	})
 }
 
-// runTurn is one turn of the loop: all that waits is taken, then it rests.
-func (w *modelWorld) runTurn(m *modelMember) {
-	if m.node == nil || m.frozen {
+// runTurn handles all inputs that wait, then what follows from them.
+func (w *modelWorld) runTurn(member *modelMember) {
+	if member.node == nil || member.frozen {
 		return
 	}
-	now := m.clock(w.now)
-	waiting := m.inbox
-	m.inbox = nil
+	now := member.clock(w.now)
+	waiting := member.inbox
+	member.inbox = nil
 	for _, in := range waiting {
-		w.handleInput(m, in, now)
-		w.checks.observe(m)
+		w.handleInput(member, in, now)
+		w.checks.observe(member)
 	}
-	w.finishTurn(m, now)
-	w.checks.observe(m)
+	w.finishTurn(member, now)
+	w.checks.observe(member)
 }
 
-func (w *modelWorld) handleInput(m *modelMember, in input, now time.Time) {
+func (w *modelWorld) handleInput(member *modelMember, in input, now time.Time) {
 	switch {
 	case in.message != nil:
-		w.note(kindNames[in.message.Kind]+"<"+in.message.From, m.id, in.message.Term, in.message.Index)
-		m.node.Step(*in.message, now)
+		w.note(kindNames[in.message.Kind]+"<"+in.message.From, member.id, in.message.Term, in.message.Index)
+		member.node.Step(*in.message, now)
 	case in.written != nil:
-		for _, j := range in.written {
-			m.writesInFlight--
-			w.writeCompleted(m, j)
+		for _, write := range in.written {
+			member.writesInFlight--
+			w.writeCompleted(member, write)
 		}
 	case in.command != "":
-		m.commands = append(m.commands, in.command)
+		member.commands = append(member.commands, in.command)
 	case in.read != nil:
-		if m.node.LeaderReady() && m.node.HasLease(now) {
+		if member.node.LeaderReady() && member.node.HasLease(now) {
 			w.counts["reads"]++
-			w.checks.read(m, *in.read)
+			w.checks.read(member, *in.read)
 		}
 	case in.transfer:
-		if m.node.IsLeader() && m.node.TransferLeadership() {
+		if member.node.IsLeader() && member.node.TransferLeadership() {
 			w.counts["transfers"]++
-			w.note("transfer", m.id, m.node.Term(), 0)
+			w.note("transfer", member.id, member.node.Term(), 0)
 		}
 	case in.snapshot:
-		m.lastSnapshotIndex = 0
+		member.lastSnapshotIndex = 0
 	}
 }
 
-func (w *modelWorld) writeCompleted(m *modelMember, write diskWrite) {
+func (w *modelWorld) writeCompleted(member *modelMember, write diskWrite) {
 	if write.ready.MustSync() {
-		m.node.WriteSynced(write.ready.WriteToken)
+		member.node.WriteSynced(write.ready.WriteToken)
 	}
-	w.net.post(m, write.ready.MessagesAfterSync)
+	w.net.post(member, write.ready.MessagesAfterSync)
 	if write.snapshot != nil {
-		m.node.Compact(write.snapshot.Index - min(write.snapshot.Index, w.profile.snapshotKeep))
+		member.node.Compact(write.snapshot.Index - min(write.snapshot.Index, w.profile.snapshotKeep))
 	}
 }
 
-func (w *modelWorld) finishTurn(m *modelMember, now time.Time) {
-	wake := m.node.Tick(now)
-	w.apply(m)
-	w.operateMembership(m)
-	w.propose(m)
+// finishTurn ticks the node, proposes, does what is ready, and sets the next timer.
+func (w *modelWorld) finishTurn(member *modelMember, now time.Time) {
+	wake := member.node.Tick(now)
+	w.apply(member)
+	w.operateMembership(member)
+	w.propose(member)
 	for i := 0; ; i++ {
-		ready := m.node.Ready()
+		ready := member.node.Ready()
 		if ready.IsEmpty() {
 			break
 		}
 		if i > 1000 {
-			w.checks.fail(checkLiveness, "%s: Take never ends", m.id)
+			w.checks.fail(checkLiveness, "%s: Ready is never empty", member.id)
 			break
 		}
-		w.handleReady(m, ready)
-		w.apply(m)
+		w.handleReady(member, ready)
+		w.apply(member)
 	}
-	if every := w.profile.snapshotEvery; m.node.AppliedIndex() >= m.lastSnapshotIndex+every || m.lastSnapshotIndex == 0 && m.node.AppliedIndex() > m.disk.snapshot.Index {
-		p := w.snapshot(m)
-		m.lastSnapshotIndex = p.Index
+	if every := w.profile.snapshotEvery; member.node.AppliedIndex() >= member.lastSnapshotIndex+every || member.lastSnapshotIndex == 0 && member.node.AppliedIndex() > member.disk.snapshot.Index {
+		snapshot := w.snapshot(member)
+		member.lastSnapshotIndex = snapshot.Index
 		w.counts["snapshots"]++
-		w.write(m, diskWrite{snapshot: p})
+		w.write(member, diskWrite{snapshot: snapshot})
 	}
 	if wake <= 0 {
 		wake = time.Second
 	}
-	m.timerID++
-	life, mine := m.incarnation, m.timerID
-	w.schedule(time.Duration(float64(wake)/m.clockRate)+time.Duration(w.random.Intn(2000))*time.Microsecond, func() {
-		if m.incarnation == life && m.timerID == mine {
-			w.scheduleTurn(m)
+	member.timerID++
+	incarnation, timer := member.incarnation, member.timerID
+	w.schedule(time.Duration(float64(wake)/member.clockRate)+time.Duration(w.random.Intn(2000))*time.Microsecond, func() {
+		if member.incarnation == incarnation && member.timerID == timer {
+			w.scheduleTurn(member)
 		}
 	})
 }
 
-func (w *modelWorld) handleReady(m *modelMember, ready Ready) {
-	w.checks.appended(m, ready.Entries)
-	w.net.post(m, ready.Messages)
+func (w *modelWorld) handleReady(member *modelMember, ready Ready) {
+	w.checks.appended(member, ready.Entries)
+	w.net.post(member, ready.Messages)
 	if ready.Snapshot != nil {
-		w.note("load", m.id, ready.Snapshot.Index, ready.Snapshot.Term)
+		w.note("load", member.id, ready.Snapshot.Index, ready.Snapshot.Term)
 		w.counts["loads"]++
-		m.state = decodeStateMachine(ready.Snapshot.Data)
-		m.lastSnapshotIndex = ready.Snapshot.Index
-		w.checks.loaded(m, ready.Snapshot.Index)
+		member.state = decodeStateMachine(ready.Snapshot.Data)
+		member.lastSnapshotIndex = ready.Snapshot.Index
+		w.checks.loaded(member, ready.Snapshot.Index)
 	}
-	if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && m.writesInFlight > 0 {
-		w.write(m, diskWrite{ready: ready})
+	if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && member.writesInFlight > 0 {
+		w.write(member, diskWrite{ready: ready})
 	} else {
-		w.net.post(m, ready.MessagesAfterSync)
+		w.net.post(member, ready.MessagesAfterSync)
 	}
 }
 
-func (w *modelWorld) write(m *modelMember, write diskWrite) {
-	m.writesInFlight++
-	m.disk.add(w, m, write)
+func (w *modelWorld) write(member *modelMember, write diskWrite) {
+	member.writesInFlight++
+	member.disk.add(w, member, write)
 }
 
-func (w *modelWorld) apply(m *modelMember) {
-	for _, e := range m.node.NextCommittedEntries() {
-		w.checks.applying(m, e)
-		if w.mutation.name != mutationSkipEntry || e.Kind != EntryNormal || !w.chance(0.05) {
-			m.state = m.state.apply(e)
+func (w *modelWorld) apply(member *modelMember) {
+	for _, entry := range member.node.NextCommittedEntries() {
+		w.checks.applying(member, entry)
+		if w.mutation.name != mutationSkipEntry || entry.Kind != EntryNormal || !w.chance(0.05) {
+			member.state = member.state.apply(entry)
 		} else {
-			m.state.index = e.Index
+			member.state.index = entry.Index
 		}
-		w.checks.applied(m, e)
-		if p, ok := m.proposals[e.Index]; ok {
-			delete(m.proposals, e.Index)
-			if p.term == e.Term {
+		w.checks.applied(member, entry)
+		if proposed, ok := member.proposals[entry.Index]; ok {
+			delete(member.proposals, entry.Index)
+			if proposed.term == entry.Term {
 				w.counts["acks"]++
-				w.checks.acknowledged(m, e, p)
-				w.lastAckedIndex, w.lastAckedCommand = e.Index, p.data
+				w.checks.acknowledged(member, entry, proposed)
+				w.lastAckedIndex, w.lastAckedCommand = entry.Index, proposed.data
 			}
 		}
 	}
 }
 
-func (w *modelWorld) propose(m *modelMember) {
-	for _, c := range m.commands {
-		if !m.node.LeaderReady() {
+func (w *modelWorld) propose(member *modelMember) {
+	for _, command := range member.commands {
+		if !member.node.LeaderReady() {
 			continue
 		}
-		if i, ok := m.node.Propose([]byte(c)); ok {
-			w.note("propose", m.id, i, m.node.Term())
-			m.proposals[i] = proposal{m.node.Term(), c}
+		if index, ok := member.node.Propose([]byte(command)); ok {
+			w.note("propose", member.id, index, member.node.Term())
+			member.proposals[index] = proposal{member.node.Term(), command}
 		}
 	}
-	m.commands = nil
+	member.commands = nil
 }
--- a/internal/raft/model_mutations_test.go
+++ b/internal/raft/model_mutations_test.go
@@ -8,16 +8,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// mutation is a break put into the disk, the network or the harness, never into
-// the package.
+// mutation is a bug in the disk, the network or the harness, never in the package.
 type mutation struct {
 	name         string
-	alterMessage func(w *modelWorld, m *Message) bool // changes a message; false loses it
+	alterMessage func(w *modelWorld, m *Message) bool // false drops the message
 	profile      func(p *walkProfile)
 }
 
 const (
-	mutationEarlySync      = "a write is said to be synced before it is"
+	mutationEarlySync      = "a write is reported as synced before it is"
 	mutationForgetVote     = "a disk forgets term and vote"
 	mutationForgetTail     = "a disk forgets the newest entries"
 	mutationForgetMiddle   = "a disk forgets an entry between others"
@@ -26,7 +25,7 @@
 	mutationSingleMajority = "a joint change is stored and sent as one with a single majority"
 )
 
-// The breaks, and the check that each must set off.
+// mutationCase is a mutation and the check that must fail by it.
 type mutationCase struct {
 	check    check
 	mutation mutation
@@ -37,9 +36,9 @@
 	{checkDurable, mutation{name: mutationEarlySync}},
 	{checkCommitted, mutation{name: mutationEarlySync, profile: frequentPowerLoss}},
 	{checkVote, mutation{name: mutationForgetVote, profile: frequentPowerLoss}},
-	{checkLeader, mutation{name: "refused votes are counted", alterMessage: countRejectedVotes}},
-	{checkElectedByMajority, mutation{name: "refused votes are counted", alterMessage: countRejectedVotes}},
-	{checkPanic, mutation{name: "refused votes are counted", alterMessage: countRejectedVotes}},
+	{checkLeader, mutation{name: "rejected votes are counted", alterMessage: countRejectedVotes}},
+	{checkElectedByMajority, mutation{name: "rejected votes are counted", alterMessage: countRejectedVotes}},
+	{checkPanic, mutation{name: "rejected votes are counted", alterMessage: countRejectedVotes}},
 	{checkLeaderCompleteness, mutation{name: "candidates say that they hold all", alterMessage: func(w *modelWorld, m *Message) bool {
 		if m.Kind == MsgVote || m.Kind == MsgPreVote {
 			m.Index, m.LogTerm = 1<<40, 1<<40
@@ -51,11 +50,11 @@
 	{checkApplied, mutation{name: mutationSkipEntry}},
 	{checkApplied, mutation{name: "a snapshot says a higher index than its state has", alterMessage: func(w *modelWorld, m *Message) bool {
 		if m.Kind == MsgSnapshot && m.Snapshot != nil {
-			p := *m.Snapshot
-			s := decodeStateMachine(p.Data)
-			s.digest++
-			p.Data = s.encode()
-			m.Snapshot = &p
+			snapshot := *m.Snapshot
+			state := decodeStateMachine(snapshot.Data)
+			state.digest++
+			snapshot.Data = state.encode()
+			m.Snapshot = &snapshot
 		}
 		return true
 	}}},
@@ -77,56 +76,56 @@
 	{checkLiveness, mutation{name: "no vote arrives", alterMessage: func(w *modelWorld, m *Message) bool { return m.Kind != MsgVoteResponse }}},
 }
 
-func countRejectedVotes(w *modelWorld, m *Message) bool {
-	if m.Kind == MsgVoteResponse {
-		m.Reject = false
+func countRejectedVotes(world *modelWorld, message *Message) bool {
+	if message.Kind == MsgVoteResponse {
+		message.Reject = false
 	}
 	return true
 }
 
-func changeEntry(w *modelWorld, m *Message) bool {
-	if len(m.Entries) > 0 && w.chance(0.02) {
-		m.Entries = append([]Entry(nil), m.Entries...)
-		m.Entries[0].Data = []byte("other")
+func changeEntry(world *modelWorld, message *Message) bool {
+	if len(message.Entries) > 0 && world.chance(0.02) {
+		message.Entries = append([]Entry(nil), message.Entries...)
+		message.Entries[0].Data = []byte("other")
 	}
 	return true
 }
 
-// frequentPowerLoss makes losses of power hit writes under way more often.
-func frequentPowerLoss(p *walkProfile) {
-	p.meanFaultGap, p.syncTime, p.voters = 60*time.Millisecond, 40*time.Millisecond, 3
+// frequentPowerLoss lets faults hit writes under way more often.
+func frequentPowerLoss(profile *walkProfile) {
+	profile.meanFaultGap, profile.syncTime, profile.voters = 60*time.Millisecond, 40*time.Millisecond, 3
 }
 
-// withoutOutgoingVoters is a configuration entry that lost the voters before the change.
-func withoutOutgoingVoters(e Entry) Entry {
-	if e.Kind != EntryConfChange {
-		return e
+// withoutOutgoingVoters returns a configuration entry without its outgoing voters.
+func withoutOutgoingVoters(entry Entry) Entry {
+	if entry.Kind != EntryConfChange {
+		return entry
 	}
-	voters, old, err := DecodeConfChange(e.Data)
-	if err != nil || len(old) == 0 {
-		return e
+	voters, outgoing, err := DecodeConfChange(entry.Data)
+	if err != nil || len(outgoing) == 0 {
+		return entry
 	}
-	e.Data, _ = cbor.Marshal(voters)
-	return e
+	entry.Data, _ = cbor.Marshal(voters)
+	return entry
 }
 
-// TestModelChecksFindInjectedBugs plays each break until the check that it must set
-// off, and only that one counts, fails.
+// TestModelChecksFindInjectedBugs plays each mutation until the check that it must violate,
+// and only that one counts, fails.
 func TestModelChecksFindInjectedBugs(t *testing.T) {
-	for _, c := range allChecks {
-		if !slices.ContainsFunc(mutationCases, func(b mutationCase) bool { return b.check == c }) {
-			t.Errorf("no break is planted for %q", c)
+	for _, wanted := range allChecks {
+		if !slices.ContainsFunc(mutationCases, func(test mutationCase) bool { return test.check == wanted }) {
+			t.Errorf("no mutation violates %q", wanted)
 		}
 	}
-	for _, b := range mutationCases {
-		t.Run(string(b.check)+"/"+b.mutation.name, func(t *testing.T) {
+	for _, test := range mutationCases {
+		t.Run(string(test.check)+"/"+test.mutation.name, func(t *testing.T) {
 			for seed := int64(1); seed <= 200; seed++ {
-				if f := newModelWorld(seed, b.mutation, b.check).walk(3000); f != nil && f.check == b.check {
-					t.Logf("seed %d: %v", seed, f)
+				if found := newModelWorld(seed, test.mutation, test.check).walk(3000); found != nil && found.check == test.check {
+					t.Logf("seed %d: %v", seed, found)
 					return
 				}
 			}
-			t.Error("not noticed in 200 seeds")
+			t.Error("not detected in 200 seeds")
 		})
 	}
 }
--- a/internal/raft/model_test.go
+++ b/internal/raft/model_test.go
@@ -20,32 +20,32 @@
 //	go test ./internal/raft -run TestModelWalks -model.seeds 10000 -model.steps 20000
 func TestModelWalks(t *testing.T) {
 	sum := map[string]int{}
-	failed, slowest := 0, time.Duration(0)
+	failures, slowest := 0, time.Duration(0)
 	for seed := *modelSeed; seed < *modelSeed+int64(*modelSeeds); seed++ {
-		w := newModelWorld(seed, mutation{}, "")
-		w.tracing = *modelTrace
-		f := w.walk(*modelSteps)
-		for k, v := range w.counts {
-			sum[k] += v
+		world := newModelWorld(seed, mutation{}, "")
+		world.tracing = *modelTrace
+		found := world.walk(*modelSteps)
+		for kind, count := range world.counts {
+			sum[kind] += count
 		}
-		sum["steps"] += w.step
-		slowest = max(slowest, w.recovered)
-		if f == nil {
+		sum["steps"] += world.step
+		slowest = max(slowest, world.recovered)
+		if found == nil {
 			continue
 		}
-		for _, l := range w.trace {
-			fmt.Println(l)
+		for _, line := range world.trace {
+			fmt.Println(line)
 		}
 		t.Errorf("seed %d: %v\nrepeat: go test ./internal/raft -run 'TestModelWalks$' -model.seed %d -model.seeds 1 -model.steps %d -model.trace",
-			seed, f, seed, *modelSteps)
-		if failed++; !*modelAll {
+			seed, found, seed, *modelSteps)
+		if failures++; !*modelAll {
 			break
 		}
 	}
 	t.Logf("%v; slowest to recover: %v", sum, slowest)
-	for _, k := range []string{"leaders", "acks", "reads", "snapshots", "loads", "changes", "transfers", "disks lost"} {
-		if sum[k] == 0 && *modelSeeds >= 60 && failed == 0 {
-			t.Errorf("no walk had any %s: the walks don't try what they should", k)
+	for _, kind := range []string{"leaders", "acks", "reads", "snapshots", "loads", "changes", "transfers", "disks lost"} {
+		if sum[kind] == 0 && *modelSeeds >= 60 && failures == 0 {
+			t.Errorf("no walk had any %s: the walks don't try what they should", kind)
 		}
 	}
 }
@@ -53,13 +53,13 @@
 // TestModelSameSeedSameWalk: a failure can be repeated from its seed.
 func TestModelSameSeedSameWalk(t *testing.T) {
 	for seed := int64(1); seed <= 5; seed++ {
-		a, b := newModelWorld(seed, mutation{}, ""), newModelWorld(seed, mutation{}, "")
-		a.walk(2000)
-		b.walk(2000)
-		if a.digest != b.digest || a.step != b.step {
+		first, second := newModelWorld(seed, mutation{}, ""), newModelWorld(seed, mutation{}, "")
+		first.walk(2000)
+		second.walk(2000)
+		if first.digest != second.digest || first.step != second.step {
 			t.Errorf("seed %d: two walks differ", seed)
 		}
-		if c := newModelWorld(seed+100, mutation{}, ""); c.walk(2000) == nil && c.digest == a.digest {
+		if other := newModelWorld(seed+100, mutation{}, ""); other.walk(2000) == nil && other.digest == first.digest {
 			t.Errorf("seeds %d and %d: the same walk", seed, seed+100)
 		}
 	}
--- a/internal/raft/model_walk_test.go
+++ b/internal/raft/model_walk_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The walk of the model test: events in the order of time, then all healed.
+// The walk of the model test: events in the order of time, then the end of all faults.
 
-// event is something that happens at a set time; seq orders those of one time.
+// event is something that happens at a set time; seq orders those of the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -36,10 +36,10 @@
 // run goes on for a number of steps, or until something fails.
 func (w *modelWorld) run(steps int, until func() bool) *failure {
 	for i := 0; i < steps && w.checks.failure == nil && len(w.queue) > 0; i++ {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+		next := heap.Pop(&w.queue).(event)
+		w.now = next.at
 		w.step++
-		w.runGuarded(e.run)
+		w.runGuarded(next.run)
 		if until != nil && until() {
 			break
 		}
@@ -57,49 +57,48 @@
 	run()
 }
 
-// recoverWithin bounds the time after which a command must be committed and
-// applied by all voters, an open change of the voters included, once all is
-// healed.
+// recoverWithin bounds the time from the end of all faults until a command is committed
+// and applied by all voters, and an open configuration change is completed.
 const recoverWithin = 12 * time.Second
 
-// walk plays one seed: faults for so many steps, then all is healed, and a
-// command must be committed and applied by all within bounds.
+// walk plays one seed: faults for a number of steps, then none, and a command must be
+// committed and applied by all voters within recoverWithin.
 func (w *modelWorld) walk(steps int) *failure {
 	// A call into the package that never returns can't be counted in steps.
-	hung := time.AfterFunc(time.Minute, func() {
-		panic(fmt.Sprintf("model: seed %d, break %q: a call never returned at step %d", w.seed, w.mutation.name, w.step))
+	hangTimer := time.AfterFunc(time.Minute, func() {
+		panic(fmt.Sprintf("model: seed %d, mutation %q: a call never returned at step %d", w.seed, w.mutation.name, w.step))
 	})
-	defer hung.Stop()
-	if f := w.run(steps, nil); f != nil {
-		return f
+	defer hangTimer.Stop()
+	if failed := w.run(steps, nil); failed != nil {
+		return failed
 	}
 	w.heal()
-	mark := w.commands
+	lastCommand := w.commands
 	healed := w.now
-	ok := false
-	f := w.run(400_000, func() bool {
-		ok = w.recoveredSince(mark)
-		return ok || w.now > healed+recoverWithin
+	recovered := false
+	failed := w.run(400_000, func() bool {
+		recovered = w.recoveredSince(lastCommand)
+		return recovered || w.now > healed+recoverWithin
 	})
-	if f == nil && !ok {
+	if failed == nil && !recovered {
 		w.checks.fail(checkLiveness, "not within %v after all was healed: %s", recoverWithin, w.describe())
 	}
 	w.recovered = w.now - healed
 	return w.checks.failure
 }
 
-// recoveredSince tells whether a command from after mark is applied by all voters.
-func (w *modelWorld) recoveredSince(mark int) bool {
-	var n int
-	if _, err := fmt.Sscanf(w.lastAckedCommand, "c%d", &n); err != nil || n <= mark || w.change != nil {
+// recoveredSince tells whether a command after lastCommand is applied by all voters.
+func (w *modelWorld) recoveredSince(lastCommand int) bool {
+	var command int
+	if _, err := fmt.Sscanf(w.lastAckedCommand, "c%d", &command); err != nil || command <= lastCommand || w.change != nil {
 		return false
 	}
-	for _, m := range w.members {
-		if m.node == nil || !m.node.LeaderReady() || !m.node.HasLease(m.clock(w.now)) {
+	for _, member := range w.members {
+		if member.node == nil || !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) {
 			continue
 		}
-		for _, id := range allVoters(m.node) {
-			if o := w.byID[id]; !o.lost && (o.node == nil || o.node.AppliedIndex() < w.lastAckedIndex) {
+		for _, id := range allVoters(member.node) {
+			if voter := w.byID[id]; !voter.lost && (voter.node == nil || voter.node.AppliedIndex() < w.lastAckedIndex) {
 				return false
 			}
 		}
@@ -108,28 +107,29 @@
 	return false
 }
 
+// describe tells what state each member is in.
 func (w *modelWorld) describe() string {
-	var b strings.Builder
+	var text strings.Builder
 	if w.change != nil {
-		fmt.Fprintf(&b, "change out=%q in=%q;", w.change.outgoing, w.change.incoming)
+		fmt.Fprintf(&text, "change out=%q in=%q;", w.change.outgoing, w.change.incoming)
 	}
-	for _, m := range w.members {
-		if m.node == nil {
-			fmt.Fprintf(&b, " %s: down (lost %v, retired %v);", m.id, m.lost, m.retired)
+	for _, member := range w.members {
+		if member.node == nil {
+			fmt.Fprintf(&text, " %s: down (lost %v, retired %v);", member.id, member.lost, member.retired)
 			continue
 		}
-		n := m.node
-		fmt.Fprintf(&b, " %s: term %d leads %v ready %v lease %v lead %q last %d commit %d applied %d conf %d %v;", m.id, n.Term(), n.IsLeader(),
-			n.LeaderReady(), n.HasLease(m.clock(w.now)), n.Leader(), n.LastIndex(), n.CommitIndex(), n.AppliedIndex(), n.ConfIndex(), currentVoterSets(n))
+		node := member.node
+		fmt.Fprintf(&text, " %s: term %d leads %v ready %v lease %v lead %q last %d commit %d applied %d conf %d %v;", member.id, node.Term(), node.IsLeader(),
+			node.LeaderReady(), node.HasLease(member.clock(w.now)), node.Leader(), node.LastIndex(), node.CommitIndex(), node.AppliedIndex(), node.ConfIndex(), currentVoterSets(node))
 	}
-	return b.String()
+	return text.String()
 }
 
-var kindNames = map[MessageKind]string{MsgAppend: "append", MsgAppendResponse: "append-answer", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-answer",
-	MsgVote: "vote", MsgVoteResponse: "vote-answer", MsgSnapshot: "snapshot", MsgTimeoutNow: "transfer"}
+var kindNames = map[MessageKind]string{MsgAppend: "append", MsgAppendResponse: "append-response", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-response",
+	MsgVote: "vote", MsgVoteResponse: "vote-response", MsgSnapshot: "snapshot", MsgTimeoutNow: "timeout-now"}
 
-// sortByReceiver makes the order of messages to different members the same
-// each time: a Node goes over maps. Those to one member keep their order.
-func sortByReceiver(ms []Message) {
-	sort.SliceStable(ms, func(i, j int) bool { return ms[i].To < ms[j].To })
+// sortByReceiver makes the order of messages to different members deterministic, since a
+// Node iterates over maps. Those to one member keep their order.
+func sortByReceiver(messages []Message) {
+	sort.SliceStable(messages, func(i, j int) bool { return messages[i].To < messages[j].To })
 }
--- a/internal/raft/model_world_test.go
+++ b/internal/raft/model_world_test.go
@@ -14,13 +14,13 @@
 	digest   uint64
 }
 
-func (s stateMachine) apply(e Entry) stateMachine {
-	s.index = e.Index
-	if e.Kind != EntryNormal {
+func (s stateMachine) apply(entry Entry) stateMachine {
+	s.index = entry.Index
+	if entry.Kind != EntryNormal {
 		return s
 	}
-	s.lastData = e.Index
-	s.digest = s.digest*1099511628211 ^ hashEntry(e)
+	s.lastData = entry.Index
+	s.digest = s.digest*1099511628211 ^ hashEntry(entry)
 	return s
 }
 
@@ -39,41 +39,42 @@
 	return stateMachine{binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:]), binary.BigEndian.Uint64(b[16:])}
 }
 
-func hashEntry(e Entry) uint64 {
-	h := uint64(14695981039346656037)
-	for _, x := range []uint64{e.Index, e.Term, uint64(e.Kind)} {
-		h = (h ^ x) * 1099511628211
+func hashEntry(entry Entry) uint64 {
+	hash := uint64(14695981039346656037)
+	for _, x := range []uint64{entry.Index, entry.Term, uint64(entry.Kind)} {
+		hash = (hash ^ x) * 1099511628211
 	}
-	for _, x := range e.Data {
-		h = (h ^ uint64(x)) * 1099511628211
+	for _, x := range entry.Data {
+		hash = (hash ^ uint64(x)) * 1099511628211
 	}
-	return h
+	return hash
 }
 
-// diskWrite is one write: an out of the node, or a snapshot of its own.
+// diskWrite is one write: a Ready of the node, or a snapshot that the member took.
 type diskWrite struct {
 	ready    Ready
 	snapshot *Snapshot
 }
 
-// modelDisk holds what is synced, and what is on its way to it.
+// modelDisk holds what is synced, and the writes that are not.
 type modelDisk struct {
 	hardState    HardState
 	snapshot     Snapshot
 	log          []Entry
-	waiting      []diskWrite // in the process
-	inFlight     []diskWrite // in one write
-	written      bool        // the write reached the system, the sync is not over
+	waiting      []diskWrite // not begun
+	inFlight     []diskWrite // in the write that is under way
+	written      bool        // this write has reached the operating system, and is not synced
 	stalledUntil time.Duration
 }
 
+// recoveredDisk is what a member finds on its disk when it starts.
 type recoveredDisk struct {
 	hardState HardState
 	snapshot  Snapshot
 	log       []Entry
 }
 
-// apply makes one job lasting, as disk.write does, but for a planted break.
+// apply makes one write durable, as the package storage does, but for a mutation.
 func (d *modelDisk) apply(write diskWrite, mutation string) {
 	if write.ready.HardState != nil {
 		d.hardState = *write.ready.HardState
@@ -88,30 +89,30 @@
 	if write.ready.Snapshot != nil {
 		d.snapshot, d.log = *write.ready.Snapshot, nil
 	}
-	for _, e := range write.ready.Entries {
+	for _, entry := range write.ready.Entries {
 		if mutation == mutationSingleMajority {
-			e = withoutOutgoingVoters(e)
+			entry = withoutOutgoingVoters(entry)
 		}
 		keep := len(d.log)
-		for keep > 0 && d.log[keep-1].Index >= e.Index {
+		for keep > 0 && d.log[keep-1].Index >= entry.Index {
 			keep--
 		}
-		d.log = append(d.log[:keep:keep], e)
+		d.log = append(d.log[:keep:keep], entry)
 	}
 }
 
+// entriesAfter returns the entries above an index.
 func entriesAfter(log []Entry, index uint64) []Entry {
-	var out []Entry
-	for _, e := range log {
-		if e.Index > index {
-			out = append(out, e)
+	var after []Entry
+	for _, entry := range log {
+		if entry.Index > index {
+			after = append(after, entry)
 		}
 	}
-	return out
+	return after
 }
 
-// holds tells whether an entry is on the disk for sure; a snapshot above it
-// counts as holding it.
+// holds tells whether an entry is durable, in the log or in the snapshot.
 func (d *modelDisk) holds(index, term uint64) bool {
 	if index <= d.snapshot.Index {
 		return true
@@ -126,7 +127,7 @@
 
 func (d *modelDisk) add(world *modelWorld, member *modelMember, write diskWrite) {
 	if world.mutation.name == mutationEarlySync {
-		// The break: the write is said to be synced before it is.
+		// The mutation: the write is reported as synced before it is.
 		world.schedule(0, func() { world.enqueue(member, input{written: []diskWrite{write}}) })
 		member.writesInFlight++
 		d.waiting = append(d.waiting, diskWrite{ready: Ready{HardState: write.ready.HardState, Entries: write.ready.Entries, Snapshot: write.ready.Snapshot}, snapshot: write.snapshot})
@@ -137,24 +138,24 @@
 	d.startWrite(world, member)
 }
 
-// startWrite starts the next write with all that waits.
+// startWrite begins the next write with all that wait.
 func (d *modelDisk) startWrite(world *modelWorld, member *modelMember) {
 	if d.inFlight != nil || len(d.waiting) == 0 {
 		return
 	}
 	d.inFlight, d.waiting, d.written = d.waiting, nil, false
-	life := member.incarnation
-	half := world.randomDelay(world.profile.syncTime / 2)
+	incarnation := member.incarnation
+	writeTime := world.randomDelay(world.profile.syncTime / 2)
 	if d.stalledUntil > world.now {
-		half += d.stalledUntil - world.now
+		writeTime += d.stalledUntil - world.now
 	}
-	world.schedule(half, func() {
-		if member.incarnation == life {
+	world.schedule(writeTime, func() {
+		if member.incarnation == incarnation {
 			d.written = true
 		}
 	})
-	world.schedule(half+world.randomDelay(world.profile.syncTime/2), func() {
-		if member.incarnation != life {
+	world.schedule(writeTime+world.randomDelay(world.profile.syncTime/2), func() {
+		if member.incarnation != incarnation {
 			return
 		}
 		done := d.inFlight
@@ -169,8 +170,8 @@
 	})
 }
 
-// crash decides what of the write under way is there: a kill keeps what the
-// system has, a loss of power any prefix, often nothing.
+// crash decides how much of the write under way is durable: a kill keeps what the
+// operating system has, a loss of power any prefix, often nothing.
 func (d *modelDisk) crash(world *modelWorld, power bool) {
 	keep := 0
 	switch {
@@ -185,8 +186,8 @@
 	d.inFlight, d.waiting, d.written = nil, nil, false
 }
 
-// open is what a start finds.
-func (d *modelDisk) open(world *modelWorld, member *modelMember) recoveredDisk {
+// open returns what a start finds, after what a mutation removes.
+func (d *modelDisk) open(world *modelWorld) recoveredDisk {
 	switch world.mutation.name {
 	case mutationForgetVote:
 		if world.chance(0.5) {
@@ -205,81 +206,82 @@
 	return recoveredDisk{d.hardState, d.snapshot, append([]Entry(nil), d.log...)}
 }
 
-// modelLink is the way from one member to another.
+// modelLink is the way of messages from one member to another.
 type modelLink struct {
 	cut        bool
-	earliest   time.Duration // nothing of this connection comes earlier
-	connection int           // counts the connections
+	earliest   time.Duration // no message of this connection arrives earlier
+	connection int           // number of the connection
 }
 
+// modelNetwork loses, delays and duplicates messages.
 type modelNetwork struct {
-	w        *modelWorld
+	world    *modelWorld
 	links    map[string]*modelLink
-	reliable bool // no message is lost, doubled or late
+	reliable bool // no message is lost, duplicated or delayed
 }
 
 func (n *modelNetwork) link(from, to string) *modelLink {
-	l := n.links[from+">"+to]
-	if l == nil {
-		l = &modelLink{}
-		n.links[from+">"+to] = l
+	link := n.links[from+">"+to]
+	if link == nil {
+		link = &modelLink{}
+		n.links[from+">"+to] = link
 	}
-	return l
+	return link
 }
 
-// post sends messages that may be sent now.
-func (n *modelNetwork) post(m *modelMember, ms []Message) {
-	sortByReceiver(ms)
-	for _, x := range ms {
-		n.w.checks.posted(m, x)
-		if n.w.mutation.alterMessage != nil && !n.w.mutation.alterMessage(n.w, &x) {
+// post sends messages that may leave now.
+func (n *modelNetwork) post(member *modelMember, messages []Message) {
+	sortByReceiver(messages)
+	for _, message := range messages {
+		n.world.checks.posted(member, message)
+		if n.world.mutation.alterMessage != nil && !n.world.mutation.alterMessage(n.world, &message) {
 			continue
 		}
-		n.send(x)
+		n.send(message)
 	}
 }
 
-func (n *modelNetwork) send(x Message) {
-	w, p := n.w, n.w.profile
-	l := n.link(x.From, x.To)
-	if l.cut || !n.reliable && w.chance(p.lossShare) {
+func (n *modelNetwork) send(message Message) {
+	world, profile := n.world, n.world.profile
+	link := n.link(message.From, message.To)
+	if link.cut || !n.reliable && world.chance(profile.lossShare) {
 		return
 	}
-	at := w.now + 200*time.Microsecond + w.randomDelay(time.Millisecond)
-	if !n.reliable && w.chance(p.delayedShare) {
+	arrival := world.now + 200*time.Microsecond + world.randomDelay(time.Millisecond)
+	if !n.reliable && world.chance(profile.delayedShare) {
 		mean := 300 * time.Millisecond
-		if w.chance(0.2) {
+		if world.chance(0.2) {
 			mean = 3 * time.Second // past elections
 		}
-		at += w.randomDelay(mean)
+		arrival += world.randomDelay(mean)
 	}
-	if p.ordered {
-		at = max(at, l.earliest)
-		l.earliest = at
+	if profile.ordered {
+		arrival = max(arrival, link.earliest)
+		link.earliest = arrival
 	}
-	n.deliver(l, x, at)
-	if !n.reliable && w.chance(p.duplicateShare) {
-		n.deliver(l, x, at+w.randomDelay(400*time.Millisecond))
+	n.deliver(link, message, arrival)
+	if !n.reliable && world.chance(profile.duplicateShare) {
+		n.deliver(link, message, arrival+world.randomDelay(400*time.Millisecond))
 	}
 }
 
-func (n *modelNetwork) deliver(l *modelLink, x Message, at time.Duration) {
-	w := n.w
-	stream := l.connection
-	w.schedule(at-w.now, func() {
-		if l.cut || stream != l.connection && w.chance(0.5) {
+func (n *modelNetwork) deliver(link *modelLink, message Message, arrival time.Duration) {
+	world := n.world
+	connection := link.connection
+	world.schedule(arrival-world.now, func() {
+		if link.cut || connection != link.connection && world.chance(0.5) {
 			return
 		}
-		if m := w.byID[x.To]; m != nil && m.node != nil {
-			w.enqueue(m, input{message: &x})
+		if member := world.byID[message.To]; member != nil && member.node != nil {
+			world.enqueue(member, input{message: &message})
 		}
 	})
 }
 
-// reconnect starts a new connection: what was under way may be lost, and may
-// come after what is sent on the new one.
+// reconnect starts a new connection: messages under way may be lost, and may arrive
+// after those of the new one.
 func (n *modelNetwork) reconnect(from, to string) {
-	l := n.link(from, to)
-	l.connection++
-	l.earliest = 0
+	link := n.link(from, to)
+	link.connection++
+	link.earliest = 0
 }
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -6,101 +6,108 @@
 	"time"
 )
 
-// others are the voters beside the leader, in order.
+// others returns the IDs of the running members but for the leader, sorted.
 func (c *testCluster) others(leader *Node) []string {
-	return slices.DeleteFunc(c.names(), func(x string) bool { return x == leader.ID() })
+	return slices.DeleteFunc(c.ids(), func(id string) bool { return id == leader.ID() })
+}
+
+// untilAcknowledged waits until a follower has acknowledged the leader's whole log.
+func (c *testCluster) untilAcknowledged(leader *Node, follower string) {
+	c.t.Helper()
+	c.until("acknowledged", func() bool { return leader.peers[follower].match == leader.LastIndex() })
 }
 
 func TestMemberThatLostAcknowledgedEntriesIsNotCounted(t *testing.T) {
 	for seed := int64(0); seed < 10; seed++ {
-		n := newTestCluster(t, seed, "a", "b", "c")
-		n.commit("1")
-		l := n.leader()
-		gone, third := n.others(l)[0], n.others(l)[1]
-		old := *n.disks[gone]
-		n.commit("2")
-		n.commit("3")
-		n.until("all have it", func() bool { return n.hasApplied(gone, "3") && n.hasApplied(third, "3") })
-		n.kill(gone)
-		n.disks[gone] = &old
-		n.start(gone)
-		n.until("told", func() bool { return slices.Equal(l.FaultyPeers(), []string{gone}) })
-		n.until("a lease from the third", func() bool { return l.HasLease(n.now) })
-		n.cut[l.ID()+">"+third] = true
-		settled := l.CommitIndex()
-		l.Propose([]byte("4"))
+		c := newTestCluster(t, seed, "a", "b", "c")
+		c.commit("1")
+		leader := c.leader()
+		faulty, third := c.others(leader)[0], c.others(leader)[1]
+		earlierDisk := *c.disks[faulty]
+		c.commit("2")
+		c.commit("3")
+		c.until("all have it", func() bool { return c.hasApplied(faulty, "3") && c.hasApplied(third, "3") })
+		c.kill(faulty)
+		c.disks[faulty] = &earlierDisk
+		c.start(faulty)
+		c.until("it is reported", func() bool { return slices.Equal(leader.FaultyPeers(), []string{faulty}) })
+		c.until("a lease from the third", func() bool { return leader.HasLease(c.now) })
+		c.cut[leader.ID()+">"+third] = true
+		before := leader.CommitIndex()
+		leader.Propose([]byte("4"))
 		for range 30 {
-			n.step()
+			c.step()
 		}
-		if l.CommitIndex() > settled {
-			t.Fatalf("seed %d: committed with the help of a disk that forgets", seed)
+		if leader.CommitIndex() > before {
+			t.Fatalf("seed %d: committed with the help of a member that lost entries", seed)
 		}
-		n.cut[l.ID()+">"+third] = false
-		n.commit("5")
+		c.cut[leader.ID()+">"+third] = false
+		c.commit("5")
 	}
 }
 
 func TestStaleRejectionIsIgnored(t *testing.T) {
-	n := newTestCluster(t, 1, "a", "b", "c")
-	n.commit("1")
-	l := n.leader()
-	x := n.others(l)[0]
-	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	first := l.lastStamp
-	n.commit("2")
-	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	n.commit("3")
-	late := Message{Kind: MsgAppendResponse, From: x, To: l.ID(), Term: l.Term(), Reject: true, Index: 1, LogTerm: l.Term(), SendStamp: first}
-	for _, late.Commit = range []uint64{2, l.LastIndex()} {
-		l.Step(late, n.now)
-		if l.peers[x].probing || len(l.FaultyPeers()) > 0 {
-			t.Fatalf("a late refusal of index %d was taken for a new one", late.Commit)
+	c := newTestCluster(t, 1, "a", "b", "c")
+	c.commit("1")
+	leader := c.leader()
+	follower := c.others(leader)[0]
+	c.untilAcknowledged(leader, follower)
+	first := leader.lastStamp
+	c.commit("2")
+	c.untilAcknowledged(leader, follower)
+	c.commit("3")
+	rejection := Message{Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Reject: true, Index: 1, LogTerm: leader.Term(), SendStamp: first}
+	for _, rejection.Commit = range []uint64{2, leader.LastIndex()} {
+		leader.Step(rejection, c.now)
+		if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
+			t.Fatalf("a stale rejection of index %d was taken for a new one", rejection.Commit)
 		}
 	}
-	// A thawed leader's message is refused for its term; nothing is said of the log.
-	f := n.nodes[x]
-	f.Ready()
-	f.Step(Message{Kind: MsgAppend, From: l.ID(), To: x, Term: l.Term() - 1, Index: 90, SendStamp: l.lastStamp + 1}, n.now)
-	o := f.Ready()
-	l.Step(append(o.Messages, o.MessagesAfterSync...)[0], n.now)
-	if l.peers[x].probing || len(l.FaultyPeers()) > 0 {
-		t.Fatal("a refusal of an older term was taken for one of this log")
+	// The append of a leader that was paused is rejected for its term, which says
+	// nothing of the log.
+	node := c.nodes[follower]
+	node.Ready()
+	node.Step(Message{Kind: MsgAppend, From: leader.ID(), To: follower, Term: leader.Term() - 1, Index: 90, SendStamp: leader.lastStamp + 1}, c.now)
+	ready := node.Ready()
+	leader.Step(append(ready.Messages, ready.MessagesAfterSync...)[0], c.now)
+	if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
+		t.Fatal("the rejection of an older term was taken for one of this log")
 	}
 }
 
 func TestStampsUseTheMonotonicClock(t *testing.T) {
-	n := newTestCluster(t, 1, "a", "b", "c")
-	n.commit("1")
-	l := n.leader()
-	l.Tick(n.now.Add(testConfig.HeartbeatInterval))
-	for _, m := range l.Ready().Messages {
-		if m.Kind == MsgAppend && m.SendStamp > int64(n.now.Add(time.Second).Sub(l.startedAt)) {
-			t.Fatalf("stamp %d holds the time of day, which may jump", m.SendStamp)
+	c := newTestCluster(t, 1, "a", "b", "c")
+	c.commit("1")
+	leader := c.leader()
+	leader.Tick(c.now.Add(testConfig.HeartbeatInterval))
+	for _, message := range leader.Ready().Messages {
+		if message.Kind == MsgAppend && message.SendStamp > int64(c.now.Add(time.Second).Sub(leader.startedAt)) {
+			t.Fatalf("stamp %d holds the time of day, which may jump", message.SendStamp)
 		}
 	}
 }
 
-// TestFollowerBehindCompactedLogGetsSnapshot: the entries that a member lacks are no
-// longer held when it answers again. (Without the mend this never ends.)
+// TestFollowerBehindCompactedLogGetsSnapshot: the entries that a member lacks are
+// compacted when it answers again. (This once never ended.)
 func TestFollowerBehindCompactedLogGetsSnapshot(t *testing.T) {
-	n := newTestCluster(t, 1, "a", "b", "c")
-	n.commit("1")
-	l := n.leader()
-	x := n.others(l)[0]
-	n.until("acknowledged", func() bool { return l.peers[x].match == l.LastIndex() })
-	n.cut[x+">"+l.ID()], n.cut[l.ID()+">"+x] = true, true
+	c := newTestCluster(t, 1, "a", "b", "c")
+	c.commit("1")
+	leader := c.leader()
+	follower := c.others(leader)[0]
+	c.untilAcknowledged(leader, follower)
+	c.cut[follower+">"+leader.ID()], c.cut[leader.ID()+">"+follower] = true, true
 	for range 9 {
-		n.commit("2")
+		c.commit("2")
 	}
-	l.Compact(l.AppliedIndex())
-	p := l.peers[x]
-	p.next = p.match + 2 // large entries: one in each append
-	l.Step(Message{Kind: MsgAppendResponse, From: x, To: l.ID(), Term: l.Term(), Index: p.match + 1, SendStamp: l.lastStamp}, n.now)
+	leader.Compact(leader.AppliedIndex())
+	peer := leader.peers[follower]
+	peer.next = peer.match + 2 // large entries: one in each append
+	leader.Step(Message{Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Index: peer.match + 1, SendStamp: leader.lastStamp}, c.now)
 	sent := false
-	for _, m := range l.Ready().Messages {
-		sent = sent || m.Kind == MsgSnapshot && m.To == x
+	for _, message := range leader.Ready().Messages {
+		sent = sent || message.Kind == MsgSnapshot && message.To == follower
 	}
 	if !sent {
-		t.Fatal("no snapshot for a member that lacks what is no longer held")
+		t.Fatal("no snapshot for a member that lacks compacted entries")
 	}
 }
--- a/internal/raft/snapshot_test.go
+++ b/internal/raft/snapshot_test.go
@@ -8,13 +8,14 @@
 // followerWith is a member "b" whose log holds entries 2 to last of term 1.
 func followerWith(last uint64) *Node {
 	var entries []Entry
-	for i := uint64(2); i <= last; i++ {
-		entries = append(entries, Entry{Index: i, Term: 1, Data: []byte("x")})
+	for index := uint64(2); index <= last; index++ {
+		entries = append(entries, Entry{Index: index, Term: 1, Data: []byte("x")})
 	}
 	voters := []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	return New("b", HardState{Term: 1}, Snapshot{Index: 1, Voters: voters}, entries, time.Unix(1000, 0), testConfig, 1)
 }
 
+// receive steps a message to the node, from "a" and in the node's term if it names none.
 func (n *Node) receive(m Message) {
 	m.To = n.id
 	if m.From == "" {
@@ -26,83 +27,84 @@
 	n.Step(m, n.now)
 }
 
-func snapshotAt(index, term uint64) *Snapshot {
-	return &Snapshot{Index: index, Term: term, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, Data: []byte("s")}
+// snapshotAtNine is a snapshot up to entry 9 of a term.
+func snapshotAtNine(term uint64) *Snapshot {
+	return &Snapshot{Index: 9, Term: term, Voters: []Member{{ID: "a"}, {ID: "b"}, {ID: "c"}}, Data: []byte("s")}
 }
 
 func TestSnapshotIsNotAcknowledgedBeforeItIsSynced(t *testing.T) {
-	n := followerWith(1)
-	n.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAt(9, 1), SendStamp: 1})
-	first := n.Ready()
+	node := followerWith(1)
+	node.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAtNine(1), SendStamp: 1})
+	first := node.Ready()
 	if first.Snapshot == nil || len(first.Messages) > 0 || len(first.MessagesAfterSync) != 1 {
-		t.Fatalf("snapshot handed out as %+v", first)
+		t.Fatalf("ready %+v", first)
 	}
 	// An append below what is committed rests on the snapshot too.
-	n.receive(Message{Kind: MsgAppend, Index: 7, LogTerm: 1, Entries: []Entry{{Index: 8, Term: 1}}, SendStamp: 2})
-	if o := n.Ready(); len(o.Messages) > 0 || len(o.MessagesAfterSync) != 1 {
-		t.Fatalf("acknowledged before the sync: %+v", o.Messages)
+	node.receive(Message{Kind: MsgAppend, Index: 7, LogTerm: 1, Entries: []Entry{{Index: 8, Term: 1}}, SendStamp: 2})
+	if ready := node.Ready(); len(ready.Messages) > 0 || len(ready.MessagesAfterSync) != 1 {
+		t.Fatalf("acknowledged before the sync: %+v", ready.Messages)
 	}
-	n.WriteSynced(first.WriteToken)
-	n.receive(Message{Kind: MsgAppend, Index: 7, LogTerm: 1, Entries: []Entry{{Index: 8, Term: 1}}, SendStamp: 3})
-	if o := n.Ready(); len(o.Messages) != 1 || o.Messages[0].Index != 9 {
-		t.Fatalf("not acknowledged after it: %+v", o)
+	node.WriteSynced(first.WriteToken)
+	node.receive(Message{Kind: MsgAppend, Index: 7, LogTerm: 1, Entries: []Entry{{Index: 8, Term: 1}}, SendStamp: 3})
+	if ready := node.Ready(); len(ready.Messages) != 1 || ready.Messages[0].Index != 9 {
+		t.Fatalf("not acknowledged after it: %+v", ready)
 	}
 }
 
 func TestSnapshotKeepsAMatchingSuffix(t *testing.T) {
-	n := followerWith(12)
-	n.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAt(9, 1), SendStamp: 1})
-	o := n.Ready()
-	if n.LastIndex() != 12 || o.Snapshot != nil {
-		t.Fatalf("last entry %d, snapshot %v: entries above it are gone", n.LastIndex(), o.Snapshot)
+	node := followerWith(12)
+	node.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAtNine(1), SendStamp: 1})
+	ready := node.Ready()
+	if node.LastIndex() != 12 || ready.Snapshot != nil {
+		t.Fatalf("last entry %d, snapshot %v: entries above it are lost", node.LastIndex(), ready.Snapshot)
 	}
-	if got := n.NextCommittedEntries(); len(got) != 8 || got[7].Index != 9 {
-		t.Fatalf("settled %d entries, not those up to the snapshot", len(got))
+	if committed := node.NextCommittedEntries(); len(committed) != 8 || committed[7].Index != 9 {
+		t.Fatalf("committed %d entries, not those up to the snapshot", len(committed))
 	}
-	if a := append(o.Messages, o.MessagesAfterSync...); len(a) != 1 || a[0].Reject || a[0].Index != 9 {
-		t.Fatalf("answered %+v", a)
+	if responses := append(ready.Messages, ready.MessagesAfterSync...); len(responses) != 1 || responses[0].Reject || responses[0].Index != 9 {
+		t.Fatalf("responses %+v", responses)
 	}
 }
 
 func TestSnapshotReplacesConflictingLog(t *testing.T) {
-	n := followerWith(12)
-	n.receive(Message{Kind: MsgSnapshot, Term: 2, Snapshot: snapshotAt(9, 2), SendStamp: 1})
-	if o := n.Ready(); n.LastIndex() != 9 || o.Snapshot == nil || o.WriteToken.SnapshotIndex != 9 {
-		t.Fatalf("last entry %d, out %+v", n.LastIndex(), o)
+	node := followerWith(12)
+	node.receive(Message{Kind: MsgSnapshot, Term: 2, Snapshot: snapshotAtNine(2), SendStamp: 1})
+	if ready := node.Ready(); node.LastIndex() != 9 || ready.Snapshot == nil || ready.WriteToken.SnapshotIndex != 9 {
+		t.Fatalf("last entry %d, ready %+v", node.LastIndex(), ready)
 	}
 }
 
 func TestNoCommittedEntriesWhileSnapshotIsPending(t *testing.T) {
-	n := followerWith(3)
-	n.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAt(9, 1), SendStamp: 1})
-	n.receive(Message{Kind: MsgAppend, Index: 9, LogTerm: 1, Entries: []Entry{{Index: 10, Term: 1, Data: []byte("y")}}, Commit: 10, SendStamp: 2})
-	if got := n.NextCommittedEntries(); len(got) > 0 {
-		t.Fatalf("entry %d handed out while the caller has the old state", got[0].Index)
+	node := followerWith(3)
+	node.receive(Message{Kind: MsgSnapshot, Snapshot: snapshotAtNine(1), SendStamp: 1})
+	node.receive(Message{Kind: MsgAppend, Index: 9, LogTerm: 1, Entries: []Entry{{Index: 10, Term: 1, Data: []byte("y")}}, Commit: 10, SendStamp: 2})
+	if committed := node.NextCommittedEntries(); len(committed) > 0 {
+		t.Fatalf("entry %d handed out while the owner has the old state", committed[0].Index)
 	}
-	if o := n.Ready(); o.Snapshot == nil || len(o.Entries) != 1 {
-		t.Fatalf("out %+v", o)
+	if ready := node.Ready(); ready.Snapshot == nil || len(ready.Entries) != 1 {
+		t.Fatalf("ready %+v", ready)
 	}
-	if got := n.NextCommittedEntries(); len(got) != 1 || got[0].Index != 10 {
-		t.Fatalf("settled %v after the snapshot", got)
+	if committed := node.NextCommittedEntries(); len(committed) != 1 || committed[0].Index != 10 {
+		t.Fatalf("committed %v after the snapshot", committed)
 	}
 }
 
 func TestSupersededWriteDoesNotProveReappearedEntry(t *testing.T) {
-	n := followerWith(1)
+	node := followerWith(1)
 	entry := func(term uint64) []Entry { return []Entry{{Index: 2, Term: term}} }
-	n.receive(Message{Kind: MsgAppend, Term: 1, Index: 1, Entries: entry(1), SendStamp: 1})
-	first := n.Ready()
-	n.receive(Message{Kind: MsgAppend, Term: 2, From: "c", Index: 1, Entries: entry(2), SendStamp: 1})
-	second := n.Ready()
-	n.receive(Message{Kind: MsgAppend, Term: 3, Index: 1, Entries: entry(1), SendStamp: 1})
-	third := n.Ready()
-	n.WriteSynced(first.WriteToken)
-	if n.syncedIndex >= 2 {
-		t.Fatal("an older write is taken as proof; the one after it removes the entry")
+	node.receive(Message{Kind: MsgAppend, Term: 1, Index: 1, Entries: entry(1), SendStamp: 1})
+	first := node.Ready()
+	node.receive(Message{Kind: MsgAppend, Term: 2, From: "c", Index: 1, Entries: entry(2), SendStamp: 1})
+	second := node.Ready()
+	node.receive(Message{Kind: MsgAppend, Term: 3, Index: 1, Entries: entry(1), SendStamp: 1})
+	third := node.Ready()
+	node.WriteSynced(first.WriteToken)
+	if node.syncedIndex >= 2 {
+		t.Fatal("the older write counts, though the one after it removes the entry")
 	}
-	n.WriteSynced(second.WriteToken)
-	n.WriteSynced(third.WriteToken)
-	if n.syncedIndex != 2 {
-		t.Fatalf("synced %d after all writes", n.syncedIndex)
+	node.WriteSynced(second.WriteToken)
+	node.WriteSynced(third.WriteToken)
+	if node.syncedIndex != 2 {
+		t.Fatalf("synced %d after all writes", node.syncedIndex)
 	}
 }
