--- a/internal/raft/leader_transfer_test.go
+++ b/internal/raft/leader_transfer_test.go
@@ -1,6 +1,24 @@
 package raft
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
+
+func TestLeadershipTransfer(t *testing.T) {
+	c := newTestCluster(t, 4, "a", "b", "c")
+	c.commit("1")
+	old := c.leader()
+	if !old.TransferLeadership() {
+		t.Fatal("no voter to hand over to")
+	}
+	startedAt := c.now
+	c.until("another leads", func() bool { leader := c.leader(); return leader != nil && leader != old })
+	if c.now.Sub(startedAt) > 300*time.Millisecond {
+		t.Errorf("the transfer took %v", c.now.Sub(startedAt))
+	}
+	c.commit("2")
+}
 
 func TestLeaderResumesAfterLostTransfer(t *testing.T) {
 	for seed := int64(0); seed < 10; seed++ {
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -244,27 +244,6 @@
 	c.commit("3")
 }
 
-func TestJointQuorumNeedsBothMajorities(t *testing.T) {
-	joint := configuration{voters: []Member{testMember("a"), testMember("d"), testMember("e")}, outgoing: []Member{testMember("a"), testMember("b"), testMember("c")}}
-	for _, test := range []struct {
-		have string
-		want bool
-	}{{"ad", false}, {"ab", false}, {"bcd", false}, {"abd", true}, {"bcde", true}, {"ade", false}, {"abcde", true}} {
-		has := func(disk string) bool { return slices.Contains([]byte(test.have), disk[0]) }
-		if joint.hasQuorum(has) != test.want {
-			t.Errorf("%s: majority %v", test.have, !test.want)
-		}
-		if reached := joint.quorumValue(func(disk string) uint64 {
-			if has(disk) {
-				return 7
-			}
-			return 0
-		}); (reached == 7) != test.want {
-			t.Errorf("%s: reached %d", test.have, reached)
-		}
-	}
-}
-
 func TestLaggingLearnerIsNotCaughtUp(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c")
 	c.commit("1")
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -113,21 +113,6 @@
 // out the log.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// LastIndex returns the index of the newest entry of the log.
-func (n *Node) LastIndex() uint64 { return n.base.Index + uint64(len(n.log)) }
-
-// TermAt returns the term of an entry of the log or of the snapshot before it;
-// false if the entry is compacted or not there.
-func (n *Node) TermAt(index uint64) (uint64, bool) {
-	if index == n.base.Index {
-		return n.base.Term, true
-	}
-	if index < n.base.Index || index > n.LastIndex() {
-		return 0, false
-	}
-	return n.log[index-n.base.Index-1].Term, true
-}
-
 // Tick moves the clock on. It returns the time after which Tick is to be called
 // again if there is no other input.
 func (n *Node) Tick(now time.Time) time.Duration {
@@ -276,27 +261,3 @@
 	n.syncedIndex = max(n.syncedIndex, last)
 	n.maybeCommit()
 }
-
-// supersedeWrites notes that the entries from an index on are replaced. Writes
-// that were handed out before and are not synced yet prove nothing of what will
-// stand there: the same entry may even come back while an older write is still
-// to remove it.
-func (n *Node) supersedeWrites(index uint64) {
-	n.syncedIndex = min(n.syncedIndex, index-1)
-	if n.syncedWrites >= n.supersededWrite || index < n.supersededFrom {
-		n.supersededFrom = index
-	}
-	n.supersededWrite = n.issuedWrites
-}
-
-// NextCommittedEntries returns the committed entries that are to be applied, each
-// of them once. There are none while Ready still has a received snapshot to hand
-// out: they follow the state of that snapshot, and the owner has an older one.
-func (n *Node) NextCommittedEntries() []Entry {
-	if n.pending.Snapshot != nil || n.appliedIndex >= n.commitIndex {
-		return nil
-	}
-	entries := n.log[n.appliedIndex-n.base.Index : n.commitIndex-n.base.Index]
-	n.appliedIndex = n.commitIndex
-	return entries
-}
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -1,7 +1,6 @@
 package raft
 
 import (
-	"slices"
 	"sort"
 	"time"
 )
@@ -33,20 +32,6 @@
 	commitSent                  uint64 // the newest commit index that it was told
 }
 
-// appendEntry adds an entry of this leader's term to the log.
-func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
-	entry := Entry{Index: n.LastIndex() + 1, Term: n.term, Kind: kind, Data: data}
-	n.appendToLog(entry)
-	return entry.Index
-}
-
-// appendToLog adds the next entry to the log and to what is to be written.
-func (n *Node) appendToLog(entry Entry) {
-	n.log = append(n.log, entry)
-	n.recordConfiguration(entry)
-	n.pending.Entries = append(n.pending.Entries, entry)
-}
-
 // Propose adds a command to the log. It returns the index at which the command
 // will be applied, if the term stays the same; false if this member does not lead
 // or is handing the leadership over.
@@ -162,110 +147,6 @@
 	n.send(m, false)
 }
 
-// followLeader takes note of the leader that sent a message. It returns false, and
-// answers, if the message is of an older term.
-func (n *Node) followLeader(m Message) bool {
-	if m.Term < n.term {
-		// A leader that was paused must learn of the newer term. Without a
-		// stamp, the response says nothing of this member's log.
-		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true}, false)
-		return false
-	}
-	if n.role != follower {
-		if n.role == leader {
-			panic("raft: two leaders in one term")
-		}
-		n.role = follower
-	}
-	n.leader = m.From
-	n.electionTimerStart, n.lastLeaderContact = n.now, n.now
-	n.resetElectionTimeout()
-	return true
-}
-
-// respondToAppend tells the leader how far this log agrees with its own, or, with
-// reject, from where it may differ.
-func (n *Node) respondToAppend(m Message, index uint64, reject, afterSync bool) {
-	if m.Kind == MsgAppend && m.SendStamp == 0 && len(m.Entries) == 0 {
-		// See sendCommit.
-		return
-	}
-	response := Message{Kind: MsgAppendResponse, To: m.From, Index: index, Reject: reject, SendStamp: m.SendStamp, LogTerm: m.LogTerm, Commit: m.Index}
-	if n.wallClock != nil {
-		response.WallClock = n.wallClock()
-	}
-	n.send(response, afterSync)
-}
-
-// handleAppend takes entries, a heartbeat, or a commit index from the leader.
-func (n *Node) handleAppend(m Message) {
-	if !n.followLeader(m) {
-		return
-	}
-	if m.Index < n.commitIndex && m.LogTerm != noEntryTerm {
-		// What is committed can't differ, so the append is taken from there on.
-		skip := n.commitIndex - m.Index
-		if uint64(len(m.Entries)) <= skip {
-			n.respondToAppend(m, n.commitIndex, false, n.syncedIndex < n.commitIndex)
-			return
-		}
-		m.Entries = m.Entries[skip:]
-		m.Index = n.commitIndex
-		m.LogTerm, _ = n.TermAt(n.commitIndex)
-	}
-	if term, ok := n.TermAt(m.Index); !ok || term != m.LogTerm {
-		n.respondToAppend(m, n.rejectionHint(m.Index), true, false)
-		return
-	}
-	appended := n.mergeEntries(m.Entries)
-	matched := m.Index + uint64(len(m.Entries))
-	if m.Commit > n.commitIndex && matched > n.commitIndex {
-		n.commitIndex = min(m.Commit, matched)
-	}
-	n.respondToAppend(m, matched, false, appended || n.syncedIndex < matched)
-}
-
-// rejectionHint returns the index up to which the logs may agree, given that they
-// differ at index or that this log ends before it.
-func (n *Node) rejectionHint(index uint64) uint64 {
-	hint := n.LastIndex()
-	if index <= hint && index > 0 {
-		hint = index - 1
-	}
-	return max(hint, n.commitIndex)
-}
-
-// mergeEntries adds the leader's entries that the log lacks, in place of those that
-// differ. It tells whether there were any.
-func (n *Node) mergeEntries(entries []Entry) bool {
-	for i, entry := range entries {
-		if term, ok := n.TermAt(entry.Index); ok {
-			if term == entry.Term {
-				continue
-			}
-			n.truncateLog(entry.Index)
-		}
-		for _, missing := range entries[i:] {
-			n.appendToLog(missing)
-		}
-		return true
-	}
-	return false
-}
-
-// truncateLog drops the log from an index on, where the leader's differs.
-func (n *Node) truncateLog(index uint64) {
-	if index <= n.commitIndex {
-		panic("raft: a committed entry would change")
-	}
-	n.log = n.log[:index-n.base.Index-1]
-	for len(n.configurations) > 1 && n.latestConfiguration().index >= index {
-		n.configurations = n.configurations[:len(n.configurations)-1]
-	}
-	n.supersedeWrites(index)
-	n.pending.Entries = slices.DeleteFunc(n.pending.Entries, func(entry Entry) bool { return entry.Index >= index })
-}
-
 // handleAppendResponse takes note of how far a member's log agrees with this one.
 func (n *Node) handleAppendResponse(m Message) {
 	peer := n.peers[m.From]
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -38,21 +38,3 @@
 	n.pending.Snapshot = received
 	n.respondToAppend(m, received.Index, false, true)
 }
-
-// Compact drops the entries up to an index, which a snapshot on disk includes.
-// It does nothing if they are dropped already or not applied yet.
-func (n *Node) Compact(index uint64) {
-	if index <= n.base.Index || index > n.appliedIndex {
-		return
-	}
-	term, _ := n.TermAt(index)
-	base := n.configurations[0]
-	remaining := n.configurations
-	for len(remaining) > 0 && remaining[0].index <= index {
-		base = remaining[0]
-		remaining = remaining[1:]
-	}
-	n.log = append([]Entry(nil), n.log[index-n.base.Index:]...)
-	n.base = Snapshot{Index: index, Term: term, Voters: base.voters, OutgoingVoters: base.outgoing}
-	n.configurations = append([]configuration{base}, remaining...)
-}
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"context"
 	"crypto/rand"
 	"encoding/hex"
 	"errors"
@@ -9,7 +8,6 @@
 	"io"
 	"os"
 	"path/filepath"
-	"time"
 
 	bolt "go.etcd.io/bbolt"
 	"golang.org/x/sys/unix"
@@ -252,68 +250,3 @@
 	}
 	return true, nil
 }
-
-// OpenWithRetry is Open, repeated for as long as it fails, with a backoff that grows
-// to a bound. It calls onWait after each failure, and at regular intervals while a
-// call hangs. The only error that it returns is that of ctx.
-func OpenWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
-	return osFileSystem.openWithRetry(ctx, dir, onWait)
-}
-
-// openResult is the outcome of one call of Open.
-type openResult struct {
-	store     *Store
-	recovered Recovered
-	reason    string
-	err       error
-}
-
-func (fs fileSystem) openWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
-	backoff := tuning.StorageRetryBackoff
-	reason := "" // of the last attempt that renamed a file
-	for {
-		results := make(chan openResult, 1)
-		go func() {
-			var result openResult
-			result.store, result.recovered, result.reason, result.err = fs.open(dir)
-			results <- result
-		}()
-		result, err := awaitOpen(ctx, results, onWait)
-		if err != nil {
-			return nil, Recovered{}, reason, err
-		}
-		if result.reason != "" {
-			reason = result.reason
-		}
-		if result.err == nil {
-			return result.store, result.recovered, reason, nil
-		}
-		onWait(result.err)
-		if sleep(ctx, backoff); ctx.Err() != nil {
-			return nil, Recovered{}, reason, ctx.Err()
-		}
-		backoff = min(2*backoff, tuning.MaxStorageRetryBackoff)
-	}
-}
-
-// awaitOpen waits for one attempt. An attempt that outlives ctx closes what it opened.
-func awaitOpen(ctx context.Context, results chan openResult, onWait func(error)) (openResult, error) {
-	ticker := time.NewTicker(tuning.StorageWarningInterval)
-	defer ticker.Stop()
-	startedAt := time.Now()
-	for {
-		select {
-		case result := <-results:
-			return result, nil
-		case <-ticker.C:
-			onWait(unavailable("open", fmt.Errorf("no answer from the disk for %v", time.Since(startedAt).Round(time.Second))))
-		case <-ctx.Done():
-			go func() {
-				if result := <-results; result.store != nil {
-					_ = result.store.db.Close()
-				}
-			}()
-			return openResult{}, ctx.Err()
-		}
-	}
-}
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"errors"
 	"os"
 	"path/filepath"
@@ -11,13 +10,10 @@
 	"strings"
 	"syscall"
 	"testing"
-	"testing/synctest"
-	"time"
 
 	bolt "go.etcd.io/bbolt"
 
 	"tealpond/internal/raft"
-	"tealpond/internal/tuning"
 )
 
 // newStoreFile makes a directory with a file that holds a vote and entries.
@@ -282,46 +278,3 @@
 		t.Fatalf("%v", all)
 	}
 }
-
-func TestOpenWithRetryUntilDiskServes(t *testing.T) {
-	dir, _, id := newStoreFile(t)
-	synctest.Test(t, func(t *testing.T) {
-		fs, opened := osFileSystem, 0
-		fs.openFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
-			opened++
-			if opened == 3 {
-				time.Sleep(2500 * time.Millisecond) // a stalled disk, in virtual time
-			}
-			if opened < 20 {
-				return nil, syscall.EIO
-			}
-			return os.OpenFile(name, flag, mode)
-		}
-		reports, last, longestGap := 0, time.Now(), time.Duration(0)
-		store, recovered, reason, err := fs.openWithRetry(t.Context(), dir, func(err error) {
-			reports++
-			longestGap = max(longestGap, time.Since(last))
-			last = time.Now()
-		})
-		if err != nil || reason != "" || recovered.ID != id {
-			t.Fatalf("%v %q %+v", err, reason, recovered)
-		}
-		if reports < 19+2 || longestGap > tuning.StorageWarningInterval+tuning.MaxStorageRetryBackoff {
-			t.Errorf("reported %d times, once %v apart", reports, longestGap)
-		}
-		_ = store.Close()
-	})
-}
-
-func TestOpenWithRetryEndsWithContext(t *testing.T) {
-	dir := t.TempDir()
-	synctest.Test(t, func(t *testing.T) {
-		fs := osFileSystem
-		fs.openFile = func(string, int, os.FileMode) (*os.File, error) { return nil, syscall.ENOSPC }
-		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		defer cancel()
-		if store, _, _, err := fs.openWithRetry(ctx, dir, func(error) {}); store != nil || !errors.Is(err, context.DeadlineExceeded) {
-			t.Fatal(err)
-		}
-	})
-}
