--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -94,10 +94,12 @@
 		return
 	}
 	r.appointments.changePending[zone] = true
-	r.enqueueCommand(state.CommandAppointAggregator, &state.AppointAggregator{Aggregator: appointed, BaseRevision: choice.current.Revision}, func(outcome state.Outcome, known bool) {
+	command := &state.AppointAggregator{Aggregator: appointed, BaseRevision: choice.current.Revision}
+	r.enqueueCommand(state.CommandAppointAggregator, command, func(outcome state.Outcome, known bool) {
 		delete(r.appointments.changePending, zone)
 		if known && outcome.Code == state.CodeOK {
-			_ = r.log.Log("level", "info", "event", "aggregator.appointed", "zone", zone, "address", appointed.Address, "standby", appointed.StandbyAddress, "revision", outcome.Value)
+			_ = r.log.Log("level", "info", "event", "aggregator.appointed", "zone", zone,
+				"address", appointed.Address, "standby", appointed.StandbyAddress, "revision", outcome.Value)
 		}
 	})
 }
--- a/internal/server/configuration.go
+++ b/internal/server/configuration.go
@@ -16,7 +16,8 @@
 	// is parsed when the command is applied.
 	id := "desired/" + strconv.FormatInt(clusterconfig.VersionOf(request.Raw), 10)
 	r.trace.Record(id, "ordered", int64(r.node.LastIndex()+1), "")
-	r.enqueueCommand(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{BaseVersion: request.BaseVersion, Raw: request.Raw}, r.withTrace(id, "settled", outcomeReply(reply)))
+	replace := &state.ReplaceConfiguration{BaseVersion: request.BaseVersion, Raw: request.Raw}
+	r.enqueueCommand(state.CommandReplaceConfiguration, replace, r.withTrace(id, "settled", outcomeReply(reply)))
 }
 
 // handleGetConfig gives the newest configuration, whole. A change that this leader has
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -15,7 +15,8 @@
 	for _, instance := range job.Instances {
 		for i := range instance.Steps {
 			step := &instance.Steps[i]
-			fmt.Fprintf(&steps, "%dx%d:%d+%d+%d ", job.Steps[i].TaskCount, job.Steps[i].CPUUnits, step.ReadyAt-instance.CreatedAt, step.LastBookedAt-step.ReadyAt, step.CompletedAt-step.LastBookedAt)
+			fmt.Fprintf(&steps, "%dx%d:%d+%d+%d ", job.Steps[i].TaskCount, job.Steps[i].CPUUnits,
+				step.ReadyAt-instance.CreatedAt, step.LastBookedAt-step.ReadyAt, step.CompletedAt-step.LastBookedAt)
 		}
 	}
 	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "route", job.Route, "priority", job.Priority, "state", job.Status(),
@@ -46,7 +47,8 @@
 		}
 	}
 	_ = r.log.Log("level", "debug", "event", "capacity.measured", "workers", workers, "cpu", totalCPU, "cpu_used", usedCPU, "mem", totalMemory, "mem_used", usedMemory,
-		"waiting", r.state.PendingWork()/1000, "p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
+		"waiting", r.state.PendingWork()/1000,
+		"p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
 }
 
 // logRun logs how a run went.
@@ -57,6 +59,8 @@
 		return
 	}
 	step := job.Steps[allocation.Step]
-	_ = r.log.Log("level", "debug", "event", "run.completed", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy, "result", completed.Result, "reason", allocation.StopReason, "worker", worker.Node,
-		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt, "estimate_ms", step.EstimateMs, "remote", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
+	_ = r.log.Log("level", "debug", "event", "run.completed", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy,
+		"result", completed.Result, "reason", allocation.StopReason, "worker", worker.Node,
+		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt,
+		"estimate_ms", step.EstimateMs, "remote", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
 }
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -88,7 +88,8 @@
 		return
 	}
 	respond := func(status string, value int64) {
-		reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(federation.Response{Status: status, Epoch: r.state.Epoch, Index: r.state.AppliedIndex, MilliCPU: value})})
+		response := federation.Response{Status: status, Epoch: r.state.Epoch, Index: r.state.AppliedIndex, MilliCPU: value}
+		reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(response)})
 	}
 	respondOutcome := func(outcome state.Outcome, known bool) {
 		if !known {
@@ -106,11 +107,13 @@
 	case federation.CallLoan:
 		r.lendCapacity(&request, reply, respond)
 	case federation.CallOffer:
-		r.enqueueCommand(state.CommandAcceptJob, &state.AcceptJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Route: request.Route, Loan: request.Loan, Job: request.Job}, respondOutcome)
+		accept := &state.AcceptJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Route: request.Route, Loan: request.Loan, Job: request.Job}
+		r.enqueueCommand(state.CommandAcceptJob, accept, respondOutcome)
 	case federation.CallRelease:
 		r.enqueueCommand(state.CommandReleaseJob, &state.ReleaseJob{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID}, respondOutcome)
 	case federation.CallVoidOffer:
-		r.enqueueCommand(state.CommandVoidOffer, &state.VoidOffer{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Cancel: request.Cancel}, respondOutcome)
+		void := &state.VoidOffer{Peer: request.From, OfferID: request.OfferNumber, ID: request.JobID, Cancel: request.Cancel}
+		r.enqueueCommand(state.CommandVoidOffer, void, respondOutcome)
 	default:
 		reply(rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown call"})
 	}
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -23,7 +23,9 @@
 			continue
 		}
 		if _, federated := peerRoutes[job.Route]; federated && mayBeOffered(job) {
-			work.Candidates = append(work.Candidates, federation.Candidate{JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: widestStep(job), Offers: job.Transfer.OfferCount})
+			work.Candidates = append(work.Candidates, federation.Candidate{
+				JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: widestStep(job), Offers: job.Transfer.OfferCount,
+			})
 		}
 	}
 	for _, job := range store.Jobs {
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -67,7 +67,8 @@
 		return
 	}
 	r.trace.Record(id, "ordered", int64(r.node.LastIndex()+1), route.Name)
-	r.enqueueCommand(state.CommandSubmitJob, &state.SubmitJob{Host: request.Host, Path: request.Path, ID: id, Job: request.Job, DemandBucket: r.demandBucket()}, r.withTrace(id, "settled", outcomeReply(reply)))
+	submit := &state.SubmitJob{Host: request.Host, Path: request.Path, ID: id, Job: request.Job, DemandBucket: r.demandBucket()}
+	r.enqueueCommand(state.CommandSubmitJob, submit, r.withTrace(id, "settled", outcomeReply(reply)))
 }
 
 // overloaded tells whether more work waits than the workers of a route's service
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -88,7 +88,8 @@
 			continue
 		}
 		old := voters[i]
-		_ = r.log.Log("level", "info", "event", "voter.replacement_proposed", "node", old.Node, "disk", old.ID, "reason", reason, "new_node", candidate.Node, "new_disk", candidate.ID)
+		_ = r.log.Log("level", "info", "event", "voter.replacement_proposed", "node", old.Node, "disk", old.ID, "reason", reason,
+			"new_node", candidate.Node, "new_disk", candidate.ID)
 		// The old voter is still to be told of the change, if it lives.
 		r.addresses[old.ID] = old.Addr
 		next := slices.Clone(voters)
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -94,7 +94,8 @@
 	if lease := r.leases[allocation.Worker]; r.leading && (lease == nil || lease.expiring) {
 		return
 	}
-	assignment := rpc.Assignment{Worker: allocation.Worker, Fence: worker.Fence, Stop: allocation.Stopping, Task: allocation.TaskName(), Run: allocation.Run}
+	assignment := rpc.Assignment{Worker: allocation.Worker, Fence: worker.Fence,
+		Stop: allocation.Stopping, Task: allocation.TaskName(), Run: allocation.Run}
 	if !allocation.Stopping {
 		job := r.state.Jobs[allocation.Job]
 		if job == nil {
--- a/internal/server/snapshot_exchange.go
+++ b/internal/server/snapshot_exchange.go
@@ -56,7 +56,8 @@
 // the snapshot is there.
 func (r *Replica) handleSnapshotChunk(ctx context.Context, body []byte, stream *transport.Stream) {
 	var chunk snapshotChunk
-	if transport.Decode(body, &chunk) != nil || chunk.Msg.To != r.self.ID || chunk.Msg.Snapshot == nil || r.node == nil || chunk.Total <= 0 || chunk.Total > tuning.MaxFrameBytes {
+	if transport.Decode(body, &chunk) != nil || chunk.Msg.To != r.self.ID || chunk.Msg.Snapshot == nil || r.node == nil ||
+		chunk.Total <= 0 || chunk.Total > tuning.MaxFrameBytes {
 		return
 	}
 	from, snapshot := chunk.Msg.From, chunk.Msg.Snapshot
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -38,13 +38,19 @@
 // stateTables are the tables of the replicated state.
 func stateTables(store *state.Store) []rpc.Table {
 	devices, bookings := deviceTables(store)
-	return []rpc.Table{workerTable(store), devices, bookings, allocationTable(store), routeTable(store), jobTable(store), transferTable(store), rollupTable(store), aggregatorTable(store)}
+	return []rpc.Table{
+		workerTable(store), devices, bookings, allocationTable(store), routeTable(store), jobTable(store),
+		transferTable(store), rollupTable(store), aggregatorTable(store),
+	}
 }
 
 func workerTable(store *state.Store) rpc.Table {
-	table := newTable("workers", "id", "node", "service", "zone", "rack", "cpu", "cpu_used", "mem", "mem_used", "gpus", "fence", "draining", "sick", "lost", "dead")
+	table := newTable("workers", "id", "node", "service", "zone", "rack", "cpu", "cpu_used", "mem", "mem_used", "gpus",
+		"fence", "draining", "sick", "lost", "dead")
 	for _, worker := range store.Workers {
-		addRow(&table, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(), worker.Capacity.CPUUnits, worker.UsedMilliCPU, worker.Capacity.MemoryMB, worker.UsedMemoryMB, worker.Capacity.GPUs, worker.Fence, worker.Draining, worker.Unhealthy, worker.LeaseExpired, worker.Dead)
+		addRow(&table, worker.ID, worker.Node, worker.Service, worker.Zone, worker.Rack(),
+			worker.Capacity.CPUUnits, worker.UsedMilliCPU, worker.Capacity.MemoryMB, worker.UsedMemoryMB, worker.Capacity.GPUs,
+			worker.Fence, worker.Draining, worker.Unhealthy, worker.LeaseExpired, worker.Dead)
 	}
 	return table
 }
@@ -69,7 +75,8 @@
 func allocationTable(store *state.Store) rpc.Table {
 	table := newTable("allocs", "id", "worker", "task", "run", "cpu", "mem", "gpus", "since_ms", "stopping", "why")
 	for _, allocation := range store.Allocations {
-		addRow(&table, allocation.ID, allocation.Worker, allocation.TaskName(), allocation.Run, allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.BookedAt, allocation.Stopping, allocation.StopReason)
+		addRow(&table, allocation.ID, allocation.Worker, allocation.TaskName(), allocation.Run,
+			allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.BookedAt, allocation.Stopping, allocation.StopReason)
 	}
 	return table
 }
@@ -77,7 +84,8 @@
 func routeTable(store *state.Store) rpc.Table {
 	table := newTable("inboxes", "name", "host", "prefix", "service", "priority", "target_ms", "stretch", "max_rounds", "waiting")
 	for _, route := range store.Configuration.Routes {
-		addRow(&table, route.Name, route.HostName, route.PathPrefix, route.TargetService, route.Priority, route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobs(route.Name))
+		addRow(&table, route.Name, route.HostName, route.PathPrefix, route.TargetService, route.Priority,
+			route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobs(route.Name))
 	}
 	return table
 }
@@ -92,23 +100,32 @@
 
 // transferStateNames are the states of a job's transfer between clusters, as the
 // table names them.
-var transferStateNames = map[byte]string{state.TransferNone: "home", state.TransferOffered: "offered", state.TransferAccepted: "taken", state.TransferReleased: "released"}
+var transferStateNames = map[byte]string{
+	state.TransferNone:     "home",
+	state.TransferOffered:  "offered",
+	state.TransferAccepted: "taken",
+	state.TransferReleased: "released",
+}
 
 // transferTable lists the jobs that were offered to or by another cluster.
 func transferTable(store *state.Store) rpc.Table {
 	table := newTable("moves", "job", "inbox", "peer", "no", "state", "guest", "job_state", "born_ms", "ended_ms")
 	for _, job := range store.Jobs {
 		if job.Transfer.OfferID > 0 {
-			addRow(&table, job.ID, job.Route, job.Transfer.Peer, job.Transfer.OfferID, transferStateNames[job.Transfer.State], job.Transfer.Incoming, job.Status(), job.CreatedAt, job.EndedAt)
+			addRow(&table, job.ID, job.Route, job.Transfer.Peer, job.Transfer.OfferID, transferStateNames[job.Transfer.State], job.Transfer.Incoming,
+				job.Status(), job.CreatedAt, job.EndedAt)
 		}
 	}
 	return table
 }
 
 func rollupTable(store *state.Store) rpc.Table {
-	table := newTable("rollups", "service", "cpu_total", "cpu_allocatable", "cpu_allocated", "mem_total", "mem_allocatable", "mem_allocated", "gpu_total", "gpu_allocated", "draining", "unreachable", "at_ms")
+	table := newTable("rollups", "service", "cpu_total", "cpu_allocatable", "cpu_allocated", "mem_total", "mem_allocatable", "mem_allocated",
+		"gpu_total", "gpu_allocated", "draining", "unreachable", "at_ms")
 	for service, rollup := range store.Rollups {
-		addRow(&table, service, rollup.TotalMilliCPU, rollup.AllocatableMilliCPU, rollup.UsedMilliCPU, rollup.TotalMemoryMB, rollup.AllocatableMemoryMB, rollup.UsedMemoryMB, rollup.TotalGPUs, rollup.UsedGPUs, rollup.Draining, rollup.Unreachable, rollup.RebuiltAt)
+		addRow(&table, service, rollup.TotalMilliCPU, rollup.AllocatableMilliCPU, rollup.UsedMilliCPU,
+			rollup.TotalMemoryMB, rollup.AllocatableMemoryMB, rollup.UsedMemoryMB, rollup.TotalGPUs, rollup.UsedGPUs,
+			rollup.Draining, rollup.Unreachable, rollup.RebuiltAt)
 	}
 	return table
 }
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -11,7 +11,7 @@
 	"tealpond/internal/tuning"
 )
 
-// Why a worker's lease is not renewed.
+// Reasons why a worker's lease is not renewed.
 var (
 	errWorkerGone   = errors.New("the worker is not registered any more")
 	errLeaseNotHeld = errors.New("the agent does not hold the worker's lease")
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -49,7 +49,7 @@
 	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "1", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("b")}, Requested: []byte{3}}
 	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "2", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("c")}, Requested: []byte{3}}
 	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "ac" {
-		t.Fatalf("the set told whole: %d, granted %q", code, renewed)
+		t.Fatalf("the set with its members: %d, renewed %q", code, renewed)
 	}
 	if code, renewed := renewedWorkers(replica, old); code != 200 || renewed != "ab" {
 		t.Fatalf("the late batch: %d, granted %q", code, renewed)
@@ -60,6 +60,6 @@
 	}
 	current.Members = []rpc.BatchMember{seat("a"), seat("c")}
 	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "c" {
-		t.Errorf("told whole again: %d, granted %q", code, renewed)
+		t.Errorf("with its members again: %d, renewed %q", code, renewed)
 	}
 }
