--- a/cmd/tealpond/daemon.go
+++ b/cmd/tealpond/daemon.go
@@ -34,7 +34,7 @@
 	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMb) * tuning.MemoryLimitFraction * bytesPerMb))
 	debug.SetGCPercent(tuning.GCPercent)
 	logger := log.With(levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(p.stderr)), logLevels[level]}, "node", file.NodeName, "role", role.Name)
-	environment := daemon.Environment{Settings: file, Log: logger, Incarnation: newProcessID(), Reload: make(chan settings.File, 1),
+	environment := daemon.Environment{Settings: file, Log: logger, ProcessID: newProcessID(), Reload: make(chan settings.File, 1),
 		Trace: tracing.NewRing(tuning.TraceRingLength), FederationFile: federationFile, Debug: level == "debug"}
 	process, err := role.New(environment)
 	if err != nil {
@@ -44,7 +44,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	go watchSettings(ctx, path, environment.Reload, logger)
-	_ = logger.Log("level", "info", "event", "daemon.started", "version", version, "process", environment.Incarnation)
+	_ = logger.Log("level", "info", "event", "daemon.started", "version", version, "process", environment.ProcessID)
 	if err := process.Run(ctx); err != nil {
 		_ = logger.Log("level", "error", "event", "daemon.failed", "error", err)
 		return exitFault
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -60,7 +60,7 @@
 
 // New builds the side role over a way to call its runner.
 func New(env daemon.Environment, runner RunnerClient) *Agent {
-	a := &Agent{settings: env.Settings, log: env.Log, reload: env.Reload, process: env.Incarnation, events: make(chan event, 1024), runner: runner, trace: env.Trace}
+	a := &Agent{settings: env.Settings, log: env.Log, reload: env.Reload, process: env.ProcessID, events: make(chan event, 1024), runner: runner, trace: env.Trace}
 	a.discovery = discovery.NewClient(discovery.Options{Seeds: env.Settings.SeedAddresses(), PreferAggregator: true,
 		OnAssignment: func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
 		OnConnected:  func() { go func() { a.events <- event{renew: true} }() }})
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -152,7 +152,7 @@
 	defer ticker.Stop()
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, tuning.MembershipRenewInterval)
-		s.Call(callCtx, rpc.KindRenewMembership, rpc.MembershipLease{Node: s.settings.NodeName, Role: "edge", Zone: s.settings.Zone, Addr: s.settings.InternalAddress(), Process: s.env.Incarnation})
+		s.Call(callCtx, rpc.KindRenewMembership, rpc.MembershipLease{Node: s.settings.NodeName, Role: "edge", Zone: s.settings.Zone, Addr: s.settings.InternalAddress(), Process: s.env.ProcessID})
 		cancel()
 		select {
 		case <-ticker.C:
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,9 +30,9 @@
 type Environment struct {
 	Settings settings.File
 	Log      log.Logger
-	// Incarnation is the ID of this process: another one each time that a daemon
-	// is started.
-	Incarnation string
+	// ProcessID is another one each time that a daemon is started; it is not the
+	// operating system's.
+	ProcessID string
 	// Reload carries the settings whenever their file has changed.
 	Reload chan settings.File
 	Trace  *tracing.Ring
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -101,7 +101,7 @@
 		r.enqueueCommand(state.CommandSetLimits, &state.SetLimits{Limits: limits}, nil)
 	}
 	if r.federation != nil && r.state.Epoch == "" {
-		r.enqueueCommand(state.CommandSetEpoch, &state.SetEpoch{Epoch: r.incarnation + "-" + r.self.ID}, nil)
+		r.enqueueCommand(state.CommandSetEpoch, &state.SetEpoch{Epoch: r.processID + "-" + r.self.ID}, nil)
 	}
 	r.membership = membershipTracker{}
 	r.planner = scheduler.Planner{CheckpointIntervalMs: int64(r.settings.Bounds.CheckpointEveryS * 1000)}
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -28,12 +28,12 @@
 // event loop, except for the atomic ones; its exported methods are safe for
 // concurrent use.
 type Replica struct {
-	settings    settings.File
-	log         log.Logger
-	trace       *tracing.Ring
-	metrics     *loopMetrics
-	debug       bool   // lines of level debug are kept
-	incarnation string // the ID of this process
+	settings  settings.File
+	log       log.Logger
+	trace     *tracing.Ring
+	metrics   *loopMetrics
+	debug     bool   // lines of level debug are kept
+	processID string // the ID of this process
 
 	// Identity, storage and consensus. The node is nil until the storage is open
 	// and this server belongs, or wants to belong, to a cluster.
@@ -127,7 +127,7 @@
 // node, and requests that need one are answered as by a daemon without state.
 func New(env daemon.Environment, leaderClient *discovery.Client) *Replica {
 	r := newReplica()
-	r.settings, r.log, r.trace, r.debug, r.incarnation = env.Settings, env.Log, env.Trace, env.Debug, env.Incarnation
+	r.settings, r.log, r.trace, r.debug, r.processID = env.Settings, env.Log, env.Trace, env.Debug, env.ProcessID
 	r.metrics = newLoopMetrics(env.Debug)
 	r.self = raft.Member{Node: env.Settings.NodeName, Addr: env.Settings.InternalAddress()}
 	r.events = make(chan Event, eventQueueLength)
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -47,14 +47,14 @@
 // A set is known by the aggregator's process and its number: a batch of an
 // earlier process may arrive late, and may bear the number of a later set.
 type memberSet struct {
-	incarnation string
-	number      uint64
-	members     []rpc.BatchMember
+	process string
+	number  uint64
+	members []rpc.BatchMember
 }
 
 // matches tells whether the set is the one that a batch numbers.
 func (s memberSet) matches(batch *rpc.LeaseBatch) bool {
-	return s.incarnation == batch.AggregatorProcess && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
+	return s.process == batch.AggregatorProcess && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
 }
 
 // handleLeaseBatch renews the leases of all workers that ask for it in a batch of
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -38,28 +38,28 @@
 	return code, renewed
 }
 
-// TestLeaseBatchOfLaterIncarnationDoesNotUseEarlierSet: an aggregator is started anew and
-// numbers its sets from 1 again; a late batch of its earlier life brings another
-// set of that number. A worker that asked nothing must not be granted in the
-// place of one that did: the leader would hold that one for silent, and start
-// its runs elsewhere while the aggregator tells it to go on.
-func TestLeaseBatchOfLaterIncarnationDoesNotUseEarlierSet(t *testing.T) {
+// TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet: an aggregator is started anew and
+// numbers its sets from 1 again; a late batch of its earlier process brings another
+// set of that number. The lease of a worker that asked nothing must not be renewed in
+// the place of one that did: the leader would hold that one for silent, and start its
+// runs elsewhere while the aggregator tells it to go on.
+func TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet(t *testing.T) {
 	replica, fences := leaderWithWorkers("a", "b", "c")
-	seat := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
-	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "1", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("b")}, Requested: []byte{3}}
-	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "2", SetNumber: 1, Members: []rpc.BatchMember{seat("a"), seat("c")}, Requested: []byte{3}}
-	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "ac" {
+	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
+	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "1", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("b")}, Requested: []byte{3}}
+	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "2", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("c")}, Requested: []byte{3}}
+	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "ac" {
 		t.Fatalf("the set with its members: %d, renewed %q", code, renewed)
 	}
-	if code, renewed := renewedWorkers(replica, old); code != 200 || renewed != "ab" {
-		t.Fatalf("the late batch: %d, granted %q", code, renewed)
+	if code, renewed := renewedWorkers(replica, old); code != rpc.CodeOK || renewed != "ab" {
+		t.Fatalf("the late batch: %d, renewed %q", code, renewed)
 	}
 	current.Members, current.Requested = nil, []byte{2}
-	if code, renewed := renewedWorkers(replica, current); code != 428 || renewed != "" {
-		t.Errorf("c asked by the number of its set: %d, granted %q; wanted 428 and nobody", code, renewed)
+	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeUnknownSet || renewed != "" {
+		t.Errorf("c asked by the number of its set: %d, renewed %q; wanted 428 and nobody", code, renewed)
 	}
-	current.Members = []rpc.BatchMember{seat("a"), seat("c")}
-	if code, renewed := renewedWorkers(replica, current); code != 200 || renewed != "c" {
+	current.Members = []rpc.BatchMember{member("a"), member("c")}
+	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "c" {
 		t.Errorf("with its members again: %d, renewed %q", code, renewed)
 	}
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -208,7 +208,7 @@
 	n := c.node(name)
 	nodeSettings := c.nodeSettings(n, toleratedLosses)
 	ctx, cancel := context.WithCancelCause(transport.WithNetwork(context.Background(), c.Network.Host(n.ip)))
-	environment := daemon.Environment{Settings: nodeSettings, Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})), Incarnation: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(4096)}
+	environment := daemon.Environment{Settings: nodeSettings, Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})), ProcessID: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(4096)}
 	if n.server {
 		environment.FederationFile = c.federationFile
 	}
