--- /dev/null
+++ b/internal/state/collect_garbage_test.go
@@ -0,0 +1,50 @@
+package state
+
+import (
+	"testing"
+
+	"tealpond/internal/protocol"
+)
+
+// TestGarbageIsCollectedAfterRetention: a job that ended is removed after the
+// retention, unless something still needs it.
+func TestGarbageIsCollectedAfterRetention(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		prepare func(f *fixture, job *Job)
+		afterMs int64
+		kept    bool
+	}{
+		{"open", func(*fixture, *Job) {}, 5000, true},
+		{"ended", func(f *fixture, _ *Job) { f.apply(&CancelJob{ID: "j"}) }, 5000, false},
+		{"ended just now", func(f *fixture, _ *Job) { f.apply(&CancelJob{ID: "j"}) }, 900, true},
+		{"no retention set", func(f *fixture, _ *Job) {
+			f.apply(&CancelJob{ID: "j"})
+			f.apply(&SetLimits{})
+		}, 5000, true},
+		{"a run is not over", func(f *fixture, _ *Job) {
+			f.applyPlan("j", 0, false, placementOn(f.store.Workers["a"], 0))
+			f.apply(&CancelJob{ID: "j"})
+		}, 5000, true},
+		{"the peer has not settled", func(f *fixture, job *Job) {
+			f.apply(&CancelJob{ID: "j"})
+			job.Transfer.State = TransferAccepted
+		}, 5000, true},
+		{"the peer has released it", func(f *fixture, job *Job) {
+			f.apply(&CancelJob{ID: "j"})
+			job.Transfer.State = TransferReleased
+		}, 5000, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.addWorker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
+			f.submit("j", protocol.Step{TaskCount: 1})
+			c.prepare(f, f.store.Jobs["j"])
+			f.now += c.afterMs
+			f.apply(&CollectGarbage{})
+			if kept := f.store.Jobs["j"] != nil; kept != c.kept {
+				t.Errorf("kept: %v", kept)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/state/device_test.go
@@ -0,0 +1,42 @@
+package state
+
+import "testing"
+
+// TestReservationsDoNotOverlap: a time that touches another is free, one that
+// overlaps it is not.
+func TestReservationsDoNotOverlap(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		device   *Device
+		from, to int64
+		want     bool
+	}{
+		{"no device", nil, 0, 10, false},
+		{"unhealthy", &Device{}, 0, 10, false},
+		{"no time", &Device{Healthy: true}, 10, 10, false},
+		{"free", &Device{Healthy: true}, 0, 10, true},
+		{"before another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, 10, true},
+		{"after another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 20, 30, true},
+		{"into another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, 11, false},
+		{"out of another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 19, 30, false},
+		{"within another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 14, 15, false},
+		{"around another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, Forever, false},
+	} {
+		if got := New(Limits{}).reserve(c.device, 7, c.from, c.to); got != c.want {
+			t.Errorf("%s: reserved %v", c.name, got)
+		}
+	}
+}
+
+// TestReservationsAreDropped: by their allocation, or when they are over.
+func TestReservationsAreDropped(t *testing.T) {
+	d := &Device{Reservations: []Reservation{{Allocation: 1, From: 0, To: 10}, {Allocation: 2, From: 10, To: 20}, {Allocation: 3, From: 20, To: 30}}}
+	d.dropExpiredReservations(10)
+	if len(d.Reservations) != 2 || d.Reservations[0].Allocation != 2 {
+		t.Errorf("at 10 there are %v", d.Reservations)
+	}
+	d.releaseReservations(2)
+	if len(d.Reservations) != 1 || d.Reservations[0].Allocation != 3 {
+		t.Errorf("without those of 2 there are %v", d.Reservations)
+	}
+}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -16,10 +16,10 @@
 	Sequence          int64 // in the order of acceptance
 	Route             string
 	Service           string
-	Priority          int // 0 is the highest
-	MaxAttempts       int // failed runs of a task, or of a gang, that fail the job
-	Stretch           float64
-	TargetMs          int64
+	Priority          int     // 0 is the highest
+	MaxAttempts       int     // failed runs of a task, or of a gang, that fail the job
+	Stretch           float64 // see TargetTurnaroundMs
+	TargetMs          int64   // see TargetTurnaroundMs
 	Spec              string
 	Steps             []protocol.Step
 	PeriodicInstances int   // of a periodic job, how many instances it has; else 0
--- /dev/null
+++ b/internal/state/job_test.go
@@ -0,0 +1,69 @@
+package state
+
+import (
+	"testing"
+
+	"tealpond/internal/protocol"
+)
+
+// TestCriticalPathFollowsDependencies: the longest chain counts, not the sum, and
+// of a chain only what isn't done.
+func TestCriticalPathFollowsDependencies(t *testing.T) {
+	diamond := []protocol.Step{{EstimateMs: 10}, {EstimateMs: 30, DependsOn: []int{0}}, {EstimateMs: 20, DependsOn: []int{0}}, {EstimateMs: 5, DependsOn: []int{1, 2}}}
+	for _, c := range []struct {
+		name            string
+		steps           []protocol.Step
+		done            []int
+		path, remaining int64
+	}{
+		{"no steps", nil, nil, 0, 0},
+		{"independent steps", []protocol.Step{{EstimateMs: 10}, {EstimateMs: 30}, {EstimateMs: 20}}, nil, 30, 30},
+		{"chain", []protocol.Step{{EstimateMs: 10}, {EstimateMs: 30, DependsOn: []int{0}}}, nil, 40, 40},
+		{"diamond", diamond, nil, 45, 45},
+		{"diamond, first done", diamond, []int{0}, 45, 35},
+		{"diamond, longer side done", diamond, []int{0, 1}, 45, 25},
+		{"diamond, all done", diamond, []int{0, 1, 2, 3}, 45, 0},
+	} {
+		job := &Job{Steps: c.steps, Stretch: 2, TargetMs: 100}
+		instance := &JobInstance{Steps: make([]StepState, len(c.steps))}
+		for i := range instance.Steps {
+			instance.Steps[i].TasksLeft = 1
+		}
+		for _, i := range c.done {
+			instance.Steps[i].TasksLeft = 0
+		}
+		if path, remaining := job.CriticalPathMs(), job.RemainingCriticalPathMs(instance); path != c.path || remaining != c.remaining {
+			t.Errorf("%s: %d ms, %d remain; want %d and %d", c.name, path, remaining, c.path, c.remaining)
+		}
+		if turnaround := job.TargetTurnaroundMs(); turnaround != 2*c.path+100 {
+			t.Errorf("%s: turnaround %d ms, want %d", c.name, turnaround, 2*c.path+100)
+		}
+	}
+}
+
+// TestInFinalRuns: each task that isn't done must run, and nothing may be still
+// to come.
+func TestInFinalRuns(t *testing.T) {
+	running, waiting, done := Task{Allocations: []uint64{1}}, Task{}, Task{Done: true}
+	step := func(ready bool, left int, tasks ...Task) StepState {
+		return StepState{Ready: ready, TasksLeft: left, Tasks: tasks}
+	}
+	for _, c := range []struct {
+		name string
+		job  Job
+		want bool
+	}{
+		{"all run", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 2, running, running)}}}}, true},
+		{"one waits", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 2, running, waiting)}}}}, false},
+		{"one is done, one runs", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 1, done, running)}}}}, true},
+		{"a step is not ready", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 1, running), step(false, 1, waiting)}}}}, false},
+		{"a failed instance does not count", Job{Instances: []*JobInstance{{Failed: true, Steps: []StepState{step(false, 1, waiting)}}}}, true},
+		{"an instance is to come", Job{PeriodicInstances: 2, NextInstance: 1, Instances: []*JobInstance{{Steps: []StepState{step(true, 1, running)}}}}, false},
+		{"a peer may have it", Job{Transfer: JobTransfer{State: TransferOffered}}, false},
+		{"it has ended", Job{EndedAt: 1}, false},
+	} {
+		if got := c.job.InFinalRuns(); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -73,7 +73,7 @@
 }
 
 // freeCPUClasses is the number of classes of free CPU. There are four to each
-// doubling, so they are enough for any amount.
+// doubling; the last one holds all that is more.
 const freeCPUClasses = 160
 
 // freeCPUClass is the class of an amount of free CPU. A worker that has more is
--- a/internal/state/scheduling_index_test.go
+++ b/internal/state/scheduling_index_test.go
@@ -172,3 +172,24 @@
 		})
 	}
 }
+
+// TestFreeCPUClassesAreOrdered: more free CPU is never in a lower class, twice as
+// much is in a higher one, and no amount is out of range.
+func TestFreeCPUClassesAreOrdered(t *testing.T) {
+	last := 0
+	for milliCPU := range int64(300_000) {
+		class := freeCPUClass(milliCPU)
+		if class < last {
+			t.Fatalf("%d is in class %d, less in %d", milliCPU, class, last)
+		}
+		if milliCPU > 0 && freeCPUClass(2*milliCPU) <= class {
+			t.Fatalf("%d and twice as much are in class %d", milliCPU, class)
+		}
+		last = class
+	}
+	for _, milliCPU := range []int64{-5, 0, 1 << 40, Forever, 1<<63 - 1} {
+		if class := freeCPUClass(milliCPU); class < 0 || class >= freeCPUClasses {
+			t.Errorf("%d is in class %d", milliCPU, class)
+		}
+	}
+}
