--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -27,7 +27,7 @@
 }
 
 // filledCommands gives commands whose fields differ, by their registered names;
-// what follows a slash tells several of one kind apart.
+// what follows a slash tells several of one name apart.
 func filledCommands() []golden.Case {
 	job, resources := filledJob(), protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123}
 	return []golden.Case{
@@ -64,15 +64,15 @@
 	golden.Check(t, "commands.txt", rows, commands)
 	covered := map[string]bool{}
 	for _, c := range commands {
-		kind, _, _ := strings.Cut(c.Name, "/")
-		covered[kind] = true
-		if commandConstructors[kind] == nil || reflect.TypeOf(commandConstructors[kind]()) != reflect.TypeOf(c.Value) {
-			t.Errorf("%T is not what is registered as %s", c.Value, kind)
+		name, _, _ := strings.Cut(c.Name, "/")
+		covered[name] = true
+		if commandConstructors[name] == nil || reflect.TypeOf(commandConstructors[name]()) != reflect.TypeOf(c.Value) {
+			t.Errorf("%T is not what is registered as %s", c.Value, name)
 		}
 	}
-	for _, kind := range CommandNames() {
-		if !covered[kind] {
-			t.Errorf("no bytes of the command %s", kind)
+	for _, name := range CommandNames() {
+		if !covered[name] {
+			t.Errorf("no bytes of the command %s", name)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 func TestEntryBytes(t *testing.T) {
 	entry := Batch{Clock: 1, WallClock: 2}
 	for _, c := range filledCommands() {
-		kind, _, _ := strings.Cut(c.Name, "/")
-		entry.Commands = append(entry.Commands, EncodeCommand(kind, c.Value.(Command)))
+		name, _, _ := strings.Cut(c.Name, "/")
+		entry.Commands = append(entry.Commands, EncodeCommand(name, c.Value.(Command)))
 	}
 	golden.Check(t, "entries.txt", rows, []golden.Case{
 		{Name: "entry", Value: &entry},
