--- /dev/null
+++ b/internal/server/state_tables_test.go
@@ -0,0 +1,74 @@
+package server
+
+import (
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/transport"
+	"tealpond/internal/tuning"
+)
+
+// TestClusterStateTables: the names of tables and columns are an interface, and each
+// row has a value for each column.
+func TestClusterStateTables(t *testing.T) {
+	want := `daemons: node role zone addr seen_ms
+workers: id node service zone rack cpu cpu_used mem mem_used gpus fence draining sick lost dead
+devices: id class worker healthy bookings
+bookings: device alloc from_ms to_ms
+allocs: id worker task run cpu mem gpus since_ms stopping why
+inboxes: name host prefix service priority target_ms stretch max_rounds waiting
+jobs: id inbox service priority state born_ms ended_ms steps run_times
+moves: job inbox peer no state guest job_state born_ms ended_ms
+rollups: service cpu_total cpu_allocatable cpu_allocated mem_total mem_allocatable mem_allocated gpu_total gpu_allocated draining unreachable at_ms
+duties: zone no holder addr next_addr
+`
+	synctest.Test(t, func(t *testing.T) {
+		h := newLeader(t)
+		h.configure()
+		h.call(rpc.KindRenewMembership, rpc.MembershipLease{Node: "n", Role: "edge"})
+		h.call(rpc.KindRegisterWorker, state.RegisterWorker{ID: "w", Node: "n-w", Service: "s", Zone: "z", Capacity: protocol.Resources{CPUUnits: 4000, MemoryMB: 1000, GPUs: 2}, LeavesInMs: -1})
+		h.call(rpc.KindSubmitJob, rpc.JobRequest{Host: "h.example", Path: "/r/0123456789abcdef", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}})
+		h.turn()
+		response := h.call(rpc.KindClusterState, nil)
+		var cluster rpc.ClusterState
+		if response.Code != rpc.CodeOK || transport.Decode(response.Body, &cluster) != nil || !cluster.IsLeader || cluster.Node != "n-a" || cluster.AppliedIndex == 0 {
+			t.Fatalf("%+v, %+v", response, cluster)
+		}
+		got, rows := "", map[string]int{}
+		for _, table := range cluster.Tables {
+			got += table.Name + ": " + strings.Join(table.Columns, " ") + "\n"
+			rows[table.Name] = len(table.Rows)
+			for _, row := range table.Rows {
+				if len(row) != len(table.Columns) {
+					t.Errorf("%s: %d values for %d columns", table.Name, len(row), len(table.Columns))
+				}
+			}
+		}
+		if got != want {
+			t.Errorf("the tables are\n%s", got)
+		}
+		for _, name := range []string{"daemons", "workers", "devices", "inboxes", "jobs", "allocs"} {
+			if rows[name] == 0 {
+				t.Errorf("%s is empty: %v", name, rows)
+			}
+		}
+	})
+}
+
+// TestTablesAreTruncated: a table holds only so many rows, and says so.
+func TestTablesAreTruncated(t *testing.T) {
+	table := newTable("t", "n")
+	for n := range tuning.MaxQueryRows {
+		addRow(&table, n)
+	}
+	if table.Truncated || len(table.Rows) != tuning.MaxQueryRows {
+		t.Errorf("%d rows, truncated: %v", len(table.Rows), table.Truncated)
+	}
+	if addRow(&table, -1); !table.Truncated || len(table.Rows) != tuning.MaxQueryRows {
+		t.Errorf("%d rows, truncated: %v", len(table.Rows), table.Truncated)
+	}
+}
