--- a/internal/api/limits.go
+++ b/internal/api/limits.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net/http"
 
 	"tealpond/internal/clusterconfig"
@@ -38,26 +39,26 @@
 	return newSizeLimits(0, clusterconfig.Limits{})
 }
 
-// fetchLimits asks the leader for the limits of the newest configuration. The
-// response's code is 200 if it gave them.
-func (s *Server) fetchLimits(ctx context.Context) (*sizeLimits, rpc.Response) {
+// fetchLimits asks the leader for the limits of the newest configuration and keeps
+// them, unless newer ones are known by then.
+func (s *Server) fetchLimits(ctx context.Context) (*sizeLimits, error) {
 	response := s.Call(ctx, rpc.KindGetLimits, struct{}{})
 	if response.Code != rpc.CodeOK {
-		return s.knownLimits(), response
+		return nil, fmt.Errorf("limits of the newest configuration: the leader's response has code %d", response.Code)
 	}
 	var configured clusterconfig.Limits
 	if err := transport.Decode(response.Body, &configured); err != nil {
-		return s.knownLimits(), rpc.Response{Code: rpc.CodeTimeout}
+		return nil, fmt.Errorf("limits of the newest configuration: %w", err)
 	}
 	newest := newSizeLimits(response.Value, configured)
 	for {
 		known := s.limits.Load()
 		if known != nil && known.version >= newest.version {
-			return newest, response
+			return newest, nil
 		}
 		if s.limits.CompareAndSwap(known, newest) {
 			_ = s.log.Log("level", "info", "event", "limits.applied", "version", newest.version)
-			return newest, response
+			return newest, nil
 		}
 	}
 }
@@ -91,9 +92,9 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, tuning.LimitsRequestTimeout)
-		_, response := s.fetchLimits(callCtx)
+		_, err := s.fetchLimits(callCtx)
 		cancel()
-		if response.Code != rpc.CodeOK {
+		if err != nil {
 			// The version is forgotten, so that the leader's next response
 			// names it again.
 			s.newestVersion.CompareAndSwap(wanted, 0)
@@ -115,9 +116,9 @@
 	if !exceeds(known) {
 		return known, nil
 	}
-	newest, response := s.fetchLimits(ctx)
+	newest, err := s.fetchLimits(ctx)
 	switch {
-	case response.Code != rpc.CodeOK:
+	case err != nil:
 		return nil, errNoLeader
 	case exceeds(newest):
 		return nil, tooLarge
