--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -106,7 +106,7 @@
 func (r *Replica) recordCompletions(entry raft.Entry) {
 	for _, completed := range r.state.TakeClosedRuns() {
 		r.trace.Record(completed.Allocation.TaskName(), "end applied", int64(completed.Allocation.Run), completed.Result)
-		if r.leading && completed.Result == "done" {
+		if r.leading && completed.Result == state.ResultDone {
 			r.planner.RecordCompletion(r.state, completed.Allocation, completed.ClosedAt)
 		}
 		if r.leading && r.debug {
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -98,7 +98,7 @@
 		}
 		// A job that was taken is looked up again: it may have ended since.
 		status := outcome.Text
-		if job := r.state.Jobs[request.JobID]; status == "taken" && job != nil {
+		if job := r.state.Jobs[request.JobID]; status == state.AnswerAccepted && job != nil {
 			status = state.IncomingJobStatus(job)
 		}
 		respond(status, outcome.Value)
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -48,7 +48,7 @@
 	r.digests, r.outgoingSnapshots, r.incomingSnapshots = newDigestTracker(), map[string]*snapshotSender{}, map[string]*snapshotReceiver{}
 	r.identityResets++
 	if r.identityResets > 1 {
-		_ = r.log.Log("level", "error", "event", "replica.stayed_out", "reason", "its state differed again after it was taken anew")
+		_ = r.log.Log("level", "error", "event", "replica.stayed_out", "reason", "its state diverged again after it was fetched from the leader")
 		return
 	}
 	go r.resetIdentity(ctx, r.settings.DataDir)
