--- a/internal/server/bootstrap.go
+++ b/internal/server/bootstrap.go
@@ -56,7 +56,7 @@
 // bindToFounders binds this server to the voters of the first cluster, for good.
 func (r *Replica) bindToFounders(voters []raft.Member) {
 	snapshot := raft.Snapshot{Index: 1, Voters: voters}
-	if err := r.disk.Bootstrap(voters, snapshot); err != nil {
+	if err := r.storage.Bootstrap(voters, snapshot); err != nil {
 		_ = r.log.Log("level", "error", "event", "bootstrap.failed", "error", err)
 		return
 	}
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -15,14 +15,14 @@
 
 // newIdentity is an empty storage with a new identity.
 type newIdentity struct {
-	disk      *storage.Store
+	storage   *storage.Store
 	persisted storage.Recovered
 }
 
 // startWriter starts the storage's writer, which reports each write to the loop.
 func (r *Replica) startWriter(ctx context.Context) {
 	ctx, r.stopWriter = context.WithCancel(ctx)
-	opened := r.disk
+	opened := r.storage
 	go opened.Run(ctx, r.writeQueue, func(writes []storage.WriteRequest, err error) {
 		r.post(ctx, Event{Written: writes, WriteErr: err, WrittenBy: opened})
 	})
@@ -75,7 +75,7 @@
 // adoptNewIdentity starts over with an empty state and a new identity, as a
 // candidate.
 func (r *Replica) adoptNewIdentity(ctx context.Context, identity *newIdentity) {
-	r.disk, r.persisted, r.self.ID = identity.disk, identity.persisted, identity.persisted.ID
+	r.storage, r.persisted, r.self.ID = identity.storage, identity.persisted, identity.persisted.ID
 	r.writeQueue, r.writesInFlight = make(chan storage.WriteRequest, tuning.StorageQueueLength), 0
 	r.aggregator = aggregator.New(r.self.ID)
 	r.lastSnapshotIndex, r.latestSnapshot, r.encodingSnapshot, r.planDue = 0, nil, false, false
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -97,7 +97,7 @@
 		r.handleRequest(event.Request.Request, nil, r.withAppliedVersions(event.Request.Reply))
 	case event.FederationRequest != nil:
 		r.handleFederationRequest(event.FederationRequest)
-	case (event.Written != nil || event.WriteErr != nil) && event.WrittenBy != r.disk:
+	case (event.Written != nil || event.WriteErr != nil) && event.WrittenBy != r.storage:
 		// A write of the identity that this server has given up.
 	case event.Written != nil:
 		r.handleWritten(ctx, event.Written)
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -38,7 +38,7 @@
 	// Identity, storage and consensus. The node is nil until the storage is open
 	// and this server belongs, or wants to belong, to a cluster.
 	self               raft.Member
-	disk               *storage.Store
+	storage            *storage.Store
 	persisted          storage.Recovered
 	node               *raft.Node
 	state              *state.Store
--- a/internal/server/storage_lag.go
+++ b/internal/server/storage_lag.go
@@ -16,8 +16,8 @@
 // whose own storage hangs or refuses commits only by all the others, and if it ends
 // then, what it alone holds in memory is gone.
 func (r *Replica) watchStorageLag(now time.Time) {
-	if r.disk != nil {
-		r.handleStorageLag(now, r.disk.WriteLag(now))
+	if r.storage != nil {
+		r.handleStorageLag(now, r.storage.WriteLag(now))
 	}
 }
 
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -12,7 +12,7 @@
 
 // openedStorage is the opened storage, what it holds, and the state of its snapshot.
 type openedStorage struct {
-	disk           *storage.Store
+	storage        *storage.Store
 	persisted      storage.Recovered
 	store          *state.Store
 	setAsideReason string // why an earlier file was set aside; empty if none was
@@ -66,7 +66,7 @@
 	if opened.setAsideReason != "" {
 		_ = r.log.Log("level", "warn", "event", "storage.file_set_aside", "reason", opened.setAsideReason, "disk", opened.persisted.ID)
 	}
-	r.disk, r.persisted, r.state, r.self.ID = opened.disk, opened.persisted, opened.store, opened.persisted.ID
+	r.storage, r.persisted, r.state, r.self.ID = opened.storage, opened.persisted, opened.store, opened.persisted.ID
 	r.aggregator = aggregator.New(r.self.ID)
 	r.lastSnapshotIndex = r.persisted.Snapshot.Index
 	r.storageOpened.Store(true)
