--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -97,6 +97,39 @@
 	h.receive(raft.Message{Kind: raft.MsgAppendResponse, From: from, Term: h.replica.node.Term(), Index: h.replica.node.LastIndex(), SendStamp: time.Now().UnixNano()})
 }
 
+// newLeader gives a replica that leads and has a lease.
+func newLeader(t *testing.T) *harness {
+	t.Helper()
+	h := newHarness(t)
+	h.becomeLeader()
+	return h
+}
+
+// turn lets some time pass, and has what the leader proposed committed.
+func (h *harness) turn() {
+	time.Sleep(10 * time.Millisecond)
+	h.endTurn()
+	if h.replica.node.IsLeader() {
+		h.acknowledge("b")
+	}
+	h.endTurn()
+}
+
+// call makes a request of this replica and plays turns until it is answered.
+func (h *harness) call(kind string, body any) rpc.Response {
+	h.t.Helper()
+	h.turn()
+	var responses []rpc.Response
+	h.replica.handleRequest(rpc.Request{Kind: kind, Body: transport.Encode(body)}, nil, func(response rpc.Response) { responses = append(responses, response) })
+	for i := 0; i < 200 && len(responses) == 0; i++ {
+		h.turn()
+	}
+	if len(responses) != 1 {
+		h.t.Fatalf("%s was answered %d times", kind, len(responses))
+	}
+	return responses[0]
+}
+
 // commandEntry is the data of an entry with one command.
 func commandEntry(name string, command state.Command) []byte {
 	return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand(name, command)}})
