--- /dev/null
+++ b/internal/agent/reconcile_test.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"testing"
+	"testing/synctest"
+
+	"tealpond/internal/protocol"
+)
+
+// TestRunThatIsNotListed: when a run that is in neither list counts as missed, and
+// when it is declared stopped.
+func TestRunThatIsNotListed(t *testing.T) {
+	const pollAtLastCall = 5
+	for name, test := range map[string]struct {
+		phase      runPhase
+		missed     int
+		poll       uint64
+		incomplete bool
+		wantMissed int
+		want       string // declared result
+	}{
+		"running, first time":             {runRunning, 0, 6, false, 1, ""},
+		"running, second time":            {runRunning, 1, 6, false, 2, protocol.ResultStopped},
+		"running, poll before the answer": {runRunning, 1, pollAtLastCall, false, 1, ""},
+		"running, list cut off":           {runRunning, 1, 6, true, 1, ""},
+		"stopped, first time":             {runStopped, 0, 6, false, 1, protocol.ResultStopped},
+		"stopped, poll before the answer": {runStopped, 0, pollAtLastCall, false, 0, ""},
+		"starting":                        {runStarting, 1, 6, false, 1, ""},
+		"stopping":                        {runStopping, 1, 6, false, 1, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f := newFixture(t, 1)
+				f.assign(0)
+				key := runKey("j.0.0.0", 1)
+				run := f.session.runs[key]
+				run.phase, run.missedPolls, run.pollAtLastCall = test.phase, test.missed, pollAtLastCall
+				f.agent.reconcile(f.session, test.poll, listing{complete: !test.incomplete})
+				if run.missedPolls != test.wantMissed || run.declaredResult != test.want {
+					t.Errorf("missed %d times, declared %q; want %d, %q", run.missedPolls, run.declaredResult, test.wantMissed, test.want)
+				}
+				if f.session.runs[key] == nil {
+					t.Error("forgotten before the leader holds its result")
+				}
+				f.settle()
+			})
+		})
+	}
+}
+
+// TestRunIsForgottenOnceItsCompletionIsListed: also where a result was declared.
+func TestRunIsForgottenOnceItsCompletionIsListed(t *testing.T) {
+	for _, declared := range []string{"", protocol.ResultLapsed} {
+		synctest.Test(t, func(t *testing.T) {
+			f := newFixture(t, 1)
+			f.assign(0)
+			f.session.runs[runKey("j.0.0.0", 1)].declaredResult = declared
+			f.listCompletions(0)
+			if len(f.session.runs) != 0 {
+				t.Errorf("declared %q: still known", declared)
+			}
+			f.settle()
+			f.check(1, 0)
+		})
+	}
+}
+
+// TestListedRunLeavesItsPhase: a run that is listed is there, whatever its start
+// was answered; one whose result was declared is stopped.
+func TestListedRunLeavesItsPhase(t *testing.T) {
+	for name, test := range map[string]struct {
+		phase    runPhase
+		declared string
+		want     runPhase
+	}{
+		"pending":                 {runPending, "", runRunning},
+		"starting":                {runStarting, "", runRunning},
+		"stopping":                {runStopping, "", runStopping},
+		"stopped":                 {runStopped, "", runStopped},
+		"running though declared": {runRunning, protocol.ResultLapsed, runStopping},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			f := newFixture(t, 1)
+			f.assign(0)
+			run := f.session.runs[runKey("j.0.0.0", 1)]
+			run.phase, run.declaredResult, run.missedPolls = test.phase, test.declared, 1
+			f.agent.reconcile(f.session, 1, newListing(listRunning("j.0.0.0").KeepAlive))
+			if run.phase != test.want || run.missedPolls != 0 {
+				t.Errorf("%s: phase %d, want %d; missed %d times", name, run.phase, test.want, run.missedPolls)
+			}
+		})
+	}
+}
