--- /dev/null
+++ b/cmd/tealpond/logging_test.go
@@ -0,0 +1,28 @@
+package main
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/go-kit/log"
+)
+
+// TestLevelFilterDropsLinesUnderItsLevel, and keeps those that have no level.
+func TestLevelFilterDropsLinesUnderItsLevel(t *testing.T) {
+	for level, want := range map[string]string{
+		"debug": "level=debug\nlevel=info\nlevel=warn\nlevel=error\nevent=x\n",
+		"warn":  "level=warn\nlevel=error\nevent=x\n",
+		"error": "level=error\nevent=x\n",
+	} {
+		var text bytes.Buffer
+		filter := levelFilter{log.NewLogfmtLogger(&text), logLevels[level]}
+		for _, line := range [][]any{{"level", "debug"}, {"level", "info"}, {"level", "warn"}, {"level", "error"}, {"event", "x"}} {
+			if err := filter.Log(line...); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if text.String() != want {
+			t.Errorf("%s: %q, want %q", level, text.String(), want)
+		}
+	}
+}
--- a/internal/admin/trace.go
+++ b/internal/admin/trace.go
@@ -55,7 +55,7 @@
 		if result.Since > 0 {
 			change.RemembersSince[result.Node] = result.Since
 		}
-		for _, event := range result.Marks {
+		for _, event := range result.Events {
 			change.Steps = append(change.Steps, TraceStep{result.Node, event})
 		}
 	}
--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -62,6 +62,22 @@
 	}
 }
 
+// checkRenewals checks the counts by worker: the leader renews no more often than it
+// was asked, and no agent hears of more renewals than the leader made.
+func checkRenewals(t *testing.T, granted, requested, answered map[string]int) {
+	t.Helper()
+	for worker, n := range granted {
+		if n > requested[worker] {
+			t.Fatalf("%s was renewed %d times and asked %d times", worker, n, requested[worker])
+		}
+	}
+	for worker, n := range answered {
+		if n > granted[worker] {
+			t.Fatalf("%s heard of %d renewals, the leader made %d", worker, n, granted[worker])
+		}
+	}
+}
+
 // TestLeasesAreGrantedOnlyToRequesters holds the rule on which leases rest: a worker
 // that sent no request since its last renewal gets none, whatever set it is in,
 // while batches are lost, new leaders know no set, and fences rise.
@@ -107,16 +123,7 @@
 			leader.respond(batcher, late[0])
 			late = late[1:]
 		}
-		for worker, n := range leader.granted {
-			if n > requested[worker] {
-				t.Fatalf("%s was renewed %d times and asked %d times", worker, n, requested[worker])
-			}
-		}
-		for worker, n := range answered {
-			if n > leader.granted[worker] {
-				t.Fatalf("%s was told of %d renewals, the leader made %d", worker, n, leader.granted[worker])
-			}
-		}
+		checkRenewals(t, leader.granted, requested, answered)
 	}
 	for _, batch := range late {
 		leader.respond(batcher, batch)
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -48,6 +48,6 @@
 // of the change.
 func HandleTrace(ring *tracing.Ring, node, role string, id []byte) Response {
 	result := TraceResult{Node: node, Role: role}
-	result.Marks, result.Since = ring.History(string(id))
+	result.Events, result.Since = ring.History(string(id))
 	return Response{Code: CodeOK, Body: transport.Encode(result)}
 }
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -35,7 +35,7 @@
 		{Name: "candidate-late", Value: &BootstrapAnnouncement{Voter: voter, BoundVoters: []raft.Member{other}, NotFirstStart: true}},
 		{Name: "founding-set", Value: &BootstrapProposal{Voters: []raft.Member{voter, other}, Start: true}},
 		{Name: "membership-claim", Value: &MembershipLease{Node: "node", Role: "role", Zone: "zone", Addr: "address", Process: "life"}},
-		{Name: "trace", Value: &TraceResult{Node: "node", Role: "role", Since: 11, Marks: []tracing.Event{{TimeNs: 12, Subject: "id", Action: "what", Value: 13, Detail: "text"}}}},
+		{Name: "trace", Value: &TraceResult{Node: "node", Role: "role", Since: 11, Events: []tracing.Event{{TimeNs: 12, Subject: "id", Action: "what", Value: 13, Detail: "text"}}}},
 		{Name: "table", Value: &Table{Name: "name", Columns: []string{"column-a", "column-b"}, Rows: [][]any{{"cell", uint64(21)}}, Truncated: true}},
 		{Name: "tables", Value: &ClusterState{Node: "node", IsLeader: true, AppliedIndex: 22, Clock: 23, Tables: []Table{{Name: "name", Columns: []string{"column"}, Rows: [][]any{{"cell"}}}}}},
 		{Name: "client-call", Value: &JobRequest{Host: "host", Path: "path", Job: filledJob()}},
--- a/internal/rpc/messages.go
+++ b/internal/rpc/messages.go
@@ -48,11 +48,11 @@
 
 // TraceResult is a daemon's answer to KindTrace.
 type TraceResult struct {
-	_     struct{} `cbor:",toarray"`
-	Node  string
-	Role  string
-	Since int64 // time of day in ns since which nothing was forgotten; 0: always
-	Marks []tracing.Event
+	_      struct{} `cbor:",toarray"`
+	Node   string
+	Role   string
+	Since  int64 // time of day in ns since which nothing was forgotten; 0: always
+	Events []tracing.Event
 }
 
 // Table is one table of a server's state, for queries.
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -51,7 +51,7 @@
 	// KindBootstrap announces a candidate for the first cluster to a seed:
 	// BootstrapAnnouncement, BootstrapProposal.
 	KindBootstrap = "found"
-	// KindJoin asks the leader to make a server a voter or learner: raft.Member.
+	// KindJoin tells the leader of a server that may become a voter: raft.Member.
 	KindJoin = "join"
 	// KindRenewMembership renews a daemon's membership: MembershipLease.
 	KindRenewMembership = "claim"
