--- a/internal/raft/codec.go
+++ b/internal/raft/codec.go
@@ -66,7 +66,9 @@
 	if len(s.OutgoingVoters) == 0 {
 		return cbor.Marshal(simpleSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data})
 	}
-	return cbor.Marshal(jointSnapshot{Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data, OutgoingVoters: s.OutgoingVoters})
+	return cbor.Marshal(jointSnapshot{
+		Index: s.Index, Term: s.Term, Voters: s.Voters, Data: s.Data, OutgoingVoters: s.OutgoingVoters,
+	})
 }
 
 // jointSnapshotHeader is the first byte of the longer form: a CBOR array of five.
@@ -82,7 +84,9 @@
 		if err := cbor.Unmarshal(raw, &joint); err != nil {
 			return err
 		}
-		*s = Snapshot{Index: joint.Index, Term: joint.Term, Voters: joint.Voters, Data: joint.Data, OutgoingVoters: joint.OutgoingVoters}
+		*s = Snapshot{
+			Index: joint.Index, Term: joint.Term, Voters: joint.Voters, Data: joint.Data, OutgoingVoters: joint.OutgoingVoters,
+		}
 		return nil
 	}
 	var simple simpleSnapshot
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -12,17 +12,21 @@
 	leader
 )
 
+func (n *Node) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(n.random.Int63n(int64(limit) + 1))
+}
+
 // resetElectionTimeout draws the time for which a follower waits for a leader.
 // It exceeds ElectionTimeout by a heartbeat interval: the others heard the leader
 // up to one interval later, and would refuse until their own timeout is over.
 func (n *Node) resetElectionTimeout() {
-	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
+	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval + n.randomUpTo(n.config.ElectionJitter)
 }
 
 // shortenElectionTimeout draws the shorter time after which a campaign without
 // an outcome is repeated.
 func (n *Node) shortenElectionTimeout() {
-	n.electionTimeout = n.config.HeartbeatInterval + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)+1))
+	n.electionTimeout = n.config.HeartbeatInterval + n.randomUpTo(n.config.ElectionJitter)
 }
 
 // becomeFollower follows a leader, or nobody yet if leaderID is empty, in a term
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -28,7 +28,10 @@
 		// See sendCommit.
 		return
 	}
-	response := Message{Kind: MsgAppendResponse, To: m.From, Index: index, Reject: reject, SendStamp: m.SendStamp, LogTerm: m.LogTerm, Commit: m.Index}
+	response := Message{
+		Kind: MsgAppendResponse, To: m.From, Index: index, Reject: reject,
+		SendStamp: m.SendStamp, LogTerm: m.LogTerm, Commit: m.Index,
+	}
 	if n.wallClock != nil {
 		response.WallClock = n.wallClock()
 	}
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -103,7 +103,10 @@
 // member does not lead, hands over, has not committed an entry of its term, if a
 // change is under way, or if the set is empty or the present one.
 func (n *Node) ProposeConfChange(voters []Member) bool {
-	if n.role != leader || n.transferring || n.ConfChangePending() || n.commitIndex < n.noopIndex || len(voters) == 0 || slices.Equal(voters, n.Voters()) {
+	if n.role != leader || n.transferring || n.ConfChangePending() || n.commitIndex < n.noopIndex {
+		return false
+	}
+	if len(voters) == 0 || slices.Equal(voters, n.Voters()) {
 		return false
 	}
 	n.appendEntry(EntryConfChange, encodeConfChange(voters, n.latestConfiguration().voters))
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -77,6 +77,7 @@
 
 // forEachLoss runs a test on 20 clusters of three, half of which then lose their leader.
 func forEachLoss(t *testing.T, run func(c *testCluster, loseLeader bool)) {
+	t.Helper()
 	for seed := int64(0); seed < 20; seed++ {
 		run(newTestCluster(t, seed, "a", "b", "c"), seed%2 == 0)
 	}
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -63,7 +63,9 @@
 
 // New returns a Node that starts from what its disk holds, as a follower. The
 // seed feeds the random share of election timeouts.
-func New(id string, hardState HardState, snapshot Snapshot, entries []Entry, now time.Time, config Config, seed int64) *Node {
+func New(
+	id string, hardState HardState, snapshot Snapshot, entries []Entry, now time.Time, config Config, seed int64,
+) *Node {
 	n := &Node{
 		id:     id,
 		config: config,
@@ -90,7 +92,7 @@
 	n.syncedIndex = n.LastIndex()
 	// A full election timeout passes after a start, since a lease that this
 	// member confirmed before it stopped may still be trusted.
-	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + time.Duration(n.random.Int63n(int64(n.config.ElectionJitter)/2+1))
+	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + n.randomUpTo(n.config.ElectionJitter/2)
 	return n
 }
 
@@ -133,7 +135,8 @@
 // tickLeader steps down without a quorum, ends a transfer that takes too long,
 // or sends the heartbeats that are due.
 func (n *Node) tickLeader() time.Duration {
-	if n.now.Sub(n.lastQuorumContact(n.now)) > n.config.CheckQuorumTimeout && n.now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
+	withoutQuorum := n.now.Sub(n.lastQuorumContact(n.now)) > n.config.CheckQuorumTimeout
+	if withoutQuorum && n.now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
 		// Whoever can reach a majority must not wait for this member.
 		n.becomeFollower(n.term, "")
 		n.electionTimerStart = n.now
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -129,7 +129,9 @@
 		n.sendSnapshot(id, peer, heartbeat)
 		return
 	}
-	m := Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex, SendStamp: n.nextStamp()}
+	m := Message{
+		Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex, SendStamp: n.nextStamp(),
+	}
 	size := 0
 	for i := peer.next; i <= n.LastIndex() && size < n.config.MaxAppendBytes; i++ {
 		// One entry only: while the place is searched, more would be wasted.
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -111,7 +111,7 @@
 
 // IsEmpty tells whether there is nothing to do.
 func (r *Ready) IsEmpty() bool {
-	return r.HardState == nil && len(r.Entries) == 0 && r.Snapshot == nil && len(r.MessagesAfterSync) == 0 && len(r.Messages) == 0
+	return !r.MustSync() && len(r.MessagesAfterSync) == 0 && len(r.Messages) == 0
 }
 
 // MustSync tells whether there is anything to write.
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -158,7 +158,12 @@
 			db, err = nil, corrupt("file", "%v", r)
 		}
 	}()
-	db, err = bolt.Open(path, fileMode, &bolt.Options{Timeout: tuning.StorageLockTimeout, NoFreelistSync: true, FreelistType: bolt.FreelistMapType, OpenFile: fs.openFile})
+	db, err = bolt.Open(path, fileMode, &bolt.Options{
+		Timeout:        tuning.StorageLockTimeout,
+		NoFreelistSync: true,
+		FreelistType:   bolt.FreelistMapType,
+		OpenFile:       fs.openFile,
+	})
 	if err != nil {
 		return nil, unavailable("open", err)
 	}
@@ -228,19 +233,19 @@
 // is blank, or it has no more pages than a new file of bbolt and starts like one. The
 // first transaction of this package grows the file before it writes.
 func isUninitialized(reader io.ReaderAt, size int64) (bool, error) {
-	page := make([]byte, initialPageSize)
+	buffer := make([]byte, initialPageSize)
 	fewPages, validMeta := size <= initialPages*initialPageSize, false
 	for offset := int64(0); offset < size; offset += initialPageSize {
-		n := min(int64(len(page)), size-offset)
-		if err := readAt(reader, page[:n], offset); err != nil {
+		n := min(int64(len(buffer)), size-offset)
+		if err := readAt(reader, buffer[:n], offset); err != nil {
 			return false, err
 		}
 		blank := true
-		for _, c := range page[:n] {
+		for _, c := range buffer[:n] {
 			blank = blank && c == 0
 		}
 		if offset == 0 && n >= pageHeaderSize+metaSize {
-			meta, ok := parseMeta(page[pageHeaderSize:])
+			meta, ok := parseMeta(buffer[pageHeaderSize:])
 			validMeta = ok && meta.highWaterMark <= initialPages
 		}
 		asCreated := fewPages && validMeta
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -37,8 +37,13 @@
 
 func newSnapshotWriter(snapshot *raft.Snapshot, generation uint64) *snapshotWriter {
 	size := uint64(len(snapshot.Data))
-	header := snapshotHeader{Snapshot: *snapshot, Generation: generation, FrameCount: (size + tuning.SnapshotFrameBytes - 1) / tuning.SnapshotFrameBytes,
-		Size: size, Checksum: crc32.Checksum(snapshot.Data, castagnoli)}
+	header := snapshotHeader{
+		Snapshot:   *snapshot,
+		Generation: generation,
+		FrameCount: (size + tuning.SnapshotFrameBytes - 1) / tuning.SnapshotFrameBytes,
+		Size:       size,
+		Checksum:   crc32.Checksum(snapshot.Data, castagnoli),
+	}
 	header.Snapshot.Data = nil
 	return &snapshotWriter{snapshot: snapshot, header: header}
 }
@@ -70,7 +75,8 @@
 	for i := w.nextFrame; i < end; i++ {
 		start := i * tuning.SnapshotFrameBytes
 		frameKey := encodeKey(i)
-		if err := frames.Put(frameKey, withChecksum(frameKey, w.snapshot.Data[start:min(start+tuning.SnapshotFrameBytes, w.header.Size)])); err != nil {
+		data := w.snapshot.Data[start:min(start+tuning.SnapshotFrameBytes, w.header.Size)]
+		if err := frames.Put(frameKey, withChecksum(frameKey, data)); err != nil {
 			return err
 		}
 	}
@@ -144,8 +150,10 @@
 // assemble returns the snapshot once all frames were added.
 func (r *snapshotReader) assemble() (raft.Snapshot, error) {
 	header := r.header
-	if r.frameCount != header.FrameCount || uint64(len(r.data)) != header.Size || crc32.Checksum(r.data, castagnoli) != header.Checksum {
-		return raft.Snapshot{}, corrupt("snapshot", "%d of %d frames, %d of %d bytes, or their sum", r.frameCount, header.FrameCount, len(r.data), header.Size)
+	isComplete := r.frameCount == header.FrameCount && uint64(len(r.data)) == header.Size
+	if !isComplete || crc32.Checksum(r.data, castagnoli) != header.Checksum {
+		return raft.Snapshot{}, corrupt("snapshot", "%d of %d frames, %d of %d bytes, or their sum",
+			r.frameCount, header.FrameCount, len(r.data), header.Size)
 	}
 	snapshot := header.Snapshot
 	snapshot.Data = r.data
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -32,6 +32,7 @@
 
 // startStore calls Run on a store in a goroutine that ends with the test.
 func startStore(t *testing.T, store *Store) *runningStore {
+	t.Helper()
 	r := &runningStore{requests: make(chan WriteRequest, tuning.StorageQueueLength), store: store}
 	store.commit = func(transaction func(*bolt.Tx) error) error {
 		r.mu.Lock()
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -57,8 +57,12 @@
 // is allocated for it, so that a length can't promise more than is there; these
 // limits keep a few bytes from becoming a large number of elements.
 var decoder = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: tuning.MaxFrameElements, MaxMapPairs: tuning.MaxFrameElements, MaxNestedLevels: tuning.MaxFrameNesting,
-		IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	mode, err := cbor.DecOptions{
+		MaxArrayElements: tuning.MaxFrameElements,
+		MaxMapPairs:      tuning.MaxFrameElements,
+		MaxNestedLevels:  tuning.MaxFrameNesting,
+		IndefLength:      cbor.IndefLengthForbidden,
+	}.DecMode()
 	if err != nil {
 		panic("link: " + err.Error())
 	}
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -30,7 +30,12 @@
 }
 
 func newStream(addr string, cancel context.CancelFunc) *Stream {
-	return &Stream{Addr: addr, outbox: make(chan *Frame, tuning.StreamQueueLength), done: make(chan struct{}), cancel: cancel}
+	return &Stream{
+		Addr:   addr,
+		outbox: make(chan *Frame, tuning.StreamQueueLength),
+		done:   make(chan struct{}),
+		cancel: cancel,
+	}
 }
 
 // Send queues a frame. It returns false if the stream has ended, or if its queue is
