--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -28,13 +28,30 @@
 	log       []Entry
 }
 
-var testConfig = Config{HeartbeatInterval: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond, ElectionJitter: 300 * time.Millisecond,
-	CheckQuorumTimeout: 900 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: 64, MaxAppendBytes: 1 << 20}
+var testConfig = Config{
+	HeartbeatInterval:  100 * time.Millisecond,
+	ElectionTimeout:    600 * time.Millisecond,
+	ElectionJitter:     300 * time.Millisecond,
+	CheckQuorumTimeout: 900 * time.Millisecond,
+	LeaseFraction:      0.85,
+	MaxInflightEntries: 64,
+	MaxAppendBytes:     1 << 20,
+}
 
 func newTestCluster(t *testing.T, seed int64, ids ...string) *testCluster {
 	t.Helper()
-	c := &testCluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*Node{}, cut: map[string]bool{}, dropped: map[MessageKind]bool{}, disks: map[string]*testDisk{},
-		stalled: map[string]bool{}, unsynced: map[string][]Ready{}, applied: map[string][]string{}, seed: seed}
+	c := &testCluster{
+		t:        t,
+		now:      time.Unix(1000, 0),
+		nodes:    map[string]*Node{},
+		cut:      map[string]bool{},
+		dropped:  map[MessageKind]bool{},
+		disks:    map[string]*testDisk{},
+		stalled:  map[string]bool{},
+		unsynced: map[string][]Ready{},
+		applied:  map[string][]string{},
+		seed:     seed,
+	}
 	var voters []Member
 	for _, id := range ids {
 		voters = append(voters, testMember(id))
--- a/internal/raft/codec_test.go
+++ b/internal/raft/codec_test.go
@@ -11,12 +11,15 @@
 func FuzzEncodings(f *testing.F) {
 	joint, _ := cbor.Marshal(Snapshot{Index: 7, Term: 2, Voters: []Member{testMember("d")}, OutgoingVoters: []Member{testMember("a")}})
 	simple, _ := cbor.Marshal(Snapshot{Index: 7, Term: 2, Voters: []Member{testMember("d")}})
-	for _, raw := range [][]byte{joint, simple, encodeConfChange([]Member{testMember("a")}, nil), encodeConfChange([]Member{testMember("a")}, []Member{testMember("b")}), nil, {jointSnapshotHeader}} {
+	change := encodeConfChange([]Member{testMember("a")}, nil)
+	jointChange := encodeConfChange([]Member{testMember("a")}, []Member{testMember("b")})
+	for _, raw := range [][]byte{joint, simple, change, jointChange, nil, {jointSnapshotHeader}} {
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if voters, outgoing, err := DecodeConfChange(raw); err == nil && len(voters) > 0 {
-			if again, againOutgoing, err := DecodeConfChange(encodeConfChange(voters, outgoing)); err != nil || len(again) != len(voters) || len(againOutgoing) != len(outgoing) {
+			again, againOutgoing, err := DecodeConfChange(encodeConfChange(voters, outgoing))
+			if err != nil || len(again) != len(voters) || len(againOutgoing) != len(outgoing) {
 				t.Fatalf("%v, %v read back as %v, %v, %v", voters, outgoing, again, againOutgoing, err)
 			}
 		}
@@ -25,7 +28,10 @@
 			return
 		}
 		written, err := cbor.Marshal(snapshot)
-		if err != nil || cbor.Unmarshal(written, &again) != nil || again.Index != snapshot.Index || len(again.OutgoingVoters) != len(snapshot.OutgoingVoters) || len(again.Voters) != len(snapshot.Voters) {
+		if err != nil || cbor.Unmarshal(written, &again) != nil || again.Index != snapshot.Index {
+			t.Fatalf("%+v read back as %+v", snapshot, again)
+		}
+		if len(again.OutgoingVoters) != len(snapshot.OutgoingVoters) || len(again.Voters) != len(snapshot.Voters) {
 			t.Fatalf("%+v read back as %+v", snapshot, again)
 		}
 	})
--- a/internal/raft/configuration_test.go
+++ b/internal/raft/configuration_test.go
@@ -6,7 +6,10 @@
 )
 
 func TestJointQuorumNeedsBothMajorities(t *testing.T) {
-	joint := configuration{voters: []Member{testMember("a"), testMember("d"), testMember("e")}, outgoing: []Member{testMember("a"), testMember("b"), testMember("c")}}
+	joint := configuration{
+		voters:   []Member{testMember("a"), testMember("d"), testMember("e")},
+		outgoing: []Member{testMember("a"), testMember("b"), testMember("c")},
+	}
 	for _, test := range []struct {
 		have string
 		want bool
--- a/internal/raft/exhaustive_state_test.go
+++ b/internal/raft/exhaustive_state_test.go
@@ -58,8 +58,14 @@
 var searchIDs = []string{"a", "b", "c"}
 
 // searchConfig has no jitter, so that nothing is drawn at random.
-var searchConfig = Config{HeartbeatInterval: 80 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, CheckQuorumTimeout: 650 * time.Millisecond,
-	LeaseFraction: 0.85, MaxInflightEntries: 8, MaxAppendBytes: 1 << 10}
+var searchConfig = Config{
+	HeartbeatInterval:  80 * time.Millisecond,
+	ElectionTimeout:    400 * time.Millisecond,
+	CheckQuorumTimeout: 650 * time.Millisecond,
+	LeaseFraction:      0.85,
+	MaxInflightEntries: 8,
+	MaxAppendBytes:     1 << 10,
+}
 
 var searchSnapshot = Snapshot{Index: 1, Voters: []Member{testMember("a"), testMember("b"), testMember("c")}}
 
@@ -157,7 +163,8 @@
 	case eventSync:
 		after.sync(member, mutation)
 	case eventConfChange:
-		member.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(member.node.Voters()), func(v Member) bool { return v.ID == member.node.ID() }))
+		isProposer := func(voter Member) bool { return voter.ID == member.node.ID() }
+		member.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(member.node.Voters()), isProposer))
 	}
 	violation := after.drain(member, mutation)
 	member.hash = hashOf(reflect.ValueOf(member).Elem())
--- a/internal/raft/exhaustive_test.go
+++ b/internal/raft/exhaustive_test.go
@@ -59,19 +59,34 @@
 	loseAll    = move{eventSync, 0}    // drop all messages
 )
 
+// Preludes that several scenarios begin with.
+var (
+	firstTimesOut   = []move{{eventTimeout, 0}}
+	leaderElected   = []move{{eventTimeout, 0}, deliverAll}
+	uncommittedTail = []move{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, loseAll}
+)
+
+// Scenarios that mutations name.
+const (
+	scenarioTwoCandidates = "two candidates"
+	scenarioCommitted     = "a leader with a committed entry"
+	scenarioThirdUnaware  = "two members agree, the third knows nothing"
+	scenarioThirdBehind   = "entries that the third lacks"
+)
+
 var searchScenarios = []searchScenario{
-	{"an election", []move{{eventTimeout, 0}}, [limitedKinds]int{1, 0, 1, 1}, false, 7},
-	{"two candidates", []move{{eventTimeout, 0}, {eventTimeout, 1}}, [limitedKinds]int{0, 0, 0, 1}, false, 8},
-	{"a leader with a committed entry", []move{{eventTimeout, 0}, deliverAll}, [limitedKinds]int{1, 1, 1, 1}, false, 7},
-	{"an entry that only the leader has", []move{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, loseAll}, [limitedKinds]int{2, 0, 1, 1}, false, 6},
-	{"entries of two leaders, each on one disk", []move{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, loseAll, {eventTimeout, 1}, deliverAll, {eventPropose, 1}, loseAll},
-		[limitedKinds]int{2, 0, 0, 1}, false, 6},
-	{"a leader that is voted out", []move{{eventTimeout, 0}, deliverAll, {eventConfChange, 0}}, [limitedKinds]int{1, 0, 0, 1}, false, 7},
-	{"two members agree, the third knows nothing", []move{{eventTimeout, 0}, {eventExchange, 2}, loseAll}, [limitedKinds]int{1, 0, 1, 1}, false, 7},
-	{"entries that the third lacks", []move{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, {eventExchange, 2}, {eventPropose, 0}, {eventExchange, 2}, loseAll},
-		[limitedKinds]int{1, 1, 0, 1}, false, 6},
-	{"writes that are synced late", []move{{eventTimeout, 0}, deliverAll}, [limitedKinds]int{1, 0, 2, 1}, true, 7},
-	{"votes that are synced late", []move{{eventTimeout, 0}}, [limitedKinds]int{1, 0, 1, 1}, true, 7},
+	{"an election", firstTimesOut, [limitedKinds]int{1, 0, 1, 1}, false, 7},
+	{scenarioTwoCandidates, []move{{eventTimeout, 0}, {eventTimeout, 1}}, [limitedKinds]int{0, 0, 0, 1}, false, 8},
+	{scenarioCommitted, leaderElected, [limitedKinds]int{1, 1, 1, 1}, false, 7},
+	{"an entry that only the leader has", uncommittedTail, [limitedKinds]int{2, 0, 1, 1}, false, 6},
+	{"entries of two leaders, each on one disk", slices.Concat(uncommittedTail,
+		[]move{{eventTimeout, 1}, deliverAll, {eventPropose, 1}, loseAll}), [limitedKinds]int{2, 0, 0, 1}, false, 6},
+	{"a leader that is voted out", slices.Concat(leaderElected, []move{{eventConfChange, 0}}), [limitedKinds]int{1, 0, 0, 1}, false, 7},
+	{scenarioThirdUnaware, []move{{eventTimeout, 0}, {eventExchange, 2}, loseAll}, [limitedKinds]int{1, 0, 1, 1}, false, 7},
+	{scenarioThirdBehind, slices.Concat(leaderElected,
+		[]move{{eventPropose, 0}, {eventExchange, 2}, {eventPropose, 0}, {eventExchange, 2}, loseAll}), [limitedKinds]int{1, 1, 0, 1}, false, 6},
+	{"writes that are synced late", leaderElected, [limitedKinds]int{1, 0, 2, 1}, true, 7},
+	{"votes that are synced late", firstTimesOut, [limitedKinds]int{1, 0, 1, 1}, true, 7},
 }
 
 // exchange delivers the messages between member 0 and another until there are none.
@@ -112,7 +127,8 @@
 	return state
 }
 
-var modelDeeper = flag.Int("model.deeper", defaultDeeper, "moves by which the exhaustive search goes deeper; each takes some four times as long")
+var modelDeeper = flag.Int("model.deeper", defaultDeeper,
+	"moves by which the exhaustive search goes deeper; each takes some four times as long")
 
 func TestExhaustiveAtThreeMembers(t *testing.T) {
 	for _, scenario := range searchScenarios {
@@ -128,25 +144,25 @@
 // leads to.
 func TestExhaustiveSearchFindsInjectedBugs(t *testing.T) {
 	for _, mutation := range []searchMutation{
-		{name: "rejected votes are counted", check: checkLeader, scenario: "two candidates", alterMessage: func(message *Message) {
+		{name: "rejected votes are counted", check: checkLeader, scenario: scenarioTwoCandidates, alterMessage: func(message *Message) {
 			if message.Kind == MsgVoteResponse {
 				message.Reject = false
 			}
 		}},
-		{name: "a crash loses term and vote", check: checkLeader, scenario: "two members agree, the third knows nothing", forgetHardState: true},
-		{name: "candidates say that they hold all", check: checkLeaderCompleteness, scenario: "entries that the third lacks", alterMessage: func(message *Message) {
+		{name: "a crash loses term and vote", check: checkLeader, scenario: scenarioThirdUnaware, forgetHardState: true},
+		{name: "candidates say that they hold all", check: checkLeaderCompleteness, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
 			if message.Kind == MsgVote || message.Kind == MsgPreVote {
 				message.Index, message.LogTerm = 1<<40, 1<<40
 			}
 		}},
-		{name: "entries are reported as synced before they are", check: checkLeaderCompleteness, scenario: "two members agree, the third knows nothing", earlySync: true},
-		{name: "an entry changes on its way", check: checkCommitted, scenario: "a leader with a committed entry", alterMessage: func(message *Message) {
+		{name: "entries are reported as synced before they are", check: checkLeaderCompleteness, scenario: scenarioThirdUnaware, earlySync: true},
+		{name: "an entry changes on its way", check: checkCommitted, scenario: scenarioCommitted, alterMessage: func(message *Message) {
 			if len(message.Entries) > 0 && message.To == "b" {
 				message.Entries = slices.Clone(message.Entries)
 				message.Entries[0].Data = []byte("other")
 			}
 		}},
-		{name: "the term of an entry changes on its way", check: checkLogMatching, scenario: "entries that the third lacks", alterMessage: func(message *Message) {
+		{name: "the term of an entry changes on its way", check: checkLogMatching, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
 			if message.To == "b" {
 				message.Commit = 0 // or it would be seen when it is applied
 			}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -292,9 +292,12 @@
 		t.Fatal(err)
 	}
 	var read Snapshot
-	if err := cbor.Unmarshal(raw, &read); err != nil || !slices.Equal(read.OutgoingVoters, written.OutgoingVoters) || !slices.Equal(read.Voters, written.Voters) || string(read.Data) != "s" {
+	if err := cbor.Unmarshal(raw, &read); err != nil || string(read.Data) != "s" {
 		t.Fatalf("read back as %+v, %v", read, err)
 	}
+	if !slices.Equal(read.OutgoingVoters, written.OutgoingVoters) || !slices.Equal(read.Voters, written.Voters) {
+		t.Fatalf("read back as %+v", read)
+	}
 	node := New("a", HardState{Term: 2}, read, nil, newTestCluster(t, 1).now, testConfig, 1)
 	if node.Compact(7); !node.ConfChangePending() || !node.IsVoter("a") || !node.IsVoter("d") {
 		t.Fatal("the outgoing voters are lost with the restart")
--- a/internal/raft/model_checks_test.go
+++ b/internal/raft/model_checks_test.go
@@ -25,8 +25,10 @@
 	checkPanic               = check("no panic")
 )
 
-var allChecks = []check{checkLeader, checkVote, checkElectedByMajority, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied, checkLinearizableReads,
-	checkDurable, checkPersistedBeforeSent, checkQuorumsIntersect, checkDisk, checkLiveness, checkPanic}
+var allChecks = []check{
+	checkLeader, checkVote, checkElectedByMajority, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied,
+	checkLinearizableReads, checkDurable, checkPersistedBeforeSent, checkQuorumsIntersect, checkDisk, checkLiveness, checkPanic,
+}
 
 // failure is the first violation of an invariant.
 type failure struct {
@@ -73,8 +75,17 @@
 }
 
 func newChecker(world *modelWorld, only check) *checker {
-	return &checker{world: world, only: only, leaders: map[uint64]string{}, votes: map[voteKey]string{}, granted: map[uint64]map[string]map[string]bool{},
-		entries: map[entryKey]entryDigest{}, terms: map[string]uint64{}, commits: map[string]uint64{}, lastLedTerm: map[string]uint64{}}
+	return &checker{
+		world:       world,
+		only:        only,
+		leaders:     map[uint64]string{},
+		votes:       map[voteKey]string{},
+		granted:     map[uint64]map[string]map[string]bool{},
+		entries:     map[entryKey]entryDigest{},
+		terms:       map[string]uint64{},
+		commits:     map[string]uint64{},
+		lastLedTerm: map[string]uint64{},
+	}
 }
 
 func (c *checker) fail(violated check, format string, args ...any) {
@@ -147,7 +158,13 @@
 		c.fail(checkApplied, "%s: applies %d to the state at %d", member.id, entry.Index, member.state.index)
 	}
 	if entry.Index == c.last()+1 {
-		c.log = append(c.log, committedEntry{term: entry.Term, hash: hashEntry(entry), kind: entry.Kind, state: c.log[len(c.log)-1].state.apply(entry), lowestTermSeen: member.node.Term()})
+		c.log = append(c.log, committedEntry{
+			term:           entry.Term,
+			hash:           hashEntry(entry),
+			kind:           entry.Kind,
+			state:          c.log[len(c.log)-1].state.apply(entry),
+			lowestTermSeen: member.node.Term(),
+		})
 		if entry.Kind == EntryConfChange {
 			c.applyConfChange(entry)
 		}
@@ -191,7 +208,8 @@
 
 func (c *checker) read(member *modelMember, request clientRead) {
 	if member.state.lastData < request.floor {
-		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began", member.id, member.node.Term(), member.state.lastData, request.floor)
+		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began",
+			member.id, member.node.Term(), member.state.lastData, request.floor)
 	}
 	c.readFloor = max(c.readFloor, member.state.lastData)
 }
@@ -228,7 +246,8 @@
 		c.votes[key] = voted
 		c.grant(message.Term, voted, member.id)
 		if disk.hardState.Term < message.Term || disk.hardState.Term == message.Term && disk.hardState.Vote != voted {
-			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d", member.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
+			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d",
+				member.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
 		}
 	case message.Kind == MsgAppendResponse || message.Kind == MsgAppend:
 		if disk.hardState.Term < message.Term {
@@ -299,7 +318,8 @@
 		}
 		// A leader needs not hold what is committed in a later term.
 		if committed.lowestTermSeen < node.Term() && (!ok || term != committed.term) {
-			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d", member.id, node.Term(), index, committed.term, node.LastIndex())
+			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d",
+				member.id, node.Term(), index, committed.term, node.LastIndex())
 			break
 		}
 	}
--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -85,7 +85,9 @@
 
 // changeCompleted tells whether a change is committed and completed.
 func (w *modelWorld) changeCompleted(member *modelMember, change *voterChange) bool {
-	return !member.node.ConfChangePending() && (change.incoming == "" || member.node.IsVoter(change.incoming)) && (change.outgoing == "" || !member.node.IsVoter(change.outgoing))
+	hasJoined := change.incoming == "" || member.node.IsVoter(change.incoming)
+	hasLeft := change.outgoing == "" || !member.node.IsVoter(change.outgoing)
+	return !member.node.ConfChangePending() && hasJoined && hasLeft
 }
 
 // proposeChange proposes the voters after a change.
@@ -100,7 +102,10 @@
 // operateMembership does what a leader of the package server does: it brings a learner up
 // to date, then changes the voters.
 func (w *modelWorld) operateMembership(member *modelMember) {
-	if !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) || w.now-member.lastOperatedAt < w.profile.config.HeartbeatInterval {
+	if !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) {
+		return
+	}
+	if w.now-member.lastOperatedAt < w.profile.config.HeartbeatInterval {
 		return
 	}
 	member.lastOperatedAt = w.now
--- a/internal/raft/model_faults_test.go
+++ b/internal/raft/model_faults_test.go
@@ -62,10 +62,22 @@
 		share int
 		run   func(*modelMember)
 	}{
-		{12, w.cutLink}, {4, w.isolate}, {4, w.partition}, {10, func(*modelMember) { w.healNetwork() }}, {8, w.reconnectMember},
-		{8, w.freeze}, {8, func(member *modelMember) { w.crashAndRestart(member, false) }}, {8, func(member *modelMember) { w.crashAndRestart(member, true) }},
-		{2, w.powerLoss}, {4, w.stallDisk}, {6, w.transferLeadership}, {6, func(member *modelMember) { w.enqueue(member, input{snapshot: true}) }},
-		{6, w.requestConfChange}, {3, w.loseDisk}, {1, w.abandonChange}, {3, w.setEagerCommitPeers},
+		{12, w.cutLink},
+		{4, w.isolate},
+		{4, w.partition},
+		{10, func(*modelMember) { w.healNetwork() }},
+		{8, w.reconnectMember},
+		{8, w.freeze},
+		{8, func(member *modelMember) { w.crashAndRestart(member, false) }},
+		{8, func(member *modelMember) { w.crashAndRestart(member, true) }},
+		{2, w.powerLoss},
+		{4, w.stallDisk},
+		{6, w.transferLeadership},
+		{6, func(member *modelMember) { w.enqueue(member, input{snapshot: true}) }},
+		{6, w.requestConfChange},
+		{3, w.loseDisk},
+		{1, w.abandonChange},
+		{3, w.setEagerCommitPeers},
 	}
 	sum := 0
 	for _, fault := range faults {
@@ -229,7 +241,8 @@
 		}
 		// The newest configuration may not be on any disk yet.
 		node := other.node
-		for _, set := range append(currentVoterSets(node), voterIDSets(node.VotersAt(node.CommitIndex()), node.OutgoingVotersAt(node.CommitIndex()))...) {
+		committed := voterIDSets(node.VotersAt(node.CommitIndex()), node.OutgoingVotersAt(node.CommitIndex()))
+		for _, set := range append(currentVoterSets(node), committed...) {
 			lost := 0
 			for _, id := range set {
 				if w.byID[id].lost || w.byID[id].retired || id == member.id {
--- a/internal/raft/model_harness_test.go
+++ b/internal/raft/model_harness_test.go
@@ -26,8 +26,15 @@
 
 func randomProfile(random *rand.Rand) walkProfile {
 	profile := walkProfile{voters: []int{3, 3, 3, 3, 5, 5, 4, 2, 1}[random.Intn(9)]}
-	profile.config = Config{HeartbeatInterval: 80 * time.Millisecond, ElectionTimeout: 400 * time.Millisecond, ElectionJitter: 200 * time.Millisecond,
-		CheckQuorumTimeout: 650 * time.Millisecond, LeaseFraction: 0.85, MaxInflightEntries: []int{2, 8, 64}[random.Intn(3)], MaxAppendBytes: []int{1, 100, 4096}[random.Intn(3)]}
+	profile.config = Config{
+		HeartbeatInterval:  80 * time.Millisecond,
+		ElectionTimeout:    400 * time.Millisecond,
+		ElectionJitter:     200 * time.Millisecond,
+		CheckQuorumTimeout: 650 * time.Millisecond,
+		LeaseFraction:      0.85,
+		MaxInflightEntries: []int{2, 8, 64}[random.Intn(3)],
+		MaxAppendBytes:     []int{1, 100, 4096}[random.Intn(3)],
+	}
 	profile.meanFaultGap = time.Duration(30+random.Intn(400)) * time.Millisecond
 	profile.lossShare = []float64{0, 0.01, 0.1}[random.Intn(3)]
 	profile.duplicateShare = []float64{0, 0.02, 0.1}[random.Intn(3)]
@@ -114,7 +121,13 @@
 }
 
 func newModelWorld(seed int64, mutation mutation, only check) *modelWorld {
-	w := &modelWorld{seed: seed, random: rand.New(rand.NewSource(seed)), byID: map[string]*modelMember{}, mutation: mutation, counts: map[string]int{}}
+	w := &modelWorld{
+		seed:     seed,
+		random:   rand.New(rand.NewSource(seed)),
+		byID:     map[string]*modelMember{},
+		mutation: mutation,
+		counts:   map[string]int{},
+	}
 	w.profile = randomProfile(w.random)
 	if mutation.profile != nil {
 		mutation.profile(&w.profile)
@@ -137,7 +150,11 @@
 }
 
 func (w *modelWorld) addMember() *modelMember {
-	member := &modelMember{id: fmt.Sprintf("m%d", len(w.members)), clockRate: 0.99 + 0.02*w.random.Float64(), clockOffset: time.Duration(w.random.Intn(1e9))}
+	member := &modelMember{
+		id:          fmt.Sprintf("m%d", len(w.members)),
+		clockRate:   0.99 + 0.02*w.random.Float64(),
+		clockOffset: time.Duration(w.random.Intn(1e9)),
+	}
 	w.members = append(w.members, member)
 	w.byID[member.id] = member
 	return member
@@ -202,7 +219,13 @@
 func (w *modelWorld) snapshot(member *modelMember) *Snapshot {
 	index := member.node.AppliedIndex()
 	term, _ := member.node.TermAt(index)
-	return &Snapshot{Index: index, Term: term, Voters: member.node.VotersAt(index), OutgoingVoters: member.node.OutgoingVotersAt(index), Data: member.state.encode()}
+	return &Snapshot{
+		Index:          index,
+		Term:           term,
+		Voters:         member.node.VotersAt(index),
+		OutgoingVoters: member.node.OutgoingVotersAt(index),
+		Data:           member.state.encode(),
+	}
 }
 
 // enqueue puts an input into a member's queue.
@@ -302,7 +325,9 @@
 		w.handleReady(member, ready)
 		w.apply(member)
 	}
-	if every := w.profile.snapshotEvery; member.node.AppliedIndex() >= member.lastSnapshotIndex+every || member.lastSnapshotIndex == 0 && member.node.AppliedIndex() > member.disk.snapshot.Index {
+	isDue := member.node.AppliedIndex() >= member.lastSnapshotIndex+w.profile.snapshotEvery
+	isRequested := member.lastSnapshotIndex == 0 && member.node.AppliedIndex() > member.disk.snapshot.Index
+	if isDue || isRequested {
 		snapshot := w.snapshot(member)
 		member.lastSnapshotIndex = snapshot.Index
 		w.counts["snapshots"]++
--- a/internal/raft/model_walk_test.go
+++ b/internal/raft/model_walk_test.go
@@ -119,14 +119,23 @@
 			continue
 		}
 		node := member.node
-		fmt.Fprintf(&text, " %s: term %d leads %v ready %v lease %v lead %q last %d commit %d applied %d conf %d %v;", member.id, node.Term(), node.IsLeader(),
-			node.LeaderReady(), node.HasLease(member.clock(w.now)), node.Leader(), node.LastIndex(), node.CommitIndex(), node.AppliedIndex(), node.ConfIndex(), currentVoterSets(node))
+		fmt.Fprintf(&text, " %s: term %d is leader %v ready %v lease %v leader %q last %d commit %d applied %d conf %d %v;",
+			member.id, node.Term(), node.IsLeader(), node.LeaderReady(), node.HasLease(member.clock(w.now)), node.Leader(),
+			node.LastIndex(), node.CommitIndex(), node.AppliedIndex(), node.ConfIndex(), currentVoterSets(node))
 	}
 	return text.String()
 }
 
-var kindNames = map[MessageKind]string{MsgAppend: "append", MsgAppendResponse: "append-response", MsgPreVote: "pre-vote", MsgPreVoteResponse: "pre-vote-response",
-	MsgVote: "vote", MsgVoteResponse: "vote-response", MsgSnapshot: "snapshot", MsgTimeoutNow: "timeout-now"}
+var kindNames = map[MessageKind]string{
+	MsgAppend:          "append",
+	MsgAppendResponse:  "append-response",
+	MsgPreVote:         "pre-vote",
+	MsgPreVoteResponse: "pre-vote-response",
+	MsgVote:            "vote",
+	MsgVoteResponse:    "vote-response",
+	MsgSnapshot:        "snapshot",
+	MsgTimeoutNow:      "timeout-now",
+}
 
 // sortByReceiver makes the order of messages to different members deterministic, since a
 // Node iterates over maps. Those to one member keep their order.
--- a/internal/raft/model_world_test.go
+++ b/internal/raft/model_world_test.go
@@ -130,7 +130,8 @@
 		// The mutation: the write is reported as synced before it is.
 		world.schedule(0, func() { world.enqueue(member, input{written: []diskWrite{write}}) })
 		member.writesInFlight++
-		d.waiting = append(d.waiting, diskWrite{ready: Ready{HardState: write.ready.HardState, Entries: write.ready.Entries, Snapshot: write.ready.Snapshot}, snapshot: write.snapshot})
+		content := Ready{HardState: write.ready.HardState, Entries: write.ready.Entries, Snapshot: write.ready.Snapshot}
+		d.waiting = append(d.waiting, diskWrite{ready: content, snapshot: write.snapshot})
 		d.startWrite(world, member)
 		return
 	}
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -56,7 +56,10 @@
 	c.commit("2")
 	c.untilAcknowledged(leader, follower)
 	c.commit("3")
-	rejection := Message{Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Reject: true, Index: 1, LogTerm: leader.Term(), SendStamp: first}
+	rejection := Message{
+		Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(),
+		Reject: true, Index: 1, LogTerm: leader.Term(), SendStamp: first,
+	}
 	for _, rejection.Commit = range []uint64{2, leader.LastIndex()} {
 		leader.Step(rejection, c.now)
 		if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
@@ -67,7 +70,9 @@
 	// nothing of the log.
 	node := c.nodes[follower]
 	node.Ready()
-	node.Step(Message{Kind: MsgAppend, From: leader.ID(), To: follower, Term: leader.Term() - 1, Index: 90, SendStamp: leader.lastStamp + 1}, c.now)
+	node.Step(Message{
+		Kind: MsgAppend, From: leader.ID(), To: follower, Term: leader.Term() - 1, Index: 90, SendStamp: leader.lastStamp + 1,
+	}, c.now)
 	ready := node.Ready()
 	leader.Step(append(ready.Messages, ready.MessagesAfterSync...)[0], c.now)
 	if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
@@ -102,7 +107,9 @@
 	leader.Compact(leader.AppliedIndex())
 	peer := leader.peers[follower]
 	peer.next = peer.match + 2 // large entries: one in each append
-	leader.Step(Message{Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Index: peer.match + 1, SendStamp: leader.lastStamp}, c.now)
+	leader.Step(Message{
+		Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Index: peer.match + 1, SendStamp: leader.lastStamp,
+	}, c.now)
 	sent := false
 	for _, message := range leader.Ready().Messages {
 		sent = sent || message.Kind == MsgSnapshot && message.To == follower
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -16,7 +16,8 @@
 	f.Add(encodeKey(7), withChecksum(encodeKey(7), mustMarshal(raft.Entry{Index: 7, Term: 1, Data: []byte("x")})))
 	f.Add(keyHardState, withChecksum(keyHardState, mustMarshal(raft.HardState{Term: 3, Vote: "a"})))
 	f.Add(keyHardState, mustMarshal(raft.HardState{Term: 3, Vote: "a"}))
-	f.Add(keySnapshotHeader, withChecksum(keySnapshotHeader, mustMarshal(snapshotHeader{Snapshot: raft.Snapshot{Index: 3}, Generation: 2, FrameCount: 1, Size: 9})))
+	header := snapshotHeader{Snapshot: raft.Snapshot{Index: 3}, Generation: 2, FrameCount: 1, Size: 9}
+	f.Add(keySnapshotHeader, withChecksum(keySnapshotHeader, mustMarshal(header)))
 	f.Add(keyLegacySnapshot, mustMarshal(raft.Snapshot{Index: 3, Data: []byte("x")}))
 	f.Add([]byte{}, []byte{checksumMarker})
 	f.Fuzz(func(t *testing.T, key, raw []byte) {
@@ -46,7 +47,8 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries(1, 40, 1)}}, {LocalSnapshot: &raft.Snapshot{Index: 30, Term: 1, Data: []byte("state")}}}); err != nil {
+	ready := WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries(1, 40, 1)}}
+	if err := store.writeAll([]WriteRequest{ready, localSnapshot(30, []byte("state"))}); err != nil {
 		f.Fatal(err)
 	}
 	_ = store.Close()
@@ -83,7 +85,8 @@
 		if err != nil || reopened.ID != recovered.ID || len(reopened.Entries) != len(recovered.Entries) {
 			t.Fatalf("%v: %s with %d entries, was %s with %d", err, reopened.ID, len(reopened.Entries), recovered.ID, len(recovered.Entries))
 		}
-		if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{Entries: entries(recovered.Snapshot.Index+uint64(len(recovered.Entries))+1, recovered.Snapshot.Index+uint64(len(recovered.Entries))+1, 9)}}}); err != nil {
+		next := recovered.Snapshot.Index + uint64(len(recovered.Entries)) + 1
+		if err := store.writeAll([]WriteRequest{entriesRequest(entries(next, next, 9)...)}); err != nil {
 			t.Fatal(err)
 		}
 		_ = store.Close()
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -76,7 +76,8 @@
 	if err := store.writeAll([]WriteRequest{{Ready: raft.Ready{HardState: &raft.HardState{Term: 1}, Entries: entries}}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := store.writeAll([]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 2, Term: 1, Voters: voters, Data: []byte("snapshot")}}}); err != nil {
+	snapshot := raft.Snapshot{Index: 2, Term: 1, Voters: voters, Data: []byte("snapshot")}
+	if err := store.writeAll([]WriteRequest{{LocalSnapshot: &snapshot}}); err != nil {
 		t.Fatal(err)
 	}
 	list("after a snapshot")
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -73,7 +73,9 @@
 }
 
 func TestSystemErrorsLeaveTheFile(t *testing.T) {
-	for _, fault := range []error{syscall.ENOSPC, syscall.EIO, syscall.EAGAIN, syscall.EACCES, syscall.EROFS, syscall.ETIMEDOUT, syscall.EMFILE, syscall.ENOMEM} {
+	for _, fault := range []error{
+		syscall.ENOSPC, syscall.EIO, syscall.EAGAIN, syscall.EACCES, syscall.EROFS, syscall.ETIMEDOUT, syscall.EMFILE, syscall.ENOMEM,
+	} {
 		dir, path, id := newStoreFile(t)
 		before := mustReadFile(t, path)
 		for succeeding := range 2 { // the check's own call, then bbolt's
@@ -234,7 +236,9 @@
 		}
 		// A loss of power during the last write, which was never reported, leaves
 		// such a meta page: the state before it is the right one.
-		if before := what == "meta" && len(recovered.Entries) == 0 && recovered.HardState == (raft.HardState{}); !before && (!reflect.DeepEqual(recovered.Entries, want.Entries) || recovered.HardState != want.HardState) {
+		isBefore := what == "meta" && len(recovered.Entries) == 0 && recovered.HardState == (raft.HardState{})
+		isWritten := reflect.DeepEqual(recovered.Entries, want.Entries) && recovered.HardState == want.HardState
+		if !isBefore && !isWritten {
 			t.Fatalf("%s: opened with %d entries, %+v", what, len(recovered.Entries), recovered.HardState)
 		}
 		return false
--- a/internal/storage/record_test.go
+++ b/internal/storage/record_test.go
@@ -99,10 +99,13 @@
 			meta.Put(keyFounders, mustMarshal(founders)), meta.Put(keyLegacySnapshot, mustMarshal([]any{10, 3, founders, []byte("state")})))
 	})
 	store, recovered := reopen(t, nil, dir)
-	if recovered.ID != "0123456789abcdef01234567" || recovered.HardState.Vote != "y" || len(recovered.Entries) != 290 || string(recovered.Snapshot.Data) != "state" || len(recovered.Founders) != 1 {
+	if recovered.ID != "0123456789abcdef01234567" || recovered.HardState.Vote != "y" || len(recovered.Founders) != 1 {
 		t.Fatalf("%+v", recovered)
 	}
-	mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: entries(301, 301, 7)}})
+	if len(recovered.Entries) != 290 || string(recovered.Snapshot.Data) != "state" {
+		t.Fatalf("%+v", recovered)
+	}
+	mustWrite(t, store, entriesRequest(entries(301, 301, 7)...))
 	if _, recovered = reopen(t, store, dir); len(recovered.Entries) != 291 {
 		t.Fatalf("%d entries", len(recovered.Entries))
 	}
--- a/internal/storage/snapshot_test.go
+++ b/internal/storage/snapshot_test.go
@@ -56,7 +56,8 @@
 	isOld := recovered.Snapshot.Index == c.old.Index && bytes.Equal(recovered.Snapshot.Data, c.old.Data) && len(recovered.Entries) >= 100
 	isExpected := isOld || mayBeNew && isNew
 	if !isExpected {
-		c.t.Fatalf("step %d: snapshot of %d with %d bytes, %d entries", c.steps, recovered.Snapshot.Index, len(recovered.Snapshot.Data), len(recovered.Entries))
+		c.t.Fatalf("step %d: snapshot of %d with %d bytes, %d entries",
+			c.steps, recovered.Snapshot.Index, len(recovered.Snapshot.Data), len(recovered.Entries))
 	}
 	return isNew
 }
@@ -102,19 +103,28 @@
 		want     raft.Snapshot
 		entries  int
 	}{
-		"local": {[]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 150, Term: 1, Data: randomBytes(2, 5<<20)}}, {Ready: raft.Ready{Entries: entries(201, 220, 1)}}},
-			raft.Snapshot{Index: 150, Data: randomBytes(2, 5<<20)}, 70},
-		"received": {[]WriteRequest{{Ready: raft.Ready{Entries: entries(201, 210, 1)}}, {Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 500, Term: 4, Data: randomBytes(3, 4<<20)}, Entries: entries(501, 503, 4)}}},
-			raft.Snapshot{Index: 500, Data: randomBytes(3, 4<<20)}, 3},
-		"received during a local one": {[]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 150, Term: 1, Data: randomBytes(2, 5<<20)}}, {Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 500, Term: 4, Data: randomBytes(3, 4<<20)}}}},
-			raft.Snapshot{Index: 500, Data: randomBytes(3, 4<<20)}, 0},
-		"small": {[]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 200, Term: 1, Data: []byte("state")}}}, raft.Snapshot{Index: 200, Data: []byte("state")}, 0},
-		"empty": {[]WriteRequest{{LocalSnapshot: &raft.Snapshot{Index: 200, Term: 1}}}, raft.Snapshot{Index: 200}, 0},
+		"local": {
+			[]WriteRequest{localSnapshot(150, randomBytes(2, 5<<20)), entriesRequest(entries(201, 220, 1)...)},
+			raft.Snapshot{Index: 150, Data: randomBytes(2, 5<<20)}, 70,
+		},
+		"received": {
+			[]WriteRequest{
+				entriesRequest(entries(201, 210, 1)...),
+				receivedSnapshot(500, 4, randomBytes(3, 4<<20), entries(501, 503, 4)...),
+			},
+			raft.Snapshot{Index: 500, Data: randomBytes(3, 4<<20)}, 3,
+		},
+		"received during a local one": {
+			[]WriteRequest{localSnapshot(150, randomBytes(2, 5<<20)), receivedSnapshot(500, 4, randomBytes(3, 4<<20))},
+			raft.Snapshot{Index: 500, Data: randomBytes(3, 4<<20)}, 0,
+		},
+		"small": {[]WriteRequest{localSnapshot(200, []byte("state"))}, raft.Snapshot{Index: 200, Data: []byte("state")}, 0},
+		"empty": {[]WriteRequest{localSnapshot(200, nil)}, raft.Snapshot{Index: 200}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			store, _ := reopen(t, nil, dir)
-			mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: entries(1, 200, 1)}}, WriteRequest{LocalSnapshot: &old})
+			mustWrite(t, store, entriesRequest(entries(1, 200, 1)...), WriteRequest{LocalSnapshot: &old})
 			path := filepath.Join(dir, fileName)
 			checker := &crashChecker{t: t, path: path, old: old, new: test.want, random: rand.New(rand.NewSource(7)), before: mustReadFile(t, path)}
 			store.commit = func(transaction func(*bolt.Tx) error) error {
@@ -164,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			store, first := reopen(t, nil, dir)
-			mustWrite(t, store, WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 7, Term: 1, Data: randomBytes(1, 300<<10)}}})
+			mustWrite(t, store, receivedSnapshot(7, 1, randomBytes(1, 300<<10)))
 			if err := store.db.Update(func(tx *bolt.Tx) error {
 				return edit(tx.Bucket(bucketSnapshots).Bucket(encodeKey(store.snapshotGeneration)))
 			}); err != nil {
@@ -196,15 +206,17 @@
 			batch[i].Data = make([]byte, random.Intn(1500))
 		}
 		last += each
-		mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: batch[:each/2]}})
-		mustWrite(t, store, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: last - each/2, Term: 1, Data: randomBytes(int64(round), size+random.Intn(size/2))}}, WriteRequest{Ready: raft.Ready{Entries: batch[each/2:]}})
+		mustWrite(t, store, entriesRequest(batch[:each/2]...))
+		data := randomBytes(int64(round), size+random.Intn(size/2))
+		mustWrite(t, store, localSnapshot(last-each/2, data), entriesRequest(batch[each/2:]...))
 		info, err := os.Stat(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sizes[round] = int(info.Size())
 	}
-	t.Logf("file of snapshots of 1 to 1.5 MB and 300 entries: %d KB after 10, %d KB after 100, %d KB after %d", sizes[10]>>10, sizes[100]>>10, sizes[rounds]>>10, rounds)
+	t.Logf("file of snapshots of 1 to 1.5 MB and 300 entries: %d KB after 10, %d KB after 100, %d KB after %d",
+		sizes[10]>>10, sizes[100]>>10, sizes[rounds]>>10, rounds)
 	if sizes[rounds] > 16<<20 || sizes[rounds] > 2*sizes[10] {
 		t.Errorf("it grew from %d to %d bytes", sizes[10], sizes[rounds])
 	}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -21,6 +21,21 @@
 	return nil
 }
 
+// entriesRequest is a request to write entries.
+func entriesRequest(entries ...raft.Entry) WriteRequest {
+	return WriteRequest{Ready: raft.Ready{Entries: entries}}
+}
+
+// localSnapshot is a request to write a snapshot, in term 1, that this member took.
+func localSnapshot(index uint64, data []byte) WriteRequest {
+	return WriteRequest{LocalSnapshot: &raft.Snapshot{Index: index, Term: 1, Data: data}}
+}
+
+// receivedSnapshot is a request to write a received snapshot and entries after it.
+func receivedSnapshot(index, term uint64, data []byte, entries ...raft.Entry) WriteRequest {
+	return WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: index, Term: term, Data: data}, Entries: entries}}
+}
+
 func mustWrite(t *testing.T, store *Store, requests ...WriteRequest) {
 	t.Helper()
 	if err := store.writeAll(requests); err != nil {
@@ -58,17 +73,20 @@
 		t.Fatal("an empty disk has an identity")
 	}
 	mustWrite(t, store, WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2, Vote: "x"}, Entries: entries(1, 9, 1)}})
-	mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: entries(5, 6, 2)}})
+	mustWrite(t, store, entriesRequest(entries(5, 6, 2)...))
 	store, recovered = reopen(t, store, dir)
-	if recovered.ID != id || recovered.NewIdentity || recovered.HardState.Vote != "x" || len(recovered.Entries) != 6 || recovered.Entries[5].Term != 2 {
+	if recovered.ID != id || recovered.NewIdentity || recovered.HardState.Vote != "x" {
+		t.Fatalf("%+v", recovered)
+	}
+	if len(recovered.Entries) != 6 || recovered.Entries[5].Term != 2 {
 		t.Fatalf("%+v", recovered)
 	}
-	mustWrite(t, store, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4, Term: 1}})
+	mustWrite(t, store, localSnapshot(4, nil))
 	store, recovered = reopen(t, store, dir)
 	if recovered.Snapshot.Index != 4 || len(recovered.Entries) != 2 || recovered.Entries[0].Index != 5 {
 		t.Fatalf("%+v", recovered)
 	}
-	mustWrite(t, store, WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 50, Term: 3}}}, WriteRequest{Ready: raft.Ready{Entries: entries(51, 52, 3)}})
+	mustWrite(t, store, receivedSnapshot(50, 3, nil), entriesRequest(entries(51, 52, 3)...))
 	_, recovered = reopen(t, store, dir)
 	if recovered.Snapshot.Index != 50 || len(recovered.Entries) != 2 {
 		t.Fatalf("%+v", recovered)
--- a/internal/storage/write_queue_test.go
+++ b/internal/storage/write_queue_test.go
@@ -1,7 +1,6 @@
 package storage
 
 import (
-	"bytes"
 	"syscall"
 	"testing"
 
@@ -33,17 +32,19 @@
 	const most = 6000
 	for _, test := range []struct {
 		name     string
-		request  WriteRequest
-		from, to uint64
+		requests []WriteRequest
+		from, to uint64 // indexes that are left
 	}{
-		{"local snapshot", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 4321, Term: 1}}, 4322, most},
-		{"local snapshot of almost all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most - 1, Term: 1}}, most, most},
-		{"local snapshot of all", WriteRequest{LocalSnapshot: &raft.Snapshot{Index: most, Term: 1}}, most + 1, most},
-		{"received snapshot", WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 3000, Term: 1}}}, 1, 0},
-		{"received snapshot and entries", WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 3000, Term: 1}, Entries: entries(3001, 3005, 1)}}, 3001, 3005},
-		{"entries and received snapshot in one write", WriteRequest{Ready: raft.Ready{Entries: entries(most+1, most+900, 1)}, LocalSnapshot: &raft.Snapshot{Index: 7000, Term: 2}}, 7001, 7000},
-		{"entries and local snapshot in one write", WriteRequest{Ready: raft.Ready{Entries: entries(most+1, most+900, 1)}, LocalSnapshot: &raft.Snapshot{Index: most + 500, Term: 1}}, most + 501, most + 900},
-		{"overwritten suffix", WriteRequest{Ready: raft.Ready{Entries: entries(17, 18, 2)}}, 1, 18},
+		{"local snapshot", []WriteRequest{localSnapshot(4321, nil)}, 4322, most},
+		{"local snapshot of almost all", []WriteRequest{localSnapshot(most-1, nil)}, most, most},
+		{"local snapshot of all", []WriteRequest{localSnapshot(most, nil)}, most + 1, most},
+		{"received snapshot", []WriteRequest{receivedSnapshot(3000, 1, nil)}, 1, 0},
+		{"received snapshot and entries", []WriteRequest{receivedSnapshot(3000, 1, nil, entries(3001, 3005, 1)...)}, 3001, 3005},
+		{"entries and received snapshot in one write",
+			[]WriteRequest{entriesRequest(entries(most+1, most+900, 1)...), receivedSnapshot(7000, 2, nil)}, 7001, 7000},
+		{"entries and local snapshot in one write",
+			[]WriteRequest{entriesRequest(entries(most+1, most+900, 1)...), localSnapshot(most+500, nil)}, most + 501, most + 900},
+		{"overwritten suffix", []WriteRequest{entriesRequest(entries(17, 18, 2)...)}, 1, 18},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -54,15 +55,9 @@
 					// Sizes differ, so that pages hold from few to many entries.
 					batch[j].Data = make([]byte, int(batch[j].Index*37%900))
 				}
-				mustWrite(t, store, WriteRequest{Ready: raft.Ready{Entries: batch}})
-			}
-			if snapshot := test.request.LocalSnapshot; snapshot != nil && snapshot.Term == 2 {
-				mustWrite(t, store, WriteRequest{Ready: test.request.Ready}, WriteRequest{Ready: raft.Ready{Snapshot: snapshot}})
-			} else if snapshot != nil && test.request.Ready.Entries != nil {
-				mustWrite(t, store, WriteRequest{Ready: test.request.Ready}, WriteRequest{LocalSnapshot: snapshot})
-			} else {
-				mustWrite(t, store, test.request)
+				mustWrite(t, store, entriesRequest(batch...))
 			}
+			mustWrite(t, store, test.requests...)
 			indexes := store.logIndexes(t)
 			if uint64(len(indexes)) != test.to+1-test.from {
 				t.Fatalf("%d entries left, want %d to %d", len(indexes), test.from, test.to)
@@ -93,9 +88,14 @@
 		return nil
 	}
 	var queue writeQueue
-	queue.add(WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2}, Entries: entries(1, 90, 1)}}, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 50, Term: 1, Data: randomBytes(1, 5<<20)}},
-		WriteRequest{Ready: raft.Ready{Entries: entries(80, 85, 2)}}, WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 60, Term: 1, Data: randomBytes(2, 100)}},
-		WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 200, Term: 2, Data: randomBytes(3, 3<<20)}, Entries: entries(201, 210, 2)}}, WriteRequest{Ready: raft.Ready{Entries: entries(211, 212, 2)}})
+	queue.add(
+		WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2}, Entries: entries(1, 90, 1)}},
+		localSnapshot(50, randomBytes(1, 5<<20)),
+		entriesRequest(entries(80, 85, 2)...),
+		localSnapshot(60, randomBytes(2, 100)),
+		receivedSnapshot(200, 2, randomBytes(3, 3<<20), entries(201, 210, 2)...),
+		entriesRequest(entries(211, 212, 2)...),
+	)
 	done := 0
 	for !queue.empty() {
 		completed, err := store.commitNext(&queue)
@@ -105,9 +105,10 @@
 		done += len(completed)
 	}
 	store, recovered := reopen(t, store, dir)
-	if done != 6 || recovered.HardState.Term != 2 || recovered.Snapshot.Index != 200 || !bytes.Equal(recovered.Snapshot.Data, randomBytes(3, 3<<20)) || len(recovered.Entries) != 12 {
-		t.Fatalf("%d requests done, %+v, snapshot of %d, %d entries", done, recovered.HardState, recovered.Snapshot.Index, len(recovered.Entries))
+	if done != 6 || recovered.HardState.Term != 2 {
+		t.Fatalf("%d requests done, %+v", done, recovered.HardState)
 	}
+	requireSnapshot(t, recovered, raft.Snapshot{Index: 200, Data: randomBytes(3, 3<<20)}, 12)
 	_ = store.Close()
 }
 
@@ -115,10 +116,10 @@
 // snapshot, and the frames of at most one snapshot.
 func TestBatchesOfQueue(t *testing.T) {
 	large := make([]byte, tuning.SnapshotFrameBytes*(tuning.SnapshotFramesPerTransaction+1))
-	ready := WriteRequest{Ready: raft.Ready{Entries: entries(1, 1, 1)}}
-	local := WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 1, Data: large}}
-	received := WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: 9, Data: large}}}
-	type want struct {
+	ready := entriesRequest(entries(1, 1, 1)...)
+	local := localSnapshot(1, large)
+	received := receivedSnapshot(9, 1, large)
+	type outcome struct {
 		requests  int // in the transaction
 		received  bool
 		activates bool
@@ -127,24 +128,35 @@
 	for _, test := range []struct {
 		name  string
 		queue []WriteRequest
-		want  []want
+		want  []outcome
 	}{
-		{"entries", []WriteRequest{ready, ready}, []want{{requests: 2, completed: 2}}},
-		{"local snapshot between entries", []WriteRequest{ready, local, ready}, []want{{requests: 2, completed: 2}, {activates: true, completed: 1}}},
-		{"received snapshot", []WriteRequest{received, ready, ready}, []want{{received: true}, {requests: 3, received: true, activates: true, completed: 3}}},
-		{"entries before a received snapshot", []WriteRequest{ready, received, ready}, []want{{requests: 1, completed: 1}, {received: true},
-			{requests: 2, received: true, activates: true, completed: 2}}},
-		{"received snapshot replaces local ones", []WriteRequest{local, received, local}, []want{{received: true},
-			{requests: 1, received: true, activates: true, completed: 3}}},
+		{"entries", []WriteRequest{ready, ready}, []outcome{{requests: 2, completed: 2}}},
+		{"local snapshot between entries", []WriteRequest{ready, local, ready}, []outcome{
+			{requests: 2, completed: 2},
+			{activates: true, completed: 1},
+		}},
+		{"received snapshot", []WriteRequest{received, ready, ready}, []outcome{
+			{received: true},
+			{requests: 3, received: true, activates: true, completed: 3},
+		}},
+		{"entries before a received snapshot", []WriteRequest{ready, received, ready}, []outcome{
+			{requests: 1, completed: 1},
+			{received: true},
+			{requests: 2, received: true, activates: true, completed: 2},
+		}},
+		{"received snapshot replaces local ones", []WriteRequest{local, received, local}, []outcome{
+			{received: true},
+			{requests: 1, received: true, activates: true, completed: 3},
+		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var queue writeQueue
 			queue.add(test.queue...)
 			for i, want := range test.want {
 				b := queue.nextBatch(7)
-				completed := queue.complete(b)
-				if len(b.requests) != want.requests || b.received != want.received || b.activates != want.activates || len(completed) != want.completed {
-					t.Errorf("transaction %d: %d requests, received %v, activates %v, %d completed, want %+v", i, len(b.requests), b.received, b.activates, len(completed), want)
+				got := outcome{len(b.requests), b.received, b.activates, len(queue.complete(b))}
+				if got != want {
+					t.Errorf("transaction %d: %+v, want %+v", i, got, want)
 				}
 			}
 			if !queue.empty() {
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -170,7 +170,7 @@
 		r.sendEntries(t, 1, 100)
 		synctest.Wait()
 		r.stalled = make(chan struct{})
-		r.requests <- WriteRequest{LocalSnapshot: &raft.Snapshot{Index: 100, Term: 1, Data: randomBytes(1, 8<<20)}}
+		r.requests <- localSnapshot(100, randomBytes(1, 8<<20))
 		synctest.Wait() // the first part is under way
 		r.sendEntries(t, 101, 110)
 		synctest.Wait()
