--- a/internal/simulation/admin_test.go
+++ b/internal/simulation/admin_test.go
@@ -4,83 +4,84 @@
 	"context"
 	"errors"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"tealpond/internal/admin"
 	"tealpond/internal/transport"
 )
 
+// adminContext is the context of a command-line tool on a host of its own.
 func (c *Cluster) adminContext() context.Context {
-	return transport.WithNetwork(context.Background(), c.Network.Host(c.hostIP(252)))
+	return transport.WithNetwork(context.Background(), c.Network.Host(c.hostIP(adminHost)))
+}
+
+// trace follows a job or a configuration, beginning at a node.
+func (c *Cluster) trace(node, id string) (admin.ChangeTrace, error) {
+	return admin.TraceChange(c.adminContext(), []string{c.nodeAddress(node, daemonPort)}, id)
 }
 
 func TestTraceFollowsAJobThroughAllDaemons(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		c.SubmitJob(jobID(0), newJob(300, 500, 2))
-		c.WaitUntil("done", 5*time.Second, func() bool { return c.JobState("edge-4", jobID(0)) == "done" })
+		c.waitJobDone(jobID(0), 5*time.Second)
 		time.Sleep(time.Second)
-		// A diskless daemon is asked: it knows the core and, by it, all.
-		p, err := admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-4") + ":7720"}, jobID(0))
+		// A node without a disk is asked: it knows the servers and, through them, all nodes.
+		trace, err := c.trace(disklessEdge, jobID(0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		who := map[string]map[string]bool{}
-		for _, s := range p.Steps {
-			if who[s.Action] == nil {
-				who[s.Action] = map[string]bool{}
+		nodes := map[string]map[string]bool{} // by action
+		for _, step := range trace.Steps {
+			if nodes[step.Action] == nil {
+				nodes[step.Action] = map[string]bool{}
 			}
-			who[s.Action][s.Node] = true
+			nodes[step.Action][step.Node] = true
 		}
-		for what, n := range map[string]int{"taken": 1, "ordered": 1, "settled": 1, "answered": 1, "start ordered": 1, "start received": 1,
+		for action, want := range map[string]int{"taken": 1, "ordered": 1, "settled": 1, "answered": 1, "start ordered": 1, "start received": 1,
 			"start answered": 1, "end listed": 1, "end acknowledged": 1, "end applied": 3, "over": 3} {
-			if len(who[what]) < n {
-				t.Errorf("%q was noted by %d daemons, want %d", what, len(who[what]), n)
+			if len(nodes[action]) < want {
+				t.Errorf("%q was traced by %d nodes, want %d", action, len(nodes[action]), want)
 			}
 		}
-		if len(p.Unreachable) > 0 {
-			t.Errorf("silent: %v", p.Unreachable)
+		if len(trace.Unreachable) > 0 {
+			t.Errorf("unreachable: %v", trace.Unreachable)
 		}
-		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, "desired/1")
-		if err != nil || len(p.Steps) < 4 {
-			t.Errorf("desired/1: %d steps, %v", len(p.Steps), err)
+		trace, err = c.trace("edge-1", "desired/1")
+		if err != nil || len(trace.Steps) < 4 {
+			t.Errorf("desired/1: %d steps, %v", len(trace.Steps), err)
 		}
-		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, "ffffffffffffffff")
-		if err != nil || len(p.Steps) != 0 {
-			t.Errorf("an unknown id: %d steps, %v", len(p.Steps), err)
+		trace, err = c.trace("edge-1", "ffffffffffffffff")
+		if err != nil || len(trace.Steps) != 0 {
+			t.Errorf("an unknown id: %d steps, %v", len(trace.Steps), err)
 		}
 		c.Kill("side-1")
-		p, err = admin.TraceChange(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"}, jobID(0))
-		if err != nil || len(p.Unreachable) != 1 || p.Unreachable[0] != "side-1" {
-			t.Errorf("a lost daemon isn't named: %v, %v", p.Unreachable, err)
+		trace, err = c.trace("edge-1", jobID(0))
+		if err != nil || len(trace.Unreachable) != 1 || trace.Unreachable[0] != "side-1" {
+			t.Errorf("a lost node isn't named: %v, %v", trace.Unreachable, err)
 		}
-		c.Start("side-1", 1)
-		if _, err = admin.TraceChange(c.adminContext(), []string{"10.9.9.9:7720"}, jobID(0)); !errors.Is(err, admin.ErrUnreachable) {
+		c.Start("side-1")
+		if _, err = admin.TraceChange(c.adminContext(), []string{address("10.9.9.9", daemonPort)}, jobID(0)); !errors.Is(err, admin.ErrUnreachable) {
 			t.Errorf("nobody there: %v", err)
 		}
 	})
 }
 
 func TestTablesAreReadFromAFollower(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		c.SubmitJob(jobID(0), newJob(10000, 500, 2))
 		time.Sleep(2 * time.Second)
-		f, err := admin.FetchState(c.adminContext(), []string{c.NodeIP("edge-1") + ":7720"})
-		if err != nil || f.IsLeader {
-			t.Fatalf("leads %v, %v", f.IsLeader, err)
+		cluster, err := admin.FetchState(c.adminContext(), []string{c.nodeAddress("edge-1", daemonPort)})
+		if err != nil || cluster.IsLeader {
+			t.Fatalf("leads %v, %v", cluster.IsLeader, err)
 		}
-		n := map[string]int{}
-		for _, x := range f.Tables {
-			n[x.Name] = len(x.Rows)
+		rows := map[string]int{}
+		for _, table := range cluster.Tables {
+			rows[table.Name] = len(table.Rows)
 		}
-		if n["workers"] != 3 || n["jobs"] != 1 || n["allocs"] != 2 || n["bookings"] != 2 || n["inboxes"] != 1 {
-			t.Errorf("rows: %v", n)
+		for table, want := range map[string]int{"workers": 3, "jobs": 1, "allocs": 2, "bookings": 2, "inboxes": 1} {
+			if rows[table] != want {
+				t.Errorf("%d rows of %s, want %d", rows[table], table, want)
+			}
 		}
 	})
 }
--- a/internal/simulation/again_test.go
+++ b/internal/simulation/again_test.go
@@ -3,15 +3,14 @@
 import (
 	"net/http"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"tealpond/internal/protocol"
 )
 
-// handInOnce sends a job to one daemon, once.
-func (c *Cluster) handInOnce(at, inbox, id string, j protocol.Job) int {
-	code, _ := c.clientRequest(at, CallSubmit, http.MethodPost, inbox+id, j)
+// submitOnce submits a job to one node, once, and gives the status code.
+func (c *Cluster) submitOnce(node, pathPrefix, id string, job protocol.Job) int {
+	code, _ := c.clientRequest(node, CallSubmit, http.MethodPost, pathPrefix+id, job)
 	return code
 }
 
@@ -19,123 +18,110 @@
 func (h *History) starts(id string) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, f := range h.Events {
-		if job, _, _ := splitTaskID(f.Task); f.Kind == "start" && job == id {
+	for _, event := range h.Events {
+		if job, _, _ := splitTaskID(event.Task); event.Kind == EventRunStarted && job == id {
 			n++
 		}
 	}
 	return n
 }
 
-// TestJobHandedInAgainIsOneJob: the same ID comes again at every daemon, at once
-// and seconds after its 2xx: while it waits, runs, is done or called off, and
-// under another leader. It is acknowledged each time and starts nothing anew.
-func TestJobHandedInAgainIsOneJob(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
+// TestJobSubmittedAgainIsOneJob: the same ID comes again at every node, at once and
+// seconds after its 2xx: while the job waits, runs, is done or canceled, and under
+// another leader. It is acknowledged each time and starts nothing anew.
+func TestJobSubmittedAgainIsOneJob(t *testing.T) {
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		work := newJob(4000, 500, 2)
 		again := func(when, id string) {
 			t.Helper()
-			for _, at := range c.nodeNames("edge") {
-				if code := c.handInOnce(at, "/p/", id, work); code != 200 {
-					t.Errorf("%s: sent again to %s, it gets %d", when, at, code)
+			for _, node := range c.nodeNames(edgeRole) {
+				if code := c.submitOnce(node, defaultPathPrefix, id, work); code != http.StatusOK {
+					t.Errorf("%s: submitted again to %s, it gets %d", when, node, code)
 				}
 			}
 		}
 		if !c.SubmitJob(jobID(0), work) || !c.SubmitJob(jobID(1), work) {
-			t.Fatal("the jobs were not taken")
+			t.Fatal("the jobs were not accepted")
 		}
 		again("at once", jobID(0))
 		time.Sleep(2 * time.Second)
 		again("running", jobID(0))
-		if code := c.CancelJob("edge-4", jobID(1)); code != 200 {
+		if code := c.CancelJob(disklessEdge, jobID(1)); code != http.StatusOK {
 			t.Fatalf("the cancel gets %d", code)
 		}
-		again("called off", jobID(1))
-		c.WaitUntil("the job is done", 10*time.Second, func() bool { return c.JobState("edge-4", jobID(0)) == "done" })
+		again("canceled", jobID(1))
+		c.waitJobDone(jobID(0), 10*time.Second)
 		again("done", jobID(0))
 		time.Sleep(5 * time.Second)
 		again("done for seconds", jobID(0))
-		again("called off for seconds", jobID(1))
-		l := c.Leader()
-		c.Kill(l)
+		again("canceled for seconds", jobID(1))
+		leader := c.Leader()
+		c.Kill(leader)
 		time.Sleep(3 * time.Second)
-		c.Start(l, 1)
+		c.Start(leader)
 		time.Sleep(3 * time.Second)
 		again("under another leader", jobID(0))
 		time.Sleep(5 * time.Second)
-		for i, want := range []string{"done", "called_off"} {
-			if got := c.JobState("edge-4", jobID(i)); got != want {
+		for i, want := range []string{jobDone, jobCanceled} {
+			if got := c.JobState(disklessEdge, jobID(i)); got != want {
 				t.Errorf("job %d is %s, want %s", i, got, want)
 			}
 			if n := c.History.starts(jobID(i)); n != 2 {
 				t.Errorf("job %d: %d starts of 2 tasks", i, n)
 			}
 		}
-		for _, b := range c.History.Violations() {
-			t.Error(b)
-		}
+		c.requireNoViolations()
 	})
 }
 
-// TestJobHandedInAgainWhileOthersAreTurnedAwayIsAcknowledged: more work waits
-// than is let in, and a 429 would say that the job was not taken.
-func TestJobHandedInAgainWhileOthersAreTurnedAwayIsAcknowledged(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
+// TestJobSubmittedAgainWhileOthersAreRefusedIsAcknowledged: so much work
+// waits that new jobs are refused, and a 429 would say that this one was not accepted.
+func TestJobSubmittedAgainWhileOthersAreRefusedIsAcknowledged(t *testing.T) {
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		work := newJob(10000, 1000, 60)
 		work.Steps[0].EstimateMs = 60000
 		if !c.SubmitJob(jobID(0), work) {
-			t.Fatal("the job was not taken")
+			t.Fatal("the job was not accepted")
 		}
 		time.Sleep(2 * time.Second)
-		for _, at := range c.nodeNames("edge") {
-			if code := c.handInOnce(at, "/p/", jobID(1), work); code != 429 {
-				t.Errorf("a new job gets %d at %s", code, at)
+		for _, node := range c.nodeNames(edgeRole) {
+			if code := c.submitOnce(node, defaultPathPrefix, jobID(1), work); code != http.StatusTooManyRequests {
+				t.Errorf("a new job gets %d at %s", code, node)
 			}
-			if code := c.handInOnce(at, "/p/", jobID(0), work); code != 200 {
-				t.Errorf("sent again to %s, it gets %d", at, code)
+			if code := c.submitOnce(node, defaultPathPrefix, jobID(0), work); code != http.StatusOK {
+				t.Errorf("submitted again to %s, it gets %d", node, code)
 			}
 		}
 		if n := c.History.starts(jobID(1)); n != 0 {
-			t.Errorf("%d starts of a job that was turned away", n)
-		}
-		for _, b := range c.History.Violations() {
-			t.Error(b)
+			t.Errorf("%d starts of a job that was refused", n)
 		}
+		c.requireNoViolations()
 	})
 }
 
-// TestJobHandedInAgainAfterItsRouteWentIsAnsweredClearly: the queue doesn't
-// exist any more, and the pages name 404 for that (a success there would be what
-// only the older version allows). The job that was accepted runs to its end.
-func TestJobHandedInAgainAfterItsRouteWentIsAnsweredClearly(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
-		c.WaitUntil("the route is added", 5*time.Second, func() bool { return c.PutConfiguration("edge-1", 2, 1, routeJSON("gone")) == 200 })
+// TestJobSubmittedAgainAfterItsRouteWentIsAnsweredClearly: the route doesn't exist any
+// more, and the protocol demands 404 for that (only its older version allows a success).
+// The job that was accepted runs to its end.
+func TestJobSubmittedAgainAfterItsRouteWentIsAnsweredClearly(t *testing.T) {
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
+		c.WaitUntil("the route is added", 5*time.Second, func() bool { return c.PutConfiguration("edge-1", 2, 1, routeJSON("gone")) == http.StatusOK })
 		work := newJob(3000, 500, 2)
 		if !c.SubmitJobUnder("/gone/", jobID(0), work) {
-			t.Fatal("the job was not taken")
+			t.Fatal("the job was not accepted")
 		}
-		c.WaitUntil("the route is removed", 5*time.Second, func() bool { return c.PutConfiguration("edge-1", 3, 2, "") == 200 })
+		c.WaitUntil("the route is removed", 5*time.Second, func() bool { return c.PutConfiguration("edge-1", 3, 2, "") == http.StatusOK })
 		time.Sleep(configurationBound)
-		for _, at := range c.nodeNames("edge") {
+		for _, node := range c.nodeNames(edgeRole) {
 			from := time.Now()
-			if code := c.handInOnce(at, "/gone/", jobID(0), work); code != 404 || time.Since(from) > time.Second {
-				t.Errorf("%s answers %d after %v", at, code, time.Since(from))
+			if code := c.submitOnce(node, "/gone/", jobID(0), work); code != http.StatusNotFound || time.Since(from) > time.Second {
+				t.Errorf("%s answers %d after %v", node, code, time.Since(from))
 			}
 		}
 		time.Sleep(5 * time.Second)
 		done := 0
-		for _, side := range c.nodeNames("side") {
-			for _, f := range c.History.seen("end", c.Runners[side].incarnation, time.Time{}) {
-				if f.Outcome == "done" {
+		for _, name := range c.nodeNames(agentRole) {
+			for _, event := range c.History.seen(EventRunEnded, c.Runners[name].incarnation, time.Time{}) {
+				if event.Outcome == runDone {
 					done++
 				}
 			}
@@ -143,53 +129,44 @@
 		if n := c.History.starts(jobID(0)); n != 2 || done != 2 {
 			t.Errorf("%d starts and %d ends of 2 tasks", n, done)
 		}
-		for _, b := range c.History.Violations() {
-			t.Error(b)
-		}
+		c.requireNoViolations()
 	})
 }
 
-// TestCancelsAreAcknowledgedInCalm: whatever the job is at, and at whichever
-// daemon, the first call brings 2xx or 410 well within the bound; so does the
-// same cancel sent again.
+// TestCancelsAreAcknowledgedInCalm: whatever the job does, and at whichever node, the
+// first cancel brings 2xx or 410 well within the bound; so does the same one sent again.
 func TestCancelsAreAcknowledgedInCalm(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
-		edges := c.nodeNames("edge")
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
+		edges := c.nodeNames(edgeRole)
 		waits := []time.Duration{0, 20 * time.Millisecond, 300 * time.Millisecond, 2 * time.Second}
 		n := 0
 		for _, wait := range waits {
 			for i := range edges {
-				// Some run, some end before they are called off, and the last wait
-				// for room.
-				j := jobID(n)
+				// Some run, some end before they are canceled, and the last wait for room.
+				id := jobID(n)
 				n++
-				if !c.SubmitJob(j, newJob(1500, 3000, 3)) {
-					t.Fatalf("job %d was not taken", n)
+				if !c.SubmitJob(id, newJob(1500, 3000, 3)) {
+					t.Fatalf("job %d was not accepted", n)
 				}
 				time.Sleep(wait)
-				for try := range 2 {
+				for attempt := range 2 {
 					from := time.Now()
-					code := c.CancelJob(edges[(i+try)%len(edges)], j)
-					if took := time.Since(from); code != 200 && code != 410 || took > time.Second {
-						t.Errorf("%v after hand-in, try %d: the cancel gets %d after %v", wait, try, code, took)
+					code := c.CancelJob(edges[(i+attempt)%len(edges)], id)
+					if took := time.Since(from); code != http.StatusOK && code != http.StatusGone || took > time.Second {
+						t.Errorf("%v after submission, attempt %d: the cancel gets %d after %v", wait, attempt, code, took)
 					}
 				}
 			}
 		}
 		time.Sleep(5 * time.Second)
 		for i := range n {
-			if got := c.JobState(edges[i%len(edges)], jobID(i)); got != "called_off" && got != "done" {
+			if got := c.JobState(edges[i%len(edges)], jobID(i)); got != jobCanceled && got != jobDone {
 				t.Errorf("job %d is %s", i, got)
 			}
 		}
-		for _, b := range c.History.Violations() {
-			t.Error(b)
-		}
-		if got := c.JobState(edges[0], jobID(n)); got != "410" {
-			t.Errorf("a job that was never handed in is %s", got)
+		c.requireNoViolations()
+		if got := c.JobState(edges[0], jobID(n)); got != jobGone {
+			t.Errorf("a job that was never submitted is %s", got)
 		}
 	})
 }
--- a/internal/simulation/checkers.go
+++ b/internal/simulation/checkers.go
@@ -3,121 +3,76 @@
 import (
 	"fmt"
 	"sort"
-	"strings"
-	"sync"
 	"time"
 )
 
-// Event is one thing that a stand-in saw.
-type Event struct {
-	At               time.Time
-	Kind             string
-	Node             string
-	Incarnation      string
-	Task             string
-	Run              int
-	Outcome          string
-	Completion       int64
-	JobSpec          string
-	CPUInUse         int64
-	CPUCapacity      int64
-	EnforcesCapacity bool
-	Job              string
-	State            string
-}
-
-// SubmittedJob is a job as its sender knows it.
-type SubmittedJob struct {
-	JobSpec         string
-	Dependencies    [][]int
-	TaskCounts      []int
-	MaxAttempts     int
-	Accepted        bool      // some try was accepted
-	Rejected        bool      // every try was turned away
-	CancelledAt     time.Time // a cancel was acknowledged
-	CancelRequested bool      // a cancel was sent, with whatever answer
-	AllowsCopies    bool
-}
-
-// History is all that was seen in one run.
-type History struct {
-	mu         sync.Mutex
-	Events     []Event
-	Calls      []Call
-	Jobs       map[string]*SubmittedJob
-	failedRuns map[string]int // runs that failed so far, by task
-}
-
-// NewHistory builds an empty one.
-func NewHistory() *History {
-	return &History{Jobs: map[string]*SubmittedJob{}, failedRuns: map[string]int{}}
-}
-
-func (h *History) record(f Event) {
-	h.mu.Lock()
-	f.At = time.Now()
-	h.Events = append(h.Events, f)
-	h.mu.Unlock()
-}
-
-func splitTaskID(task string) (string, int, string) {
-	p := strings.Split(task, ".")
-	if len(p) != 4 {
-		return task, 0, ""
-	}
-	step := 0
-	_, _ = fmt.Sscan(p[2], &step)
-	return p[0], step, p[1]
-}
-
-// checkers are the checkers, by the rules' names.
+// checkers are the invariant checkers, by the names of the operators' rules. Each
+// gives a line for every violation.
 var checkers = map[string]func(*History) []string{
-	"TWICE": checkNoDoubleRun, "ORDER": checkDependencies, "BUDGET": checkAttempts, "LIMIT": checkCapacity, "UNASKED": checkSubmitted, "MIXED": checkDoneIsComplete, "LOST": checkAcceptedJobsKept, "REFUSED": checkRejectedJobsNeverRun, "DRAIN": checkDraining,
-	"CONFIG": checkConfiguration, "ALONE": checkIsolatedAnswers, "REPEATED": checkNoRepeatedStart,
+	"TWICE":    checkNoDoubleRun,
+	"ORDER":    checkDependencies,
+	"BUDGET":   checkAttempts,
+	"LIMIT":    checkCapacity,
+	"UNASKED":  checkSubmitted,
+	"MIXED":    checkDoneIsComplete,
+	"LOST":     checkAcceptedJobsKept,
+	"REFUSED":  checkRejectedJobsNeverRun,
+	"DRAIN":    checkDraining,
+	"CONFIG":   checkConfiguration,
+	"ALONE":    checkIsolatedAnswers,
+	"REPEATED": checkNoRepeatedStart,
 }
 
-// Violations holds all rules against the history.
+// Times within which what was acknowledged must have reached all runners.
+const (
+	cancelGrace = 3 * time.Second
+	drainGrace  = 2 * time.Second
+)
+
+// Violations runs all checkers on the history.
 func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var out []string
-	for name, f := range checkers {
-		for _, why := range f(h) {
-			out = append(out, name+": "+why)
+	var violations []string
+	for rule, check := range checkers {
+		for _, violation := range check(h) {
+			violations = append(violations, rule+": "+violation)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(violations)
+	return violations
 }
 
+// runKey names a run on one runner.
 type runKey struct {
 	incarnation, task string
 	run               int
 }
 
+// completionKey names the end of a run, by its number in its runner's list.
 type completionKey struct {
 	incarnation string
 	number      int64
 }
 
-// durableCompletions are the ends as done that were taken note of while the hold under which
-// they ended had not lapsed: for good.
+// durableCompletions gives the successful ends that were acknowledged before the
+// lease expired under which they were reached. Such a task stays done for good.
 func durableCompletions(h *History) map[completionKey]bool {
 	durable, open := map[completionKey]bool{}, map[completionKey]bool{}
 	for _, event := range h.Events {
 		key := completionKey{event.Incarnation, event.Completion}
 		switch event.Kind {
-		case "end":
-			if event.Outcome == "done" {
+		case EventRunEnded:
+			if event.Outcome == runDone {
 				open[key] = true
 			}
-		case "lapse":
+		case EventLeaseExpired:
 			for other := range open {
 				if other.incarnation == event.Incarnation {
 					delete(open, other)
 				}
 			}
-		case "note":
+		case EventAcknowledged:
 			if open[key] {
 				durable[key] = true
 				delete(open, key)
@@ -127,7 +82,9 @@
 	return durable
 }
 
-func checkNoDoubleRun(h *History) (out []string) {
+// checkNoDoubleRun: a task runs at most once at a time, and not again after its end
+// was durable. Jobs that allow copies are left out.
+func checkNoDoubleRun(h *History) (violations []string) {
 	running := map[string]map[runKey]bool{}
 	durable, done := durableCompletions(h), map[string]bool{}
 	for _, event := range h.Events {
@@ -135,7 +92,7 @@
 		submitted := h.Jobs[job]
 		key := runKey{event.Incarnation, event.Task, event.Run}
 		switch event.Kind {
-		case "start":
+		case EventRunStarted:
 			if submitted != nil && submitted.AllowsCopies {
 				continue
 			}
@@ -143,47 +100,49 @@
 				running[event.Task] = map[runKey]bool{}
 			}
 			if len(running[event.Task]) > 0 {
-				out = append(out, fmt.Sprintf("%s run %d starts on %s while it runs elsewhere", event.Task, event.Run, event.Node))
+				violations = append(violations, fmt.Sprintf("%s run %d starts on %s while it runs elsewhere", event.Task, event.Run, event.Node))
 			}
 			if done[event.Task] {
-				out = append(out, event.Task+" starts again after it was done and noted")
+				violations = append(violations, event.Task+" starts again after it was done and noted")
 			}
 			running[event.Task][key] = true
-		case "end":
+		case EventRunEnded:
 			delete(running[event.Task], key)
-			if event.Outcome == "done" && durable[completionKey{event.Incarnation, event.Completion}] {
+			if event.Outcome == runDone && durable[completionKey{event.Incarnation, event.Completion}] {
 				done[event.Task] = true
 			}
 		}
 	}
-	return out
+	return violations
 }
 
-// checkNoRepeatedStart are the orders to start a run that had ended there, as its runner
-// had listed by then (PROTOCOL: after silence the lists are asked for first).
-func checkNoRepeatedStart(h *History) (out []string) {
+// checkNoRepeatedStart: no start is requested of a run whose end its runner had listed
+// by then. By the protocol an agent asks for the lists first, after silence.
+func checkNoRepeatedStart(h *History) (violations []string) {
 	listed := map[runKey]bool{}
 	for _, event := range h.Events {
 		key := runKey{event.Incarnation, event.Task, event.Run}
 		switch event.Kind {
-		case "listed":
+		case EventListed:
 			listed[key] = true
-		case "order":
+		case EventStartRequested:
 			if listed[key] {
-				out = append(out, fmt.Sprintf("%s run %d is ordered again on %s after its end was listed", event.Task, event.Run, event.Node))
+				violations = append(violations, fmt.Sprintf("%s run %d is requested again on %s after its end was listed", event.Task, event.Run, event.Node))
 			}
 		}
 	}
-	return out
+	return violations
 }
 
-func checkDependencies(h *History) (out []string) {
+// checkDependencies: a task starts only when the tasks of all steps on which its step
+// depends are done.
+func checkDependencies(h *History) (violations []string) {
 	done := map[string]bool{}
 	for _, event := range h.Events {
-		if event.Kind == "end" && event.Outcome == "done" {
+		if event.Kind == EventRunEnded && event.Outcome == runDone {
 			done[event.Task] = true
 		}
-		if event.Kind != "start" {
+		if event.Kind != EventRunStarted {
 			continue
 		}
 		job, step, instance := splitTaskID(event.Task)
@@ -194,126 +153,138 @@
 		for _, dependency := range submitted.Dependencies[step] {
 			for index := range submitted.TaskCounts[dependency] {
 				if task := fmt.Sprintf("%s.%s.%d.%d", job, instance, dependency, index); !done[task] {
-					out = append(out, event.Task+" starts before "+task+" is done")
+					violations = append(violations, event.Task+" starts before "+task+" is done")
 				}
 			}
 		}
 	}
-	return out
+	return violations
 }
 
-func checkAttempts(h *History) (out []string) {
+// checkAttempts: a task doesn't start after as many failures as it has attempts were
+// acknowledged.
+func checkAttempts(h *History) (violations []string) {
 	failures, failedTask := map[string]int{}, map[completionKey]string{}
 	for _, event := range h.Events {
 		switch event.Kind {
-		case "end":
-			if event.Outcome == "failed" {
+		case EventRunEnded:
+			if event.Outcome == runFailed {
 				failedTask[completionKey{event.Incarnation, event.Completion}] = event.Task
 			}
-		case "note":
-			if t, ok := failedTask[completionKey{event.Incarnation, event.Completion}]; ok {
-				failures[t]++
+		case EventAcknowledged:
+			if task, ok := failedTask[completionKey{event.Incarnation, event.Completion}]; ok {
+				failures[task]++
 			}
-		case "start":
+		case EventRunStarted:
 			job, _, _ := splitTaskID(event.Task)
 			if submitted := h.Jobs[job]; submitted != nil && submitted.MaxAttempts > 0 && failures[event.Task] >= submitted.MaxAttempts {
-				out = append(out, event.Task+" starts after its tries were used up")
+				violations = append(violations, event.Task+" starts after its attempts were used up")
 			}
 		}
 	}
-	return out
+	return violations
 }
 
-func checkCapacity(h *History) (out []string) {
+// checkCapacity: runners that don't enforce their capacity themselves aren't given more
+// than that.
+func checkCapacity(h *History) (violations []string) {
 	for _, event := range h.Events {
-		if event.Kind == "start" && !event.EnforcesCapacity && event.CPUInUse > event.CPUCapacity {
-			out = append(out, fmt.Sprintf("%s puts %s at %d of %d", event.Task, event.Node, event.CPUInUse, event.CPUCapacity))
+		if event.Kind == EventRunStarted && !event.EnforcesCapacity && event.CPUInUse > event.CPUCapacity {
+			violations = append(violations, fmt.Sprintf("%s puts %s at %d of %d thousandths of a core", event.Task, event.Node, event.CPUInUse, event.CPUCapacity))
 		}
 	}
-	return out
+	return violations
 }
 
-func checkSubmitted(h *History) (out []string) {
+// checkSubmitted: what starts was submitted, in that form, and its job hadn't been
+// canceled long ago.
+func checkSubmitted(h *History) (violations []string) {
 	for _, event := range h.Events {
-		if event.Kind != "start" {
+		if event.Kind != EventRunStarted {
 			continue
 		}
 		job, _, _ := splitTaskID(event.Task)
 		submitted := h.Jobs[job]
 		switch {
 		case submitted == nil:
-			out = append(out, event.Task+" was handed in by nobody")
+			violations = append(violations, event.Task+" was submitted by nobody")
 		case submitted.JobSpec != event.JobSpec:
-			out = append(out, event.Task+" starts with another jobSpec")
-		case !submitted.CancelledAt.IsZero() && event.At.Sub(submitted.CancelledAt) > 3*time.Second:
-			out = append(out, event.Task+" starts after its job was called off")
+			violations = append(violations, event.Task+" starts with another jobSpec")
+		case !submitted.CanceledAt.IsZero() && event.At.Sub(submitted.CanceledAt) > cancelGrace:
+			violations = append(violations, event.Task+" starts after its job was canceled")
 		}
 	}
-	return out
+	return violations
 }
 
-func checkDoneIsComplete(h *History) (out []string) {
+// checkDoneIsComplete: a job is shown as done only when all its tasks are.
+func checkDoneIsComplete(h *History) (violations []string) {
 	done := map[string]bool{}
 	for _, event := range h.Events {
 		switch event.Kind {
-		case "end":
-			if event.Outcome == "done" {
+		case EventRunEnded:
+			if event.Outcome == runDone {
 				done[event.Task] = true
 			}
-		case "shown":
+		case EventJobShown:
 			submitted := h.Jobs[event.Job]
-			if event.State != "done" || submitted == nil {
+			if event.State != jobDone || submitted == nil {
 				continue
 			}
 			for step, n := range submitted.TaskCounts {
 				for index := range n {
 					if task := fmt.Sprintf("%s.0.%d.%d", event.Job, step, index); !done[task] {
-						out = append(out, event.Job+" is shown as done before "+task)
+						violations = append(violations, event.Job+" is shown as done before "+task)
 					}
 				}
 			}
 		}
 	}
-	return out
+	return violations
 }
 
-func checkAcceptedJobsKept(h *History) (out []string) {
+// checkAcceptedJobsKept: an accepted job isn't forgotten, and none is shown as canceled
+// unless that was requested.
+func checkAcceptedJobsKept(h *History) (violations []string) {
 	for _, event := range h.Events {
 		submitted := h.Jobs[event.Job]
-		if event.Kind != "shown" || submitted == nil {
+		if event.Kind != EventJobShown || submitted == nil {
 			continue
 		}
-		if submitted.Accepted && event.State == "410" {
-			out = append(out, event.Job+" was accepted and is unknown")
+		if submitted.Accepted && event.State == jobGone {
+			violations = append(violations, event.Job+" was accepted and is unknown")
 		}
-		if event.State == "called_off" && !submitted.CancelRequested {
-			out = append(out, event.Job+" is shown as called off with no cause")
+		if event.State == jobCanceled && !submitted.CancelRequested {
+			violations = append(violations, event.Job+" is shown as canceled, which nobody requested")
 		}
 	}
-	return out
+	return violations
 }
 
-func checkRejectedJobsNeverRun(h *History) (out []string) {
+// checkRejectedJobsNeverRun: a job that every node clearly refused never runs.
+func checkRejectedJobsNeverRun(h *History) (violations []string) {
 	for _, event := range h.Events {
 		job, _, _ := splitTaskID(event.Task)
-		if submitted := h.Jobs[job]; event.Kind == "start" && submitted != nil && submitted.Rejected {
-			out = append(out, event.Task+" starts though every try was turned away")
+		if submitted := h.Jobs[job]; event.Kind == EventRunStarted && submitted != nil && submitted.Rejected {
+			violations = append(violations, event.Task+" starts though every attempt to submit its job was refused")
 		}
 	}
-	return out
+	return violations
 }
 
-func checkDraining(h *History) (out []string) {
+// checkDraining: nothing starts on a runner whose agent has acknowledged for some time
+// that it drains.
+func checkDraining(h *History) (violations []string) {
 	since := map[string]time.Time{}
 	for _, event := range h.Events {
 		switch event.Kind {
-		case "draining":
+		case EventDraining:
 			since[event.Incarnation] = event.At
-		case "start":
-			if drainingSince := since[event.Incarnation]; !drainingSince.IsZero() && event.At.Sub(drainingSince) > 2*time.Second {
-				out = append(out, event.Task+" starts on draining "+event.Node)
+		case EventRunStarted:
+			if drainingSince := since[event.Incarnation]; !drainingSince.IsZero() && event.At.Sub(drainingSince) > drainGrace {
+				violations = append(violations, event.Task+" starts on draining "+event.Node)
 			}
 		}
 	}
-	return out
+	return violations
 }
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -1,152 +1,155 @@
 package simulation
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
 	"os"
 	"path/filepath"
-	"runtime/pprof"
 	"sort"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/go-kit/log"
-
-	"tealpond/internal/agent"
-	_ "tealpond/internal/api" // registers the edge role
-	"tealpond/internal/daemon"
-	"tealpond/internal/protocol"
 	"tealpond/internal/settings"
-	"tealpond/internal/tracing"
-	"tealpond/internal/transport"
 )
 
-// Cluster is whole daemons on one stand-in network.
+// Roles of daemons, as their settings name them.
+const (
+	edgeRole  = "edge" // serves clients and operators, and may be a server
+	agentRole = "side" // works for the runner on its machine
+)
+
+// Cluster is a cluster of whole daemons on one simulated network. A node is a
+// daemon with its machine and is known by its name.
 type Cluster struct {
-	T               *testing.T
-	Network         *Network
-	History         *History
-	Name            string
+	T       *testing.T
+	Network *Network
+	History *History
+	Name    string             // the prefix of the nodes' names
+	Runners map[string]*Runner // by agent
+
 	dir             string
-	mu              sync.RWMutex // guards daemons
+	mu              sync.RWMutex // guards nodes
 	nodes           map[string]*node
-	Runners         map[string]*Runner
 	subnet          int
 	toleratedLosses int
 	debug           bool
-	addedServers    atomic.Int64 // machines added in mid-life
+	addedServers    atomic.Int64
 	lastVersion     atomic.Int64 // the newest number given to a configuration
 	seeds           []string
 	logOutput       io.Writer
 	client          *http.Client
 	stopHeartbeats  context.CancelFunc
 	federationFile  string
-	onLog           atomic.Pointer[func(line string)]
+	onLog           atomic.Pointer[func(line string)] // called for each line of a log
 }
 
+// node is a daemon and its machine.
 type node struct {
 	name       string
 	ip         string
 	role       string
-	server     bool
+	server     bool // it holds a replica of the state
 	firstStart bool
 	zone       string
-	order      int
+	order      int // in which it was added
 	cancel     context.CancelCauseFunc
-	done       chan struct{}
+	done       chan struct{} // closed when the daemon has ended
 	logGate    gate
 	reload     chan settings.File
 }
 
-// ClusterSpec is what a cluster is built of.
+// ClusterSpec says what a cluster is built of.
 type ClusterSpec struct {
+	// Servers hold the state, Edges serve clients without a disk, and each of
+	// Agents has a runner.
 	Servers, Edges, Agents int
-	ToleratedLosses        int
-	Zones                  int // one if not said
-	Network                *Network
-	Subnet                 int
-	Name                   string
-	// Federation is the file that turns moving on, if any.
+	// ToleratedLosses is the number of servers that may be lost; if it is 0, as
+	// many as leave a majority.
+	ToleratedLosses int
+	// Zones is the number of zones over which the nodes are spread; at least one.
+	Zones int
+	// Network is a network shared with another cluster, if any. The clusters then
+	// have different subnets and names.
+	Network *Network
+	Subnet  int
+	Name    string
+	// Federation is the text of the file that turns federation on, if any.
 	Federation string
 	// History is a history shared with another cluster, if any.
 	History *History
-	// Debug turns on the lines of that level, which Freeze needs.
+	// Debug makes daemons log at the debug level, which the fault Frozen needs.
 	Debug bool
 }
 
-// NewCluster starts a cluster and waits for nothing.
+// zone is the zone of the i-th node of a kind.
+func (spec ClusterSpec) zone(i int) string {
+	if spec.Zones < 2 {
+		return "z"
+	}
+	return fmt.Sprint("z", i%spec.Zones)
+}
+
+// seedCount is the number of seeds in the settings of a new cluster.
+const seedCount = 3
+
+// NewCluster starts a cluster and returns without waiting for it.
 func NewCluster(t *testing.T, spec ClusterSpec) *Cluster {
 	if spec.Network == nil {
 		spec.Network = NewNetwork()
 	}
-	cluster := &Cluster{T: t, Network: spec.Network, History: NewHistory(), Name: spec.Name, dir: t.TempDir(), nodes: map[string]*node{}, Runners: map[string]*Runner{}, subnet: spec.Subnet, logOutput: io.Discard}
+	if spec.History == nil {
+		spec.History = NewHistory()
+	}
+	if spec.ToleratedLosses == 0 {
+		spec.ToleratedLosses = (spec.Servers - 1) / 2
+	}
+	c := &Cluster{T: t, Network: spec.Network, History: spec.History, Name: spec.Name, dir: t.TempDir(), nodes: map[string]*node{}, Runners: map[string]*Runner{},
+		subnet: spec.Subnet, toleratedLosses: spec.ToleratedLosses, debug: spec.Debug, logOutput: io.Discard}
 	if spec.Federation != "" {
-		cluster.federationFile = filepath.Join(cluster.dir, "moves.toml")
-		if err := os.WriteFile(cluster.federationFile, []byte(spec.Federation), 0o600); err != nil {
+		c.federationFile = filepath.Join(c.dir, "moves.toml")
+		if err := os.WriteFile(c.federationFile, []byte(spec.Federation), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if os.Getenv("TEALPOND_TEST_LOG") != "" {
-		cluster.logOutput = os.Stderr
-	}
-	if spec.History != nil {
-		cluster.History = spec.History
+		c.logOutput = os.Stderr
 	}
-	toleratedLosses := spec.ToleratedLosses
-	if toleratedLosses == 0 {
-		toleratedLosses = (spec.Servers - 1) / 2
+	c.lastVersion.Store(1)
+	c.addNodes(spec)
+	c.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Host(c.hostIP(clientHost)).DialContext}}
+	for _, name := range c.nodeNames("") {
+		c.Start(name)
 	}
-	cluster.toleratedLosses, cluster.debug = toleratedLosses, spec.Debug
-	cluster.lastVersion.Store(1)
-	zone := func(i int) string {
-		if spec.Zones < 2 {
-			return "z"
-		}
-		return fmt.Sprint("z", i%spec.Zones)
+	ctx, stop := context.WithCancel(context.Background())
+	c.stopHeartbeats = stop
+	for name := range c.Runners {
+		go c.sendHeartbeats(ctx, name)
 	}
+	return c
+}
+
+// addNodes adds the nodes of a new cluster and its runners.
+func (c *Cluster) addNodes(spec ClusterSpec) {
 	for i := range spec.Servers + spec.Edges {
-		cluster.addNode(&node{zone: zone(i), name: fmt.Sprintf("%sedge-%d", spec.Name, i+1), ip: cluster.hostIP(i + 1), role: "edge", server: i < spec.Servers, firstStart: true})
-		if i < 3 {
-			cluster.seeds = append(cluster.seeds, cluster.hostIP(i+1)+":8166")
+		ip := c.hostIP(i + 1)
+		c.addNode(&node{zone: spec.zone(i), name: fmt.Sprintf("%sedge-%d", spec.Name, i+1), ip: ip, role: edgeRole, server: i < spec.Servers, firstStart: true})
+		if i < seedCount {
+			c.seeds = append(c.seeds, address(ip, controlPort))
 		}
 	}
 	for i := range spec.Agents {
 		name := fmt.Sprintf("%sside-%d", spec.Name, i+1)
-		cluster.addNode(&node{zone: zone(i), name: name, ip: cluster.hostIP(agentHost(i)), role: "side", firstStart: true})
-		cluster.Runners[name] = NewRunner(cluster.History, name, "svc", int64(i+1))
-		cluster.Runners[name].Zone = zone(i)
-	}
-	cluster.client = &http.Client{Transport: &http.Transport{DialContext: cluster.Network.Host(cluster.hostIP(clientHost)).DialContext}}
-	for _, name := range cluster.nodeNames("") {
-		cluster.Start(name, toleratedLosses)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	cluster.stopHeartbeats = stop
-	for name := range cluster.Runners {
-		go cluster.sendHeartbeats(ctx, name)
-	}
-	return cluster
-}
-
-// firstAgentHost is the number of the first side daemon's address; those of outside
-// callers, from 250 on, are left out.
-const firstAgentHost = 100
-
-func (c *Cluster) hostIP(i int) string { return fmt.Sprintf("10.%d.%d.%d", c.subnet, i/256, i%256) }
-
-func agentHost(i int) int {
-	if i += firstAgentHost; i >= 250 {
-		return i + 10
+		c.addNode(&node{zone: spec.zone(i), name: name, ip: c.hostIP(agentHost(i)), role: agentRole, firstStart: true})
+		c.Runners[name] = NewRunner(c.History, name, "svc", int64(i+1))
+		c.Runners[name].Zone = spec.zone(i)
 	}
-	return i
 }
 
+// addNode adds a node that isn't started yet.
 func (c *Cluster) addNode(n *node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,210 +165,64 @@
 	return c.nodes[name]
 }
 
+// nodeNames gives the nodes of a role, or all nodes, in the order in which they
+// were added.
 func (c *Cluster) nodeNames(role string) []string {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	var out []string
+	var names []string
 	for name, n := range c.nodes {
 		if role == "" || n.role == role {
-			out = append(out, name)
-		}
-	}
-	sort.Slice(out, func(x, y int) bool { return c.nodes[out[x]].order < c.nodes[out[y]].order })
-	return out
-}
-
-// NodeIP is a daemon's address; one where nobody is for a daemon that was removed.
-func (c *Cluster) NodeIP(name string) string {
-	if n := c.node(name); n != nil {
-		return n.ip
-	}
-	return c.hostIP(unusedHost)
-}
-
-func (c *Cluster) nodeSettings(n *node, toleratedLosses int) settings.File {
-	s := settings.File{NodeName: n.name, IPAddress: n.ip, Zone: n.zone, InnerPortRange: []int{7720, 7730}, SeedNodes: c.seeds,
-		FirstStart: n.firstStart, HeartbeatIntervalMs: 500, RunnerAddress: n.ip + ":8165"}
-	s.Bounds = settings.Bounds{GraceS: 6, MaxLeaseMs: 6000, StopGraceMs: 400, DrainMs: 2500, GangWaitMs: 3000, StatusS: 120, SpreadFactor: 1.5, CheckpointEveryS: 1}
-	s.Tolerance.LostMachines = toleratedLosses
-	s.Limits.MemoryMb = 284
-	s.ListenAddresses.Control = n.ip + ":8166"
-	if n.role == "edge" {
-		s.Serves = []string{"edge", "control"}
-		s.ListenAddresses.FrontHTTP, s.ListenAddresses.Readiness = n.ip+":8161", n.ip+":8167"
-		if n.server {
-			s.DataDir, s.LossCounts = filepath.Join(c.dir, n.name), true
-			_ = os.MkdirAll(s.DataDir, 0o755)
+			names = append(names, name)
 		}
-	} else {
-		s.Serves = []string{"side"}
 	}
-	return s
+	sort.Slice(names, func(x, y int) bool { return c.nodes[names[x]].order < c.nodes[names[y]].order })
+	return names
 }
 
-// Start starts a daemon; it must not be running.
-func (c *Cluster) Start(name string, toleratedLosses int) {
-	n := c.node(name)
-	nodeSettings := c.nodeSettings(n, toleratedLosses)
-	ctx, cancel := context.WithCancelCause(transport.WithNetwork(context.Background(), c.Network.Host(n.ip)))
-	environment := daemon.Environment{Settings: nodeSettings, Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})), ProcessID: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(4096)}
-	if n.server {
-		environment.FederationFile = c.federationFile
-	}
-	environment.Debug = c.debug || c.logOutput != io.Discard
-	n.reload = environment.Reload
-	environment.Log = log.With(gatedLogger{&n.logGate, environment.Log}, "t", log.Valuer(func() any { return time.Now().Format("05.000") }), "node", name)
-	var role daemon.Role
-	if n.role == "side" {
-		role = agent.New(environment, c.Runners[name])
-	} else {
-		spec, _ := daemon.FindRole("edge")
-		var err error
-		if role, err = spec.New(environment); err != nil {
-			c.T.Fatalf("%s: %v", name, err)
+// Servers gives the nodes that hold the state.
+func (c *Cluster) Servers() []string {
+	var servers []string
+	for _, name := range c.nodeNames(edgeRole) {
+		if c.node(name).server {
+			servers = append(servers, name)
 		}
 	}
-	n.cancel, n.done, n.firstStart = cancel, make(chan struct{}), false
-	// Why labels: a profile then tells the daemons of one process apart.
-	go pprof.Do(ctx, pprof.Labels("role", n.role, "node", name), func(ctx context.Context) {
-		if err := role.Run(ctx); err != nil {
-			c.T.Errorf("%s: %v", name, err)
-		}
-		close(n.done)
-	})
+	return servers
 }
 
-// logObserver hands each line of a log to the test.
-type logObserver struct{ cluster *Cluster }
-
-func (w logObserver) Write(p []byte) (int, error) {
-	if f := w.cluster.onLog.Load(); f != nil {
-		(*f)(string(p))
-	}
-	return w.cluster.logOutput.Write(p)
-}
-
-// Kill ends a daemon at once.
-func (c *Cluster) Kill(name string) {
-	n := c.node(name)
-	c.Network.TakeDown(n.ip)
-	n.cancel(daemon.ErrKilled)
-	<-n.done
-	c.Network.TakeDown(n.ip)
-}
-
-// Terminate asks a daemon to end and waits for it.
-func (c *Cluster) Terminate(name string) {
-	n := c.node(name)
-	n.cancel(context.Canceled)
-	<-n.done
-	c.Network.TakeDown(n.ip)
-}
-
-// WipeDisk empties the disk of a daemon that isn't running.
-func (c *Cluster) WipeDisk(name string) {
-	if err := os.RemoveAll(filepath.Join(c.dir, name)); err != nil {
-		c.T.Fatal(err)
-	}
-}
-
-// SetPartition cuts a daemon off from some others, both ways, or joins it again.
-func (c *Cluster) SetPartition(name string, blocked bool, others ...string) {
-	for _, other := range others {
-		for _, pair := range [][2]string{{c.NodeIP(name), c.NodeIP(other)}, {c.NodeIP(other), c.NodeIP(name)}} {
-			if blocked {
-				c.Network.Block(pair[0], pair[1])
-			} else {
-				c.Network.Unblock(pair[0], pair[1])
-			}
-		}
-	}
+// AddServer starts a new server at a new address, with an empty disk.
+func (c *Cluster) AddServer(zone string) string {
+	number := int(c.addedServers.Add(1))
+	added := &node{zone: zone, name: fmt.Sprintf("%snew-%d", c.Name, number), ip: c.hostIP(addedServerHost + number), role: edgeRole, server: true}
+	c.addNode(added)
+	c.Start(added.name)
+	return added.name
 }
 
-// Shutdown stops everything.
-func (c *Cluster) Shutdown() {
-	c.stopHeartbeats()
-	for _, n := range c.nodeNames("") {
-		d := c.node(n)
-		d.logGate.open()
-		d.cancel(daemon.ErrKilled)
-	}
-	for _, n := range c.nodeNames("") {
-		d := c.node(n)
-		<-d.done
-		c.Network.TakeDown(d.ip)
-	}
-	c.client.CloseIdleConnections()
-	time.Sleep(15 * time.Second)
+// RemoveNode removes a node that isn't running for good.
+func (c *Cluster) RemoveNode(name string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.nodes, name)
 }
 
-func (c *Cluster) sendHeartbeats(ctx context.Context, name string) {
-	for ctx.Err() == nil {
-		incarnation, heartbeat := c.Runners[name].heartbeat()
-		code, _, _ := c.request(http.MethodPost, "http://"+c.NodeIP(name)+":8166/-/Runners.Heartbeat/"+incarnation, "", heartbeat, nil)
-		if code == 200 && heartbeat.State == "draining" {
-			c.History.record(Event{Kind: "draining", Node: name, Incarnation: incarnation})
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(500 * time.Millisecond):
-		}
+// SetSeeds sets the seeds in all settings from now on.
+func (c *Cluster) SetSeeds(names ...string) {
+	c.seeds = nil
+	for _, name := range names {
+		c.seeds = append(c.seeds, c.nodeAddress(name, controlPort))
 	}
 }
 
-func (c *Cluster) request(method, url, host string, body any, headers map[string]string) (int, []byte, http.Header) {
-	return c.requestFrom(c.client, 3*time.Second, method, url, host, body, headers)
-}
-
-// requestFrom makes a call by a caller's own connections, within a time.
-func (c *Cluster) requestFrom(client *http.Client, timeout time.Duration, method, url, host string, body any, headers map[string]string) (int, []byte, http.Header) {
-	raw, _ := json.Marshal(body)
-	if s, ok := body.(string); ok {
-		raw = []byte(s)
-	}
-	ctx, stop := context.WithTimeout(context.Background(), timeout)
-	defer stop()
-	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(raw))
-	if err != nil {
-		c.T.Fatal(err)
-	}
-	if host != "" {
-		request.Host = host
-	}
-	for k, v := range headers {
-		request.Header.Set(k, v)
-	}
-	response, err := client.Do(request)
-	if err != nil {
-		return 0, nil, nil
-	}
-	defer response.Body.Close()
-	out, err := io.ReadAll(response.Body)
-	if err != nil {
-		return 0, nil, nil
-	}
-	return response.StatusCode, out, response.Header
-}
-
-const configurationFormat = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"svc","maxTries":3,"stretch":1.5}%s],"serviceList":[{"name":"svc","guards":true}]}`
-
-// PutConfiguration sends a desired state to a daemon.
-func (c *Cluster) PutConfiguration(node string, version, base int, moreRoutes string) int {
-	call := Call{Sent: time.Now(), Node: node, Kind: CallReplace, Version: int64(version), Base: int64(base), Text: fmt.Sprintf(configurationFormat, version, moreRoutes)}
-	code, _, headers := c.request(http.MethodPost, "http://"+c.NodeIP(node)+":8166/-/Config.Replace", "", call.Text, map[string]string{protocol.HeaderBasedOn: fmt.Sprint(base)})
-	call.Done, call.Code, call.HasRetryAfter = time.Now(), code, headers.Get(protocol.HeaderRetryAfter) != ""
-	c.History.recordCall(call)
-	return code
-}
-
-// WaitReady puts the first desired state and waits until all workers are known.
+// WaitReady sends the first configuration and waits until all workers are known.
 func (c *Cluster) WaitReady() {
 	c.T.Helper()
-	c.WaitUntil("the first desired state is taken", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, "") == 200 })
+	c.WaitUntil("the first configuration is accepted", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, "") == http.StatusOK })
 	time.Sleep(3 * time.Second)
 }
 
-// WaitUntil waits for something on the test's clock.
+// WaitUntil waits for a condition and fails the test if it isn't met in time.
 func (c *Cluster) WaitUntil(what string, timeout time.Duration, condition func() bool) {
 	c.T.Helper()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -375,104 +232,3 @@
 	}
 	c.T.Fatalf("not within %v: %s", timeout, what)
 }
-
-// SubmitJob sends a job, again to other daemons, until the answer is clear.
-func (c *Cluster) SubmitJob(id string, job protocol.Job) bool {
-	return c.SubmitJobUnder("/p/", id, job)
-}
-
-// clientRequest makes a client's call about a job and takes it down.
-func (c *Cluster) clientRequest(node, kind, method, path string, body any) (int, []byte) {
-	call := Call{Sent: time.Now(), Node: node, Kind: kind}
-	code, raw, headers := c.request(method, "http://"+c.NodeIP(node)+":8161"+path, "h", body, map[string]string{protocol.HeaderTimeLeft: "2000"})
-	call.Done, call.Code, call.HasRetryAfter = time.Now(), code, headers.Get(protocol.HeaderRetryAfter) != ""
-	c.History.recordCall(call)
-	return code, raw
-}
-
-// SubmitJobUnder is SubmitJob to another inbox.
-func (c *Cluster) SubmitJobUnder(pathPrefix, id string, job protocol.Job) bool {
-	submitted := &SubmittedJob{JobSpec: job.Spec, MaxAttempts: 3}
-	for _, s := range job.Steps {
-		submitted.TaskCounts = append(submitted.TaskCounts, s.TaskCount)
-		submitted.Dependencies = append(submitted.Dependencies, s.DependsOn)
-		submitted.AllowsCopies = submitted.AllowsCopies || s.Speculative
-	}
-	c.History.mu.Lock()
-	c.History.Jobs[id] = submitted
-	c.History.mu.Unlock()
-	edges := c.nodeNames("edge")
-	refused := true
-	for attempt := range 12 {
-		node := edges[(int(id[15])+attempt)%len(edges)]
-		code, _ := c.clientRequest(node, CallSubmit, http.MethodPost, pathPrefix+id, job)
-		if code == 200 {
-			c.History.mu.Lock()
-			submitted.Accepted = true
-			c.History.mu.Unlock()
-			return true
-		}
-		if code != 429 && code != 503 {
-			refused = false
-		}
-		time.Sleep(200 * time.Millisecond)
-	}
-	c.History.mu.Lock()
-	submitted.Rejected = refused
-	c.History.mu.Unlock()
-	return false
-}
-
-// JobState asks for a job's state at a daemon, or an HTTP code.
-func (c *Cluster) JobState(node, id string) string { return c.JobStateUnder("/p/", node, id) }
-
-// JobStateUnder is State at another inbox.
-func (c *Cluster) JobStateUnder(pathPrefix, node, id string) string {
-	code, raw := c.clientRequest(node, CallStatus, http.MethodGet, pathPrefix+id, "")
-	if code != 200 {
-		if code == 410 {
-			c.History.record(Event{Kind: "shown", Job: id, State: "410"})
-		}
-		return fmt.Sprint(code)
-	}
-	var a struct {
-		State string `json:"state"`
-	}
-	_ = json.Unmarshal(raw, &a)
-	c.History.record(Event{Kind: "shown", Job: id, State: a.State})
-	return a.State
-}
-
-// CancelJob calls a job off.
-func (c *Cluster) CancelJob(node, id string) int { return c.CancelJobUnder("/p/", node, id) }
-
-// CancelJobUnder is Cancel at another inbox.
-func (c *Cluster) CancelJobUnder(pathPrefix, node, id string) int {
-	c.History.mu.Lock()
-	if j := c.History.Jobs[id]; j != nil {
-		j.CancelRequested = true
-	}
-	c.History.mu.Unlock()
-	code, _ := c.clientRequest(node, CallCancel, http.MethodDelete, pathPrefix+id, "")
-	if code == 200 {
-		c.History.mu.Lock()
-		if j := c.History.Jobs[id]; j != nil && j.CancelledAt.IsZero() {
-			j.CancelledAt = time.Now()
-		}
-		c.History.mu.Unlock()
-	}
-	return code
-}
-
-// Leader is the core daemon that answers a read of the desired state fastest;
-// used only to choose whom to harm.
-func (c *Cluster) Leader() string {
-	for _, n := range c.nodeNames("edge") {
-		if d := c.node(n); d.server {
-			if l := leaderKnownTo(c, n); l != "" {
-				return l
-			}
-		}
-	}
-	return ""
-}
--- a/internal/simulation/control_checkers.go
+++ b/internal/simulation/control_checkers.go
@@ -2,45 +2,13 @@
 
 import (
 	"fmt"
+	"net/http"
 	"sort"
 	"time"
 )
 
-// Kinds of calls that operators and clients make.
-const (
-	CallReplace = "Config.Replace"
-	CallRead    = "Config.Read"
-	CallSubmit  = "POST job"
-	CallStatus  = "GET job"
-	CallCancel  = "DELETE job"
-)
-
-// Call is one call at one daemon, as its caller saw it.
-type Call struct {
-	Sent, Done    time.Time
-	Node          string // the daemon
-	Kind          string
-	Version       int64 // of the configuration sent or read
-	Base          int64
-	Text          string // the configuration sent or read, whole
-	Invalid       bool   // it must not be taken
-	Code          int    // 0: no answer, or it was lost on its way
-	HasRetryAfter bool   // the answer said when to come back
-}
-
-// isFinalRefusal tells whether a call's answer is a refusal for good: its caller
-// doesn't send it again (PROTOCOL, the operator).
-func (c Call) isFinalRefusal() bool {
-	return c.Code >= 400 && c.Code < 500 && c.Code != 408 && c.Code != 429
-}
-
-func (h *History) recordCall(c Call) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.Calls = append(h.Calls, c)
-}
-
-// sentConfiguration is one configuration with all that its callers heard of it.
+// sentConfiguration is a configuration that was sent, with all that its callers were
+// told of it.
 type sentConfiguration struct {
 	version, base int64
 	text          string
@@ -51,54 +19,55 @@
 	inForce       bool // acknowledged, read, or built upon
 }
 
-// sentConfigurations gathers the configurations that were sent, by text.
+// sentConfigurations gathers the configurations that were sent, by their text.
 func sentConfigurations(h *History) map[string]*sentConfiguration {
-	out, byVersion := map[string]*sentConfiguration{}, map[int64][]*sentConfiguration{}
+	byText, byVersion := map[string]*sentConfiguration{}, map[int64][]*sentConfiguration{}
 	for _, call := range h.Calls {
 		if call.Kind != CallReplace {
 			continue
 		}
-		sent := out[call.Text]
+		sent := byText[call.Text]
 		if sent == nil {
 			sent = &sentConfiguration{version: call.Version, base: call.Base, text: call.Text, invalid: call.Invalid}
-			out[call.Text] = sent
+			byText[call.Text] = sent
 			byVersion[call.Version] = append(byVersion[call.Version], sent)
 		}
-		sent.acknowledged = sent.acknowledged || call.Code == 200
+		sent.acknowledged = sent.acknowledged || call.Code == http.StatusOK
 		if call.isFinalRefusal() {
 			sent.refused, sent.refusalCode = true, call.Code
 		}
 	}
 	for _, call := range h.Calls {
-		if sent := out[call.Text]; sent != nil && call.Kind == CallRead && call.Code == 200 {
+		if sent := byText[call.Text]; sent != nil && call.Kind == CallRead && call.Code == http.StatusOK {
 			sent.inForce = true
 		}
 	}
-	for _, sent := range out {
+	for _, sent := range byText {
 		if sent.acknowledged {
 			sent.inForce = true
-			// Why only one: with two of that number it isn't known which.
+			// With two of that number it isn't known which.
 			if bases := byVersion[sent.base]; sent.base > 0 && len(bases) == 1 {
 				bases[0].inForce = true
 			}
 		}
 	}
-	return out
+	return byText
 }
 
-// checkConfiguration holds what operators saw against the rules on configuration
-// (RULES, CONFIG; PROTOCOL, the operator): a register with conditional writes.
-func checkConfiguration(h *History) (out []string) {
-	all := sentConfigurations(h)
+// checkConfiguration: the configuration is a register with conditional writes. Each
+// version in force was built on the one before, what is acknowledged is in force and
+// what is refused is not, and reads are linearizable.
+func checkConfiguration(h *History) (violations []string) {
+	byText := sentConfigurations(h)
 	var inForce []*sentConfiguration
-	for _, sent := range all {
+	for _, sent := range byText {
 		switch {
 		case sent.invalid && sent.inForce:
-			out = append(out, fmt.Sprintf("version %d is invalid and was taken", sent.version))
+			violations = append(violations, fmt.Sprintf("version %d is invalid and was accepted", sent.version))
 		case sent.refused && sent.acknowledged:
-			out = append(out, fmt.Sprintf("version %d on %d was acknowledged, and refused with %d", sent.version, sent.base, sent.refusalCode))
+			violations = append(violations, fmt.Sprintf("version %d on %d was acknowledged, and refused with %d", sent.version, sent.base, sent.refusalCode))
 		case sent.refused && sent.inForce:
-			out = append(out, fmt.Sprintf("version %d on %d was refused with %d and is in force", sent.version, sent.base, sent.refusalCode))
+			violations = append(violations, fmt.Sprintf("version %d on %d was refused with %d and is in force", sent.version, sent.base, sent.refusalCode))
 		}
 		if sent.inForce {
 			inForce = append(inForce, sent)
@@ -111,100 +80,115 @@
 		earlier, later := inForce[i-1], inForce[i]
 		switch {
 		case earlier.version == later.version:
-			out = append(out, fmt.Sprintf("two configurations of version %d were in force", earlier.version))
+			violations = append(violations, fmt.Sprintf("two configurations of version %d were in force", earlier.version))
 		case earlier.base == later.base:
-			out = append(out, fmt.Sprintf("versions %d and %d, both on %d, were in force", earlier.version, later.version, earlier.base))
+			violations = append(violations, fmt.Sprintf("versions %d and %d, both on %d, were in force", earlier.version, later.version, earlier.base))
 		case later.base < earlier.version:
-			out = append(out, fmt.Sprintf("version %d on %d was taken though %d was in force", later.version, later.base, earlier.version))
+			violations = append(violations, fmt.Sprintf("version %d on %d was accepted though %d was in force", later.version, later.base, earlier.version))
 		}
 	}
-	return append(out, staleReads(h, all)...)
+	return append(violations, staleReads(h, byText)...)
 }
 
-// staleReads are the reads that gave what was no longer, or never, in force.
-func staleReads(h *History, all map[string]*sentConfiguration) (out []string) {
-	type mark struct {
-		at      time.Time
-		version int64
-		how     string
-	}
-	var marks []mark
+// observation is a moment at which some caller was told that a version is in force.
+type observation struct {
+	at      time.Time
+	version int64
+	how     string
+}
+
+// observe gives all observations in the order of time, and for each the one of the
+// newest version up to then.
+func observe(h *History) (observations, newest []observation) {
 	for _, call := range h.Calls {
 		switch {
-		case call.Code != 200:
+		case call.Code != http.StatusOK:
 		case call.Kind == CallReplace:
-			marks = append(marks, mark{call.Done, call.Version, "acknowledged"})
+			observations = append(observations, observation{call.Done, call.Version, "acknowledged"})
 		case call.Kind == CallRead:
-			marks = append(marks, mark{call.Done, call.Version, "read"})
+			observations = append(observations, observation{call.Done, call.Version, "read"})
 		}
 	}
-	sort.SliceStable(marks, func(i, j int) bool { return marks[i].at.Before(marks[j].at) })
-	newest := make([]mark, len(marks)) // the newest version at each mark
-	for i, m := range marks {
-		if newest[i] = m; i > 0 && newest[i-1].version > m.version {
+	sort.SliceStable(observations, func(i, j int) bool { return observations[i].at.Before(observations[j].at) })
+	newest = make([]observation, len(observations))
+	for i, observed := range observations {
+		if newest[i] = observed; i > 0 && newest[i-1].version > observed.version {
 			newest[i] = newest[i-1]
 		}
 	}
+	return observations, newest
+}
+
+// staleReads gives the reads that were answered with what was no longer, or never, in
+// force.
+func staleReads(h *History, byText map[string]*sentConfiguration) (violations []string) {
+	observations, newest := observe(h)
 	for _, call := range h.Calls {
-		if call.Kind != CallRead || call.Code != 200 && call.Code != 404 {
+		if call.Kind != CallRead || call.Code != http.StatusOK && call.Code != http.StatusNotFound {
 			continue
 		}
-		if call.Code == 200 && all[call.Text] == nil {
-			out = append(out, fmt.Sprintf("%s answers with a version %d that nobody sent", call.Node, call.Version))
+		if call.Code == http.StatusOK && byText[call.Text] == nil {
+			violations = append(violations, fmt.Sprintf("%s answers with a version %d that nobody sent", call.Node, call.Version))
 			continue
 		}
-		i := sort.Search(len(marks), func(i int) bool { return !marks[i].at.Before(call.Sent) })
+		i := sort.Search(len(observations), func(i int) bool { return !observations[i].at.Before(call.Sent) })
 		if i > 0 && newest[i-1].version > call.Version {
-			out = append(out, fmt.Sprintf("%s answers a read with version %d, %v after %d was %s", call.Node, call.Version, call.Sent.Sub(newest[i-1].at), newest[i-1].version, newest[i-1].how))
+			violations = append(violations, fmt.Sprintf("%s answers a read with version %d, %v after %d was %s", call.Node, call.Version, call.Sent.Sub(newest[i-1].at), newest[i-1].version, newest[i-1].how))
 		}
 	}
-	return out
+	return violations
 }
 
-// Bounds of the rule ALONE.
 const (
-	// isolationGrace is how long a daemon may take to see that it has lost the
-	// majority: a leader's lease, and the ask that was under way.
+	// isolationGrace is how long a node may take to see that it has lost the majority:
+	// a leader's lease, and the request that was under way.
 	isolationGrace = 2 * time.Second
-	// isolatedAnswerTimeout is a caller's patience before it turns to another daemon.
+	// isolatedAnswerTimeout is how long callers wait before they turn to another node.
 	isolatedAnswerTimeout = time.Second
 )
 
-// checkIsolatedAnswers holds the answers of daemons without a majority in reach to point 1 of
-// the control page: at once 503 and when to come back, nothing else.
-func checkIsolatedAnswers(h *History) (out []string) {
-	type span struct{ from, to time.Time }
-	spans, open := map[string][]span{}, map[string]time.Time{}
+// checkIsolatedAnswers: a node without a majority answers everything soon, with 503 and
+// a time to come back, as the operators' page on control demands.
+func checkIsolatedAnswers(h *History) (violations []string) {
+	type period struct{ from, to time.Time }
+	isolated, since := map[string][]period{}, map[string]time.Time{}
 	for _, event := range h.Events {
 		switch event.Kind {
-		case "alone":
-			open[event.Node] = event.At
-		case "joined":
-			spans[event.Node] = append(spans[event.Node], span{open[event.Node], event.At})
+		case EventIsolated:
+			since[event.Node] = event.At
+		case EventReconnected:
+			isolated[event.Node] = append(isolated[event.Node], period{since[event.Node], event.At})
 		}
 	}
 	for _, call := range h.Calls {
-		for _, period := range spans[call.Node] {
-			if call.Sent.Sub(period.from) < isolationGrace || !call.Done.Before(period.to) {
+		for _, p := range isolated[call.Node] {
+			if call.Sent.Sub(p.from) < isolationGrace || !call.Done.Before(p.to) {
 				continue
 			}
-			in := call.Done.Sub(call.Sent).Round(time.Millisecond)
-			what := fmt.Sprintf("%s without a majority answers %s with %d after %v", call.Node, call.Kind, call.Code, in)
-			switch {
-			case call.Code == 0:
-				out = append(out, what+": no answer")
-			case call.Code/100 == 2:
-				out = append(out, what+": it confirms")
-			case call.isFinalRefusal():
-				out = append(out, what+": it refuses for good")
-			case call.Code != 503:
-				out = append(out, what+": want 503")
-			case in > isolatedAnswerTimeout:
-				out = append(out, what+": too late")
-			case !call.HasRetryAfter:
-				out = append(out, what+": no time to come back")
+			if fault := call.faultWhileIsolated(); fault != "" {
+				violations = append(violations, fmt.Sprintf("%s without a majority answers %s with %d after %v: %s", call.Node, call.Kind, call.Code, call.Done.Sub(call.Sent).Round(time.Millisecond), fault))
 			}
 		}
 	}
-	return out
+	return violations
+}
+
+// faultWhileIsolated tells what is wrong with the answer of an isolated node; empty if
+// nothing is.
+func (c Call) faultWhileIsolated() string {
+	switch {
+	case c.Code == 0:
+		return "no answer"
+	case c.Code/100 == 2:
+		return "it confirms"
+	case c.isFinalRefusal():
+		return "it refuses for good"
+	case c.Code != http.StatusServiceUnavailable:
+		return "want 503"
+	case c.Done.Sub(c.Sent).Round(time.Millisecond) > isolatedAnswerTimeout:
+		return "too late"
+	case !c.HasRetryAfter:
+		return "no time to come back"
+	}
+	return ""
 }
--- a/internal/simulation/control_checkers_test.go
+++ b/internal/simulation/control_checkers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// atSecond is a time of a made-up history.
+// atSecond is a time in a made-up history.
 func atSecond(s float64) time.Time {
 	return time.Unix(100, 0).Add(time.Duration(s * float64(time.Second)))
 }
@@ -23,8 +23,8 @@
 	return Call{Sent: atSecond(s), Done: atSecond(s + after), Node: "a", Kind: kind, Code: code, HasRetryAfter: retry}
 }
 
-// TestConfigurationCheckerCatchesPlantedViolations shows that each demand on operators'
-// calls can fail.
+// TestConfigurationCheckerCatchesPlantedViolations: each demand on the configuration can
+// fail.
 func TestConfigurationCheckerCatchesPlantedViolations(t *testing.T) {
 	bad := replaceCall(3, 5, 2, "x", 200)
 	bad.Invalid = true
@@ -43,7 +43,7 @@
 		"nothing is read":      {"after 3 was acknowledged", []Call{replaceCall(1, 3, 2, "x", 200), none}},
 		"sent by nobody":       {"that nobody sent", []Call{readCall(2, 3, "x")}},
 		"passed over":          {"though 3 was in force", []Call{replaceCall(1, 3, 2, "x", 200), replaceCall(2, 4, 1, "y", 200)}},
-		"invalid":              {"is invalid and was taken", []Call{bad}},
+		"invalid":              {"is invalid and was accepted", []Call{bad}},
 	} {
 		h := NewHistory()
 		h.Calls = c.calls
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestIsolationCheckerCatchesPlantedViolations does the same for ALONE.
+// TestIsolationCheckerCatchesPlantedViolations: each demand on isolated nodes can fail.
 func TestIsolationCheckerCatchesPlantedViolations(t *testing.T) {
-	cut := []Event{{At: atSecond(0), Kind: "alone", Node: "a"}, {At: atSecond(20), Kind: "joined", Node: "a"}}
+	cut := []Event{{At: atSecond(0), Kind: EventIsolated, Node: "a"}, {At: atSecond(20), Kind: EventReconnected, Node: "a"}}
 	for name, c := range map[string]struct {
 		want string
 		call Call
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestCorrectOperatorsViolateNothing: what the pages allow is no break.
+// TestCorrectOperatorsViolateNothing: what the protocol allows is no violation.
 func TestCorrectOperatorsViolateNothing(t *testing.T) {
 	h := NewHistory()
-	h.Events = []Event{{At: atSecond(20), Kind: "alone", Node: "a"}, {At: atSecond(40), Kind: "joined", Node: "a"}}
+	h.Events = []Event{{At: atSecond(20), Kind: EventIsolated, Node: "a"}, {At: atSecond(40), Kind: EventReconnected, Node: "a"}}
 	bad := replaceCall(4, 9, 3, "bad", 400)
 	bad.Invalid = true
 	h.Calls = []Call{
@@ -96,7 +96,7 @@
 		timedCall(20.5, 0.1, CallStatus, 410, false), timedCall(39.5, 1, CallStatus, 410, false), // at the edges of the cut
 		timedCall(30, 0.1, CallReplace, 503, true),
 	}
-	if b := h.Violations(); len(b) > 0 {
-		t.Error(b)
+	if violations := h.Violations(); len(violations) > 0 {
+		t.Error(violations)
 	}
 }
--- /dev/null
+++ b/internal/simulation/daemons.go
@@ -0,0 +1,159 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"runtime/pprof"
+	"time"
+
+	"github.com/go-kit/log"
+
+	"tealpond/internal/agent"
+	_ "tealpond/internal/api" // registers the edge role
+	"tealpond/internal/daemon"
+	"tealpond/internal/settings"
+	"tealpond/internal/tracing"
+	"tealpond/internal/transport"
+)
+
+// traceRingLength is the number of trace marks that a simulated daemon keeps.
+const traceRingLength = 4096
+
+// Start starts a daemon that isn't running.
+func (c *Cluster) Start(name string) {
+	n := c.node(name)
+	ctx, cancel := context.WithCancelCause(transport.WithNetwork(context.Background(), c.Network.Host(n.ip)))
+	role := c.newRole(n, c.environment(n))
+	n.cancel, n.done, n.firstStart = cancel, make(chan struct{}), false
+	// By the labels a profile tells the daemons of the process apart.
+	go pprof.Do(ctx, pprof.Labels("role", n.role, "node", name), func(ctx context.Context) {
+		if err := role.Run(ctx); err != nil {
+			c.T.Errorf("%s: %v", name, err)
+		}
+		close(n.done)
+	})
+}
+
+// environment is what the process of a daemon hands to its role.
+func (c *Cluster) environment(n *node) daemon.Environment {
+	environment := daemon.Environment{Settings: c.nodeSettings(n), Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})),
+		ProcessID: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(traceRingLength)}
+	if n.server {
+		environment.FederationFile = c.federationFile
+	}
+	environment.Debug = c.debug || c.logOutput != io.Discard
+	n.reload = environment.Reload
+	environment.Log = log.With(gatedLogger{&n.logGate, environment.Log}, "t", log.Valuer(func() any { return time.Now().Format("05.000") }), "node", n.name)
+	return environment
+}
+
+func (c *Cluster) newRole(n *node, environment daemon.Environment) daemon.Role {
+	if n.role == agentRole {
+		return agent.New(environment, c.Runners[n.name])
+	}
+	spec, _ := daemon.FindRole(edgeRole)
+	role, err := spec.New(environment)
+	if err != nil {
+		c.T.Fatalf("%s: %v", n.name, err)
+	}
+	return role
+}
+
+// nodeSettings is a node's settings file.
+func (c *Cluster) nodeSettings(n *node) settings.File {
+	file := settings.File{NodeName: n.name, IPAddress: n.ip, Zone: n.zone, InnerPortRange: []int{daemonPort, daemonPort + 10}, SeedNodes: c.seeds,
+		FirstStart: n.firstStart, HeartbeatIntervalMs: heartbeatInterval.Milliseconds(), RunnerAddress: address(n.ip, runnerPort)}
+	file.Bounds = settings.Bounds{GraceS: 6, MaxLeaseMs: 6000, StopGraceMs: 400, DrainMs: 2500, GangWaitMs: 3000, StatusS: 120, SpreadFactor: 1.5, CheckpointEveryS: 1}
+	file.Tolerance.LostMachines = c.toleratedLosses
+	file.Limits.MemoryMb = 284
+	file.ListenAddresses.Control = address(n.ip, controlPort)
+	if n.role == agentRole {
+		file.Serves = []string{agentRole}
+		return file
+	}
+	file.Serves = []string{edgeRole, "control"}
+	file.ListenAddresses.FrontHTTP, file.ListenAddresses.Readiness = address(n.ip, clientPort), address(n.ip, readinessPort)
+	if n.server {
+		file.DataDir, file.LossCounts = filepath.Join(c.dir, n.name), true
+		if err := os.MkdirAll(file.DataDir, 0o755); err != nil {
+			c.T.Error(err)
+		}
+	}
+	return file
+}
+
+// ReloadSettings gives a daemon its settings anew, as the signal HUP does.
+func (c *Cluster) ReloadSettings(name string) {
+	n := c.node(name)
+	select {
+	case n.reload <- c.nodeSettings(n):
+	default:
+	}
+}
+
+// Kill ends a daemon at once.
+func (c *Cluster) Kill(name string) {
+	n := c.node(name)
+	c.Network.TakeDown(n.ip)
+	n.cancel(daemon.ErrKilled)
+	<-n.done
+	c.Network.TakeDown(n.ip)
+}
+
+// Terminate asks a daemon to end and waits until it has.
+func (c *Cluster) Terminate(name string) {
+	n := c.node(name)
+	n.cancel(context.Canceled)
+	<-n.done
+	c.Network.TakeDown(n.ip)
+}
+
+// Restart kills daemons and starts them again after a while.
+func (c *Cluster) Restart(downtime time.Duration, names ...string) {
+	for _, name := range names {
+		c.Kill(name)
+	}
+	time.Sleep(downtime)
+	for _, name := range names {
+		c.Start(name)
+	}
+}
+
+// WipeDisk empties the disk of a daemon that isn't running.
+func (c *Cluster) WipeDisk(name string) {
+	if err := os.RemoveAll(filepath.Join(c.dir, name)); err != nil {
+		c.T.Fatal(err)
+	}
+}
+
+// Shutdown kills all daemons and ends all goroutines of the cluster.
+func (c *Cluster) Shutdown() {
+	c.stopHeartbeats()
+	for _, name := range c.nodeNames("") {
+		n := c.node(name)
+		n.logGate.open()
+		n.cancel(daemon.ErrKilled)
+	}
+	for _, name := range c.nodeNames("") {
+		n := c.node(name)
+		<-n.done
+		c.Network.TakeDown(n.ip)
+	}
+	c.client.CloseIdleConnections()
+	// Requests that a stand-in carries out late, and calls without an answer, end
+	// in this time.
+	time.Sleep(15 * time.Second)
+}
+
+// logObserver writes the daemons' logs and passes each line to the test.
+type logObserver struct{ cluster *Cluster }
+
+func (o logObserver) Write(p []byte) (int, error) {
+	if f := o.cluster.onLog.Load(); f != nil {
+		(*f)(string(p))
+	}
+	return o.cluster.logOutput.Write(p)
+}
--- a/internal/simulation/divergence_test.go
+++ b/internal/simulation/divergence_test.go
@@ -13,27 +13,27 @@
 	"tealpond/internal/storage"
 )
 
-// CorruptState changes a number in the saved state of a core daemon that isn't
-// running, as a fault in its memory might.
+// CorruptState changes a number in the stored state of a server that isn't running, as a
+// fault in its memory might.
 func (c *Cluster) CorruptState(name string) {
-	// Awaited: the daemon that was killed may not have let go of it yet.
-	d, held, _, err := storage.OpenWithRetry(context.Background(), filepath.Join(c.dir, name), func(error) {})
+	// The daemon that was killed may not have let go of the file yet.
+	disk, recovered, _, err := storage.OpenWithRetry(context.Background(), filepath.Join(c.dir, name), func(error) {})
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	s, err := state.DecodeSnapshot(held.Snapshot.Data, state.Limits{})
+	store, err := state.DecodeSnapshot(recovered.Snapshot.Data, state.Limits{})
 	if err == nil {
-		err = s.BindSnapshotIndex(held.Snapshot.Index)
+		err = store.BindSnapshotIndex(recovered.Snapshot.Index)
 	}
 	if err != nil {
 		c.T.Fatal(err)
 	}
-	s.LastJobSequence += 1000000
+	store.LastJobSequence += 1000000
 	ctx, stop := context.WithCancel(context.Background())
-	in, done := make(chan storage.WriteRequest, 1), make(chan struct{})
-	in <- storage.WriteRequest{LocalSnapshot: &raft.Snapshot{Index: held.Snapshot.Index, Term: held.Snapshot.Term, Voters: held.Snapshot.Voters, Data: s.EncodeSnapshot()}}
+	requests, done := make(chan storage.WriteRequest, 1), make(chan struct{})
+	requests <- storage.WriteRequest{LocalSnapshot: &raft.Snapshot{Index: recovered.Snapshot.Index, Term: recovered.Snapshot.Term, Voters: recovered.Snapshot.Voters, Data: store.EncodeSnapshot()}}
 	go func() {
-		d.Run(ctx, in, func(_ []storage.WriteRequest, err error) {
+		disk.Run(ctx, requests, func(_ []storage.WriteRequest, err error) {
 			if err != nil {
 				c.T.Errorf("the state was not corrupted: %v", err)
 			}
@@ -44,56 +44,53 @@
 	<-done
 }
 
-// TestDivergedReplicaReplacesItsState: a replica whose state differs from that of the majority
-// notices, gives its identity up, and votes again once it has the state anew;
-// the same for the one that leads.
+// TestDivergedReplicaReplacesItsState: a replica whose state differs from that of the
+// majority notices, gives its identity up, and votes again once it has the state anew;
+// the same for one that leads.
 func TestDivergedReplicaReplacesItsState(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		t.Run(map[bool]string{false: "follower", true: "leader"}[leads], func(t *testing.T) {
-			var differs, anew atomic.Int32
+			var diverged, rejoined atomic.Int32
 			runWithFault(t, threeServers, func(c *Cluster) {
-				note := func(line string) {
+				observe := func(line string) {
 					if strings.Contains(line, "event=replica.diverged") {
-						differs.Add(1)
+						diverged.Add(1)
 					}
 					if strings.Contains(line, "event=replica.rejoined") {
-						anew.Add(1)
+						rejoined.Add(1)
 					}
 				}
-				c.onLog.Store(&note)
-				bad := ""
-				for _, n := range c.nodeNames("edge")[:3] {
-					if n != c.Leader() {
-						bad = n
+				c.onLog.Store(&observe)
+				corrupted := ""
+				for _, name := range c.Servers() {
+					if name != c.Leader() {
+						corrupted = name
 					}
 				}
-				c.Kill(bad)
-				c.CorruptState(bad)
-				c.Start(bad, 1)
+				c.Kill(corrupted)
+				c.CorruptState(corrupted)
+				c.Start(corrupted)
 				if leads {
-					c.WaitUntil("the corrupted one leads", 20*time.Second, func() bool {
-						l := c.Leader()
-						if l != "" && l != bad {
-							c.Terminate(l)
-							c.Start(l, 1)
+					c.WaitUntil("the corrupted replica leads", 20*time.Second, func() bool {
+						leader := c.Leader()
+						if leader != "" && leader != corrupted {
+							c.Terminate(leader)
+							c.Start(leader)
 						}
-						return l == bad || differs.Load() > 0
+						return leader == corrupted || diverged.Load() > 0
 					})
 				}
 			}, func(c *Cluster) {
-				for i := 0; i < 200 && anew.Load() == 0; i++ {
+				for i := 0; i < 200 && rejoined.Load() == 0; i++ {
 					c.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
 				}
-				c.WaitUntil("it took its state anew", 30*time.Second, func() bool { return anew.Load() > 0 })
-				// It must count again by now, or the loss of another ends all.
+				c.WaitUntil("it voted again with a state of the majority", 30*time.Second, func() bool { return rejoined.Load() > 0 })
+				// It must vote again by now, or the loss of another leaves no majority.
 				time.Sleep(6 * time.Second)
-				o := c.Leader()
-				c.Kill(o)
-				time.Sleep(2 * time.Second)
-				c.Start(o, 1)
+				c.Restart(2*time.Second, c.Leader())
 			})
-			if differs.Load() != 1 || anew.Load() != 1 {
-				t.Errorf("%d replicas found that they differ, %d began anew", differs.Load(), anew.Load())
+			if diverged.Load() != 1 || rejoined.Load() != 1 {
+				t.Errorf("%d replicas found that they diverged, %d rejoined", diverged.Load(), rejoined.Load())
 			}
 		})
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -2,207 +2,202 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-// faultKinds are the kinds of the users' list that a whole cluster can be played
-// with; each takes about ten seconds.
-var faultKinds = []struct {
-	name string
-	play func(d *scenario)
-}{
-	{"ack_lost", func(d *scenario) {
-		for _, o := range d.newOperators(4, 0.7) {
-			d.background.Go(func() {
-				defer o.Close()
+// faultKinds are those faults of the operators' bench, under its names, that a simulated
+// cluster can have. Each takes about ten seconds.
+var faultKinds = []namedPlay{
+	{"ack_lost", func(s *scenario) {
+		for _, operator := range s.newOperators(4, 0.7) {
+			s.background.Go(func() {
+				defer operator.Close()
 				for range 6 {
-					o.MakeChange(10 * time.Second)
+					operator.MakeChange(10 * time.Second)
 				}
 			})
 		}
 		time.Sleep(10 * time.Second)
 	}},
-	{"after_ack_kill timed", func(d *scenario) {
+	{"after_ack_kill timed", func(s *scenario) {
 		for range 4 {
-			o := d.newOperators(1, 0)[0]
-			o.Read(5 * time.Second)
-			d.background.Go(func() { defer o.Close(); o.MakeChange(10 * time.Second) })
-			time.Sleep(time.Duration(5+d.random.Intn(395)) * time.Millisecond)
-			d.Restart(800*time.Millisecond, d.Servers()...)
+			operator := s.newOperators(1, 0)[0]
+			operator.Read(5 * time.Second)
+			s.background.Go(func() { defer operator.Close(); operator.MakeChange(10 * time.Second) })
+			time.Sleep(time.Duration(5+s.random.Intn(395)) * time.Millisecond)
+			s.Restart(800*time.Millisecond, s.Servers()...)
 			time.Sleep(2 * time.Second)
 		}
 	}},
-	{"after_ack_kill taken", func(d *scenario) {
+	{"after_ack_kill taken", func(s *scenario) {
 		for i := range 4 {
-			if d.SubmitJob(jobID(500000+i), newJob(300, 400, 2)) {
-				d.recordAccepted(jobID(500000 + i))
+			if s.SubmitJob(jobID(500000+i), newJob(300, 400, 2)) {
+				s.recordAccepted(jobID(500000 + i))
 			}
-			d.Restart(800*time.Millisecond, d.nodeNames("")...)
+			s.Restart(800*time.Millisecond, s.nodeNames("")...)
 			time.Sleep(2 * time.Second)
 		}
 	}},
-	{"herd_kill of all core", func(d *scenario) {
-		d.Restart(1500*time.Millisecond, d.Servers()...)
+	{"herd_kill of all core", func(s *scenario) {
+		s.Restart(1500*time.Millisecond, s.Servers()...)
 		time.Sleep(5 * time.Second)
-		d.Restart(300*time.Millisecond, d.Servers()...)
+		s.Restart(300*time.Millisecond, s.Servers()...)
 	}},
-	{"core_cut seeds both race", func(d *scenario) {
-		a, b := d.Servers()[0], d.Servers()[1]
-		mend := d.InjectFault(a, IsolateFromServers)
-		os := d.newOperators(3, 0)
-		defer func() {
-			for _, o := range os {
-				o.Close()
-			}
-		}()
-		os[0].Read(3 * time.Second)
-		x, y := d.NewChange(os[0].knownVersion), d.NewChange(os[0].knownVersion)
+	{"core_cut seeds both race", func(s *scenario) {
+		a, b := s.Servers()[0], s.Servers()[1]
+		repair := s.InjectFault(a, IsolateFromServers)
+		operators := s.newOperators(3, 0)
+		defer closeAll(operators)
+		operators[0].Read(3 * time.Second)
+		base := operators[0].knownVersion
+		change, rival := s.NewChange(base), s.NewChange(base)
 		var sent sync.WaitGroup
-		sent.Go(func() { os[1].SendAt(a, x) })
-		sent.Go(func() { os[2].SendAt(b, y) })
+		sent.Go(func() { operators[1].SendAt(a, change) })
+		sent.Go(func() { operators[2].SendAt(b, rival) })
 		time.Sleep(4 * time.Second)
 		sent.Wait()
-		mend()
-		os[1].SendAt(a, x)
+		repair()
+		operators[1].SendAt(a, change)
 		time.Sleep(4 * time.Second)
 	}},
-	{"core_cut hard", func(d *scenario) {
-		l := d.Leader()
-		mend := d.InjectFault(l, IsolateBothWays)
+	{"core_cut hard", func(s *scenario) {
+		leader := s.Leader()
+		repair := s.InjectFault(leader, IsolateBothWays)
 		time.Sleep(2 * time.Second)
-		d.Kill(l) // in mid-cut
-		mend()
-		d.Start(l, d.toleratedLosses)
+		s.Kill(leader) // while it is isolated
+		repair()
+		s.Start(leader)
 		time.Sleep(5 * time.Second)
 	}},
-	{"config_storm", func(d *scenario) {
-		d.sendConcurrentChanges(1, 300*time.Millisecond, 8*time.Second)
+	{"config_storm", func(s *scenario) {
+		s.sendConcurrentChanges(1, 300*time.Millisecond, 8*time.Second)
 		time.Sleep(10 * time.Second)
 	}},
-	{"big_config", func(d *scenario) {
-		// Many tries: another operator is at work and may win the race.
-		o := d.newOperators(1, 0.3)[0]
-		defer o.Close()
-		taken := 0
+	{"big_config", func(s *scenario) {
+		// Several attempts are made, since another operator is at work and may win the race.
+		operator := s.newOperators(1, 0.3)[0]
+		defer operator.Close()
+		accepted := 0
 		for range 8 {
-			o.Read(5 * time.Second)
-			x := d.NewChange(o.knownVersion)
+			operator.Read(5 * time.Second)
+			change := s.NewChange(operator.knownVersion)
 			var more strings.Builder
 			for i := range 1000 {
-				more.WriteString(routeJSON(fmt.Sprintf("big-%d-%d", x.Version, i)))
+				more.WriteString(routeJSON(fmt.Sprintf("big-%d-%d", change.Version, i)))
 			}
-			x.Text, x.Routes = fmt.Sprintf(configurationFormat, x.Version, more.String()), 1000
-			if o.Send(x, 20*time.Second) == 200 {
-				taken++
+			change.Text, change.Routes = fmt.Sprintf(configurationFormat, change.Version, more.String()), 1000
+			if operator.Send(change, 20*time.Second) == http.StatusOK {
+				accepted++
 			}
 		}
-		if taken == 0 {
-			d.T.Error("no configuration of 1,000 routes was taken in eight tries")
+		if accepted == 0 {
+			s.T.Error("no configuration of 1,000 routes was accepted in eight attempts")
 		}
-		d.Restart(500*time.Millisecond, d.Leader())
+		s.Restart(500*time.Millisecond, s.Leader())
 		time.Sleep(3 * time.Second)
 	}},
-	{"hup", func(d *scenario) {
+	{"hup", func(s *scenario) {
 		for range 3 {
-			for _, n := range d.nodeNames("") {
-				d.ReloadSettings(n)
+			for _, name := range s.nodeNames("") {
+				s.ReloadSettings(name)
 			}
 			time.Sleep(2 * time.Second)
 		}
 	}},
-	{"roll_term busy", func(d *scenario) {
-		for _, n := range d.nodeNames("") {
-			d.Terminate(n)
+	{"roll_term busy", func(s *scenario) {
+		for _, name := range s.nodeNames("") {
+			s.Terminate(name)
 			time.Sleep(500 * time.Millisecond)
-			d.Start(n, d.toleratedLosses)
+			s.Start(name)
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}},
-	{"seed_turnover", func(d *scenario) {
-		n := d.replaceServer(d.Servers()[0], true)
-		d.SetSeeds(n, d.Servers()[0], "edge-4")
-		for _, x := range d.nodeNames("") {
-			d.ReloadSettings(x)
+	{"seed_turnover", func(s *scenario) {
+		added := s.replaceServer(s.Servers()[0], true)
+		s.SetSeeds(added, s.Servers()[0], disklessEdge)
+		for _, name := range s.nodeNames("") {
+			s.ReloadSettings(name)
 		}
 		time.Sleep(catchUpBound)
-		d.Restart(500*time.Millisecond, d.nodeNames("")...)
+		s.Restart(500*time.Millisecond, s.nodeNames("")...)
 		time.Sleep(catchUpBound)
 	}},
 }
 
-// closingFaults are the faults at the end of a day, right after an acknowledgement.
-var closingFaults = []struct {
-	name string
-	play func(d *scenario)
-}{
-	{"power off all", func(d *scenario) { d.Restart(1500*time.Millisecond, d.nodeNames("")...) }},
-	{"kill all", func(d *scenario) { d.Restart(300*time.Millisecond, d.nodeNames("")...) }},
-	{"wipe the leader", func(d *scenario) { d.restartWiped(d.Leader(), 500*time.Millisecond) }},
-	{"wipe a follower, power off the others", func(d *scenario) {
-		hit := d.follower()
-		d.Kill(hit)
-		d.WipeDisk(hit)
-		d.Restart(800*time.Millisecond, d.nodesExcept("edge", hit)...)
-		d.Start(hit, d.toleratedLosses)
-	}},
-	{"wipe the leader, power off the others", func(d *scenario) {
-		hit := d.Leader()
-		d.Kill(hit)
-		d.WipeDisk(hit)
-		d.Restart(800*time.Millisecond, d.nodesExcept("edge", hit)...)
-		d.Start(hit, d.toleratedLosses)
-	}},
+// closingFaults are the faults at the end of a scenario, after which all that was
+// acknowledged must be there.
+var closingFaults = []namedPlay{
+	{"power off all", func(s *scenario) { s.Restart(1500*time.Millisecond, s.nodeNames("")...) }},
+	{"kill all", func(s *scenario) { s.Restart(300*time.Millisecond, s.nodeNames("")...) }},
+	{"wipe the leader", func(s *scenario) { s.restartWiped(500*time.Millisecond, s.Leader()) }},
+	{"wipe a follower, power off the others", func(s *scenario) { s.wipeOneRestartOthers(s.follower()) }},
+	{"wipe the leader, power off the others", func(s *scenario) { s.wipeOneRestartOthers(s.Leader()) }},
 }
 
-// injectClosingFault plays a closing fault right after a change was acknowledged, or so
-// long after it was sent, or right after a job was accepted.
-func (d *scenario) injectClosingFault(how string, fault func(d *scenario)) {
-	o := d.newOperators(1, 0)[0]
-	defer o.Close()
-	o.Read(5 * time.Second)
-	switch how {
-	case "timed":
-		d.background.Go(func() { o.MakeChange(10 * time.Second) })
-		time.Sleep(time.Duration(5+d.random.Intn(395)) * time.Millisecond)
-	case "taken":
-		if d.SubmitJob(jobID(600000), newJob(300, 400, 2)) {
-			d.recordAccepted(jobID(600000))
+// wipeOneRestartOthers empties a server's disk, and starts it when all others were
+// restarted.
+func (s *scenario) wipeOneRestartOthers(name string) {
+	s.Kill(name)
+	s.WipeDisk(name)
+	s.Restart(800*time.Millisecond, s.nodesExcept(edgeRole, name)...)
+	s.Start(name)
+}
+
+// Moments of a closing fault.
+const (
+	onceChanged   = "acknowledged" // right after a change was acknowledged
+	whileChanging = "timed"        // at a random time after a change was sent
+	onceSubmitted = "taken"        // right after a job was accepted
+)
+
+// injectClosingFault plays a closing fault at one of its moments.
+func (s *scenario) injectClosingFault(moment string, fault func(s *scenario)) {
+	operator := s.newOperators(1, 0)[0]
+	defer operator.Close()
+	operator.Read(5 * time.Second)
+	switch moment {
+	case whileChanging:
+		s.background.Go(func() { operator.MakeChange(10 * time.Second) })
+		time.Sleep(time.Duration(5+s.random.Intn(395)) * time.Millisecond)
+	case onceSubmitted:
+		if s.SubmitJob(jobID(600000), newJob(300, 400, 2)) {
+			s.recordAccepted(jobID(600000))
 		}
-	default:
-		o.MakeChange(10 * time.Second)
+	case onceChanged:
+		operator.MakeChange(10 * time.Second)
 	}
-	fault(d)
+	fault(s)
 	time.Sleep(catchUpBound)
 }
 
-// TestFaultKinds plays each kind, and after it each of the closing faults in
+// TestFaultKinds plays each kind of fault, and after it one of the closing faults in
 // turn.
 func TestFaultKinds(t *testing.T) {
-	for i, x := range faultKinds {
-		t.Run(x.name, func(t *testing.T) {
-			runScenario(t, threeServers, int64(i+1), func(d *scenario) {
-				d.runOperator(int64(i+1), time.Second, nil)
+	for i, kind := range faultKinds {
+		t.Run(kind.name, func(t *testing.T) {
+			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
+				s.runOperator(int64(i+1), time.Second, nil)
 				time.Sleep(2 * time.Second)
-				x.play(d)
+				kind.play(s)
 				time.Sleep(catchUpBound)
-				d.injectClosingFault("", closingFaults[i%len(closingFaults)].play)
+				s.injectClosingFault(onceChanged, closingFaults[i%len(closingFaults)].play)
 			})
 		})
 	}
 }
 
-// TestClosingFaults plays each closing fault right after an acknowledgement,
-// soon after a change was sent, and right after a job was accepted.
+// TestClosingFaults plays each closing fault at each of its moments.
 func TestClosingFaults(t *testing.T) {
-	for i, x := range closingFaults {
-		for k, how := range []string{"acknowledged", "timed", "taken"} {
-			t.Run(x.name+"/"+how, func(t *testing.T) {
-				runScenario(t, threeServers, int64(10*i+k), func(d *scenario) {
+	for i, fault := range closingFaults {
+		for k, moment := range []string{onceChanged, whileChanging, onceSubmitted} {
+			t.Run(fault.name+"/"+moment, func(t *testing.T) {
+				runScenario(t, threeServers, int64(10*i+k), func(s *scenario) {
 					time.Sleep(2 * time.Second)
-					d.injectClosingFault(how, x.play)
+					s.injectClosingFault(moment, fault.play)
 				})
 			})
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,88 +1,29 @@
 package simulation
 
-import (
-	"fmt"
-	"sync"
-	"time"
+import "time"
 
-	"github.com/go-kit/log"
-)
-
-// Hosts of callers from outside.
-const (
-	clientHost   = 250 // clients, and the runners' beats
-	probeHost    = 251
-	adminHost    = 252
-	operatorHost = 253
-	unusedHost   = 254
-)
-
-// addedServerHost is the number before the first added machine's address.
-const addedServerHost = 60
-
-// gate holds up whoever passes while it is shut.
-type gate struct {
-	mu     sync.Mutex
-	closed chan struct{}
-}
-
-func (g *gate) pass() {
-	g.mu.Lock()
-	ch := g.closed
-	g.mu.Unlock()
-	if ch != nil {
-		<-ch
-	}
-}
-
-func (g *gate) close() {
-	g.mu.Lock()
-	g.closed = make(chan struct{})
-	g.mu.Unlock()
-}
-
-func (g *gate) open() {
-	g.mu.Lock()
-	if g.closed != nil {
-		close(g.closed)
-		g.closed = nil
-	}
-	g.mu.Unlock()
-}
-
-// gatedLogger is a log whose lines wait at a gate, and their writers with them.
-type gatedLogger struct {
-	gate   *gate
-	logger log.Logger
-}
-
-func (g gatedLogger) Log(kv ...any) error {
-	g.gate.pass()
-	return g.logger.Log(kv...)
-}
-
-// Ways of harming a daemon; each but IsolateFromClients, Frozen and Slowed leaves it
-// without a majority.
+// Faults of a node, which are also the names of subtests. Each but IsolateFromClients,
+// Frozen and Slowed leaves it without a majority.
 const (
-	IsolateBothWays    = "both ways"
-	IsolateInbound     = "hears nobody"
-	IsolateOutbound    = "heard by nobody"
-	IsolateFromServers = "from the core"
-	IsolateFromClients = "from clients"
+	IsolateBothWays    = "isolated"
+	IsolateInbound     = "inbound blocked"
+	IsolateOutbound    = "outbound blocked"
+	IsolateFromServers = "isolated from the servers"
+	IsolateFromClients = "isolated from clients"
 	Frozen             = "frozen"
 	Slowed             = "slowed"
 )
 
-// slowedDelay is what a slowed daemon's frames wait on each way: five times what
-// a command takes from its client to its commit.
+// slowedDelay is how long a slowed node's bytes wait on each way: five times what a
+// command takes from its client to its commit.
 const slowedDelay = 50 * time.Millisecond
 
-// InjectFault harms a daemon in a way and gives what ends it.
+// InjectFault injects a fault into a node and returns what ends it.
 func (c *Cluster) InjectFault(name, fault string) func() {
 	target := c.node(name)
 	var others []string
-	for _, n := range c.nodeNames("") {
-		if other := c.node(n); n != name && (fault != IsolateFromServers || other.server) {
+	for _, otherName := range c.nodeNames("") {
+		if other := c.node(otherName); otherName != name && (fault != IsolateFromServers || other.server) {
 			others = append(others, other.ip)
 		}
 	}
@@ -97,8 +38,8 @@
 		others = clients
 	case Frozen:
 		others = append(others, append(clients, c.hostIP(probeHost), c.hostIP(adminHost))...)
-		// Why the log too: its next line holds up the core's loop, which
-		// then meets what has gathered, as after a thaw.
+		// The next line of its log holds up its event loop, which then meets what
+		// has gathered meanwhile, as after a thaw.
 		target.logGate.close()
 	case Slowed:
 		c.Network.SetDelay(target.ip, slowedDelay)
@@ -112,13 +53,13 @@
 			c.Network.Block(target.ip, other)
 		}
 	}
-	isolated := target.role == "edge" && fault != IsolateFromClients && fault != Frozen
+	isolated := target.role == edgeRole && fault != IsolateFromClients && fault != Frozen
 	if isolated {
-		c.History.record(Event{Kind: "alone", Node: name})
+		c.History.record(Event{Kind: EventIsolated, Node: name})
 	}
 	return func() {
 		if isolated {
-			c.History.record(Event{Kind: "joined", Node: name})
+			c.History.record(Event{Kind: EventReconnected, Node: name})
 		}
 		for _, other := range others {
 			c.Network.Unblock(other, target.ip)
@@ -128,63 +69,20 @@
 	}
 }
 
-// AddServer starts a new core machine at a new address, with an empty disk.
-func (c *Cluster) AddServer(zone string) string {
-	n := int(c.addedServers.Add(1))
-	added := &node{zone: zone, name: fmt.Sprintf("%snew-%d", c.Name, n), ip: c.hostIP(addedServerHost + n), role: "edge", server: true}
-	c.addNode(added)
-	c.Start(added.name, c.toleratedLosses)
-	return added.name
-}
-
-// RemoveNode takes a machine that isn't running away for good.
-func (c *Cluster) RemoveNode(name string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.nodes, name)
-}
-
-// ReloadSettings hands a daemon its settings anew, as SIGHUP does.
-func (c *Cluster) ReloadSettings(name string) {
-	n := c.node(name)
-	select {
-	case n.reload <- c.nodeSettings(n, c.toleratedLosses):
-	default:
-	}
-}
-
-// SetSeeds sets the seeds in all settings from now on.
-func (c *Cluster) SetSeeds(names ...string) {
-	c.seeds = nil
-	for _, n := range names {
-		c.seeds = append(c.seeds, c.NodeIP(n)+":8166")
-	}
-}
-
-// Restart kills a daemon and starts it again after a while.
-func (c *Cluster) Restart(downtime time.Duration, names ...string) {
-	for _, n := range names {
-		c.Kill(n)
-	}
-	time.Sleep(downtime)
-	for _, n := range names {
-		c.Start(n, c.toleratedLosses)
+// SetPartition blocks, or unblocks, both ways between a node and some others.
+func (c *Cluster) SetPartition(name string, blocked bool, others ...string) {
+	for _, other := range others {
+		setPartition(c.Network, c.NodeIP(name), c.NodeIP(other), blocked)
 	}
 }
 
-// Servers are the daemons that hold state.
-func (c *Cluster) Servers() []string {
-	var out []string
-	for _, n := range c.nodeNames("edge") {
-		if c.node(n).server {
-			out = append(out, n)
+// setPartition blocks, or unblocks, both ways between two hosts.
+func setPartition(network *Network, a, b string, blocked bool) {
+	for _, way := range [][2]string{{a, b}, {b, a}} {
+		if blocked {
+			network.Block(way[0], way[1])
+		} else {
+			network.Unblock(way[0], way[1])
 		}
 	}
-	return out
-}
-
-// IsReady asks a daemon whether it counts itself ready.
-func (c *Cluster) IsReady(name string) bool {
-	code, _, _ := c.request("GET", "http://"+c.NodeIP(name)+":8167/-/readiness", "", "", nil)
-	return code == 200
 }
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	"sort"
+	"net/http"
 	"strings"
 	"sync"
 	"testing"
@@ -10,10 +10,28 @@
 	"time"
 )
 
-const peerKey = "0123456789abcdef"
+const (
+	peerKey = "0123456789abcdef"
+	// slowPrefix is the path of the route whose jobs may move to the peer.
+	slowPrefix = "/slow/"
+	slowRoute  = `,{"name":"slow","hostName":"h","pathPrefix":"/slow/","kind":"writing","timeoutMs":3000,"targetMs":3000,"priority":2,"targetService":"svc","maxTries":3,"stretch":3}`
+)
+
+// forecastSettings are the settings that decide when a cluster counts as crowded. Days
+// are short, so that the record of several fits into a test.
+type forecastSettings struct {
+	crowdedAt        float64 // load, as a part of the capacity
+	bucketS, dayS    float64 // lengths in seconds
+	routesMayBeMoved bool
+}
 
-// federationFile: short days, so that a record of several fits into a test.
-func federationFile(name, peer string, base int, crowded, bucket, day float64, lanes string) string {
+// federationFile is the file that turns federation on. The peer's servers are the first
+// hosts of its subnet.
+func federationFile(name, peer string, peerSubnet int, forecast forecastSettings) string {
+	lanes := ""
+	if forecast.routesMayBeMoved {
+		lanes = fmt.Sprintf("[[lanes]]\nhere = \"slow\"\npeer = %q\nthere = \"slow\"\n", peer)
+	}
 	return fmt.Sprintf(`name = %q
 bucketS = %g
 dayS = %g
@@ -27,342 +45,203 @@
 name = %q
 key = %q
 seeds = ["10.%d.0.1:7720", "10.%d.0.2:7720", "10.%d.0.3:7720"]
-%s`, name, bucket, day, crowded, peer, peerKey, base, base, base, lanes)
+%s`, name, forecast.bucketS, forecast.dayS, forecast.crowdedAt, peer, peerKey, peerSubnet, peerSubnet, peerSubnet, lanes)
 }
 
-const slowRoute = `,{"name":"slow","hostName":"h","pathPrefix":"/slow/","kind":"writing","timeoutMs":3000,"targetMs":3000,"priority":2,"targetService":"svc","maxTries":3,"stretch":3}`
-
-// newFederatedPair builds two clusters that share a network and one history, so that a
-// task that ran in both is seen.
-func newFederatedPair(t *testing.T, crowded, bucket, day float64, on bool) (*Cluster, *Cluster) {
-	n := NewNetwork()
-	lanes := ""
-	if on {
-		lanes = "[[lanes]]\nhere = \"slow\"\npeer = \"b\"\nthere = \"slow\"\n"
-	}
-	a := NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: n, Subnet: 1, Name: "a-", Federation: federationFile("a", "b", 2, crowded, bucket, day, lanes)})
-	b := NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: n, Subnet: 2, Name: "b-", History: a.History, Federation: federationFile("b", "a", 1, 1, bucket, day, "")})
+// newFederatedPair makes two clusters that share a network and a history, so that a task
+// that ran in both is seen. Only a moves jobs, and b is never crowded.
+func newFederatedPair(t *testing.T, forecast forecastSettings) (a, b *Cluster) {
+	t.Helper()
+	network := NewNetwork()
+	a = NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: network, Subnet: 1, Name: "a-", Federation: federationFile("a", "b", 2, forecast)})
+	forecast.crowdedAt, forecast.routesMayBeMoved = 1, false
+	b = NewCluster(t, ClusterSpec{Servers: 3, Agents: 2, Network: network, Subnet: 2, Name: "b-", History: a.History, Federation: federationFile("b", "a", 1, forecast)})
 	for _, c := range []*Cluster{a, b} {
-		c.WaitUntil("the first desired state is taken", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, slowRoute) == 200 })
+		c.WaitUntil("the first configuration is accepted", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, slowRoute) == http.StatusOK })
 	}
 	time.Sleep(3 * time.Second)
 	return a, b
 }
 
-// setPartitionBetween cuts or joins two clusters.
-func setPartitionBetween(a, b *Cluster, cut bool) {
-	for _, x := range a.nodeNames("edge") {
-		for _, y := range b.nodeNames("edge") {
-			for _, p := range [][2]string{{a.NodeIP(x), b.NodeIP(y)}, {b.NodeIP(y), a.NodeIP(x)}} {
-				if cut {
-					a.Network.Block(p[0], p[1])
-				} else {
-					a.Network.Unblock(p[0], p[1])
-				}
-			}
+// setPartitionBetween blocks, or unblocks, all ways between the servers of two clusters.
+func setPartitionBetween(a, b *Cluster, blocked bool) {
+	for _, x := range a.nodeNames(edgeRole) {
+		for _, y := range b.nodeNames(edgeRole) {
+			setPartition(a.Network, a.NodeIP(x), b.NodeIP(y), blocked)
 		}
 	}
 }
 
-// runFederated plays deferrable jobs that all want to move, with a fault at the
-// first line of a log that holds mark, and demands that each ends once.
-func runFederated(t *testing.T, mark string, fault func(a, b *Cluster), cancel, must bool) {
+// federationFault is a fault of two clusters; it returns when it is repaired.
+type federationFault func(a, b *Cluster)
+
+func noFederationFault(_, _ *Cluster) {}
+
+func partitionFor(duration time.Duration) federationFault {
+	return func(a, b *Cluster) {
+		setPartitionBetween(a, b, true)
+		time.Sleep(duration)
+		setPartitionBetween(a, b, false)
+	}
+}
+
+func killLeaderOf(c *Cluster) {
+	if leader := c.Leader(); leader != "" {
+		c.Restart(2*time.Second, leader)
+	}
+}
+
+func killSourceLeader(a, _ *Cluster) { killLeaderOf(a) }
+func killTargetLeader(_, b *Cluster) { killLeaderOf(b) }
+
+// movingJobs is a test of deferrable jobs that all want to move.
+type movingJobs struct {
+	// faultAt is a part of a log line: the fault begins with the first such line. If it
+	// is empty the fault begins after all jobs.
+	faultAt  string
+	fault    federationFault
+	cancel   bool // every other job is canceled
+	mustMove bool
+}
+
+// run submits the jobs and requires that each ends once.
+func (m movingJobs) run(t *testing.T) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newFederatedPair(t, 0.001, 1, 3, true)
+		a, b := newFederatedPair(t, forecastSettings{crowdedAt: 0.001, bucketS: 1, dayS: 3, routesMayBeMoved: true})
 		defer a.Shutdown()
 		defer b.Shutdown()
-		struck := make(chan struct{})
-		var once sync.Once
-		see := func(line string) {
-			if mark != "" && strings.Contains(line, mark) {
-				once.Do(func() { close(struck) })
-			}
-		}
-		a.onLog.Store(&see)
-		b.onLog.Store(&see)
-		go func() {
-			<-struck
-			fault(a, b)
-		}()
-		// A record of some days in both; b must know that it stays free.
-		for i := range 12 {
-			a.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
-			b.SubmitJob(jobID(2000+i), newJob(50, 100, 1))
-			time.Sleep(500 * time.Millisecond)
-		}
-		// Fill a, so that deferrable jobs wait there and can move.
-		for i := range 8 {
-			a.SubmitJob(jobID(3000+i), newJob(6000, 4000, 1))
-		}
-		const n = 6
-		for i := range n {
-			a.SubmitJobUnder("/slow/", jobID(i), newJob(400, 2000, 2))
+		beginFault, faultBegun := m.prepareFault(a, b)
+		crowd(a, b)
+		const jobs = 6
+		for i := range jobs {
+			a.SubmitJobUnder(slowPrefix, jobID(i), newJob(400, 2000, 2))
 			time.Sleep(100 * time.Millisecond)
 		}
-		if cancel {
-			for i := range n {
-				if i%2 == 0 {
-					go a.CancelJobUnder("/slow/", "a-edge-1", jobID(i))
-				}
+		if m.cancel {
+			for i := 0; i < jobs; i += 2 {
+				go a.CancelJobUnder(slowPrefix, "a-edge-1", jobID(i))
 			}
 		}
 		time.Sleep(30 * time.Second)
-		if mark == "" {
-			once.Do(func() { close(struck) })
+		if m.faultAt == "" {
+			beginFault()
 		}
-		for i := range n {
-			a.WaitUntil("job "+jobID(i)+" is over", 90*time.Second, func() bool {
-				st := a.JobStateUnder("/slow/", "a-edge-2", jobID(i))
-				return st == "done" || st == "called_off"
+		for i := range jobs {
+			a.WaitUntil("job "+jobID(i)+" has ended", 90*time.Second, func() bool {
+				state := a.JobStateUnder(slowPrefix, "a-edge-2", jobID(i))
+				return state == jobDone || state == jobCanceled
 			})
 		}
-		ran, moved := a.completedOn(), 0
-		for i := range n {
-			for x := range 2 {
-				task := fmt.Sprintf("%s.0.0.%d", jobID(i), x)
-				if strings.HasPrefix(ran[task], "b-") {
-					moved++
-				}
-				if ran[task] == "" && !cancel {
-					t.Errorf("%s was lost", task)
-				}
-			}
-		}
-		// Why not always: an offer that was cut off early is taken back, and the
-		// job stays.
-		if moved == 0 && must {
-			t.Error("nothing moved, so nothing was tried")
-		}
-		for _, w := range a.History.Violations() {
-			t.Error(w)
+		select {
+		case <-faultBegun:
+		default:
+			t.Errorf("no log line has %q, so there was no fault", m.faultAt)
 		}
+		m.requireAllDone(a, jobs)
+		a.requireNoViolations()
 	})
 }
 
-// completedOn tells on which node each task was done.
-func (c *Cluster) completedOn() map[string]string {
-	c.History.mu.Lock()
-	defer c.History.mu.Unlock()
-	out := map[string]string{}
-	for _, f := range c.History.Events {
-		if f.Kind == "end" && f.Outcome == "done" {
-			out[f.Task] = f.Node
-		}
-	}
-	return out
+// prepareFault lets the fault begin at its log line. It returns what begins it at once,
+// and a channel that is closed when it has begun.
+func (m movingJobs) prepareFault(a, b *Cluster) (begin func(), begun chan struct{}) {
+	begun = make(chan struct{})
+	var once sync.Once
+	begin = func() { once.Do(func() { close(begun) }) }
+	observe := func(line string) {
+		if m.faultAt != "" && strings.Contains(line, m.faultAt) {
+			begin()
+		}
+	}
+	a.onLog.Store(&observe)
+	b.onLog.Store(&observe)
+	go func() {
+		<-begun
+		m.fault(a, b)
+	}()
+	return begin, begun
 }
 
-// meanCompletionTime is how long jobs took from hand-in to the last end of their tasks.
-func (c *Cluster) meanCompletionTime(handed map[string]time.Time) time.Duration {
-	c.History.mu.Lock()
-	defer c.History.mu.Unlock()
-	last := map[string]time.Time{}
-	for _, f := range c.History.Events {
-		if j, _, _ := splitTaskID(f.Task); f.Kind == "end" && f.Outcome == "done" {
-			last[j] = f.At
-		}
-	}
-	sum := time.Duration(0)
-	for j, at := range handed {
-		sum += last[j].Sub(at)
+// crowd gives both clusters a record of some days, so that b knows that it stays free,
+// and fills a, so that deferrable jobs wait there and can move.
+func crowd(a, b *Cluster) {
+	for i := range 12 {
+		a.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
+		b.SubmitJob(jobID(2000+i), newJob(50, 100, 1))
+		time.Sleep(500 * time.Millisecond)
 	}
-	return sum / time.Duration(max(len(handed), 1))
-}
-
-func partitionFor(d time.Duration) func(a, b *Cluster) {
-	return func(a, b *Cluster) {
-		setPartitionBetween(a, b, true)
-		time.Sleep(d)
-		setPartitionBetween(a, b, false)
+	for i := range 8 {
+		a.SubmitJob(jobID(3000+i), newJob(6000, 4000, 1))
 	}
 }
 
-func killLeaderOf(of int) func(a, b *Cluster) {
-	return func(a, b *Cluster) {
-		c := []*Cluster{a, b}[of]
-		l := c.Leader()
-		if l == "" {
-			return
+func (m movingJobs) requireAllDone(a *Cluster, jobs int) {
+	a.T.Helper()
+	nodes, moved := a.completedOn(), 0
+	for i := range jobs {
+		for index := range 2 {
+			task := fmt.Sprintf("%s.0.0.%d", jobID(i), index)
+			if strings.HasPrefix(nodes[task], "b-") {
+				moved++
+			}
+			if nodes[task] == "" && !m.cancel {
+				a.T.Errorf("%s was lost", task)
+			}
 		}
-		c.Kill(l)
-		time.Sleep(2 * time.Second)
-		c.Start(l, 1)
+	}
+	// It isn't required of each fault: an offer that was cut off early is taken back,
+	// and the job stays.
+	if moved == 0 && m.mustMove {
+		a.T.Error("nothing moved, so nothing was tried")
 	}
 }
 
-// moveEvents are the lines of the log at which TestMoveAtEveryStep strikes.
-var moveEvents = []string{"loan.received", "transfer.offered", "status=taken", "status=done"}
-
-// TestMoveAtEveryStep strikes at each step of a hand-over: room lent, offered,
-// taken, ended, with cuts of two lengths and the loss of either leader.
-func TestMoveAtEveryStep(t *testing.T) {
-	for _, mark := range moveEvents {
-		for name, f := range map[string]func(a, b *Cluster){"cut": partitionFor(3 * time.Second), "long cut": partitionFor(25 * time.Second), "source": killLeaderOf(0), "target": killLeaderOf(1)} {
-			t.Run(mark+"/"+name, func(t *testing.T) { runFederated(t, mark, f, false, strings.HasPrefix(mark, "status=")) })
+// completedOn gives the node on which each task was done.
+func (c *Cluster) completedOn() map[string]string {
+	c.History.mu.Lock()
+	defer c.History.mu.Unlock()
+	nodes := map[string]string{}
+	for _, event := range c.History.Events {
+		if event.Kind == EventRunEnded && event.Outcome == runDone {
+			nodes[event.Task] = event.Node
 		}
 	}
+	return nodes
 }
 
-func TestMoveWithoutFault(t *testing.T) { runFederated(t, "", func(a, b *Cluster) {}, false, true) }
-
-func TestCancelInMidMove(t *testing.T) {
-	for name, f := range map[string]func(a, b *Cluster){"calm": func(a, b *Cluster) {}, "cut": partitionFor(5 * time.Second), "target": killLeaderOf(1)} {
-		t.Run(name, func(t *testing.T) { runFederated(t, "transfer.offered", f, true, false) })
-	}
-}
+// Parts of the log lines of a move, in their order. The last two are of transfer.settled.
+const (
+	loanReceived     = "loan.received"
+	transferOffered  = "transfer.offered"
+	transferAccepted = "status=taken"
+	transferDone     = "status=done"
+)
 
-// peak plays some short days whose rush has urgent and deferrable work, and
-// gives what urgent senders saw on the last one.
-type peakResult struct {
-	median, worst time.Duration
-	late, urgent  int
-	done, doubled int
-	lost, away    int
-	deferred      time.Duration // mean, from hand-in to its last end
-}
+// moveEvents are the log lines at which TestMoveAtEveryStep injects its faults.
+var moveEvents = []string{loanReceived, transferOffered, transferAccepted, transferDone}
 
-func playPeak(t *testing.T, on, both, wrong bool) peakResult {
-	var out peakResult
-	synctest.Test(t, func(t *testing.T) {
-		a, b := newFederatedPair(t, 0.5, 2, 40, on)
-		defer a.Shutdown()
-		defer b.Shutdown()
-		var mu sync.Mutex
-		var took []time.Duration
-		var slow []string
-		handed := map[string]time.Time{}
-		next := 0
-		var last time.Time
-		var all sync.WaitGroup
-		for day := range 4 {
-			begin := time.Now()
-			for time.Since(begin) < 40*time.Second {
-				at := time.Since(begin)
-				rush := at > 14*time.Second && at < 24*time.Second && !(wrong && day == 3)
-				next++
-				urgent := jobID(next)
-				for _, c := range []*Cluster{a, b} {
-					if c == b {
-						if !(both && rush) {
-							b.SubmitJob(jobID(100000+next), newJob(200, 300, 1))
-							continue
-						}
-						b.SubmitJob(jobID(100000+next), newJob(400, 2000, 12))
-						continue
-					}
-					n := 1
-					if rush {
-						n = 5
-					}
-					all.Add(1)
-					go func() {
-						defer all.Done()
-						from := time.Now()
-						a.SubmitJob(urgent, newJob(400, 1500, n))
-						for a.JobState("a-edge-1", urgent) != "done" && time.Since(from) < 30*time.Second {
-							time.Sleep(50 * time.Millisecond)
-						}
-						if day == 3 && rush {
-							mu.Lock()
-							took = append(took, time.Since(from))
-							mu.Unlock()
-						}
-					}()
-				}
-				if at > 6*time.Second && at < 22*time.Second && time.Since(last) >= time.Second {
-					next++
-					last = time.Now()
-					d := jobID(next)
-					a.SubmitJobUnder("/slow/", d, newJob(3000, 2500, 2))
-					if day == 3 {
-						slow = append(slow, d)
-						handed[d] = time.Now()
-					}
-				}
-				time.Sleep(500 * time.Millisecond)
-			}
-		}
-		all.Wait()
-		sort.Slice(took, func(x, y int) bool { return took[x] < took[y] })
-		if len(took) == 0 {
-			took = append(took, 0)
-		}
-		out.urgent, out.median, out.worst = len(took), took[len(took)/2], took[len(took)*9/10]
-		for _, d := range took {
-			if d > 850*time.Millisecond {
-				out.late++
-			}
-		}
-		for _, d := range slow {
-			a.WaitUntil(d+" ends", 90*time.Second, func() bool { return a.JobStateUnder("/slow/", "a-edge-2", d) == "done" })
-		}
-		ran := a.completedOn()
-		for _, d := range slow {
-			for x := range 2 {
-				switch n := ran[fmt.Sprintf("%s.0.0.%d", d, x)]; {
-				case n == "":
-					out.lost++
-				case strings.HasPrefix(n, "b-"):
-					out.away++
-					out.done++
-				default:
-					out.done++
-				}
-			}
-		}
-		out.deferred = a.meanCompletionTime(handed)
-		for _, w := range a.History.Violations() {
-			if strings.HasPrefix(w, "TWICE") {
-				out.doubled++
-			}
-			t.Error(w)
+// TestMoveAtEveryStep injects faults at each step of a move: partitions of two lengths,
+// and the loss of either leader.
+func TestMoveAtEveryStep(t *testing.T) {
+	faults := map[string]federationFault{"cut": partitionFor(3 * time.Second), "long cut": partitionFor(25 * time.Second), "source": killSourceLeader, "target": killTargetLeader}
+	for _, event := range moveEvents {
+		for name, fault := range faults {
+			t.Run(event+"/"+name, func(t *testing.T) {
+				movingJobs{faultAt: event, fault: fault, mustMove: event == transferAccepted || event == transferDone}.run(t)
+			})
 		}
-	})
-	return out
-}
-
-// TestPeakWithAndWithoutMoving is the measurement of docs/foresee.md.
-func TestPeakWithAndWithoutMoving(t *testing.T) {
-	off, on := playPeak(t, false, false, false), playPeak(t, true, false, false)
-	for _, x := range []struct {
-		name string
-		s    peakResult
-	}{{"off", off}, {"on", on}} {
-		t.Logf("moving %s: urgent median %v, worst tenth %v, late %d of %d; deferred tasks done %d, away %d, doubled %d, lost %d, mean time %v",
-			x.name, x.s.median, x.s.worst, x.s.late, x.s.urgent, x.s.done, x.s.away, x.s.doubled, x.s.lost, x.s.deferred)
-	}
-	if on.away == 0 {
-		t.Error("nothing moved")
-	}
-	if off.away != 0 || off.lost+on.lost+off.doubled+on.doubled > 0 {
-		t.Error("moved while off, lost or doubled")
-	}
-	// Why a fifth: urgent work is kept whole by priorities either way; moving
-	// must not harm it, and gains for what is deferred.
-	if on.worst > off.worst*6/5 {
-		t.Errorf("urgent worst tenth %v with moving, %v without", on.worst, off.worst)
-	}
-	if on.deferred >= off.deferred {
-		t.Errorf("deferred took %v with moving, %v without", on.deferred, off.deferred)
 	}
 }
 
-// TestPeakOnBothMovesNothing: a peer that is about to be crowded lends nothing.
-func TestPeakOnBothMovesNothing(t *testing.T) {
-	s := playPeak(t, true, true, false)
-	t.Logf("peak on both: away %d, late %d of %d, lost %d, doubled %d", s.away, s.late, s.urgent, s.lost, s.doubled)
-	if s.lost > 0 || s.doubled > 0 || s.away > 0 {
-		t.Errorf("lost %d, doubled %d, away %d", s.lost, s.doubled, s.away)
-	}
+func TestMoveWithoutFault(t *testing.T) {
+	movingJobs{fault: noFederationFault, mustMove: true}.run(t)
 }
 
-// TestPeakThatDoesNotCome: a wrong forecast moves jobs for nothing, and loses
-// none.
-func TestPeakThatDoesNotCome(t *testing.T) {
-	s := playPeak(t, true, false, true)
-	t.Logf("peak that does not come: away %d, lost %d, doubled %d", s.away, s.lost, s.doubled)
-	if s.lost > 0 || s.doubled > 0 {
-		t.Errorf("lost %d, doubled %d", s.lost, s.doubled)
+func TestCancelInMidMove(t *testing.T) {
+	for name, fault := range map[string]federationFault{"calm": noFederationFault, "cut": partitionFor(5 * time.Second), "target": killTargetLeader} {
+		t.Run(name, func(t *testing.T) {
+			movingJobs{faultAt: transferOffered, fault: fault, cancel: true}.run(t)
+		})
 	}
 }
--- a/internal/simulation/isolation_test.go
+++ b/internal/simulation/isolation_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// isolations are the ways of cutting one daemon off.
+// isolations are the faults that cut a node off, wholly or in part.
 var isolations = []string{IsolateBothWays, IsolateInbound, IsolateOutbound, IsolateFromServers, IsolateFromClients, Frozen, Slowed}
 
-// testIsolation harms a daemon for 20 s while operators and clients call it, and
-// demands that it is back within the bounds after it.
-func testIsolation(t *testing.T, victim func(d *scenario) string) {
-	for i, how := range isolations {
-		t.Run(how, func(t *testing.T) {
-			runScenario(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 3, Debug: true}, int64(i+1), func(d *scenario) {
-				name := victim(d)
-				over := make(chan struct{})
-				pilot := d.runOperator(1, 900*time.Millisecond, over)
+// testIsolation injects each fault into a node for 20 s while operators and clients call
+// it, and requires that it serves again within the bounds afterwards.
+func testIsolation(t *testing.T, choose func(s *scenario) string) {
+	for i, fault := range isolations {
+		t.Run(fault, func(t *testing.T) {
+			runScenario(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 3, Debug: true}, int64(i+1), func(s *scenario) {
+				name := choose(s)
+				done := make(chan struct{})
+				operatorEnded := s.runOperator(1, 900*time.Millisecond, done)
 				time.Sleep(2 * time.Second)
-				o := d.NewOperator(2)
-				defer o.Close()
-				o.Read(5 * time.Second)
-				edge := d.node(name).role == "edge"
-				mend := d.InjectFault(name, how)
-				met := &sync.WaitGroup{}
+				operator := s.NewOperator(2)
+				defer operator.Close()
+				operator.Read(5 * time.Second)
+				edge := s.node(name).role == edgeRole
+				repair := s.InjectFault(name, fault)
+				callers := &sync.WaitGroup{}
 				if edge {
-					met = d.exerciseNode(name, o, over)
+					callers = s.exerciseNode(name, operator, done)
 				}
 				time.Sleep(10 * time.Second)
-				if ready := edge && d.IsReady(name); ready && how != Slowed {
-					t.Errorf("%s counts itself ready after 10 s: %s", name, how)
+				if ready := edge && s.IsReady(name); ready && fault != Slowed {
+					t.Errorf("%s is ready after 10 s: %s", name, fault)
 				}
 				time.Sleep(10 * time.Second)
-				close(over)
-				met.Wait()
-				mend()
-				back := time.Now()
-				<-pilot
+				close(done)
+				callers.Wait()
+				repair()
+				repairedAt := time.Now()
+				<-operatorEnded
 				if edge {
-					d.requireNewestConfiguration(name, back)
+					s.requireNewestConfiguration(name, repairedAt)
 				}
 				time.Sleep(2 * time.Second)
 			})
@@ -47,14 +47,16 @@
 	}
 }
 
-func TestLeaderCutOff(t *testing.T) { testIsolation(t, func(d *scenario) string { return d.Leader() }) }
+func TestLeaderIsolated(t *testing.T) {
+	testIsolation(t, func(s *scenario) string { return s.Leader() })
+}
 
-func TestFollowerCutOff(t *testing.T) {
-	testIsolation(t, func(d *scenario) string { return d.nodesExcept("edge", d.Leader(), "edge-4")[0] })
+func TestFollowerIsolated(t *testing.T) {
+	testIsolation(t, func(s *scenario) string { return s.nodesExcept(edgeRole, s.Leader(), disklessEdge)[0] })
 }
 
 func TestDisklessEdgeIsolated(t *testing.T) {
-	testIsolation(t, func(d *scenario) string { return "edge-4" })
+	testIsolation(t, func(s *scenario) string { return disklessEdge })
 }
 
-func TestAgentIsolated(t *testing.T) { testIsolation(t, func(d *scenario) string { return "side-1" }) }
+func TestAgentIsolated(t *testing.T) { testIsolation(t, func(s *scenario) string { return "side-1" }) }
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -16,14 +17,14 @@
 	"time"
 )
 
-// childEnvironment is set in the environment of the process that plays one test.
+// childEnvironment is the environment variable of a process that runs one test.
 const childEnvironment = "TEALPOND_SIM_CHILD"
 
-// TestMain plays each test in a process of its own that runs on one P, several
-// side by side. Why: under the race detector the timers of a synctest bubble
-// were once run by another thread than the bubble's, and the runtime itself
-// fell over; on one P there is no other. The race detector orders events, not
-// threads, so it sees as much. A test named by -run runs here, as ever.
+// TestMain runs each test in a process of its own that has one P, several side by side.
+// Under the race detector the timers of a synctest bubble were once run by another
+// thread than the bubble's, and the runtime itself failed; with one P there is no other.
+// The race detector orders events, not threads, so it sees as much. With -run, tests run
+// in this process as usual.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	named := false
@@ -36,92 +37,106 @@
 	os.Exit(runEachTest())
 }
 
-// splitTests splits a test whose subtests are many into processes by their first
-// names.
+// splitTests names the tests whose subtests get a process each, with the subtests' names
+// at the first level.
 var splitTests = map[string][]string{
-	"TestMoveAtEveryStep": moveEvents,
-	"TestStormyDay":       {"1", "2", "3", "4", "5"},
-	"TestFarBehind":       {"1", "2"},
-	"TestLeaderCutOff":    isolations,
-	"TestFollowerCutOff":  isolations,
+	"TestMoveAtEveryStep":  moveEvents,
+	"TestStormyDay":        {"1", "2", "3", "4", "5"},
+	"TestFarBehind":        {"1", "2"},
+	"TestLeaderIsolated":   isolations,
+	"TestFollowerIsolated": isolations,
 }
 
-// runEachTest plays all tests and gives the exit code: 1 if one failed, or none ran.
-func runEachTest() int {
+// testPatterns gives the patterns that select what each process runs, the longest first,
+// so that the whole ends soonest.
+func testPatterns() ([]string, error) {
 	raw, err := exec.Command(os.Args[0], "-test.list", ".").Output()
 	if err != nil {
-		fmt.Println("FAIL: the tests can't be listed:", err)
-		return 1
+		return nil, fmt.Errorf("the tests can't be listed: %w", err)
 	}
-	var names []string
-	for _, n := range strings.Fields(string(raw)) {
-		if !strings.HasPrefix(n, "Test") {
+	var patterns []string
+	split := 0
+	for _, name := range strings.Fields(string(raw)) {
+		if !strings.HasPrefix(name, "Test") {
 			continue
 		}
-		if ps := splitTests[n]; len(ps) > 0 {
-			for _, p := range ps {
-				names = append(names, "^"+n+"$/^"+regexp.QuoteMeta(p)+"$")
-			}
+		subtests := splitTests[name]
+		if len(subtests) == 0 {
+			patterns = append(patterns, "^"+name+"$")
 			continue
 		}
-		names = append(names, "^"+n+"$")
+		split++
+		for _, subtest := range subtests {
+			patterns = append(patterns, "^"+name+"$/^"+regexp.QuoteMeta(subtest)+"$")
+		}
+	}
+	if len(patterns) == 0 {
+		return nil, errors.New("no test was found")
 	}
-	if len(names) == 0 {
-		fmt.Println("FAIL: no test was found")
+	if split != len(splitTests) {
+		return nil, errors.New("splitTests names a test that doesn't exist")
+	}
+	sort.SliceStable(patterns, func(a, b int) bool { return startRank(patterns[a]) > startRank(patterns[b]) })
+	return patterns, nil
+}
+
+// runEachTest runs all tests and gives the exit code: 1 if one failed, or none ran.
+func runEachTest() int {
+	patterns, err := testPatterns()
+	if err != nil {
+		fmt.Println("FAIL:", err)
 		return 1
 	}
-	// Why the longest first: the whole then ends soonest.
-	sort.SliceStable(names, func(a, b int) bool { return startRank(names[a]) > startRank(names[b]) })
 	var mu sync.Mutex
-	bad := 0
-	gate := make(chan struct{}, max(runtime.NumCPU()/2, 1))
+	failed := 0
+	slots := make(chan struct{}, max(runtime.NumCPU()/2, 1))
 	var all sync.WaitGroup
-	for _, n := range names {
-		all.Add(1)
-		gate <- struct{}{}
-		go func() {
-			defer func() { <-gate; all.Done() }()
-			out, took, err := runChild(n)
+	for _, pattern := range patterns {
+		slots <- struct{}{}
+		all.Go(func() {
+			defer func() { <-slots }()
+			out, took, err := runChild(pattern)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				bad++
-				fmt.Printf("--- FAIL: %s (%.1fs): %v\n%s\n", n, took.Seconds(), err, out)
+				failed++
+				fmt.Printf("--- FAIL: %s (%.1fs): %v\n%s\n", pattern, took.Seconds(), err, out)
 			} else if testing.Verbose() {
-				fmt.Printf("--- PASS: %s (%.1fs)\n%s\n", n, took.Seconds(), out)
+				fmt.Printf("--- PASS: %s (%.1fs)\n%s\n", pattern, took.Seconds(), out)
 			}
-		}()
+		})
 	}
 	all.Wait()
-	if bad > 0 {
-		fmt.Printf("FAIL: %d of %d\n", bad, len(names))
+	if failed > 0 {
+		fmt.Printf("FAIL: %d of %d\n", failed, len(patterns))
 		return 1
 	}
 	fmt.Println("PASS")
 	return 0
 }
 
-// startRank tells roughly how long a test takes.
-func startRank(n string) int {
-	for i, s := range []string{"TestFarBehind", "TestMoveAtEveryStep", "TestCancelInMidMove", "TestPeak", "TestStormyDay"} {
-		if strings.Contains(n, s) {
+// startRank is higher for tests that take longer.
+func startRank(pattern string) int {
+	for i, name := range []string{"TestFarBehind", "TestMoveAtEveryStep", "TestCancelInMidMove", "TestPeak", "TestStormyDay"} {
+		if strings.Contains(pattern, name) {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// skipPattern is the pattern of tests that are passed over, as -skip says.
+// skipPattern is the pattern of tests that the flag -skip leaves out.
 func skipPattern() string { return flag.Lookup("test.skip").Value.String() }
 
-func runChild(name string) ([]byte, time.Duration, error) {
+// runChild runs one test in a process of its own.
+func runChild(pattern string) ([]byte, time.Duration, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer stop()
-	q := exec.CommandContext(ctx, os.Args[0], "-test.run", name, "-test.skip", skipPattern(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
-	q.Env = append(os.Environ(), childEnvironment+"=1", "GOMAXPROCS=1")
+	command := exec.CommandContext(ctx, os.Args[0], "-test.run", pattern, "-test.skip", skipPattern(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
+	command.Env = append(os.Environ(), childEnvironment+"=1", "GOMAXPROCS=1")
 	var out bytes.Buffer
-	q.Stdout, q.Stderr = &out, &out
-	from := time.Now()
-	err := q.Run()
-	return out.Bytes(), time.Since(from), err
+	command.Stdout, command.Stderr = &out, &out
+	start := time.Now()
+	err := command.Run()
+	return out.Bytes(), time.Since(start), err
 }
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -5,116 +5,112 @@
 	"time"
 )
 
-// replaceServer puts a new machine in a core machine's place: first the new one, as a
-// planned replacement does, or first the loss. Settings files written later name
-// seeds that are there; those that run keep the old ones.
-func (d *scenario) replaceServer(old string, planned bool) string {
-	zone := d.node(old).zone
-	end := d.Kill
+// replaceServer replaces a server and gives the name of the new one. In a planned
+// replacement the new one comes first, otherwise the loss does. Settings files written
+// later name seeds that are there; nodes that run keep the old ones.
+func (s *scenario) replaceServer(old string, planned bool) string {
+	zone := s.node(old).zone
+	end := s.Kill
 	if planned {
-		end = d.Terminate
+		end = s.Terminate
 	}
 	leave := func() {
 		end(old)
-		d.RemoveNode(old)
-		d.SetSeeds(d.Servers()[:min(len(d.Servers()), 3)]...)
+		s.RemoveNode(old)
+		s.SetSeeds(s.Servers()[:min(len(s.Servers()), 3)]...)
 	}
 	if !planned {
 		leave()
 		time.Sleep(time.Second)
-		return d.AddServer(zone)
+		return s.AddServer(zone)
 	}
-	n := d.AddServer(zone)
+	added := s.AddServer(zone)
 	time.Sleep(2 * time.Second)
 	leave()
-	return n
+	return added
 }
 
-// restartWiped kills a daemon, empties its disk and starts it again.
-func (d *scenario) restartWiped(name string, down time.Duration) {
-	d.Kill(name)
-	d.WipeDisk(name)
-	time.Sleep(down)
-	d.Start(name, d.toleratedLosses)
+// follower gives a server that doesn't lead.
+func (s *scenario) follower() string {
+	return s.nodesExcept(edgeRole, s.Leader(), disklessEdge, "edge-6")[0]
 }
 
-func (d *scenario) follower() string { return d.nodesExcept("edge", d.Leader(), "edge-4", "edge-6")[0] }
-
-// firstLosses are what a second loss comes after; each returns once the machines
-// count again (catchUpS).
-var firstLosses = []struct {
+// namedPlay is something that happens in a scenario, and the name of its subtest.
+type namedPlay struct {
 	name string
-	play func(d *scenario)
-}{
-	{"repair of a follower", func(d *scenario) { d.Restart(3*time.Second, d.follower()) }},
-	{"repair of the leader", func(d *scenario) { d.Restart(3*time.Second, d.Leader()) }},
-	{"wiped follower", func(d *scenario) { d.restartWiped(d.follower(), 500*time.Millisecond) }},
-	{"wiped leader", func(d *scenario) { d.restartWiped(d.Leader(), 500*time.Millisecond) }},
-	{"planned leave of the leader", func(d *scenario) {
-		l := d.Leader()
-		d.Terminate(l)
+	play func(s *scenario)
+}
+
+// firstLosses are losses of a server that are followed by a second one.
+var firstLosses = []namedPlay{
+	{"repair of a follower", func(s *scenario) { s.Restart(3*time.Second, s.follower()) }},
+	{"repair of the leader", func(s *scenario) { s.Restart(3*time.Second, s.Leader()) }},
+	{"wiped follower", func(s *scenario) { s.restartWiped(500*time.Millisecond, s.follower()) }},
+	{"wiped leader", func(s *scenario) { s.restartWiped(500*time.Millisecond, s.Leader()) }},
+	{"planned leave of the leader", func(s *scenario) {
+		leader := s.Leader()
+		s.Terminate(leader)
 		time.Sleep(500 * time.Millisecond)
-		d.Start(l, d.toleratedLosses)
+		s.Start(leader)
 	}},
-	{"planned replacement of a follower", func(d *scenario) { d.replaceServer(d.follower(), true) }},
-	{"planned replacement of the leader", func(d *scenario) { d.replaceServer(d.Leader(), true) }},
-	{"unplanned replacement of a follower", func(d *scenario) { d.replaceServer(d.follower(), false) }},
-	{"unplanned replacement of the leader", func(d *scenario) { d.replaceServer(d.Leader(), false) }},
-	{"two replaced one after another", func(d *scenario) {
-		d.replaceServer(d.follower(), true)
+	{"planned replacement of a follower", func(s *scenario) { s.replaceServer(s.follower(), true) }},
+	{"planned replacement of the leader", func(s *scenario) { s.replaceServer(s.Leader(), true) }},
+	{"unplanned replacement of a follower", func(s *scenario) { s.replaceServer(s.follower(), false) }},
+	{"unplanned replacement of the leader", func(s *scenario) { s.replaceServer(s.Leader(), false) }},
+	{"two replaced one after another", func(s *scenario) {
+		s.replaceServer(s.follower(), true)
 		time.Sleep(catchUpBound)
-		d.replaceServer(d.Leader(), true)
+		s.replaceServer(s.Leader(), true)
 	}},
 }
 
-// TestSecondLoss: after each kind of first loss the leader is lost, once the
-// first machine counts again; a majority is left, and all that was acknowledged
-// is there.
+// TestSecondLoss: after each kind of first loss the leader is lost, once the first server
+// votes again. A majority is left, and all that was acknowledged is there.
 func TestSecondLoss(t *testing.T) {
-	for i, x := range firstLosses {
-		t.Run(x.name, func(t *testing.T) {
-			runScenario(t, threeServers, int64(i+1), func(d *scenario) {
-				d.runOperator(1, 700*time.Millisecond, nil)
+	for i, first := range firstLosses {
+		t.Run(first.name, func(t *testing.T) {
+			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
+				s.runOperator(1, 700*time.Millisecond, nil)
 				time.Sleep(2 * time.Second)
-				x.play(d)
+				first.play(s)
 				time.Sleep(catchUpBound)
-				l := d.Leader()
-				if l == "" {
-					t.Error("nobody leads catchUpS after " + x.name)
+				leader := s.Leader()
+				if leader == "" {
+					t.Errorf("nobody leads %v after %s", catchUpBound, first.name)
 					return
 				}
-				d.Kill(l)
-				d.requireAcknowledgement("with the leader lost")
-				d.restartWiped(l, 0)
+				s.Kill(leader)
+				s.requireAcknowledgement("with the leader lost")
+				s.restartWiped(0, leader)
 				time.Sleep(catchUpBound)
-				d.requireAcknowledgement("with it back, its disk lost")
+				s.requireAcknowledgement("with it back, its disk lost")
 			})
 		})
 	}
 }
 
-// TestMemberLossDuringConfChange: five voters bear two losses; one is replaced or wiped,
-// and while that is under way the leader goes.
+// TestLossInMidChange: five voters tolerate two losses. One server is replaced or wiped,
+// and while that is under way the leader is lost.
 func TestLossInMidChange(t *testing.T) {
-	for i, x := range firstLosses {
-		t.Run(x.name, func(t *testing.T) {
-			runScenario(t, ClusterSpec{Servers: 5, Edges: 1, Agents: 3}, int64(i+1), func(d *scenario) {
-				d.runOperator(1, 700*time.Millisecond, nil)
+	for i, first := range firstLosses {
+		t.Run(first.name, func(t *testing.T) {
+			runScenario(t, ClusterSpec{Servers: 5, Edges: 1, Agents: 3}, int64(i+1), func(s *scenario) {
+				s.runOperator(1, 700*time.Millisecond, nil)
 				time.Sleep(2 * time.Second)
-				x.play(d)
-				time.Sleep(time.Duration(d.random.Intn(900)) * time.Millisecond)
-				l := d.Leader()
-				if l == "" {
+				first.play(s)
+				time.Sleep(time.Duration(s.random.Intn(900)) * time.Millisecond)
+				leader := s.Leader()
+				if leader == "" {
 					time.Sleep(time.Second)
-					l = d.Leader()
+					leader = s.Leader()
 				}
-				if l == "" {
-					t.Error("nobody leads a second after " + x.name)
+				if leader == "" {
+					t.Error("nobody leads a second after " + first.name)
 					return
 				}
-				d.Kill(l)
-				d.requireAcknowledgement("with the leader lost in mid-change")
-				d.Start(l, d.toleratedLosses)
+				s.Kill(leader)
+				s.requireAcknowledgement("with the leader lost in mid-change")
+				s.Start(leader)
 				time.Sleep(catchUpBound)
 			})
 		})
--- a/internal/simulation/runner.go
+++ b/internal/simulation/runner.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
@@ -13,8 +14,17 @@
 	"tealpond/internal/protocol"
 )
 
-// Runner is a stand-in for a runner, by the pages of the protocol. What its
-// calls and runs were goes into the history that the rules are held against.
+// keepAlivePath is the protocol's path for renewing a lease and polling the lists.
+const keepAlivePath = "/-/hold"
+
+// maxLeaseAheadMs is how far ahead a lease may lie that a runner accepts.
+const maxLeaseAheadMs = 10000
+
+// Runner is a stand-in for a runner, by the operators' protocol. A jobSpec of the form
+// "ms=300 cpu=500 fail=1" gives a run's duration, the thousandths of a core that it
+// uses, and how many runs of its task fail. What is called and run goes into a History.
+//
+// Exported fields may be changed at any time, by update.
 type Runner struct {
 	mu               sync.Mutex
 	history          *History
@@ -24,295 +34,322 @@
 	Labels           []string
 	Capacity         protocol.Resources
 	EnforcesCapacity bool
-	incarnation      string
-	incarnations     int
-	clockStart       time.Time
-	clockSlowdown    float64 // its steady clock runs so much slower
-	fence            int64
-	leaseUntil       int64
-	acknowledged     int64
-	lastCompletion   int64
-	runs             map[string]*runnerTask
-	highestRun       map[string]int // the highest run that stopped or ended, by task
-	completions      []protocol.Completion
-	changed          chan struct{}
-	random           *rand.Rand
+	Draining         bool    // it says so in its heartbeats
+	Silent           bool    // it answers nothing
+	LateFraction     float64 // part of the requests carried out late, without an answer
+	Stalled          bool    // tasks make no progress
+	RejectsStarts    bool    // it answers starts with 503, and its heartbeats go on
 
-	Silent        bool    // answers nothing
-	LateFraction  float64 // part of the orders carried out late, without an answer
-	Stalled       bool    // tasks stand still
-	Draining      bool
-	RejectsStarts bool // answers starts with 503 and beats on
-	started       int
-	heartbeatSeq  int64
+	incarnation    string
+	incarnations   int // so far
+	clockStart     time.Time
+	clockSlowdown  float64 // how many times as slow as time its clock runs
+	fence          int64
+	leaseUntil     int64 // on the runner's clock, in ms; 0 if there is no lease
+	acknowledged   int64 // the last completion that was acknowledged
+	lastCompletion int64
+	runs           map[string]*runnerTask // by taskRunKey
+	highestRun     map[string]int         // that stopped or ended, by task
+	completions    []protocol.Completion  // not acknowledged yet
+	changed        chan struct{}          // closed at the next completion
+	random         *rand.Rand
+	started        int // runs
+	heartbeatSeq   int64
 }
 
+// runnerTask is a run under way.
 type runnerTask struct {
 	task      string
 	run       int
 	spec      string
 	duration  time.Duration
 	progress  time.Duration
-	updatedAt time.Time
+	updatedAt time.Time // when progress was
 }
 
-// NewRunner builds a runner of one life.
+func taskRunKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
+
+// NewRunner makes a runner in its first incarnation.
 func NewRunner(history *History, node, service string, seed int64) *Runner {
-	r := &Runner{history: history, Node: node, Service: service, Zone: "z", Labels: []string{"a", "r1"}, Capacity: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000}, EnforcesCapacity: true,
+	runner := &Runner{history: history, Node: node, Service: service, Zone: "z", Labels: []string{"a", "r1"}, Capacity: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000}, EnforcesCapacity: true,
 		changed: make(chan struct{}), random: rand.New(rand.NewSource(seed)), clockSlowdown: 1}
-	r.startIncarnation()
-	return r
+	runner.startIncarnation()
+	return runner
 }
 
-func (r *Runner) startIncarnation() {
-	r.incarnations++
-	r.incarnation = fmt.Sprintf("i-%s-%d", r.Node, r.incarnations)
-	r.clockStart = time.Now().Add(-time.Duration(r.random.Intn(100000)) * time.Millisecond)
-	r.fence, r.leaseUntil, r.acknowledged, r.lastCompletion = 0, 0, 0, 0
-	r.runs, r.highestRun, r.completions = map[string]*runnerTask{}, map[string]int{}, nil
+// startIncarnation begins an incarnation that runs nothing and knows no fence.
+func (runner *Runner) startIncarnation() {
+	runner.incarnations++
+	runner.incarnation = fmt.Sprintf("i-%s-%d", runner.Node, runner.incarnations)
+	runner.clockStart = time.Now().Add(-time.Duration(runner.random.Intn(100000)) * time.Millisecond)
+	runner.fence, runner.leaseUntil, runner.acknowledged, runner.lastCompletion = 0, 0, 0, 0
+	runner.runs, runner.highestRun, runner.completions = map[string]*runnerTask{}, map[string]int{}, nil
 }
 
-func (r *Runner) clock() int64 {
-	return int64(float64(time.Since(r.clockStart).Milliseconds()) / r.clockSlowdown)
+// clock is the runner's monotonic clock, in ms.
+func (runner *Runner) clock() int64 {
+	return int64(float64(time.Since(runner.clockStart).Milliseconds()) / runner.clockSlowdown)
 }
 
 // update changes how the runner behaves from now on.
-func (r *Runner) update(change func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.advance()
+func (runner *Runner) update(change func()) {
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	runner.advance()
 	change()
 }
 
-// Crash ends this life; the next one runs nothing and knows no fence.
-func (r *Runner) Crash() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.advance()
-	for _, x := range r.runs {
-		r.history.record(Event{Kind: "end", Node: r.Node, Incarnation: r.incarnation, Task: x.task, Run: x.run, Outcome: "crashed"})
+// Crash ends this incarnation and begins the next one.
+func (runner *Runner) Crash() {
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	runner.advance()
+	for _, running := range runner.runs {
+		runner.history.record(Event{Kind: EventRunEnded, Node: runner.Node, Incarnation: runner.incarnation, Task: running.task, Run: running.run, Outcome: runCrashed})
 	}
-	r.history.record(Event{Kind: "life", Node: r.Node, Incarnation: r.incarnation})
-	r.startIncarnation()
+	runner.history.record(Event{Kind: EventCrashed, Node: runner.Node, Incarnation: runner.incarnation})
+	runner.startIncarnation()
 }
 
-// advance brings runs and holds up to now.
-func (r *Runner) advance() {
+// advance brings runs and the lease up to now. It is called with r.mu held.
+func (runner *Runner) advance() {
 	now := time.Now()
-	if r.leaseUntil > 0 && r.clock() > r.leaseUntil {
-		for key, running := range r.runs {
-			r.finish(key, running, "lapsed")
+	if runner.leaseUntil > 0 && runner.clock() > runner.leaseUntil {
+		for key, running := range runner.runs {
+			runner.finish(key, running, runLapsed)
 		}
-		r.history.record(Event{Kind: "lapse", Node: r.Node, Incarnation: r.incarnation})
-		r.leaseUntil = 0
+		runner.history.record(Event{Kind: EventLeaseExpired, Node: runner.Node, Incarnation: runner.incarnation})
+		runner.leaseUntil = 0
 	}
-	for key, running := range r.runs {
-		if !r.Stalled {
+	for key, running := range runner.runs {
+		if !runner.Stalled {
 			running.progress += now.Sub(running.updatedAt)
 		}
 		running.updatedAt = now
 		if running.progress >= running.duration {
-			outcome := "done"
-			if r.history.failsNow(running.task, specField(running.spec, "fail")) {
-				outcome = "failed"
+			outcome := runDone
+			if runner.history.failsNow(running.task, specField(running.spec, "fail")) {
+				outcome = runFailed
 			}
-			r.finish(key, running, outcome)
+			runner.finish(key, running, outcome)
 		}
 	}
 }
 
-func (r *Runner) finish(key string, ended *runnerTask, outcome string) {
-	delete(r.runs, key)
-	r.highestRun[ended.task] = max(r.highestRun[ended.task], ended.run)
-	r.lastCompletion++
-	r.completions = append(r.completions, protocol.Completion{Sequence: r.lastCompletion, Task: ended.task, Run: ended.run, Result: outcome})
-	r.history.record(Event{Kind: "end", Node: r.Node, Incarnation: r.incarnation, Task: ended.task, Run: ended.run, Outcome: outcome, Completion: r.lastCompletion})
-	close(r.changed)
-	r.changed = make(chan struct{})
-}
-
-// failsNow tells whether a run fails, as the first most of its task do.
-func (h *History) failsNow(task string, most int) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.failedRuns[task] >= most {
-		return false
-	}
-	h.failedRuns[task]++
-	return true
+// finish ends a run and lists its end.
+func (runner *Runner) finish(key string, ended *runnerTask, outcome string) {
+	delete(runner.runs, key)
+	runner.highestRun[ended.task] = max(runner.highestRun[ended.task], ended.run)
+	runner.lastCompletion++
+	runner.completions = append(runner.completions, protocol.Completion{Sequence: runner.lastCompletion, Task: ended.task, Run: ended.run, Result: outcome})
+	runner.history.record(Event{Kind: EventRunEnded, Node: runner.Node, Incarnation: runner.incarnation, Task: ended.task, Run: ended.run, Outcome: outcome, Completion: runner.lastCompletion})
+	close(runner.changed)
+	runner.changed = make(chan struct{})
 }
 
+// specField is the number that a jobSpec gives for a name, or 0.
 func specField(spec, name string) int {
-	for _, f := range strings.Fields(spec) {
-		if v, ok := strings.CutPrefix(f, name+"="); ok {
-			n, _ := strconv.Atoi(v)
+	for _, field := range strings.Fields(spec) {
+		if value, ok := strings.CutPrefix(field, name+"="); ok {
+			n, _ := strconv.Atoi(value)
 			return n
 		}
 	}
 	return 0
 }
 
-// Call is the runner's side of duty_call.
-func (r *Runner) Call(ctx context.Context, incarnation, path string, body any) agent.RunnerResponse {
-	r.mu.Lock()
+// Call makes a call to the runner, as an agent does over the runner's port. The path is
+// that of the protocol; incarnation is the one that the agent believes to be there.
+func (runner *Runner) Call(ctx context.Context, incarnation, path string, body any) agent.RunnerResponse {
+	runner.mu.Lock()
 	if start, ok := body.(protocol.StartRequest); ok {
-		r.history.record(Event{Kind: "order", Node: r.Node, Incarnation: incarnation, Task: start.TaskID, Run: start.RunID})
+		runner.history.record(Event{Kind: EventStartRequested, Node: runner.Node, Incarnation: incarnation, Task: start.TaskID, Run: start.RunID})
 	}
-	if r.Silent {
-		r.mu.Unlock()
+	if runner.Silent {
+		runner.mu.Unlock()
 		<-ctx.Done()
 		return agent.RunnerResponse{}
 	}
-	if path != "/-/hold" && r.random.Float64() < r.LateFraction {
-		wait := time.Duration(2000+r.random.Intn(10000)) * time.Millisecond
-		r.mu.Unlock()
+	if path != keepAlivePath && runner.random.Float64() < runner.LateFraction {
+		delay := time.Duration(2000+runner.random.Intn(10000)) * time.Millisecond
+		runner.mu.Unlock()
 		go func() {
-			time.Sleep(wait)
-			r.mu.Lock()
-			r.handle(incarnation, path, body)
-			r.mu.Unlock()
+			time.Sleep(delay)
+			runner.mu.Lock()
+			runner.handle(incarnation, body)
+			runner.mu.Unlock()
 		}()
 		<-ctx.Done()
 		return agent.RunnerResponse{}
 	}
-	defer r.mu.Unlock()
+	defer runner.mu.Unlock()
 	if poll, ok := body.(protocol.KeepAliveRequest); ok {
-		return r.renewAndPoll(ctx, incarnation, poll)
+		return runner.keepAlive(ctx, incarnation, poll)
 	}
-	return r.handle(incarnation, path, body)
+	return runner.handle(incarnation, body)
 }
 
-func (r *Runner) reject(reason string) agent.RunnerResponse {
-	return agent.RunnerResponse{StatusCode: 409, Run: protocol.RunResponse{ClockMs: r.clock(), Reason: reason}}
+// accept is the response to a request that was carried out.
+func (runner *Runner) accept() agent.RunnerResponse {
+	return agent.RunnerResponse{StatusCode: http.StatusOK, Run: protocol.RunResponse{ClockMs: runner.clock()}}
 }
 
-func (r *Runner) handle(incarnation, path string, body any) agent.RunnerResponse {
-	r.advance()
-	if incarnation != r.incarnation {
-		return agent.RunnerResponse{StatusCode: 421}
+// reject is the response to a request that is refused for a reason of the protocol.
+func (runner *Runner) reject(reason string) agent.RunnerResponse {
+	return agent.RunnerResponse{StatusCode: http.StatusConflict, Run: protocol.RunResponse{ClockMs: runner.clock(), Reason: reason}}
+}
+
+// handle carries out a start or a stop. It is called with r.mu held.
+func (runner *Runner) handle(incarnation string, body any) agent.RunnerResponse {
+	runner.advance()
+	if incarnation != runner.incarnation {
+		return agent.RunnerResponse{StatusCode: http.StatusMisdirectedRequest}
 	}
-	ok := agent.RunnerResponse{StatusCode: 200, Run: protocol.RunResponse{ClockMs: r.clock()}}
 	switch request := body.(type) {
 	case protocol.StartRequest:
-		if r.RejectsStarts {
-			return agent.RunnerResponse{StatusCode: 503}
-		}
-		if request.Fence < r.fence {
-			return r.reject("fence")
-		}
-		r.fence = request.Fence
-		if request.LeaseUntilMs <= r.clock() {
-			return r.reject("late")
-		}
-		r.leaseUntil = max(r.leaseUntil, request.LeaseUntilMs)
-		key := request.TaskID + "/" + strconv.Itoa(request.RunID)
-		if r.runs[key] != nil {
-			return ok
-		}
-		cpu := int64(specField(request.Spec, "cpu"))
-		for _, running := range r.runs {
-			cpu += int64(specField(running.spec, "cpu"))
-		}
-		if cpu > r.Capacity.CPUUnits && r.EnforcesCapacity {
-			// Why before what is old: the pages name no order, and a refusal
-			// for room must not be taken for "it never ran here".
-			return r.reject("room")
-		}
-		if request.RunID <= r.highestRun[request.TaskID] {
-			return r.reject("old")
-		}
-		r.runs[key] = &runnerTask{task: request.TaskID, run: request.RunID, spec: request.Spec, duration: time.Duration(specField(request.Spec, "ms")) * time.Millisecond, updatedAt: time.Now()}
-		r.history.record(Event{Kind: "start", Node: r.Node, Incarnation: r.incarnation, Task: request.TaskID, Run: request.RunID, JobSpec: request.Spec, CPUInUse: cpu, CPUCapacity: r.Capacity.CPUUnits, EnforcesCapacity: r.EnforcesCapacity})
-		r.started++
-		go r.advanceAfter(r.runs[key].duration)
+		return runner.start(request)
 	case protocol.StopRequest:
-		if request.Fence < r.fence {
-			return r.reject("fence")
-		}
-		r.fence = request.Fence
-		key := request.TaskID + "/" + strconv.Itoa(request.RunID)
-		if running := r.runs[key]; running != nil {
-			r.finish(key, running, "stopped")
-		}
-		r.highestRun[request.TaskID] = max(r.highestRun[request.TaskID], request.RunID)
+		return runner.stop(request)
 	}
-	return ok
+	return runner.accept()
 }
 
-// advanceAfter ticks when a run should be over, so that its end is seen in time.
-func (r *Runner) advanceAfter(d time.Duration) {
-	time.Sleep(d)
-	r.mu.Lock()
-	r.advance()
-	r.mu.Unlock()
+func (runner *Runner) start(request protocol.StartRequest) agent.RunnerResponse {
+	if runner.RejectsStarts {
+		return agent.RunnerResponse{StatusCode: http.StatusServiceUnavailable}
+	}
+	if request.Fence < runner.fence {
+		return runner.reject("fence")
+	}
+	runner.fence = request.Fence
+	if request.LeaseUntilMs <= runner.clock() {
+		return runner.reject("late")
+	}
+	runner.leaseUntil = max(runner.leaseUntil, request.LeaseUntilMs)
+	key := taskRunKey(request.TaskID, request.RunID)
+	if runner.runs[key] != nil {
+		return runner.accept()
+	}
+	cpu := int64(specField(request.Spec, "cpu"))
+	for _, running := range runner.runs {
+		cpu += int64(specField(running.spec, "cpu"))
+	}
+	if cpu > runner.Capacity.CPUUnits && runner.EnforcesCapacity {
+		// This comes before the check for an old run: the protocol names no order,
+		// and a refusal for room must not be taken for "it never ran here".
+		return runner.reject("room")
+	}
+	if request.RunID <= runner.highestRun[request.TaskID] {
+		return runner.reject("old")
+	}
+	runner.runs[key] = &runnerTask{task: request.TaskID, run: request.RunID, spec: request.Spec, duration: time.Duration(specField(request.Spec, "ms")) * time.Millisecond, updatedAt: time.Now()}
+	runner.history.record(Event{Kind: EventRunStarted, Node: runner.Node, Incarnation: runner.incarnation, Task: request.TaskID, Run: request.RunID, JobSpec: request.Spec, CPUInUse: cpu, CPUCapacity: runner.Capacity.CPUUnits, EnforcesCapacity: runner.EnforcesCapacity})
+	runner.started++
+	go runner.advanceAfter(runner.runs[key].duration)
+	return runner.accept()
 }
 
-// renewAndPoll is called and returns with r.mu held.
-func (r *Runner) renewAndPoll(ctx context.Context, incarnation string, poll protocol.KeepAliveRequest) agent.RunnerResponse {
-	r.advance()
-	if incarnation != r.incarnation {
-		return agent.RunnerResponse{StatusCode: 421}
+func (runner *Runner) stop(request protocol.StopRequest) agent.RunnerResponse {
+	if request.Fence < runner.fence {
+		return runner.reject("fence")
 	}
-	if poll.Fence < r.fence {
-		return r.reject("fence")
+	runner.fence = request.Fence
+	key := taskRunKey(request.TaskID, request.RunID)
+	if running := runner.runs[key]; running != nil {
+		runner.finish(key, running, runStopped)
 	}
-	r.fence = poll.Fence
-	if poll.LeaseUntilMs > r.leaseUntil {
-		r.leaseUntil = min(poll.LeaseUntilMs, r.clock()+10000)
+	runner.highestRun[request.TaskID] = max(runner.highestRun[request.TaskID], request.RunID)
+	return runner.accept()
+}
+
+// advanceAfter advances the runner when a run should be over, so that its end is seen
+// in time.
+func (runner *Runner) advanceAfter(d time.Duration) {
+	time.Sleep(d)
+	runner.mu.Lock()
+	runner.advance()
+	runner.mu.Unlock()
+}
+
+// keepAlive renews the lease, takes acknowledgements, and gives the lists of runs once
+// there are completions or the poll's time is up. It is called and returns with r.mu
+// held, and lets go of it while it waits.
+func (runner *Runner) keepAlive(ctx context.Context, incarnation string, poll protocol.KeepAliveRequest) agent.RunnerResponse {
+	runner.advance()
+	if incarnation != runner.incarnation {
+		return agent.RunnerResponse{StatusCode: http.StatusMisdirectedRequest}
 	}
-	if poll.AcknowledgedSequence > r.acknowledged {
-		for n := r.acknowledged + 1; n <= poll.AcknowledgedSequence; n++ {
-			r.history.record(Event{Kind: "note", Node: r.Node, Incarnation: r.incarnation, Completion: n})
-		}
-		r.acknowledged = poll.AcknowledgedSequence
-		keep := r.completions[:0:0]
-		for _, completion := range r.completions {
-			if completion.Sequence > r.acknowledged {
-				keep = append(keep, completion)
-			}
-		}
-		r.completions = keep
+	if poll.Fence < runner.fence {
+		return runner.reject("fence")
+	}
+	runner.fence = poll.Fence
+	if poll.LeaseUntilMs > runner.leaseUntil {
+		runner.leaseUntil = min(poll.LeaseUntilMs, runner.clock()+maxLeaseAheadMs)
 	}
-	if poll.WaitMs > 0 && len(r.completions) == 0 {
-		changed := r.changed
-		r.mu.Unlock()
-		t := time.NewTimer(time.Duration(poll.WaitMs) * time.Millisecond)
+	runner.acknowledge(poll.AcknowledgedSequence)
+	if poll.WaitMs > 0 && len(runner.completions) == 0 {
+		changed := runner.changed
+		runner.mu.Unlock()
+		timer := time.NewTimer(time.Duration(poll.WaitMs) * time.Millisecond)
 		select {
 		case <-changed:
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
-		t.Stop()
-		r.mu.Lock()
-		r.advance()
-		if ctx.Err() != nil || incarnation != r.incarnation || r.Silent {
+		timer.Stop()
+		runner.mu.Lock()
+		runner.advance()
+		if ctx.Err() != nil || incarnation != runner.incarnation || runner.Silent {
 			return agent.RunnerResponse{}
 		}
 	}
-	out := agent.RunnerResponse{StatusCode: 200}
-	out.KeepAlive.ClockMs = r.clock()
-	out.Run.ClockMs = r.clock()
-	for _, running := range r.runs {
-		out.KeepAlive.Running = append(out.KeepAlive.Running, []any{running.task, float64(running.run), "", float64(min(99, 100*running.progress/max(running.duration, 1)))})
+	return runner.lists()
+}
+
+// acknowledge drops the completions up to a number from the list.
+func (runner *Runner) acknowledge(number int64) {
+	if number <= runner.acknowledged {
+		return
+	}
+	for n := runner.acknowledged + 1; n <= number; n++ {
+		runner.history.record(Event{Kind: EventAcknowledged, Node: runner.Node, Incarnation: runner.incarnation, Completion: n})
+	}
+	runner.acknowledged = number
+	kept := runner.completions[:0:0]
+	for _, completion := range runner.completions {
+		if completion.Sequence > number {
+			kept = append(kept, completion)
+		}
+	}
+	runner.completions = kept
+}
+
+// lists is the response that lists what runs and what has ended.
+func (runner *Runner) lists() agent.RunnerResponse {
+	response := runner.accept()
+	response.KeepAlive.ClockMs = response.Run.ClockMs
+	for _, running := range runner.runs {
+		percent := min(99, 100*running.progress/max(running.duration, 1))
+		response.KeepAlive.Running = append(response.KeepAlive.Running, []any{running.task, float64(running.run), "", float64(percent)})
 	}
-	for _, completion := range r.completions {
-		r.history.record(Event{Kind: "listed", Node: r.Node, Incarnation: r.incarnation, Task: completion.Task, Run: completion.Run, Completion: completion.Sequence})
-		out.KeepAlive.Ended = append(out.KeepAlive.Ended, []any{float64(completion.Sequence), completion.Task, float64(completion.Run), completion.Result, completion.Checkpoint})
+	for _, completion := range runner.completions {
+		runner.history.record(Event{Kind: EventListed, Node: runner.Node, Incarnation: runner.incarnation, Task: completion.Task, Run: completion.Run, Completion: completion.Sequence})
+		response.KeepAlive.Ended = append(response.KeepAlive.Ended, []any{float64(completion.Sequence), completion.Task, float64(completion.Run), completion.Result, completion.Checkpoint})
 	}
-	return out
+	return response
 }
 
-// heartbeat is the runner's account of itself.
-func (r *Runner) heartbeat() (string, protocol.Heartbeat) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.advance()
-	r.heartbeatSeq++
-	heartbeat := protocol.Heartbeat{Service: r.Service, Address: "x:1", Zone: r.Zone, State: "ready", FreeResources: r.Capacity, Labels: r.Labels, ClockMs: r.clock(), Sequence: r.heartbeatSeq}
-	if r.Draining {
+// heartbeat is the runner's next heartbeat, and its incarnation.
+func (runner *Runner) heartbeat() (string, protocol.Heartbeat) {
+	runner.mu.Lock()
+	defer runner.mu.Unlock()
+	runner.advance()
+	runner.heartbeatSeq++
+	heartbeat := protocol.Heartbeat{Service: runner.Service, Address: "x:1", Zone: runner.Zone, State: "ready", FreeResources: runner.Capacity, Labels: runner.Labels, ClockMs: runner.clock(), Sequence: runner.heartbeatSeq}
+	if runner.Draining {
 		heartbeat.State = "draining"
-		left := int64(5000)
-		heartbeat.LeavesInMs = &left
+		leavesInMs := int64(5000)
+		heartbeat.LeavesInMs = &leavesInMs
 	}
-	return r.incarnation, heartbeat
+	return runner.incarnation, heartbeat
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -5,142 +5,143 @@
 	"flag"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"regexp"
 	"strings"
 	"sync"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"tealpond/internal/protocol"
 )
 
-// seedMultiplier multiplies the seeds of the tests that play several:
+// seedMultiplier multiplies the number of seeds of the tests that play several:
 //
-//	go test ./internal/sim -run TestStormyDay -sim.longer 10
+//	go test ./internal/simulation -run TestStormyDay -sim.longer 10
 var seedMultiplier = flag.Int("sim.longer", 1, "times as many seeds")
 
 // testSeeds are the fixed seeds of a test, more with -sim.longer.
 func testSeeds(n int) []int64 {
-	var out []int64
+	var seeds []int64
 	for i := range n * *seedMultiplier {
-		out = append(out, int64(i+1))
+		seeds = append(seeds, int64(i+1))
 	}
-	return out
+	return seeds
 }
 
-// Bounds of the tests' settings file (DEPLOY, the example).
+// Bounds that operators set for a cluster, as in the example of their page on deployment.
 const (
-	contactBound       = 3 * time.Second
-	configurationBound = 2 * time.Second
-	catchUpBound       = 4 * time.Second
-	ackBound           = 6 * time.Second
+	contactBound       = 3 * time.Second // a node that was cut off is in touch again
+	configurationBound = 2 * time.Second // a configuration is applied
+	catchUpBound       = 4 * time.Second // a server that was away votes again
+	ackBound           = 6 * time.Second // a change is acknowledged, an election included
 )
 
-// scenario is a cluster's life under a light load of jobs and of operators.
+// scenario is a cluster under a light load of jobs.
 type scenario struct {
 	*Cluster
-	random         *rand.Rand
-	ctx            context.Context
-	stop           context.CancelFunc
-	background     sync.WaitGroup
-	mu             sync.Mutex
-	acceptedJobs   []string      // jobs that were accepted
-	workload       protocol.Job  // handed in again and again
-	submitInterval time.Duration // between two jobs
+	random     *rand.Rand
+	ctx        context.Context // of the load
+	stop       context.CancelFunc
+	background sync.WaitGroup // the load
+
+	mu             sync.Mutex   // guards what follows
+	acceptedJobs   []string     // IDs
+	workload       protocol.Job // submitted again and again
+	submitInterval time.Duration
 }
 
-// runScenario builds a cluster, lets a scenario happen under load and holds what was
-// seen against all rules: nothing acknowledged is lost.
-func runScenario(t *testing.T, spec ClusterSpec, seed int64, play func(d *scenario)) {
+// runScenario makes a cluster, lets something happen under load, and requires that
+// nothing acknowledged is lost and no rule is violated.
+func runScenario(t *testing.T, spec ClusterSpec, seed int64, play func(s *scenario)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, spec)
-		defer c.Shutdown()
-		c.WaitReady()
+	withCluster(t, spec, func(t *testing.T, c *Cluster) {
 		ctx, stop := context.WithCancel(context.Background())
-		d := &scenario{Cluster: c, random: rand.New(rand.NewSource(seed)), ctx: ctx, stop: stop, workload: newJob(400, 400, 2), submitInterval: 300 * time.Millisecond}
-		defer d.background.Wait()
+		s := &scenario{Cluster: c, random: rand.New(rand.NewSource(seed)), ctx: ctx, stop: stop, workload: newJob(400, 400, 2), submitInterval: 300 * time.Millisecond}
+		defer s.background.Wait()
 		defer stop()
 		c.failOnDivergence()
-		d.submitJobs(seed)
-		play(d)
+		s.submitJobs(seed)
+		play(s)
 		if !t.Failed() {
-			d.finish()
+			s.finish()
 		}
-		d.reportViolations()
+		s.reportViolations()
 	})
 }
 
-// failOnDivergence demands that no replica finds itself to differ from the majority.
+// failOnDivergence fails the test if a replica finds that its state differs from that of
+// the majority.
 func (c *Cluster) failOnDivergence() {
-	see := func(line string) {
+	observe := func(line string) {
 		if strings.Contains(line, "event=replica.") {
 			c.T.Error(line)
 		}
 	}
-	c.onLog.Store(&see)
+	c.onLog.Store(&observe)
 }
 
 var digits = regexp.MustCompile(`[0-9]+`)
 
-// reportViolations shows what is broken, the first lines of it.
-func (d *scenario) reportViolations() {
-	broken := d.History.Violations()
+// reportViolations fails the test if there are violations, and shows the first two of
+// each kind: hundreds of calls may fail alike. Violations that differ only in numbers
+// are of one kind.
+func (s *scenario) reportViolations() {
+	s.T.Helper()
+	violations := s.History.Violations()
 	kinds := map[string]int{}
-	for _, b := range broken {
-		// Why by their words: hundreds of calls may fail alike.
-		k := digits.ReplaceAllString(b, "#")
-		if kinds[k]++; kinds[k] <= 2 {
-			d.T.Error(b)
+	for _, violation := range violations {
+		kind := digits.ReplaceAllString(violation, "#")
+		if kinds[kind]++; kinds[kind] <= 2 {
+			s.T.Error(violation)
 		}
 	}
-	if len(broken) > 0 {
-		d.T.Errorf("%d breaks of %d kinds", len(broken), len(kinds))
+	if len(violations) > 0 {
+		s.T.Errorf("%d violations of %d kinds", len(violations), len(kinds))
 	}
 }
 
-// submitJobs hands in jobs until the day closes.
-func (d *scenario) submitJobs(seed int64) {
-	rnd := rand.New(rand.NewSource(seed + 1000))
-	d.background.Go(func() {
-		for i := 0; d.ctx.Err() == nil; i++ {
-			d.mu.Lock()
-			work, pause := d.workload, d.submitInterval
-			d.mu.Unlock()
-			d.background.Go(func() {
-				if d.SubmitJob(jobID(i), work) {
-					d.recordAccepted(jobID(i))
+// submitJobs submits jobs until the load stops.
+func (s *scenario) submitJobs(seed int64) {
+	random := rand.New(rand.NewSource(seed + 1000))
+	s.background.Go(func() {
+		for i := 0; s.ctx.Err() == nil; i++ {
+			s.mu.Lock()
+			job, interval := s.workload, s.submitInterval
+			s.mu.Unlock()
+			s.background.Go(func() {
+				if s.SubmitJob(jobID(i), job) {
+					s.recordAccepted(jobID(i))
 				}
 			})
-			time.Sleep(pause/2 + time.Duration(rnd.Int63n(int64(pause))))
+			time.Sleep(interval/2 + time.Duration(random.Int63n(int64(interval))))
 		}
 	})
 }
 
 // recordAccepted notes a job that must be done in the end.
-func (d *scenario) recordAccepted(id string) {
-	d.mu.Lock()
-	d.acceptedJobs = append(d.acceptedJobs, id)
-	d.mu.Unlock()
+func (s *scenario) recordAccepted(id string) {
+	s.mu.Lock()
+	s.acceptedJobs = append(s.acceptedJobs, id)
+	s.mu.Unlock()
 }
 
-// setWorkload sets what is handed in from now on, and how often.
-func (d *scenario) setWorkload(work protocol.Job, pause time.Duration) {
-	d.mu.Lock()
-	d.workload, d.submitInterval = work, pause
-	d.mu.Unlock()
+// setWorkload sets the job that is submitted from now on, and how often.
+func (s *scenario) setWorkload(job protocol.Job, interval time.Duration) {
+	s.mu.Lock()
+	s.workload, s.submitInterval = job, interval
+	s.mu.Unlock()
 }
 
-// growLog has clients cancel jobs that nobody knows, about rate a second, so that
-// the log grows by as many entries and snapshots are cut.
-func (d *scenario) growLog(rate int, duration time.Duration) {
+// growLog has clients cancel unknown jobs, about rate a second, so that the log grows by
+// as many entries and snapshots are taken.
+func (s *scenario) growLog(rate int, duration time.Duration) {
 	const callers = 16
 	for i := range callers {
-		d.background.Go(func() {
-			edges := d.nodeNames("edge")
-			for k, end := i, time.Now().Add(duration); time.Now().Before(end) && d.ctx.Err() == nil; {
-				if code, _ := d.clientRequest(edges[k%len(edges)], CallCancel, "DELETE", "/p/"+jobID(800000+i), ""); code != 410 {
+		s.background.Go(func() {
+			edges := s.nodeNames(edgeRole)
+			for k, end := i, time.Now().Add(duration); time.Now().Before(end) && s.ctx.Err() == nil; {
+				if code, _ := s.clientRequest(edges[k%len(edges)], CallCancel, http.MethodDelete, defaultPathPrefix+jobID(800000+i), ""); code != http.StatusGone {
 					k++
 				}
 				time.Sleep(callers * time.Second / time.Duration(rate))
@@ -149,43 +150,43 @@
 	}
 }
 
-// runOperator sends changes one after another until the day closes or done is shut;
-// what it gives is shut once it has ended.
-func (d *scenario) runOperator(seed int64, pause time.Duration, done <-chan struct{}) <-chan struct{} {
-	o, ended := d.NewOperator(seed), make(chan struct{})
-	d.background.Go(func() {
+// runOperator has an operator make one change after another until the load stops or done
+// is closed. It returns a channel that is closed when the operator has ended.
+func (s *scenario) runOperator(seed int64, pause time.Duration, done <-chan struct{}) <-chan struct{} {
+	operator, ended := s.NewOperator(seed), make(chan struct{})
+	s.background.Go(func() {
 		defer close(ended)
-		defer o.Close()
+		defer operator.Close()
 		for {
 			select {
-			case <-d.ctx.Done():
+			case <-s.ctx.Done():
 				return
 			case <-done:
 				return
 			default:
 			}
-			o.MakeChange(10 * time.Second)
+			operator.MakeChange(10 * time.Second)
 			time.Sleep(pause)
 		}
 	})
 	return ended
 }
 
-// sendConcurrentChanges sends a change each gap for a while, whatever came of those before:
-// up to eight are under way.
-func (d *scenario) sendConcurrentChanges(seed int64, gap, duration time.Duration) {
-	room := make(chan *Operator, 8)
-	for i := range cap(room) {
-		room <- d.NewOperator(seed*100 + int64(i))
+// sendConcurrentChanges has an operator make a change each interval for a while, whatever
+// became of those before: up to eight are under way.
+func (s *scenario) sendConcurrentChanges(seed int64, interval, duration time.Duration) {
+	idle := make(chan *Operator, 8)
+	for i := range cap(idle) {
+		idle <- s.NewOperator(seed*100 + int64(i))
 	}
-	d.background.Go(func() {
-		for end := time.Now().Add(duration); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(gap) {
+	s.background.Go(func() {
+		for end := time.Now().Add(duration); time.Now().Before(end) && s.ctx.Err() == nil; time.Sleep(interval) {
 			select {
-			case o := <-room:
-				d.background.Go(func() {
-					o.Read(5 * time.Second)
-					o.MakeChange(10 * time.Second)
-					room <- o
+			case operator := <-idle:
+				s.background.Go(func() {
+					operator.Read(5 * time.Second)
+					operator.MakeChange(10 * time.Second)
+					idle <- operator
 				})
 			default:
 			}
@@ -193,107 +194,107 @@
 	})
 }
 
-// requireAcknowledgement demands that a change is acknowledged within the bound (ackMs, and what
-// an election takes): a majority is left.
-func (d *scenario) requireAcknowledgement(when string) {
-	d.T.Helper()
-	o := d.NewOperator(d.random.Int63())
-	defer o.Close()
+// requireAcknowledgement requires that a change is acknowledged within ackBound, since a
+// majority is left.
+func (s *scenario) requireAcknowledgement(when string) {
+	s.T.Helper()
+	operator := s.NewOperator(s.random.Int63())
+	defer operator.Close()
 	for end := time.Now().Add(ackBound); time.Now().Before(end); {
-		o.Read(time.Second)
-		if _, code := o.MakeChange(2 * time.Second); code == 200 {
+		operator.Read(time.Second)
+		if _, code := operator.MakeChange(2 * time.Second); code == http.StatusOK {
 			return
 		}
 	}
-	d.T.Errorf("%s: no change is acknowledged within %v", when, ackBound)
+	s.T.Errorf("%s: no change is acknowledged within %v", when, ackBound)
 }
 
-// finish ends the load and demands that all that was acknowledged is there.
-func (d *scenario) finish() {
-	d.T.Helper()
-	d.stop()
-	d.background.Wait()
+// finish stops the load and requires that all that was acknowledged is there.
+func (s *scenario) finish() {
+	s.T.Helper()
+	s.stop()
+	s.background.Wait()
 	time.Sleep(contactBound)
-	o := d.NewOperator(1)
-	defer o.Close()
-	o.ReadAll(10 * time.Second)
-	at := d.nodeNames("edge")
-	for i, j := range d.acceptedJobs {
-		d.requireJobDone(j, at[i%len(at)])
+	operator := s.NewOperator(1)
+	defer operator.Close()
+	operator.ReadAll(10 * time.Second)
+	edges := s.nodeNames(edgeRole)
+	for i, job := range s.acceptedJobs {
+		s.requireJobDone(job, edges[i%len(edges)])
 	}
-	if len(d.acceptedJobs) == 0 {
-		d.T.Error("no job was accepted")
+	if len(s.acceptedJobs) == 0 {
+		s.T.Error("no job was accepted")
 	}
 }
 
-// requireJobDone demands that a job ends as done; else it tells what was seen of it.
-func (d *scenario) requireJobDone(job, at string) {
-	d.T.Helper()
+// requireJobDone requires that a job is done, and shows what was seen of it if not.
+func (s *scenario) requireJobDone(job, node string) {
+	s.T.Helper()
 	state := ""
 	for end := time.Now().Add(60 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if state = d.JobState(at, job); state == "done" {
+		if state = s.JobState(node, job); state == jobDone {
 			return
 		}
 	}
-	d.T.Errorf("job %s, accepted, is %s at %s for a minute", job, state, at)
-	d.History.mu.Lock()
-	defer d.History.mu.Unlock()
-	for _, f := range d.History.Events {
-		if j, _, _ := splitTaskID(f.Task); j == job {
-			d.T.Logf("%s %s %s run %d on %s %s", f.At.Format("05.000"), f.Kind, f.Task, f.Run, f.Node, f.Outcome)
+	s.T.Errorf("job %s was accepted and is %s at %s for a minute", job, state, node)
+	s.History.mu.Lock()
+	defer s.History.mu.Unlock()
+	for _, event := range s.History.Events {
+		if j, _, _ := splitTaskID(event.Task); j == job {
+			s.T.Logf("%s %s %s run %d on %s %s", event.At.Format("05.000"), event.Kind, event.Task, event.Run, event.Node, event.Outcome)
 		}
 	}
 }
 
-// requireNewestConfiguration demands that a daemon is ready and handles by the newest
-// acknowledged configuration, within the bounds after a trouble's end. No other
-// operator is at work.
-func (d *scenario) requireNewestConfiguration(name string, from time.Time) {
-	d.T.Helper()
-	o := d.NewOperator(9)
-	defer o.Close()
-	o.Read(5 * time.Second)
-	x, code := o.MakeChange(5 * time.Second)
-	if code != 200 {
-		d.T.Errorf("a change after the trouble: %d", code)
+// requireNewestConfiguration requires that a node is ready and applies the newest
+// acknowledged configuration, within the bounds after a fault was repaired. No other
+// operator may be at work.
+func (s *scenario) requireNewestConfiguration(name string, repairedAt time.Time) {
+	s.T.Helper()
+	operator := s.NewOperator(9)
+	defer operator.Close()
+	operator.Read(5 * time.Second)
+	change, code := operator.MakeChange(5 * time.Second)
+	if code != http.StatusOK {
+		s.T.Errorf("a change after the fault gets %d", code)
 		return
 	}
-	left := max(contactBound+configurationBound-time.Since(from), configurationBound)
-	d.WaitUntil(name+" reads the newest configuration", left, func() bool {
-		q := o.ReadAt(name)
-		return q.Code == 200 && q.Version == x.Version
+	left := max(contactBound+configurationBound-time.Since(repairedAt), configurationBound)
+	s.WaitUntil(name+" reads the newest configuration", left, func() bool {
+		call := operator.ReadAt(name)
+		return call.Code == http.StatusOK && call.Version == change.Version
 	})
-	d.WaitUntil(name+" knows the newest route", left, func() bool {
-		code, _ := d.clientRequest(name, CallStatus, "GET", fmt.Sprintf("/v%d/", x.Version), "")
-		return code == 200
+	s.WaitUntil(name+" knows the newest route", left, func() bool {
+		code, _ := s.clientRequest(name, CallStatus, http.MethodGet, fmt.Sprintf("/v%d/", change.Version), "")
+		return code == http.StatusOK
 	})
-	d.WaitUntil(name+" is ready", left, func() bool { return d.IsReady(name) })
+	s.WaitUntil(name+" is ready", left, func() bool { return s.IsReady(name) })
 }
 
-// exerciseNode has an operator and a client call one daemon in all ways, again and
-// again, until done is shut.
-func (d *scenario) exerciseNode(name string, o *Operator, done <-chan struct{}) *sync.WaitGroup {
-	var all sync.WaitGroup
-	repeat := func(f func(i int)) {
-		all.Go(func() {
-			for i := 0; ; i++ {
+// exerciseNode has an operator and a client make all kinds of calls to one node, again and
+// again, until done is closed.
+func (s *scenario) exerciseNode(name string, operator *Operator, done <-chan struct{}) *sync.WaitGroup {
+	var callers sync.WaitGroup
+	repeat := func(call func()) {
+		callers.Go(func() {
+			for {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				f(i)
+				call()
 				time.Sleep(400 * time.Millisecond)
 			}
 		})
 	}
-	repeat(func(i int) {
-		o.ReadAt(name)
-		o.SendAt(name, d.NewChange(o.knownVersion))
+	repeat(func() {
+		operator.ReadAt(name)
+		operator.SendAt(name, s.NewChange(operator.knownVersion))
 	})
-	repeat(func(i int) { d.clientRequest(name, CallStatus, "GET", "/p/"+jobID(0), "") })
-	repeat(func(i int) { d.clientRequest(name, CallStatus, "GET", "/p/"+jobID(900000), "") })
-	repeat(func(i int) { d.clientRequest(name, CallStatus, "GET", "/nowhere/"+jobID(0), "") })
-	repeat(func(i int) { d.clientRequest(name, CallCancel, "DELETE", "/p/"+jobID(900001), "") })
-	return &all
+	repeat(func() { s.clientRequest(name, CallStatus, http.MethodGet, defaultPathPrefix+jobID(0), "") })
+	repeat(func() { s.clientRequest(name, CallStatus, http.MethodGet, defaultPathPrefix+jobID(900000), "") })
+	repeat(func() { s.clientRequest(name, CallStatus, http.MethodGet, "/nowhere/"+jobID(0), "") })
+	repeat(func() { s.clientRequest(name, CallCancel, http.MethodDelete, defaultPathPrefix+jobID(900001), "") })
+	return &callers
 }
--- a/internal/simulation/seeds_test.go
+++ b/internal/simulation/seeds_test.go
@@ -2,52 +2,49 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"testing/synctest"
 	"time"
 )
 
-// TestServerWithoutLiveSeeds: a core daemon is started anew when all of its
-// seeds are gone for good. Its log names the members, so it finds the leader and
-// serves.
+// TestServerWithoutLiveSeeds: a server is restarted when all of its seeds are gone for
+// good. Its log names the members, so it finds the leader and serves.
 func TestServerWithoutLiveSeeds(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, threeServers)
-		defer c.Shutdown()
-		c.WaitReady()
+	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		c.SubmitJob(jobID(0), newJob(300, 500, 2))
-		n := c.nodesExcept("edge", c.Leader(), "edge-4")[0]
+		name := c.nodesExcept(edgeRole, c.Leader(), disklessEdge)[0]
 		c.seeds = nil
 		for i := range 3 {
-			c.seeds = append(c.seeds, fmt.Sprintf("%s:8166", c.hostIP(240+i)))
+			c.seeds = append(c.seeds, address(c.hostIP(240+i), controlPort))
 		}
-		c.Kill(n)
+		c.Kill(name)
 		time.Sleep(time.Second)
-		c.Start(n, 1)
-		c.WaitUntil("the job's state is told there", 5*time.Second, func() bool { return c.JobState(n, jobID(0)) == "done" })
-		l := c.Leader()
-		c.Kill(l)
-		c.WaitUntil("and under the next leader", 6*time.Second, func() bool { return c.JobState(n, jobID(0)) == "done" })
-		c.Start(l, 1)
+		c.Start(name)
+		c.WaitUntil("it tells the job's state", 5*time.Second, func() bool { return c.JobState(name, jobID(0)) == jobDone })
+		leader := c.Leader()
+		c.Kill(leader)
+		c.WaitUntil("it tells the job's state under the next leader", 6*time.Second, func() bool { return c.JobState(name, jobID(0)) == jobDone })
+		c.Start(leader)
 	})
 }
 
-// TestFirstStartWithALoss: one core daemon, the gathering seed itself among them,
-// is ended while the core is being founded, and started again.
+// TestFirstStartWithALoss: a server, the seed that collects the candidates among them, is
+// killed while the cluster is formed, and started again.
 func TestFirstStartWithALoss(t *testing.T) {
-	for _, n := range []string{"edge-1", "edge-2"} {
+	for _, name := range []string{"edge-1", "edge-2"} {
 		for at := 300 * time.Millisecond; at <= 2100*time.Millisecond; at += 300 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				c := NewCluster(t, threeServers)
 				defer c.Shutdown()
 				time.Sleep(at)
-				c.Kill(n)
+				c.Kill(name)
 				time.Sleep(700 * time.Millisecond)
-				c.Start(n, 1)
-				c.WaitUntil(fmt.Sprintf("the first configuration is taken; %s was ended at %v", n, at), 20*time.Second, func() bool { return c.PutConfiguration("edge-4", 1, 0, "") == 200 })
+				c.Start(name)
+				c.WaitUntil(fmt.Sprintf("the first configuration is accepted; %s was killed at %v", name, at), 20*time.Second, func() bool { return c.PutConfiguration(disklessEdge, 1, 0, "") == http.StatusOK })
 				c.WaitUntil("all follow one leader", 5*time.Second, func() bool {
-					l := c.Leader()
-					return l != "" && leaderKnownTo(c, "edge-1") == l && leaderKnownTo(c, "edge-2") == l && leaderKnownTo(c, "edge-3") == l
+					leader := c.Leader()
+					return leader != "" && c.leaderKnownTo("edge-1") == leader && c.leaderKnownTo("edge-2") == leader && c.leaderKnownTo("edge-3") == leader
 				})
 			})
 		}
--- a/internal/simulation/snapshot_test.go
+++ b/internal/simulation/snapshot_test.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// TestFarBehind: a member is cut off while the log grows past what the others
-// keep, is fed a snapshot, cut off in mid-transfer, fed another one, under a
-// storm of changes; after a restart of all, the replicas agree and each leads
-// as well as the others.
+// TestFarBehind: a server is isolated while the log grows past what the others keep, gets
+// a snapshot, is isolated during the transfer, and gets another one, while changes are
+// sent all the time. After a restart of all nodes the replicas agree and each leads as
+// well as the others.
 func TestFarBehind(t *testing.T) {
 	for _, seed := range testSeeds(2) {
 		t.Run(string(rune('0'+seed)), func(t *testing.T) {
-			runScenario(t, threeServers, seed, func(d *scenario) {
-				hit := d.follower()
+			runScenario(t, threeServers, seed, func(s *scenario) {
+				victim := s.follower()
 				if seed%2 == 0 {
-					hit = d.Leader()
+					victim = s.Leader()
 				}
-				d.growLog(400, 28*time.Second)
-				d.sendConcurrentChanges(seed, 250*time.Millisecond, 28*time.Second)
+				s.growLog(400, 28*time.Second)
+				s.sendConcurrentChanges(seed, 250*time.Millisecond, 28*time.Second)
 				time.Sleep(time.Second)
-				mend := d.InjectFault(hit, IsolateBothWays)
+				repair := s.InjectFault(victim, IsolateBothWays)
 				time.Sleep(14 * time.Second)
-				mend()
-				// A frame of a snapshot takes a millisecond or so on this network.
-				time.Sleep(time.Duration(d.random.Intn(80)) * time.Millisecond)
-				mend = d.InjectFault(hit, IsolateInbound)
+				repair()
+				// A chunk of a snapshot takes about a millisecond on this network.
+				time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
+				repair = s.InjectFault(victim, IsolateInbound)
 				time.Sleep(6 * time.Second)
-				mend()
-				time.Sleep(time.Duration(d.random.Intn(80)) * time.Millisecond)
-				d.Restart(300*time.Millisecond, hit)
+				repair()
+				time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
+				s.Restart(300*time.Millisecond, victim)
 				time.Sleep(catchUpBound)
-				d.requireCaughtUp(hit)
-				d.Restart(time.Second, d.nodeNames("")...)
+				s.requireCaughtUp(victim)
+				s.Restart(time.Second, s.nodeNames("")...)
 				time.Sleep(catchUpBound)
-				// Each replica leads once: what one of them lacks is then seen.
+				// Each replica leads once, so that what one of them lacks is seen.
 				for range 2 {
-					l := d.Leader()
-					d.Terminate(l)
+					leader := s.Leader()
+					s.Terminate(leader)
 					time.Sleep(time.Second)
-					d.Start(l, d.toleratedLosses)
-					d.requireAcknowledgement("under the next leader")
+					s.Start(leader)
+					s.requireAcknowledgement("under the next leader")
 				}
 			})
 		})
 	}
 }
 
-// requireCaughtUp demands that a member has applied about as much as the others.
-func (d *scenario) requireCaughtUp(name string) {
-	d.T.Helper()
-	d.WaitUntil(name+" has caught up", catchUpBound, func() bool {
-		most := uint64(0)
-		for _, n := range d.Servers() {
-			most = max(most, d.AppliedIndex(n))
+// requireCaughtUp requires that a server has applied about as much as the others.
+func (s *scenario) requireCaughtUp(name string) {
+	s.T.Helper()
+	s.WaitUntil(name+" has caught up", catchUpBound, func() bool {
+		highest := uint64(0)
+		for _, name := range s.Servers() {
+			highest = max(highest, s.AppliedIndex(name))
 		}
-		return d.AppliedIndex(name)+200 > most
+		return s.AppliedIndex(name)+200 > highest
 	})
 }
