--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -3,8 +3,10 @@
 import (
 	"errors"
 	"io/fs"
+	"slices"
 	"strings"
 	"testing"
+	"time"
 )
 
 // validFile is in order, and holds a key that is not known.
@@ -65,3 +67,34 @@
 		t.Errorf("%#v", err)
 	}
 }
+
+// TestDerivedAddressesAndLease: ports are the same on all machines, the two processes
+// of one machine share its range, and a lease is no longer than its limit.
+func TestDerivedAddressesAndLease(t *testing.T) {
+	file := File{IPAddress: "10.1.0.10", InnerPortRange: []int{7720, 7735}, SeedNodes: []string{"10.1.0.11:8166", "10.1.0.12:8166"}, Bounds: Bounds{MaxLeaseMs: 6000}}
+	if got := file.InternalAddress(); got != "10.1.0.10:7720" {
+		t.Errorf("internal address: %s", got)
+	}
+	if got := file.AgentAddress(); got != "10.1.0.10:7721" {
+		t.Errorf("agent's address: %s", got)
+	}
+	if got := file.SeedAddresses(); !slices.Equal(got, []string{"10.1.0.11:7720", "10.1.0.12:7720"}) {
+		t.Errorf("seeds: %v", got)
+	}
+	if file.InnerPortRange = []int{7720, 7720}; file.AgentAddress() != "10.1.0.10:7720" {
+		t.Errorf("agent's address in a range of one port: %s", file.AgentAddress())
+	}
+	if long, short := file.LeaseDuration(time.Minute), file.LeaseDuration(time.Second); long != 6*time.Second || short != time.Second {
+		t.Errorf("leases: %v, %v", long, short)
+	}
+	for _, test := range []struct {
+		dataDir    string
+		lossCounts bool
+		want       bool
+	}{{"/data", true, true}, {"/data", false, false}, {"", true, false}} {
+		file.DataDir, file.LossCounts = test.dataDir, test.lossCounts
+		if file.HoldsState() != test.want {
+			t.Errorf("%+v: holds state %v", test, !test.want)
+		}
+	}
+}
