--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -16,15 +16,36 @@
 	"tealpond/internal/tuning"
 )
 
+// phase is a named state of a request on its way through this process.
+type phase string
+
+const (
+	phaseRead     phase = "read"
+	phaseValidate phase = "validate"
+	phaseForward  phase = "forward"
+	phaseRespond  phase = "respond"
+	phaseDone     phase = "done"
+)
+
+// phaseHandlers do the work of each phase and give the next one. An error ends
+// the request.
+var phaseHandlers = map[phase]func(*jobRequest) (phase, error){
+	phaseRead:     (*jobRequest).read,
+	phaseValidate: (*jobRequest).validate,
+	phaseForward:  (*jobRequest).forward,
+	phaseRespond:  (*jobRequest).respond,
+}
+
 // jobRequest is one request of a client about a job, on its way through this
 // process.
 type jobRequest struct {
-	server *Server
-	client echo.Context
-	ctx    context.Context // ends when the client's time is used up
-	kind   string          // of the request to the leader
-	body   []byte
-	job    rpc.JobRequest
+	server   *Server
+	client   echo.Context
+	ctx      context.Context // ends when the client's time is used up
+	kind     string          // of the request to the leader
+	body     []byte
+	job      rpc.JobRequest
+	response rpc.Response // of the leader
 }
 
 // jobRequestKinds are the kinds of requests to the leader, by method.
@@ -39,37 +60,16 @@
 	ctx, cancel := context.WithTimeout(c.Request().Context(), remainingTime(c.Request()))
 	defer cancel()
 	request := &jobRequest{server: s, client: c, ctx: ctx}
-	body, err := request.serve()
-	if err != nil {
-		request.writeError(statusOf(err))
-		return nil
+	for next := phaseRead; next != phaseDone; {
+		var err error
+		if next, err = phaseHandlers[next](request); err != nil {
+			request.writeError(statusOf(err))
+			return nil
+		}
 	}
-	_ = c.JSON(http.StatusOK, body)
 	return nil
 }
 
-// serve reads, validates and forwards the request; it gives the body of the
-// answer.
-func (r *jobRequest) serve() (any, error) {
-	if err := r.read(); err != nil {
-		return nil, err
-	}
-	if err := r.validate(); err != nil {
-		return nil, err
-	}
-	response := r.forward()
-	if err := errorOf(r.operation(), response); err != nil {
-		return nil, err
-	}
-	switch {
-	case r.kind != rpc.KindJobStatus:
-		return struct{}{}, nil
-	case response.Text == "count":
-		return map[string]int64{"waitingCount": response.Value}, nil
-	}
-	return map[string]string{"state": response.Text}, nil
-}
-
 // remainingTime is the time left to the client, less what an answer takes to
 // arrive.
 func remainingTime(request *http.Request) time.Duration {
@@ -97,23 +97,23 @@
 }
 
 // read reads the request within the limits of the configuration in force.
-func (r *jobRequest) read() error {
+func (r *jobRequest) read() (phase, error) {
 	request := r.client.Request()
 	r.kind = jobRequestKinds[request.Method]
 	if r.kind == "" {
-		return &statusError{status: http.StatusMethodNotAllowed, text: "this method is not served"}
+		return "", &statusError{status: http.StatusMethodNotAllowed, text: "this method is not served"}
 	}
 	size := headerSize(request)
 	if _, err := r.server.checkSize(r.ctx, func(l *sizeLimits) bool { return size > l.headerBytes }, errHeaderTooLarge); err != nil {
-		return err
+		return "", err
 	}
 	body, err := r.readBody(request)
 	if err != nil {
-		return err
+		return "", err
 	}
 	r.body = body
 	r.job = rpc.JobRequest{Host: request.Host, Path: request.URL.Path}
-	return nil
+	return phaseValidate, nil
 }
 
 // headerSize is the size in bytes that the limit of headers bounds: the target
@@ -155,27 +155,48 @@
 }
 
 // validate decodes a submitted job and checks it.
-func (r *jobRequest) validate() error {
+func (r *jobRequest) validate() (phase, error) {
 	if r.kind != rpc.KindSubmitJob {
-		return nil
+		return phaseForward, nil
 	}
 	if err := json.Unmarshal(r.body, &r.job.Job); err != nil {
-		return badRequest("the job cannot be read: " + err.Error())
+		return "", badRequest("the job cannot be read: " + err.Error())
 	}
-	return ValidateJob(&r.job.Job)
+	return phaseForward, ValidateJob(&r.job.Job)
 }
 
 // forward brings the request to the leader; requests that change a job leave
 // marks in the trace.
-func (r *jobRequest) forward() rpc.Response {
+func (r *jobRequest) forward() (phase, error) {
 	if r.kind == rpc.KindJobStatus {
-		return r.server.Call(r.ctx, r.kind, &r.job)
+		r.response = r.server.Call(r.ctx, r.kind, &r.job)
+		return phaseRespond, nil
 	}
 	id := r.job.Path[strings.LastIndexByte(r.job.Path, '/')+1:]
 	r.server.env.Trace.Record(id, "taken", 0, r.kind)
-	response := r.server.Call(r.ctx, r.kind, &r.job)
-	r.server.env.Trace.Record(id, "answered", int64(response.Code), r.kind)
-	return response
+	r.response = r.server.Call(r.ctx, r.kind, &r.job)
+	r.server.env.Trace.Record(id, "answered", int64(r.response.Code), r.kind)
+	return phaseRespond, nil
+}
+
+// respond writes the answer.
+func (r *jobRequest) respond() (phase, error) {
+	if err := errorOf(r.operation(), r.response); err != nil {
+		return "", err
+	}
+	_ = r.client.JSON(http.StatusOK, r.responseBody())
+	return phaseDone, nil
+}
+
+// responseBody is the body of an answer that has status 200.
+func (r *jobRequest) responseBody() any {
+	switch {
+	case r.kind != rpc.KindJobStatus:
+		return struct{}{}
+	case r.response.Text == "count":
+		return map[string]int64{"waitingCount": r.response.Value}
+	}
+	return map[string]string{"state": r.response.Text}
 }
 
 func (r *jobRequest) operation() operation {
--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -5,5 +5,5 @@
 //
 // It holds nothing that may not be lost: the replicated state of either cluster
 // keeps every step, and each call can be repeated without harm. It never decides
-// whether a job may start; package state does. See docs/foresee.md.
+// whether a job may start; package state does. See docs/forecast.md.
 package federation
--- a/internal/federation/settings.go
+++ b/internal/federation/settings.go
@@ -1,83 +1,92 @@
-// Package federation hands deferrable jobs to a peer cluster before this one is
-// crowded, and takes part in the peer's doing so. The stores of both keep
-// every step; see docs/forecast.md.
 package federation
 
 import (
 	"bytes"
+	"fmt"
 	"net"
 	"os"
 	"time"
 
 	"github.com/BurntSushi/toml"
 	"github.com/zeebo/errs"
+
+	"tealpond/internal/settings"
 )
 
-// Error is the class of faults of moves.
+// Error is the class of errors of the settings file.
 var Error = errs.Class("move")
 
+const (
+	// minKeyLength is the least number of characters of a peer's key.
+	minKeyLength = 16
+	// minIntervalMs is the shortest time between two rounds of the Offloader.
+	minIntervalMs = 100
+)
+
 // Peer is another cluster.
 type Peer struct {
 	Name  string   `toml:"name"`
-	Seeds []string `toml:"seeds"` // inner addresses of its edge daemons
+	Seeds []string `toml:"seeds"` // addresses of its edge daemons for other daemons
 	Key   string   `toml:"key"`   // shared by both, signs each call
 }
 
-// Route is a route that may move: jobs of Here go to There at Peer.
+// Route is a route whose jobs may move: those of LocalRoute to PeerRoute at the peer.
 type Route struct {
 	LocalRoute string `toml:"here"`
 	Peer       string `toml:"peer"`
 	PeerRoute  string `toml:"there"`
 }
 
-// Settings is the file that turns moving on.
+// Settings is the file (TOML) that turns moving jobs between clusters on.
 type Settings struct {
-	Name           string  `toml:"name"`
-	BucketS        float64 `toml:"bucketS"`
-	DayS           float64 `toml:"dayS"`
-	MinDays        int     `toml:"leastDays"`
-	HorizonBuckets int     `toml:"horizonBuckets"`
-	CrowdedShare   float64 `toml:"crowdedAt"`
-	LendShare      float64 `toml:"lendShare"`
-	LoanS          float64 `toml:"loanS"`
-	MaxOffers      int     `toml:"eachTime"`
-	IntervalMs     int64   `toml:"pauseMs"`
+	Name           string  `toml:"name"`           // of this cluster
+	BucketS        float64 `toml:"bucketS"`        // length of a bucket of the record of demand, s
+	DayS           float64 `toml:"dayS"`           // length of a day, s
+	MinDays        int     `toml:"leastDays"`      // without so many days of record there is no forecast
+	HorizonBuckets int     `toml:"horizonBuckets"` // how far ahead a crowd matters
+	CrowdedShare   float64 `toml:"crowdedAt"`      // the part of the room from which it is crowded
+	LendShare      float64 `toml:"lendShare"`      // the most of the room that is lent
+	LoanS          float64 `toml:"loanS"`          // how long room is borrowed, s
+	MaxOffers      int     `toml:"eachTime"`       // jobs that are offered in one round
+	IntervalMs     int64   `toml:"pauseMs"`        // between two rounds
 	Peers          []Peer  `toml:"peers"`
 	Routes         []Route `toml:"lanes"`
 }
 
-// Load reads and checks the file; a fault names its field.
+// Load reads and checks the file at path. The error is of class Error and names the
+// file; a fault of a field is a *settings.FieldError.
 func Load(path string) (Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, Error.New("%s: cannot be read: %v", path, err)
+		return Settings{}, Error.New("%s: cannot be read: %w", path, err)
 	}
 	return Parse(path, raw)
 }
 
-// Parse checks raw.
+// Parse reads and checks the content of the file at path. Unknown keys are faults,
+// unlike those of a daemon's settings: the file is tealpond's own, and a typing error
+// would leave something off without a word. The error is as that of Load.
 func Parse(path string, raw []byte) (Settings, error) {
-	settings := Settings{BucketS: 300, DayS: 86400, MinDays: 2, HorizonBuckets: 6, CrowdedShare: 0.8, LendShare: 0.3, LoanS: 1800, MaxOffers: 8, IntervalMs: 1000}
-	metadata, err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&settings)
+	file := Settings{BucketS: 300, DayS: 86400, MinDays: 2, HorizonBuckets: 6, CrowdedShare: 0.8, LendShare: 0.3, LoanS: 1800, MaxOffers: 8, IntervalMs: 1000}
+	metadata, err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&file)
 	if err != nil {
-		return Settings{}, Error.New("%s: %v", path, err)
+		return Settings{}, Error.New("%s: %w", path, err)
 	}
 	if undecoded := metadata.Undecoded(); len(undecoded) > 0 {
-		// Why strict here: it is our own file, and a typing error would
-		// leave something off without a word.
-		return Settings{}, Error.New("%s: field %s: unknown", path, undecoded[0])
+		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: undecoded[0].String(), Fault: "unknown"})
 	}
-	if field, fault := settings.firstFault(); field != "" {
-		return Settings{}, Error.New("%s: field %s: %s", path, field, fault)
+	if field, fault := file.firstFault(); field != "" {
+		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: field, Fault: fault})
 	}
-	return settings, nil
+	return file, nil
 }
 
-func (s *Settings) firstFault() (string, string) {
+// firstFault gives the first field that is not in order, and why; empty if all are.
+func (s *Settings) firstFault() (field, fault string) {
 	for _, check := range []struct {
 		field string
 		ok    bool
-		why   string
+		fault string
 	}{
 		{"name", s.Name != "", "is missing"},
 		{"bucketS", s.BucketS > 0 && s.DayS >= 2*s.BucketS, "must be above 0 and at most half of dayS"},
@@ -87,20 +96,36 @@
 		{"lendShare", s.LendShare >= 0 && s.LendShare <= 1, "must be from 0 to 1"},
 		{"loanS", s.LoanS > 0, "must be above 0"},
 		{"eachTime", s.MaxOffers >= 1, "must be at least 1"},
-		{"pauseMs", s.IntervalMs >= 100, "must be at least 100"},
+		{"pauseMs", s.IntervalMs >= minIntervalMs, fmt.Sprintf("must be at least %d", minIntervalMs)},
 		{"peers", len(s.Peers) > 0, "names no peer"},
 	} {
 		if !check.ok {
-			return check.field, check.why
+			return check.field, check.fault
+		}
+	}
+	if field, fault := s.peerFault(); field != "" {
+		return field, fault
+	}
+	for _, route := range s.Routes {
+		switch {
+		case route.LocalRoute == "" || route.PeerRoute == "":
+			return "lanes", "here or there is missing"
+		case s.findPeer(route.Peer) == nil:
+			return "lanes.peer", route.Peer + " is not among peers"
 		}
 	}
+	return "", ""
+}
+
+// peerFault gives the first fault of the peers.
+func (s *Settings) peerFault() (field, fault string) {
 	known := map[string]bool{}
 	for _, peer := range s.Peers {
 		switch {
 		case peer.Name == "" || peer.Name == s.Name || known[peer.Name]:
 			return "peers.name", "is missing, stands twice or is our own"
-		case len(peer.Key) < 16:
-			return "peers.key", "wants 16 characters or more"
+		case len(peer.Key) < minKeyLength:
+			return "peers.key", fmt.Sprintf("wants %d characters or more", minKeyLength)
 		case len(peer.Seeds) == 0:
 			return "peers.seeds", "is missing"
 		}
@@ -111,17 +136,10 @@
 		}
 		known[peer.Name] = true
 	}
-	for _, route := range s.Routes {
-		switch {
-		case route.LocalRoute == "" || route.PeerRoute == "":
-			return "lanes", "here or there is missing"
-		case !known[route.Peer]:
-			return "lanes.peer", route.Peer + " is not among peers"
-		}
-	}
 	return "", ""
 }
 
+// findPeer finds a peer by name; nil if there is none.
 func (s *Settings) findPeer(name string) *Peer {
 	for i := range s.Peers {
 		if s.Peers[i].Name == name {
@@ -131,4 +149,5 @@
 	return nil
 }
 
+// seconds turns a number of seconds of the file into a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -2,7 +2,7 @@
 //
 // It is pure: a record goes in, a prediction with its spread comes out. It keeps
 // nothing and acts on nothing; package federation does. How it compares with simpler
-// methods is measured by its tests and stands in docs/foresee.md.
+// methods is measured by its tests and stands in docs/forecast.md.
 package forecast
 
 import "math"
