--- a/internal/simulation/peak_test.go
+++ b/internal/simulation/peak_test.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// TestPeakWithAndWithoutMoving is the measurement of docs/foresee.md.
+// TestPeakWithAndWithoutMoving is the measurement of docs/forecast.md.
 func TestPeakWithAndWithoutMoving(t *testing.T) {
 	off, on := peakTest{}.run(t), peakTest{moving: true}.run(t)
 	for _, x := range []struct {
