--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -72,31 +72,19 @@
 
 func TestRunnerSilentAndBack(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		runner := c.Runners["side-2"]
-		runner.update(func() { runner.Silent = true })
-		time.Sleep(4 * time.Second)
-		runner.update(func() { runner.Silent = false })
+		c.changeRunners(4*time.Second, func(r *Runner, on bool) { r.Silent = on }, "side-2")
 	}, nil)
 }
 
 func TestStalledTasksAreRestarted(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		runner := c.Runners["side-1"]
-		runner.update(func() { runner.Stalled = true })
-		time.Sleep(5 * time.Second)
-		runner.update(func() { runner.Stalled = false })
+		c.changeRunners(5*time.Second, func(r *Runner, on bool) { r.Stalled = on }, "side-1")
 	}, nil)
 }
 
 func TestRunnerRequestsCarriedOutLate(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		for _, runner := range c.Runners {
-			runner.update(func() { runner.LateFraction = 0.3 })
-		}
-		time.Sleep(6 * time.Second)
-		for _, runner := range c.Runners {
-			runner.update(func() { runner.LateFraction = 0 })
-		}
+		c.changeRunners(6*time.Second, carryOutLate(0.3))
 	}, nil)
 }
 
--- a/internal/simulation/harness_test.go
+++ b/internal/simulation/harness_test.go
@@ -83,6 +83,33 @@
 	c.SetPartition(name, false, others...)
 }
 
+// changeRunners changes runners, or all if none is named, and changes them back after a
+// while. What the change is says set: on at first, then off.
+func (c *Cluster) changeRunners(duration time.Duration, set func(r *Runner, on bool), names ...string) {
+	if len(names) == 0 {
+		names = c.nodeNames(agentRole)
+	}
+	for _, on := range []bool{true, false} {
+		for _, name := range names {
+			runner := c.Runners[name]
+			runner.update(func() { set(runner, on) })
+		}
+		if on {
+			time.Sleep(duration)
+		}
+	}
+}
+
+// carryOutLate is a change of runners: they carry out a part of the requests late.
+func carryOutLate(fraction float64) func(r *Runner, on bool) {
+	return func(r *Runner, on bool) {
+		r.LateFraction = 0
+		if on {
+			r.LateFraction = fraction
+		}
+	}
+}
+
 // requireNoViolations runs all checkers on what was seen.
 func (c *Cluster) requireNoViolations() {
 	c.T.Helper()
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -18,7 +18,7 @@
 	incarnation, _ := c.Runners[name].heartbeat()
 	c.WaitUntil("the sign-off of "+name+" is acknowledged", 3*time.Second, func() bool {
 		code, _, _ := c.request(http.MethodPost, c.nodeURL(name, controlPort, "/-/Runners.SignOff/")+incarnation, "", "", nil)
-		return code == 200
+		return code == http.StatusOK
 	})
 	return incarnation
 }
--- a/internal/simulation/operator_races_test.go
+++ b/internal/simulation/operator_races_test.go
@@ -64,29 +64,25 @@
 // same version, while answers are lost. Each is in force wholly or not at all, one wins
 // each race, and it stays acknowledged ever after.
 func TestOperatorsRace(t *testing.T) {
-	for _, seed := range testSeeds(3) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenario(t, threeServers, seed, func(s *scenario) {
-				operators := s.newOperators(8, 0.7)
-				for i := range 6 {
-					sent := s.raceOperators(operators, i%2 == 1)
-					winners := 0
-					for _, acknowledged := range s.History.Acknowledged() {
-						for _, change := range sent {
-							if acknowledged.Text == change.Text {
-								winners++
-							}
-						}
-					}
-					if winners > 1 {
-						t.Errorf("round %d: %d of 8 changes on one base were acknowledged", i, winners)
+	runScenarios(t, 3, threeServers, func(s *scenario, _ int64) {
+		operators := s.newOperators(8, 0.7)
+		for i := range 6 {
+			sent := s.raceOperators(operators, i%2 == 1)
+			winners := 0
+			for _, acknowledged := range s.History.Acknowledged() {
+				for _, change := range sent {
+					if acknowledged.Text == change.Text {
+						winners++
 					}
 				}
-				s.resendAcknowledged(s.random, "at once", 4)
-				closeAll(operators)
-			})
-		})
-	}
+			}
+			if winners > 1 {
+				s.T.Errorf("round %d: %d of 8 changes on one base were acknowledged", i, winners)
+			}
+		}
+		s.resendAcknowledged(s.random, "at once", 4)
+		closeAll(operators)
+	})
 }
 
 // TestChangeResent: an acknowledged change that is sent again, to any node, is
@@ -126,27 +122,23 @@
 // TestOperatorsDuringRestarts: eight operators go on sending while the leader or all
 // servers are restarted, soon after a change was sent.
 func TestOperatorsDuringRestarts(t *testing.T) {
-	for _, seed := range testSeeds(3) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenario(t, threeServers, seed, func(s *scenario) {
-				operators := s.newOperators(8, 0.5)
-				for i := range 4 {
-					restarted := make(chan struct{})
-					go func() {
-						defer close(restarted)
-						time.Sleep(time.Duration(5+s.random.Intn(395)) * time.Millisecond)
-						victims := []string{s.Leader()}
-						if victims[0] == "" || i%2 == 1 {
-							victims = s.Servers()
-						}
-						s.Restart(700*time.Millisecond, victims...)
-					}()
-					s.raceOperators(operators, i%2 == 0)
-					<-restarted
-					s.resendAcknowledged(s.random, fmt.Sprint("after restart ", i), 3)
+	runScenarios(t, 3, threeServers, func(s *scenario, _ int64) {
+		operators := s.newOperators(8, 0.5)
+		for i := range 4 {
+			restarted := make(chan struct{})
+			go func() {
+				defer close(restarted)
+				time.Sleep(time.Duration(5+s.random.Intn(395)) * time.Millisecond)
+				victims := []string{s.Leader()}
+				if victims[0] == "" || i%2 == 1 {
+					victims = s.Servers()
 				}
-				closeAll(operators)
-			})
-		})
-	}
+				s.Restart(700*time.Millisecond, victims...)
+			}()
+			s.raceOperators(operators, i%2 == 0)
+			<-restarted
+			s.resendAcknowledged(s.random, fmt.Sprint("after restart ", i), 3)
+		}
+		closeAll(operators)
+	})
 }
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -42,10 +42,7 @@
 // refuses every start. The work goes elsewhere.
 func TestRunnerRejectsStartsWhileReady(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		runner := c.Runners["side-2"]
-		runner.update(func() { runner.RejectsStarts = true })
-		time.Sleep(5 * time.Second)
-		runner.update(func() { runner.RejectsStarts = false })
+		c.changeRunners(5*time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, "side-2")
 	}, nil)
 }
 
@@ -55,9 +52,7 @@
 	runWithFault(t, threeServers, func(c *Cluster) {
 		runner := c.Runners["side-2"]
 		for range 6 {
-			runner.update(func() { runner.Silent = true })
-			time.Sleep(700 * time.Millisecond)
-			runner.update(func() { runner.Silent = false })
+			c.changeRunners(700*time.Millisecond, func(r *Runner, on bool) { r.Silent = on }, "side-2")
 			runner.Crash()
 			time.Sleep(700 * time.Millisecond)
 		}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -70,6 +70,16 @@
 	})
 }
 
+// runScenarios is runScenario with several seeds, each in a subtest.
+func runScenarios(t *testing.T, seeds int, spec ClusterSpec, play func(s *scenario, seed int64)) {
+	t.Helper()
+	for _, seed := range testSeeds(seeds) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			runScenario(t, spec, seed, func(s *scenario) { play(s, seed) })
+		})
+	}
+}
+
 // failOnDivergence fails the test if a replica finds that its state differs from that of
 // the majority.
 func (c *Cluster) failOnDivergence() {
--- a/internal/simulation/snapshot_test.go
+++ b/internal/simulation/snapshot_test.go
@@ -10,41 +10,37 @@
 // sent all the time. After a restart of all nodes the replicas agree and each leads as
 // well as the others.
 func TestFarBehind(t *testing.T) {
-	for _, seed := range testSeeds(2) {
-		t.Run(string(rune('0'+seed)), func(t *testing.T) {
-			runScenario(t, threeServers, seed, func(s *scenario) {
-				victim := s.follower()
-				if seed%2 == 0 {
-					victim = s.Leader()
-				}
-				s.growLog(400, 28*time.Second)
-				s.sendConcurrentChanges(seed, 250*time.Millisecond, 28*time.Second)
-				time.Sleep(time.Second)
-				repair := s.InjectFault(victim, IsolateBothWays)
-				time.Sleep(14 * time.Second)
-				repair()
-				// A chunk of a snapshot takes about a millisecond on this network.
-				time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
-				repair = s.InjectFault(victim, IsolateInbound)
-				time.Sleep(6 * time.Second)
-				repair()
-				time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
-				s.Restart(300*time.Millisecond, victim)
-				time.Sleep(catchUpBound)
-				s.requireCaughtUp(victim)
-				s.Restart(time.Second, s.nodeNames("")...)
-				time.Sleep(catchUpBound)
-				// Each replica leads once, so that what one of them lacks is seen.
-				for range 2 {
-					leader := s.Leader()
-					s.Terminate(leader)
-					time.Sleep(time.Second)
-					s.Start(leader)
-					s.requireAcknowledgement("under the next leader")
-				}
-			})
-		})
-	}
+	runScenarios(t, 2, threeServers, func(s *scenario, seed int64) {
+		victim := s.follower()
+		if seed%2 == 0 {
+			victim = s.Leader()
+		}
+		s.growLog(400, 28*time.Second)
+		s.sendConcurrentChanges(seed, 250*time.Millisecond, 28*time.Second)
+		time.Sleep(time.Second)
+		repair := s.InjectFault(victim, IsolateBothWays)
+		time.Sleep(14 * time.Second)
+		repair()
+		// A chunk of a snapshot takes about a millisecond on this network.
+		time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
+		repair = s.InjectFault(victim, IsolateInbound)
+		time.Sleep(6 * time.Second)
+		repair()
+		time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
+		s.Restart(300*time.Millisecond, victim)
+		time.Sleep(catchUpBound)
+		s.requireCaughtUp(victim)
+		s.Restart(time.Second, s.nodeNames("")...)
+		time.Sleep(catchUpBound)
+		// Each replica leads once, so that what one of them lacks is seen.
+		for range 2 {
+			leader := s.Leader()
+			s.Terminate(leader)
+			time.Sleep(time.Second)
+			s.Start(leader)
+			s.requireAcknowledgement("under the next leader")
+		}
+	})
 }
 
 // requireCaughtUp requires that a server has applied about as much as the others.
