--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -27,9 +27,9 @@
 
 func newTestCluster(tb testing.TB, workers int) *testCluster {
 	c := &testCluster{tb: tb, store: state.New(state.Limits{JobRetentionMs: 1000, MaxReplans: 2, RemoteFactor: 3}), completions: map[string]int64{}}
-	c.apply("replace", &state.ReplaceConfiguration{Raw: []byte(testConfiguration)})
+	c.apply(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{Raw: []byte(testConfiguration)})
 	for i := range workers {
-		c.apply("takeup", &state.RegisterWorker{ID: workerID(i), Node: "n" + workerID(i), Service: "s", Zone: fmt.Sprint("z", i%9),
+		c.apply(state.CommandRegisterWorker, &state.RegisterWorker{ID: workerID(i), Node: "n" + workerID(i), Service: "s", Zone: fmt.Sprint("z", i%9),
 			Labels: []string{"a", fmt.Sprint("r", i/7)}, Capacity: protocol.Resources{CPUUnits: 16000, MemoryMB: 32768}, LeavesInMs: -1})
 	}
 	return c
@@ -38,9 +38,9 @@
 func workerID(i int) string { return fmt.Sprintf("i-%06d", i) }
 
 // apply commits a command, 2 ms after the one before.
-func (c *testCluster) apply(kind string, command state.Command) state.Outcome {
+func (c *testCluster) apply(name string, command state.Command) state.Outcome {
 	c.clock += 2
-	raw, err := cbor.Marshal(state.Batch{Clock: c.clock, WallClock: c.clock, Commands: []state.EncodedCommand{state.EncodeCommand(kind, command)}})
+	raw, err := cbor.Marshal(state.Batch{Clock: c.clock, WallClock: c.clock, Commands: []state.EncodedCommand{state.EncodeCommand(name, command)}})
 	if err != nil {
 		c.tb.Helper()
 		c.tb.Fatal(err)
@@ -51,14 +51,14 @@
 // advance lets time pass until the state's clock shows it.
 func (c *testCluster) advance(ms int64) {
 	c.clock += ms
-	c.apply("sweep", &state.CollectGarbage{})
+	c.apply(state.CommandCollectGarbage, &state.CollectGarbage{})
 }
 
 // submit submits a job and returns its ID.
 func (c *testCluster) submit(prefix string, steps ...protocol.Step) string {
 	c.submitted++
 	id := fmt.Sprintf("%016x", c.submitted)
-	if outcome := c.apply("handin", &state.SubmitJob{Host: "h", Path: prefix + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}); outcome.Code != 200 {
+	if outcome := c.apply(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: prefix + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}); outcome.Code != state.CodeOK {
 		c.tb.Helper()
 		c.tb.Fatal(outcome.Text)
 	}
@@ -69,7 +69,7 @@
 func (c *testCluster) planAndBind(p *Planner) int {
 	plans := p.Plan(c.store)
 	if len(plans) > 0 {
-		c.apply("book", &state.ApplyPlans{Plans: plans})
+		c.apply(state.CommandApplyPlans, &state.ApplyPlans{Plans: plans})
 	}
 	n := 0
 	for _, plan := range plans {
@@ -82,7 +82,7 @@
 func (c *testCluster) complete(allocation *state.Allocation) {
 	worker := c.store.Workers[allocation.Worker]
 	c.completions[allocation.Worker]++
-	c.apply("ends", &state.ReportCompletions{Worker: allocation.Worker, Fence: worker.Fence,
+	c.apply(state.CommandReportCompletions, &state.ReportCompletions{Worker: allocation.Worker, Fence: worker.Fence,
 		Completions: []protocol.Completion{{Sequence: c.completions[allocation.Worker], Task: allocation.TaskName(), Run: allocation.Run, Result: "done"}}})
 }
 
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -19,7 +19,7 @@
 	if c.planAndBind(p) != 0 || len(p.Preemptions(c.store)) == 0 {
 		t.Fatal("urgent work that waits preempts nothing")
 	}
-	c.apply("cancel", &state.CancelJob{ID: id})
+	c.apply(state.CommandCancelJob, &state.CancelJob{ID: id})
 	c.planAndBind(p)
 	if ids := p.Preemptions(c.store); len(ids) > 0 {
 		t.Errorf("%d runs preempted for a canceled job", len(ids))
