--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -30,7 +30,7 @@
 
 // confChangeVoterSets returns the sets of a configuration entry.
 func confChangeVoterSets(data []byte) ([][]string, error) {
-	voters, outgoing, err := DecodeConfChange(data)
+	voters, outgoing, err := decodeConfChange(data)
 	return voterIDSets(voters, outgoing), err
 }
 
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -19,7 +19,7 @@
 // Kinds of entries.
 const (
 	EntryNormal     EntryKind = iota // a command for the replicated state
-	EntryConfChange                  // a new configuration, see DecodeConfChange
+	EntryConfChange                  // a new configuration
 	EntryNoop                        // the first entry of a leader's term, without data
 )
 
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -7,7 +7,7 @@
 // checksum.
 //
 // A file is checked page by page before bbolt opens it. The package never changes
-// a file that it can't read: one that is provably corrupt is renamed, and the
+// a file that it can't read: one that is provably corrupt is set aside, and the
 // daemon goes on under a new identity (see Open); after any other fault the file is
 // left as it is and the call may be repeated (see UnavailableError, VersionError).
 package storage
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -4,7 +4,7 @@
 
 // CorruptError means that the file is provably not what this program last synced:
 // it is no bbolt file, its pages contradict each other, or a record can't be read.
-// Open renames such a file, and the daemon takes a new identity.
+// Open sets such a file aside, and the daemon takes a new identity.
 type CorruptError struct {
 	Location string // page, bucket or record
 	Reason   string
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -56,22 +56,24 @@
 // before it came to that; a failure of this sync counts only while the file holds
 // nothing but an identity.
 //
-// A file that is provably corrupt or of another program is renamed (only the newest
-// of them is kept) and the daemon goes on under a new identity; the returned string
-// is the reason, else empty. What can still be read of such a file is not used,
-// since an entry or a vote that this identity acknowledged may be in the other part,
-// and the cluster relies on it. Under a new identity the daemon is another member,
+// A file that is provably corrupt or of another program is set aside under another
+// name (only the newest of them is kept) and the daemon goes on under a new identity;
+// setAsideReason tells why, and is else empty. What can still be read of such a file is
+// not used, since an entry or a vote that this identity acknowledged may be in the other
+// part, and the cluster relies on it. Under a new identity the daemon is another member,
 // which neither votes nor counts until the leader has brought it up to date.
 //
 // Any other fault is an *UnavailableError or a *VersionError, and leaves all files
 // as they are.
-func Open(dir string) (*Store, Recovered, string, error) { return osFileSystem.open(dir) }
+func Open(dir string) (store *Store, recovered Recovered, setAsideReason string, err error) {
+	return osFileSystem.open(dir)
+}
 
 func (fs fileSystem) open(dir string) (*Store, Recovered, string, error) {
 	path := filepath.Join(dir, fileName)
 	store, recovered, err := fs.loadFile(path)
 	var corruptErr *CorruptError
-	reason := ""
+	setAsideReason := ""
 	switch {
 	case err == nil:
 		if err := fs.syncDirectory(dir); err != nil && recovered.isUnused() {
@@ -81,27 +83,27 @@
 		return store, recovered, "", nil
 	case errors.Is(err, errUninitialized):
 	case errors.As(err, &corruptErr):
-		reason = corruptErr.Error()
+		setAsideReason = corruptErr.Error()
 		if err := fs.rename(path, path+corruptSuffix); err != nil {
-			return nil, Recovered{}, reason, unavailable("put aside", err)
+			return nil, Recovered{}, setAsideReason, unavailable("put aside", err)
 		}
 		if err := fs.syncDirectory(dir); err != nil {
-			return nil, Recovered{}, reason, unavailable("sync folder", err)
+			return nil, Recovered{}, setAsideReason, unavailable("sync folder", err)
 		}
 	default:
 		return nil, Recovered{}, "", err
 	}
 	if err := fs.create(dir, path); err != nil {
-		return nil, Recovered{}, reason, err
+		return nil, Recovered{}, setAsideReason, err
 	}
 	if store, recovered, err = fs.loadFile(path); err != nil {
 		if errors.As(err, &corruptErr) || errors.Is(err, errUninitialized) {
 			err = unavailable("read what was just written", err)
 		}
-		return nil, Recovered{}, reason, err
+		return nil, Recovered{}, setAsideReason, err
 	}
 	recovered.NewIdentity = true
-	return store, recovered, reason, nil
+	return store, recovered, setAsideReason, nil
 }
 
 // errUninitialized means that there is no file, or one that never got an identity,
--- a/internal/storage/open_retry.go
+++ b/internal/storage/open_retry.go
@@ -11,41 +11,43 @@
 // OpenWithRetry is Open, repeated for as long as it fails, with a backoff that grows
 // to a bound. It calls onWait after each failure, and at regular intervals while a
 // call hangs. The only error that it returns is that of ctx.
-func OpenWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
+func OpenWithRetry(
+	ctx context.Context, dir string, onWait func(error),
+) (store *Store, recovered Recovered, setAsideReason string, err error) {
 	return osFileSystem.openWithRetry(ctx, dir, onWait)
 }
 
 // openResult is the outcome of one call of Open.
 type openResult struct {
-	store     *Store
-	recovered Recovered
-	reason    string
-	err       error
+	store          *Store
+	recovered      Recovered
+	setAsideReason string
+	err            error
 }
 
 func (fs fileSystem) openWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, string, error) {
 	backoff := tuning.StorageRetryBackoff
-	reason := "" // of the last attempt that renamed a file
+	setAsideReason := "" // of the last attempt that set a file aside
 	for {
 		results := make(chan openResult, 1)
 		go func() {
 			var result openResult
-			result.store, result.recovered, result.reason, result.err = fs.open(dir)
+			result.store, result.recovered, result.setAsideReason, result.err = fs.open(dir)
 			results <- result
 		}()
 		result, err := awaitOpen(ctx, results, onWait)
 		if err != nil {
-			return nil, Recovered{}, reason, err
+			return nil, Recovered{}, setAsideReason, err
 		}
-		if result.reason != "" {
-			reason = result.reason
+		if result.setAsideReason != "" {
+			setAsideReason = result.setAsideReason
 		}
 		if result.err == nil {
-			return result.store, result.recovered, reason, nil
+			return result.store, result.recovered, setAsideReason, nil
 		}
 		onWait(result.err)
 		if sleep(ctx, backoff); ctx.Err() != nil {
-			return nil, Recovered{}, reason, ctx.Err()
+			return nil, Recovered{}, setAsideReason, ctx.Err()
 		}
 		backoff = min(2*backoff, tuning.MaxStorageRetryBackoff)
 	}
