--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -14,7 +14,7 @@
 // time until it is to be called again, or 0.
 func (a *Agent) superviseHealth(session *runnerSession) time.Duration {
 	silent := session.silent(a.now)
-	unhealthy := silent || a.now.Sub(session.lastStuckAt) < tuning.StalledRunnerExclusion
+	unhealthy := silent || a.now.Sub(session.lastStalledAt) < tuning.StalledRunnerExclusion
 	if unhealthy != session.reportedUnhealthy && !session.reportingHealth {
 		a.reportHealth(session, unhealthy, silent)
 	}
@@ -55,7 +55,7 @@
 			// another fence.
 			a.declareResult(session, run, protocol.ResultRefused)
 		case expired:
-			a.declareResult(session, run, protocol.ResultLapsed)
+			a.declareResult(session, run, protocol.ResultLeaseExpired)
 		}
 	}
 }
--- a/internal/agent/model_worker_test.go
+++ b/internal/agent/model_worker_test.go
@@ -53,7 +53,7 @@
 	if w.leaseUntilMs > 0 && w.clockMs() > w.leaseUntilMs {
 		w.leaseUntilMs, w.lapsedAt = 0, time.Now()
 		for task := range w.runs {
-			w.end(task, protocol.ResultLapsed)
+			w.end(task, protocol.ResultLeaseExpired)
 		}
 	}
 	for task, r := range w.runs {
@@ -126,12 +126,12 @@
 	switch request := body.(type) {
 	case protocol.StartRequest:
 		if w.overtaken(request.Fence) {
-			return w.reject(protocol.ReasonFence)
+			return w.reject(protocol.ReasonStaleFence)
 		}
 		return w.start(request)
 	case protocol.StopRequest:
 		if w.overtaken(request.Fence) {
-			return w.reject(protocol.ReasonFence)
+			return w.reject(protocol.ReasonStaleFence)
 		}
 		if r, there := w.runs[request.TaskID]; there && r.run == request.RunID {
 			w.end(request.TaskID, protocol.ResultStopped)
@@ -139,7 +139,7 @@
 		w.highestRun[request.TaskID] = max(w.highestRun[request.TaskID], request.RunID)
 	case protocol.KeepAliveRequest:
 		if w.overtaken(request.Fence) {
-			return w.reject(protocol.ReasonFence)
+			return w.reject(protocol.ReasonStaleFence)
 		}
 		return w.keepAlive(request)
 	}
@@ -166,17 +166,17 @@
 // start starts a run, and demands that its task neither runs nor was done.
 func (w *modelWorker) start(request protocol.StartRequest) RunnerResponse {
 	if request.LeaseUntilMs <= w.clockMs() {
-		return w.reject(protocol.ReasonLate)
+		return w.reject(protocol.ReasonLeaseEnded)
 	}
 	w.leaseUntilMs = max(w.leaseUntilMs, request.LeaseUntilMs)
 	if r, there := w.runs[request.TaskID]; there && r.run == request.RunID {
 		return w.accept()
 	}
 	if len(w.runs) >= 6 {
-		return w.reject(protocol.ReasonRoom)
+		return w.reject(protocol.ReasonNoResources)
 	}
 	if request.RunID <= w.highestRun[request.TaskID] {
-		return w.reject(protocol.ReasonOld)
+		return w.reject(protocol.ReasonAlreadyStarted)
 	}
 	if other := w.m.running[request.TaskID]; other != "" {
 		w.m.t.Errorf("TWICE: %s/%d starts on %s while it runs on %s", request.TaskID, request.RunID, w.incarnation, other)
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -124,7 +124,7 @@
 func (a *Agent) handleKeepAlive(session *runnerSession, request protocol.KeepAliveRequest, poll uint64, response RunnerResponse) {
 	if response.StatusCode != http.StatusOK {
 		session.pollFailures++
-		if response.refusedFor(protocol.ReasonFence) {
+		if response.refusedFor(protocol.ReasonStaleFence) {
 			a.registerRunner(session)
 		}
 		return
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -35,7 +35,7 @@
 	}
 	_ = a.log.Log("level", "warn", "event", "run.stalled", "task", progress.Task, "run", progress.Run, "percent", progress.Percent, "unchanged_ms", unchangedFor.Milliseconds())
 	run.stopRequested = true
-	session.lastStuckAt = a.now
+	session.lastStalledAt = a.now
 }
 
 // noteProgress takes note of how far a run is and gives for how long that has not
--- a/internal/agent/reconcile_test.go
+++ b/internal/agent/reconcile_test.go
@@ -50,7 +50,7 @@
 
 // TestRunIsForgottenOnceItsCompletionIsListed: also where a result was declared.
 func TestRunIsForgottenOnceItsCompletionIsListed(t *testing.T) {
-	for _, declared := range []string{"", protocol.ResultLapsed} {
+	for _, declared := range []string{"", protocol.ResultLeaseExpired} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, 1)
 			f.assign(0)
@@ -77,7 +77,7 @@
 		"starting":                {runStarting, "", runRunning},
 		"stopping":                {runStopping, "", runStopping},
 		"stopped":                 {runStopped, "", runStopped},
-		"running though declared": {runRunning, protocol.ResultLapsed, runStopping},
+		"running though declared": {runRunning, protocol.ResultLeaseExpired, runStopping},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, 1)
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -204,11 +204,11 @@
 func (a *Agent) handleStartRefusal(session *runnerSession, run *taskRun, reason string) {
 	_ = a.log.Log("level", "info", "event", "run.start_refused", "task", run.assignment.Task, "run", run.assignment.Run, "reason", reason)
 	switch reason {
-	case protocol.ReasonFence:
+	case protocol.ReasonStaleFence:
 		a.registerRunner(session)
-	case protocol.ReasonLate:
+	case protocol.ReasonLeaseEnded:
 		run.notBefore = a.now.Add(lateStartPause)
-	case protocol.ReasonOld:
+	case protocol.ReasonAlreadyStarted:
 		// It is there, or was: the lists will tell.
 		run.phase = runRunning
 	default:
@@ -244,7 +244,7 @@
 	body := protocol.StopRequest{TaskID: run.assignment.Task, RunID: run.assignment.Run, Fence: session.fence}
 	a.callRunner(session, run, pathStop, body, func(session *runnerSession, run *taskRun, response RunnerResponse) {
 		switch {
-		case response.refusedFor(protocol.ReasonFence):
+		case response.refusedFor(protocol.ReasonStaleFence):
 			a.registerRunner(session)
 		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusConflict:
 			run.phase = runStopped
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -35,7 +35,7 @@
 	// Health.
 	unansweredCalls   int // in a row
 	lastResponseAt    time.Time
-	lastStuckAt       time.Time // when a run last stood still
+	lastStalledAt     time.Time // when a run last stood still
 	reportedUnhealthy bool      // what the leader holds it for
 	reportingHealth   bool
 	runtimeSamples    []runtimeSample
--- a/internal/protocol/runner.go
+++ b/internal/protocol/runner.go
@@ -49,10 +49,10 @@
 
 // Reasons of a runner's refusal.
 const (
-	ReasonFence = "fence" // it has seen a higher fence
-	ReasonOld   = "old"   // that run, or a later one of the task, was there
-	ReasonLate  = "late"  // the lease had ended when the start came
-	ReasonRoom  = "room"  // the resources are taken
+	ReasonStaleFence     = "fence" // it has seen a higher fence
+	ReasonAlreadyStarted = "old"   // that run, or a later one of the task, was there
+	ReasonLeaseEnded     = "late"  // the lease had ended when the start came
+	ReasonNoResources    = "room"  // the resources are taken
 )
 
 // KeepAliveRequest extends the lease of all that runs, acknowledges completions
--- a/internal/protocol/runner_lists.go
+++ b/internal/protocol/runner_lists.go
@@ -2,10 +2,10 @@
 
 // Results of a run, as a runner lists them.
 const (
-	ResultDone    = "done"
-	ResultFailed  = "failed"  // by its own fault or the runner's
-	ResultStopped = "stopped" // it was told to stop
-	ResultLapsed  = "lapsed"  // its lease ended
+	ResultDone         = "done"
+	ResultFailed       = "failed"  // by its own fault or the runner's
+	ResultStopped      = "stopped" // it was told to stop
+	ResultLeaseExpired = "lapsed"  // its lease ended
 	// ResultRefused is never listed by a runner: an agent reports it of a run
 	// that surely never started there.
 	ResultRefused = "refused"
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -102,7 +102,7 @@
 		return true
 	}
 	worker := s.Workers[placement.Worker]
-	if worker == nil || !s.placementHolds(job, instance, step, worker, placement) {
+	if worker == nil || !s.placementStillValid(job, instance, step, worker, placement) {
 		return false
 	}
 	lock := s.Devices[taskLockID(TaskName(job.ID, instance.Number, step, placement.TaskIndex), placement.Copy)]
@@ -131,10 +131,10 @@
 	return true
 }
 
-// placementHolds tells whether a placement still holds on its worker's present
+// placementStillValid tells whether a placement still holds on its worker's present
 // row. The version changes when the worker drains or its lease expires, which
 // the plan didn't know of.
-func (s *Store) placementHolds(job *Job, instance *JobInstance, step int, worker *Worker, placement Placement) bool {
+func (s *Store) placementStillValid(job *Job, instance *JobInstance, step int, worker *Worker, placement Placement) bool {
 	if worker.Version != placement.WorkerVersion || !s.Feasible(job, step, worker) {
 		return false
 	}
