--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,6 +16,9 @@
 	"tealpond/internal/tuning"
 )
 
+// eventQueueLength is how many inputs may wait for the agent's loop.
+const eventQueueLength = 1024
+
 // event is an input of the agent's loop; one field is set.
 type event struct {
 	heartbeat  *heartbeatRequest
@@ -51,19 +54,30 @@
 	trace             *tracing.Ring
 	session           *runnerSession       // of the present incarnation; nil: no heartbeat was heard yet
 	signedOff         map[string]time.Time // incarnations that signed off, and when they leave
-	endedIncarnations map[string]bool      // those that are over for the state or the runner
+	endedIncarnations map[string]bool      // ended according to the leader's state or to the runner
 	callsInFlight     int                  // to the runner, about its runs
-	appliedIndex      uint64               // the newest state that a response spoke of
+	appliedIndex      uint64               // the highest index of the log that a response named as applied
 	ctx               context.Context      // of Run
-	now               time.Time            // of the present turn of the loop
+	now               time.Time            // when the loop began with its present input
 }
 
 // New builds the side role over a way to call its runner.
 func New(env daemon.Environment, runner RunnerClient) *Agent {
-	a := &Agent{settings: env.Settings, log: env.Log, reload: env.Reload, process: env.ProcessID, events: make(chan event, 1024), runner: runner, trace: env.Trace}
-	a.discovery = discovery.NewClient(discovery.Options{Seeds: env.Settings.SeedAddresses(), PreferAggregator: true,
-		OnAssignment: func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
-		OnConnected:  func() { go func() { a.events <- event{renew: true} }() }})
+	a := &Agent{
+		settings: env.Settings,
+		log:      env.Log,
+		reload:   env.Reload,
+		process:  env.ProcessID,
+		events:   make(chan event, eventQueueLength),
+		runner:   runner,
+		trace:    env.Trace,
+	}
+	a.discovery = discovery.NewClient(discovery.Options{
+		Seeds:            env.Settings.SeedAddresses(),
+		PreferAggregator: true,
+		OnAssignment:     func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
+		OnConnected:      func() { go func() { a.events <- event{renew: true} }() },
+	})
 	a.callLeader = a.discovery.Call
 	return a
 }
@@ -71,7 +85,8 @@
 // runKey names one run of a task.
 func runKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
 
-// post has a function called by the loop, with what came of a call.
+// post has the loop call a function, such as one that takes the response to a
+// call; it does nothing once the agent ends.
 func (a *Agent) post(callback func()) {
 	select {
 	case a.events <- event{callback: callback}:
@@ -112,8 +127,8 @@
 	}()
 }
 
-// advance does all that is due and gives the time until more is; 0: only an
-// input brings more.
+// advance does all that is due and returns the time until it must be called
+// again; 0 if there is nothing to do before the next input.
 func (a *Agent) advance(now time.Time) time.Duration {
 	a.now = now
 	session := a.session
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -19,15 +19,23 @@
 	reporting  bool // it is being reported again
 }
 
-// reportCompletions has completions committed, before they are acknowledged to the
-// runner, and checkpoints with them; startsList tells that the completions begin
-// the runner's list.
-func (a *Agent) reportCompletions(session *runnerSession, completions []protocol.Completion, startsList bool, checkpoints []protocol.RunProgress) {
+// reportCompletions has the leader commit completions, which are acknowledged to
+// the runner only after that, and checkpoints with them. Callers set startsList if
+// the first completion is also the first of the runner's list.
+func (a *Agent) reportCompletions(
+	session *runnerSession, completions []protocol.Completion, startsList bool, checkpoints []protocol.RunProgress,
+) {
 	fence, committedBefore := session.fence, session.committedSequence
 	if len(completions) > 0 {
 		session.reportsInFlight++
 	}
-	command := &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: completions, FromOldest: startsList, Checkpoints: checkpoints}
+	command := &state.ReportCompletions{
+		Worker:      session.id,
+		Fence:       fence,
+		Completions: completions,
+		FromOldest:  startsList,
+		Checkpoints: checkpoints,
+	}
 	a.requestLeader(rpc.KindReportCompletions, command, reportTimeout, func(response rpc.Response) {
 		if a.session != session {
 			return
@@ -59,9 +67,9 @@
 	})
 }
 
-// noteCommitted takes note of the prefix of completions that the state holds. It
-// goes by the response, never by the last one reported, since earlier ones may be
-// lost.
+// noteCommitted takes note of the prefix of completions that is committed. It is
+// the one that the response names, never the last one reported, since an earlier
+// report may have been lost.
 func (a *Agent) noteCommitted(session *runnerSession, response rpc.Response, committedBefore, fence int64) {
 	if response.Text != "" {
 		_ = a.log.Log("level", "error", "event", "completions.mismatched", "worker", session.id, "fence", fence, "error", response.Text)
@@ -94,9 +102,9 @@
 	return completions
 }
 
-// reportAgain reports a completion once more, after an assignment of its run: the
-// state seems to hold the run as open. Mostly the two only crossed on their way;
-// if not, the report closes the run.
+// reportAgain reports a completion once more when the leader assigns its run again.
+// Usually the assignment and the first report crossed on their way; otherwise the
+// run is still open in the state, and this report closes it.
 func (a *Agent) reportAgain(session *runnerSession, done *completedRun) {
 	if done.completion.Sequence > session.committedSequence || done.reporting {
 		// It is being reported, or will be once it is listed again.
@@ -114,7 +122,7 @@
 		case response.Code == rpc.CodeOK:
 			a.noteCommitted(session, response, committedBefore, fence)
 		case fence != session.fence:
-			// Under a new fence all is assigned anew.
+			// Under a new fence the leader sends all assignments again.
 		case response.Code == rpc.CodeConflict:
 			a.registerRunner(session)
 		case response.Code != rpc.CodeGone:
@@ -123,8 +131,8 @@
 	})
 }
 
-// remember takes note of a completion. Old ones are forgotten once the state holds
-// them, since it assigns their runs no more.
+// remember takes note of a completion. Old ones are forgotten once they are
+// committed, since their runs are never assigned again.
 func (s *runnerSession) remember(completion protocol.Completion, now time.Time) {
 	if s.completed == nil {
 		s.completed = map[string]*completedRun{}
@@ -147,16 +155,16 @@
 	s.completed[key] = &completedRun{completion: completion, notedAt: now}
 }
 
-// declareResult has a run closed that the runner's lists will never name. It is
-// final: the run is never started again under this fence, since a report that
-// brought no response may be committed at any later time.
+// declareResult closes a run that the runner's lists will never name, with a result
+// that the agent gives. It is final: the run is never started again under this
+// fence, since a report that had no response may still be committed later.
 func (a *Agent) declareResult(session *runnerSession, run *taskRun, result string) {
 	run.declaredResult = result
 	a.reportDeclared(session, run)
 }
 
-// reportDeclared has a run's declared result committed, again until a response
-// says that it is; it gives the time until it is to be called again, or 0.
+// reportDeclared reports a run's declared result until a response says that it is
+// committed. It returns the time until it must be called again, or 0.
 func (a *Agent) reportDeclared(session *runnerSession, run *taskRun) time.Duration {
 	if run.declaredResult == "" || run.reporting {
 		return 0
@@ -165,7 +173,8 @@
 		return remaining
 	}
 	run.reporting = true
-	fence, committedBefore, key := session.fence, session.committedSequence, runKey(run.assignment.Task, run.assignment.Run)
+	key := runKey(run.assignment.Task, run.assignment.Run)
+	fence, committedBefore := session.fence, session.committedSequence
 	completion := protocol.Completion{Task: run.assignment.Task, Run: run.assignment.Run, Result: run.declaredResult}
 	command := &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{completion}}
 	a.requestLeader(rpc.KindReportCompletions, command, reportTimeout, func(response rpc.Response) {
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -9,9 +9,9 @@
 	"tealpond/internal/tuning"
 )
 
-// superviseHealth tells the leader when the runner becomes unhealthy or healthy
-// again, and closes what a silent runner can no longer be running; it gives the
-// time until it is to be called again, or 0.
+// superviseHealth reports to the leader when the runner becomes unhealthy or
+// healthy again, and closes what a silent runner can no longer be running. It
+// returns the time until it must be called again, or 0.
 func (a *Agent) superviseHealth(session *runnerSession) time.Duration {
 	silent := session.silent(a.now)
 	unhealthy := silent || a.now.Sub(session.lastStalledAt) < tuning.StalledRunnerExclusion
@@ -28,12 +28,18 @@
 	return 0
 }
 
-// reportHealth tells the leader whether the runner is unhealthy: it is assigned
-// nothing while it is.
+// reportHealth reports to the leader whether the runner is unhealthy: nothing new
+// is assigned to an unhealthy runner.
 func (a *Agent) reportHealth(session *runnerSession, unhealthy, silent bool) {
 	session.reportingHealth = true
 	_ = a.log.Log("level", "warn", "event", "runner.health_changed", "worker", session.id, "unhealthy", unhealthy, "silent", silent)
-	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: session.drainingCommitted, LeavesInMs: a.leavesInMs(session), Unhealthy: unhealthy}, healthTimeout, func(response rpc.Response) {
+	command := &state.SetEligibility{
+		ID:         session.id,
+		Draining:   session.drainingCommitted,
+		LeavesInMs: a.leavesInMs(session),
+		Unhealthy:  unhealthy,
+	}
+	a.requestLeader(rpc.KindSetEligibility, command, healthTimeout, func(response rpc.Response) {
 		session.reportingHealth = false
 		if response.Code == rpc.CodeOK {
 			session.reportedUnhealthy = unhealthy
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -9,7 +9,8 @@
 	"tealpond/internal/state"
 )
 
-// handleHeartbeat takes a heartbeat; a new id is a new incarnation of the runner.
+// handleHeartbeat handles a heartbeat; a new ID is a new incarnation of the
+// runner. The answer waits until the leader has committed what it confirms.
 func (a *Agent) handleHeartbeat(request *heartbeatRequest) {
 	session := a.session
 	if a.endedIncarnations[request.id] && session != nil && session.id != request.id {
@@ -23,8 +24,8 @@
 		return
 	}
 	if request.heartbeat.Sequence < session.heartbeatSequence {
-		// It is acknowledged all the same: it was heard, only later than a
-		// newer one.
+		// A heartbeat that arrives after a newer one is acknowledged, and
+		// otherwise ignored.
 		request.status <- http.StatusOK
 		return
 	}
@@ -47,7 +48,12 @@
 // one; its heartbeat is answered once it is registered.
 func (a *Agent) startSession(request *heartbeatRequest) {
 	_ = a.log.Log("level", "info", "event", "runner.detected", "worker", request.id)
-	session := &runnerSession{id: request.id, heartbeat: request.heartbeat, heartbeatSequence: request.heartbeat.Sequence, runs: map[string]*taskRun{}}
+	session := &runnerSession{
+		id:                request.id,
+		heartbeat:         request.heartbeat,
+		heartbeatSequence: request.heartbeat.Sequence,
+		runs:              map[string]*taskRun{},
+	}
 	if a.session != nil && a.session.fence > 0 {
 		session.previousID = a.session.id
 	}
@@ -88,10 +94,14 @@
 	session.pendingHeartbeats = nil
 }
 
-// commitDraining has the runner's draining committed, and then acknowledges it.
+// commitDraining has the leader commit that the runner is draining, and then
+// acknowledges it to the runner.
 func (a *Agent) commitDraining(session *runnerSession, status chan int) {
-	_ = a.log.Log("level", "info", "event", "runner.draining_announced", "worker", session.id, "leaves_in_ms", a.leavesInMs(session), "clock_ms", session.heartbeat.ClockMs)
-	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: true, LeavesInMs: a.leavesInMs(session), Unhealthy: session.reportedUnhealthy}, eligibilityTimeout, func(response rpc.Response) {
+	leavesInMs := a.leavesInMs(session)
+	_ = a.log.Log("level", "info", "event", "runner.draining_announced", "worker", session.id,
+		"leaves_in_ms", leavesInMs, "clock_ms", session.heartbeat.ClockMs)
+	command := &state.SetEligibility{ID: session.id, Draining: true, LeavesInMs: leavesInMs, Unhealthy: session.reportedUnhealthy}
+	a.requestLeader(rpc.KindSetEligibility, command, eligibilityTimeout, func(response rpc.Response) {
 		if response.Code == rpc.CodeOK {
 			session.drainingCommitted = true
 			status <- http.StatusOK
@@ -114,7 +124,14 @@
 		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{true, request.status})
 		return
 	}
-	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: request.id, Draining: true, LeavesInMs: a.leavesInMs(session), Leaving: true, Unhealthy: session.reportedUnhealthy}, eligibilityTimeout, func(response rpc.Response) {
+	command := &state.SetEligibility{
+		ID:         request.id,
+		Draining:   true,
+		LeavesInMs: a.leavesInMs(session),
+		Leaving:    true,
+		Unhealthy:  session.reportedUnhealthy,
+	}
+	a.requestLeader(rpc.KindSetEligibility, command, eligibilityTimeout, func(response rpc.Response) {
 		if response.Code == rpc.CodeOK || response.Code == rpc.CodeGone {
 			session.drainingCommitted = true
 			request.status <- http.StatusOK
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -7,8 +7,9 @@
 	"tealpond/internal/tuning"
 )
 
-// renewLeaseIfDue asks the leader for a longer lease once in a while; it gives
-// the time until the next renewal, or 0 while one is under way.
+// renewLeaseIfDue renews the worker's lease with the leader every
+// tuning.LeaseRenewInterval. It returns the time until the next renewal, or 0
+// while one is in flight.
 func (a *Agent) renewLeaseIfDue(session *runnerSession) time.Duration {
 	if session.renewingLease {
 		return 0
@@ -21,16 +22,22 @@
 	return max(tuning.LeaseRenewInterval-sinceLast, time.Millisecond)
 }
 
-// renewLease asks the leader for a longer lease.
+// renewLease requests a longer lease from the leader. The response's Value is how
+// long it lasts, in ms from when it was requested.
 func (a *Agent) renewLease(session *runnerSession) {
 	session.renewingLease, session.lastRenewalAt = true, a.now
-	// The clock is read before the request, since the lease counts from when it
-	// was asked for.
+	// The clock is read before the request is sent: the lease counts from then.
 	requestedAtMs, fence := session.estimatedClockMs(a.now), session.fence
 	if session.clockMs == 0 {
 		requestedAtMs = 0
 	}
-	a.requestLeader(rpc.KindRenewLease, &rpc.LeaseRenewal{Worker: session.id, Fence: session.fence, RuntimePercent: session.medianRuntimePercent(a.now), KnownIndex: a.appliedIndex}, renewTimeout, func(response rpc.Response) {
+	renewal := &rpc.LeaseRenewal{
+		Worker:         session.id,
+		Fence:          session.fence,
+		RuntimePercent: session.medianRuntimePercent(a.now),
+		KnownIndex:     a.appliedIndex,
+	}
+	a.requestLeader(rpc.KindRenewLease, renewal, renewTimeout, func(response rpc.Response) {
 		session.renewingLease = false
 		if a.session != session || session.fence != fence {
 			return
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -9,9 +9,10 @@
 	"tealpond/internal/tuning"
 )
 
-// poll extends the runner's lease and reads its lists: one poll that may wait for
-// a completion is in flight nearly all the time. It gives the time until it is to
-// be called again, or 0.
+// poll sends keep-alive requests, called polls here: each extends the runner's
+// lease and reads its lists. One that may wait at the runner for a completion is
+// in flight nearly all the time. It returns the time until it must be called
+// again, or 0.
 func (a *Agent) poll(session *runnerSession) time.Duration {
 	if remaining := session.pollBackoff(a.now); remaining > 0 {
 		return remaining
@@ -42,9 +43,9 @@
 	return min(time.Duration(s.pollFailures)*pollRetryStep, pollRetryMax) - now.Sub(s.lastPollAt)
 }
 
-// reportPause is the time until a poll is worth it while completions are being
-// reported: it would return at once with the same completions, so only a lease
-// that is due to be extended makes it useful.
+// reportPause is the time to wait before the next poll while completions are being
+// reported. The runner would answer a poll at once, with the same completions, so
+// the next one is sent only when the runner's lease has to be extended.
 func (s *runnerSession) reportPause(now time.Time) time.Duration {
 	extensionMs := s.reachableLeaseMs(now) - s.confirmedUntilMs
 	if remainingMs := tuning.MaxRunLeaseAhead.Milliseconds()/2 - extensionMs; remainingMs > 0 {
@@ -53,9 +54,8 @@
 	return 0
 }
 
-// pollWait is how long the next poll lets the runner wait for a completion.
-// Unanswered tells that a call was left without an answer, so that the lists are
-// needed at once.
+// pollWait is how long the runner may wait for a completion before it answers the
+// next poll. If a call had no answer (unanswered), the lists are needed at once.
 func (s *runnerSession) pollWait(now time.Time, unanswered bool) time.Duration {
 	wait := tuning.RunnerPollWait
 	if s.reportsInFlight > 0 && !unanswered {
@@ -95,7 +95,7 @@
 
 // sendKeepAlive sends one poll; inFlight is set until it returns. The lease of a
 // runner that left calls without an answer is not extended: each extension would
-// put off the moment when its work is surely over.
+// delay the moment from which its runs have surely ended.
 func (a *Agent) sendKeepAlive(session *runnerSession, wait time.Duration, inFlight *bool) {
 	request := protocol.KeepAliveRequest{Fence: session.fence, AcknowledgedSequence: session.committedSequence, WaitMs: wait.Milliseconds()}
 	if untilMs := session.reachableLeaseMs(a.now); session.clockMs > 0 && untilMs > session.confirmedUntilMs && session.unansweredCalls == 0 {
@@ -120,7 +120,7 @@
 	}()
 }
 
-// handleKeepAlive takes the answer to a poll.
+// handleKeepAlive handles the answer to a poll.
 func (a *Agent) handleKeepAlive(session *runnerSession, request protocol.KeepAliveRequest, poll uint64, response RunnerResponse) {
 	if response.StatusCode != http.StatusOK {
 		session.pollFailures++
@@ -133,7 +133,7 @@
 	session.noteClock(response.Run.ClockMs, a.now)
 	session.confirmedUntilMs = max(session.confirmedUntilMs, request.LeaseUntilMs)
 	if poll < session.lastCompletePoll {
-		// A poll that was sent later came back before it.
+		// The lists of a poll that was sent later were read already.
 		return
 	}
 	a.reconcile(session, poll, newListing(response.KeepAlive))
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -17,13 +17,20 @@
 // minRuntimeSamples is how many samples a median needs.
 const minRuntimeSamples = 3
 
+// maxPercentDelay is how many times as long as the average percent the next one
+// may take before the run counts as stalled.
+const maxPercentDelay = 8
+
 // minProgressPercent is the least progress from which a runtime is extrapolated.
 const minProgressPercent = 5
 
-// overdue tells whether a run takes far longer than its estimate.
+// overdue tells whether a run takes more than one and a half times its estimate.
 func (r *taskRun) overdue(now time.Time) bool {
+	if r.phase != runRunning || r.assignment.LongRunning {
+		return false
+	}
 	const graceMs = 100
-	return r.phase == runRunning && !r.assignment.LongRunning && now.Sub(r.startedAt).Milliseconds() > 3*r.assignment.EstimateMs/2+graceMs
+	return now.Sub(r.startedAt).Milliseconds() > 3*r.assignment.EstimateMs/2+graceMs
 }
 
 // trackProgress takes note of how far a run is, and has it stopped if it stands
@@ -33,7 +40,8 @@
 	if unchangedFor == 0 || !run.stalled(unchangedFor, time.Duration(a.settings.Bounds.RestoreMs)*time.Millisecond) {
 		return
 	}
-	_ = a.log.Log("level", "warn", "event", "run.stalled", "task", progress.Task, "run", progress.Run, "percent", progress.Percent, "unchanged_ms", unchangedFor.Milliseconds())
+	_ = a.log.Log("level", "warn", "event", "run.stalled", "task", progress.Task, "run", progress.Run,
+		"percent", progress.Percent, "unchanged_ms", unchangedFor.Milliseconds())
 	run.stopRequested = true
 	session.lastStalledAt = a.now
 }
@@ -58,10 +66,10 @@
 	return now.Sub(r.percentChangedAt)
 }
 
-// stalled tells whether a run stands still that made no progress for so long. It
-// is measured by the run's own pace, since a long task on a slow runner gains a
-// percent rarely. A run that resumes makes no progress while it restores its
-// checkpoint, which takes about restoreTime.
+// stalled tells whether a run whose progress has not changed for unchangedFor is
+// to be stopped. The limit depends on the run's own pace, since a long task on a
+// slow runner rarely gains a percent. A run that resumes from a checkpoint makes
+// no progress while it restores it, which takes about restoreTime.
 func (r *taskRun) stalled(unchangedFor, restoreTime time.Duration) bool {
 	if r.assignment.LongRunning || r.stopRequested || r.assignment.Worker == "" {
 		return false
@@ -74,7 +82,7 @@
 	if r.assignment.Checkpoint != "" {
 		timeout += 2 * restoreTime
 	}
-	return unchangedFor >= timeout && unchangedFor >= 8*timePerPercent
+	return unchangedFor >= timeout && unchangedFor >= maxPercentDelay*timePerPercent
 }
 
 // sampleRuntime takes note of how long a run took that is done. A run that
@@ -110,7 +118,7 @@
 }
 
 // expectedRuntimePercent is how long a run will take by its progress so far, in
-// percent of its estimate; false if that can't be told yet.
+// percent of its estimate; false if that is not known yet.
 func (r *taskRun) expectedRuntimePercent(now time.Time) (int64, bool) {
 	estimateMs := r.assignment.EstimateMs
 	if r.phase != runRunning || r.startedAt.IsZero() || estimateMs <= 0 || r.assignment.Checkpoint != "" {
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -42,7 +42,8 @@
 		a.reportCompletions(session, unreported, startsList, checkpoints)
 	}
 	if firstListing {
-		_ = a.log.Log("level", "info", "event", "runner.listed", "worker", session.id, "fence", session.fence, "running", len(listed.running), "completed", len(listed.completions))
+		_ = a.log.Log("level", "info", "event", "runner.listed", "worker", session.id, "fence", session.fence,
+			"running", len(listed.running), "completed", len(listed.completions))
 	}
 }
 
@@ -92,9 +93,10 @@
 	return checkpoints
 }
 
-// adopt takes up a run that the runner lists and that was not assigned under this
-// fence: the leader will assign it, and it must not be started twice. One that was
-// reported as completed is stopped.
+// adopt adds a run that the runner lists and that was not yet assigned under this
+// fence, as after a restart of the agent: the leader's assignment for it is still
+// to come, and must not start it twice. A run that was reported as completed is
+// stopped.
 func (a *Agent) adopt(session *runnerSession, key string, progress protocol.RunProgress) *taskRun {
 	run := &taskRun{assignment: rpc.Assignment{Task: progress.Task, Run: progress.Run}}
 	if session.completed[key] != nil {
@@ -105,8 +107,8 @@
 	return run
 }
 
-// closeMissing forgets runs whose completion is listed, and declares as stopped
-// those that are in neither list.
+// closeMissing deletes runs whose completion is listed, and declares those stopped
+// that are in neither list.
 func (a *Agent) closeMissing(session *runnerSession, poll uint64, listed listing) {
 	for key, run := range session.runs {
 		if _, ok := listed.running[key]; ok {
@@ -123,7 +125,7 @@
 		// call: an older one can't know the run.
 		if (run.phase == runRunning || run.phase == runStopped) && poll > run.pollAtLastCall && listed.complete {
 			run.missedPolls++
-			if run.missedPolls >= 2 || run.phase == runStopped {
+			if run.missedPolls >= maxMissedPolls || run.phase == runStopped {
 				a.declareResult(session, run, protocol.ResultStopped)
 			}
 		}
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -18,8 +18,18 @@
 	}
 	session.registering = true
 	heartbeat, draining := session.heartbeat, a.isLeaving(session)
-	command := &state.RegisterWorker{ID: session.id, Node: a.settings.NodeName, AgentProcess: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
-		Labels: heartbeat.Labels, Capacity: heartbeat.FreeResources, Draining: draining, LeavesInMs: a.leavesInMs(session), ReplacesFence: session.replacedFence}
+	command := &state.RegisterWorker{
+		ID:            session.id,
+		Node:          a.settings.NodeName,
+		AgentProcess:  a.process,
+		Service:       heartbeat.Service,
+		Zone:          heartbeat.Zone,
+		Labels:        heartbeat.Labels,
+		Capacity:      heartbeat.FreeResources,
+		Draining:      draining,
+		LeavesInMs:    a.leavesInMs(session),
+		ReplacesFence: session.replacedFence,
+	}
 	a.requestLeader(rpc.KindRegisterWorker, command, registerTimeout, func(response rpc.Response) {
 		if a.session == session {
 			a.handleRegistration(session, draining, response)
@@ -27,8 +37,8 @@
 	})
 }
 
-// handleRegistration takes the leader's response to a registration that named the
-// runner as draining, or not.
+// handleRegistration handles the leader's response to a registration; draining is
+// what the registration said of the runner.
 func (a *Agent) handleRegistration(session *runnerSession, draining bool, response rpc.Response) {
 	if response.Code == rpc.CodePreconditionFailed && response.Value > session.replacedFence {
 		a.confirmIncarnation(session, response.Value)
@@ -51,26 +61,27 @@
 	a.answerPendingHeartbeats(session, http.StatusOK)
 }
 
-// beginFence starts anew under a fence: what is in flight under an older one may
-// be refused, and no longer counts.
+// beginFence resets the session for a new fence: requests in flight under an older
+// one may be refused, and their responses are ignored.
 func (s *runnerSession) beginFence(fence int64, draining bool, now time.Time) {
 	s.fence, s.listed, s.drainingCommitted = fence, false, draining
 	s.readSequence, s.reportsInFlight = s.committedSequence, 0
 	s.reportedUnhealthy, s.unansweredCalls, s.lastResponseAt = false, 0, now
-	// A daemon that commanded this runner before may have extended its lease as
-	// far as this.
+	// Another agent process that had registered this runner before may have
+	// extended its lease as far as this.
 	s.longestUntilMs = max(s.longestUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
 	s.lastRenewalAt = time.Time{}
 	s.leaseUntilMs = 0
 	s.pollFailures = 0
-	// The leader assigns anew what is to run, and what does run is read from
-	// the lists under the new fence.
+	// The leader sends all assignments again under the new fence, and what runs
+	// already is read from the runner's lists.
 	s.runs = map[string]*taskRun{}
 }
 
-// confirmIncarnation asks the runner whether it is still in this incarnation,
-// before the one that the state knows on this machine, under a fence, is ended:
-// the heartbeat may have come late.
+// confirmIncarnation checks with the runner that the session's incarnation is the
+// present one. It is needed when the leader knows another incarnation on this
+// machine, registered under the given fence: registering would end that one, and
+// the heartbeat that began the session may only have arrived late.
 func (a *Agent) confirmIncarnation(session *runnerSession, fence int64) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, tuning.RunnerRequestTimeout)
@@ -96,13 +107,14 @@
 	}()
 }
 
-// endSession ends a session whose incarnation is over.
+// endSession ends a session whose incarnation has ended.
 func (a *Agent) endSession(session *runnerSession) {
 	session.superseded = true
 	a.noteEnded(session.id)
 }
 
-// noteEnded notes that an incarnation is over: no heartbeat brings it back.
+// noteEnded notes that an incarnation has ended: a late heartbeat of it begins no
+// new session.
 func (a *Agent) noteEnded(id string) {
 	if a.endedIncarnations == nil {
 		a.endedIncarnations = map[string]bool{}
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -13,14 +13,21 @@
 	"tealpond/internal/tuning"
 )
 
+// roleName is the agent's role in the deploy file and in membership leases.
+const roleName = "side"
+
 func init() {
-	daemon.Register(daemon.RoleSpec{Name: "side", Description: "manages the runner on its machine", New: func(env daemon.Environment) (daemon.Role, error) {
-		return New(env, newHTTPRunnerClient(env.Settings.RunnerAddress)), nil
-	}})
+	daemon.Register(daemon.RoleSpec{
+		Name:        roleName,
+		Description: "manages the runner on its machine",
+		New: func(env daemon.Environment) (daemon.Role, error) {
+			return New(env, newHTTPRunnerClient(env.Settings.RunnerAddress)), nil
+		},
+	})
 }
 
-// Run serves the runner's calls and turns the loop until ctx ends. What it starts
-// is told to end with ctx.
+// Run serves the runner's calls and runs the loop until ctx ends. All goroutines
+// that it starts end with ctx.
 func (a *Agent) Run(ctx context.Context) error {
 	a.ctx = ctx
 	router := echo.New()
@@ -45,7 +52,7 @@
 	return nil
 }
 
-// followSettings takes over settings that were read again, until ctx ends.
+// followSettings applies settings that were read again, until ctx ends.
 func (a *Agent) followSettings(ctx context.Context) {
 	for {
 		select {
@@ -65,18 +72,25 @@
 	}
 	response := rpc.Response{Code: rpc.CodeBadRequest}
 	if request.Kind == rpc.KindTrace {
-		response = rpc.HandleTrace(a.trace, a.settings.NodeName, "side", request.Body)
+		response = rpc.HandleTrace(a.trace, a.settings.NodeName, roleName, request.Body)
 	}
 	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
 }
 
 // renewMembership renews this daemon's membership lease, until ctx ends.
 func (a *Agent) renewMembership(ctx context.Context) {
+	lease := rpc.MembershipLease{
+		Node:    a.settings.NodeName,
+		Role:    roleName,
+		Zone:    a.settings.Zone,
+		Addr:    a.settings.AgentAddress(),
+		Process: a.process,
+	}
 	ticker := time.NewTicker(tuning.AgentMembershipRenewInterval)
 	defer ticker.Stop()
 	for {
 		callCtx, cancel := context.WithTimeout(ctx, tuning.AgentMembershipRenewInterval)
-		a.discovery.Call(callCtx, rpc.KindRenewMembership, rpc.MembershipLease{Node: a.settings.NodeName, Role: "side", Zone: a.settings.Zone, Addr: a.settings.AgentAddress(), Process: a.process})
+		a.discovery.Call(callCtx, rpc.KindRenewMembership, lease)
 		cancel()
 		select {
 		case <-ticker.C:
--- a/internal/agent/runner_client.go
+++ b/internal/agent/runner_client.go
@@ -34,7 +34,8 @@
 // clear.
 func (r RunnerResponse) effectUnknown() bool {
 	switch r.StatusCode {
-	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusMisdirectedRequest,
+		http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
 	}
 	return true
@@ -59,17 +60,29 @@
 // newHTTPRunnerClient builds a client for the runner at an address. It follows no
 // redirect: that would be another call than was decided on.
 func newHTTPRunnerClient(address string) *httpRunnerClient {
-	dialer := &net.Dialer{Timeout: tuning.RunnerRequestTimeout, Control: transport.UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
-	return &httpRunnerClient{baseURL: "http://" + address, client: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConns: maxRunnerConnections, MaxIdleConnsPerHost: maxRunnerConnections, MaxConnsPerHost: maxRunnerConnections,
-		IdleConnTimeout: time.Minute, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 4096,
-	}, CheckRedirect: func(*http.Request, []*http.Request) error {
-		return http.ErrUseLastResponse
-	}}}
+	dialer := &net.Dialer{
+		Timeout:   tuning.RunnerRequestTimeout,
+		Control:   transport.UserTimeoutControl(tuning.TCPUserTimeout),
+		KeepAlive: -1, // no TCP keep-alive
+	}
+	client := &http.Client{
+		Transport: &http.Transport{
+			DialContext:         dialer.DialContext,
+			MaxIdleConns:        maxRunnerConnections,
+			MaxIdleConnsPerHost: maxRunnerConnections,
+			MaxConnsPerHost:     maxRunnerConnections,
+			IdleConnTimeout:     time.Minute,
+			DisableCompression:  true,
+			WriteBufferSize:     2048, // bytes
+			ReadBufferSize:      4096, // bytes
+		},
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+	return &httpRunnerClient{baseURL: "http://" + address, client: client}
 }
 
-// Call makes one call, once: neither a reset nor a connection that was closed
-// while idle has it made again.
+// Call makes one call, once: it is not repeated after a reset, nor when an idle
+// connection turns out to be closed.
 func (c *httpRunnerClient) Call(ctx context.Context, incarnation, path string, body any) RunnerResponse {
 	raw, err := json.Marshal(body)
 	if err != nil {
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -10,7 +10,7 @@
 	"tealpond/internal/tuning"
 )
 
-// runPhase is how far a run is, as far as this daemon knows.
+// runPhase is the state of a run, as far as this daemon knows.
 type runPhase byte
 
 const (
@@ -76,7 +76,7 @@
 	a.trace.Record(assignment.Task, mark, int64(assignment.Run), "")
 }
 
-// advanceRun does what is due for a run; it gives the time until it is to be
+// advanceRun does what is due for a run. It returns the time until it must be
 // called again, or 0.
 func (a *Agent) advanceRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.callInFlight || run.declaredResult != "" && run.phase != runStopping {
@@ -86,7 +86,7 @@
 		return remaining
 	}
 	if run.unanswered && session.lastCompletePoll <= run.pollAtLastCall {
-		// The run may be there, or over: the next poll tells.
+		// The run may be running, or have ended: the next poll shows which.
 		return 0
 	}
 	switch run.phase {
@@ -102,8 +102,9 @@
 	return 0
 }
 
-// startRun starts a run, if the conditions for that hold now. A start that brought
-// no answer is sent again under the same conditions.
+// startRun starts a run, unless it is to be stopped, the runner is leaving or its
+// lease is too short. A start that had no answer is sent again under the same
+// conditions.
 func (a *Agent) startRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.stopRequested {
 		if run.attempts == 0 {
@@ -131,15 +132,24 @@
 	session.longestUntilMs = max(session.longestUntilMs, untilMs)
 	run.phase = runStarting
 	run.attempts++
-	body := protocol.StartRequest{TaskID: run.assignment.Task, RunID: run.assignment.Run, Spec: run.assignment.JobSpec, LeaseUntilMs: untilMs,
-		Fence: session.fence, Checkpoint: run.assignment.Checkpoint}
+	body := protocol.StartRequest{
+		TaskID:       run.assignment.Task,
+		RunID:        run.assignment.Run,
+		Spec:         run.assignment.JobSpec,
+		LeaseUntilMs: untilMs,
+		Fence:        session.fence,
+		Checkpoint:   run.assignment.Checkpoint,
+	}
 	a.callRunner(session, run, pathStart, body, a.handleStartResponse)
 	return 0
 }
 
 // callRunner makes one call about a run and brings the response into the loop,
 // unless the session or the fence has changed meanwhile.
-func (a *Agent) callRunner(session *runnerSession, run *taskRun, path string, body any, onResponse func(*runnerSession, *taskRun, RunnerResponse)) {
+func (a *Agent) callRunner(
+	session *runnerSession, run *taskRun, path string, body any,
+	onResponse func(*runnerSession, *taskRun, RunnerResponse),
+) {
 	run.callInFlight = true
 	a.callsInFlight++
 	fence := session.fence
@@ -158,8 +168,8 @@
 			run.pollAtLastCall = session.lastPoll
 			run.unanswered = !response.answered() && !callPolicies[path].Retryable
 			if response.StatusCode == http.StatusMisdirectedRequest {
-				// Nothing is reported: the heartbeat of the new incarnation ends
-				// the old one.
+				// The runner is in a new incarnation. Nothing is reported, since
+				// its heartbeat ends the old one with all its runs.
 				run.notBefore = a.now.Add(newIncarnationPause)
 				return
 			}
@@ -209,7 +219,7 @@
 	case protocol.ReasonLeaseEnded:
 		run.notBefore = a.now.Add(lateStartPause)
 	case protocol.ReasonAlreadyStarted:
-		// It is there, or was: the lists will tell.
+		// It is running, or has ended: the next poll shows which.
 		run.phase = runRunning
 	default:
 		run.phase = runRefused
@@ -225,8 +235,8 @@
 	return 0
 }
 
-// settleRefusal declares a run refused once no unanswered start can take effect:
-// after one, the run is stopped first.
+// settleRefusal declares a run refused if no start is left that may still take
+// effect; otherwise the run is stopped first.
 func (a *Agent) settleRefusal(session *runnerSession, run *taskRun) time.Duration {
 	if run.unansweredStarts == 0 {
 		a.declareResult(session, run, protocol.ResultRefused)
@@ -236,7 +246,8 @@
 	return a.stopRun(session, run)
 }
 
-// stopRun sends a stop; the run is over once a later poll doesn't list it.
+// stopRun sends a stop; the run has ended once a later poll doesn't list it as
+// running.
 func (a *Agent) stopRun(session *runnerSession, run *taskRun) time.Duration {
 	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -14,7 +14,7 @@
 	heartbeat         protocol.Heartbeat
 	heartbeatSequence int64  // the highest heard
 	previousID        string // the incarnation before it that this daemon had registered
-	superseded        bool   // the incarnation is over, or another daemon has registered it
+	superseded        bool   // the incarnation has ended, or another daemon has registered it
 
 	// Registration with the leader.
 	fence             int64 // 0: not registered yet
@@ -26,9 +26,9 @@
 	// Lease.
 	clockMs          int64 // newest reading of the runner's clock
 	clockReadAt      time.Time
-	leaseUntilMs     int64 // granted by the leader
-	confirmedUntilMs int64 // extended to by the runner
-	longestUntilMs   int64 // the furthest that was ever sent to it, answered or not
+	leaseUntilMs     int64 // end of the lease that the leader gave
+	confirmedUntilMs int64 // end of the lease that the runner has confirmed
+	longestUntilMs   int64 // the latest end that was ever sent to the runner, answered or not
 	renewingLease    bool
 	lastRenewalAt    time.Time // of the last attempt, also of a registration that failed
 
@@ -36,7 +36,7 @@
 	unansweredCalls   int // in a row
 	lastResponseAt    time.Time
 	lastStalledAt     time.Time // when a run last stood still
-	reportedUnhealthy bool      // what the leader holds it for
+	reportedUnhealthy bool      // as the leader has last confirmed
 	reportingHealth   bool
 	runtimeSamples    []runtimeSample
 
@@ -75,9 +75,10 @@
 	return s.clockMs + now.Sub(s.clockReadAt).Milliseconds()
 }
 
-// reachableLeaseMs is the furthest that the lease may be extended to now: what
-// is granted, but never far ahead. When a runner falls silent, all that it runs
-// is over so much sooner, and the grant is there to extend the lease again.
+// reachableLeaseMs is the latest end that the runner's lease may be extended to
+// now: the end of the leader's lease, but at most tuning.MaxRunLeaseAhead from
+// now. The shorter the runner's lease, the sooner the runs of a silent runner have
+// surely ended and can be placed elsewhere.
 func (s *runnerSession) reachableLeaseMs(now time.Time) int64 {
 	return min(s.leaseUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
 }
@@ -100,5 +101,5 @@
 
 // silent tells whether the runner has fallen silent.
 func (s *runnerSession) silent(now time.Time) bool {
-	return s.unansweredCalls >= 2 && now.Sub(s.lastResponseAt) > tuning.RunnerSilenceTimeout
+	return s.unansweredCalls >= minUnansweredCalls && now.Sub(s.lastResponseAt) > tuning.RunnerSilenceTimeout
 }
--- a/internal/agent/timing.go
+++ b/internal/agent/timing.go
@@ -8,13 +8,13 @@
 	renewTimeout    = 3 * time.Second
 	reportTimeout   = 20 * time.Second
 	healthTimeout   = time.Second
-	// A runner turns to another daemon after a second without an answer to its
-	// heartbeat or sign-off.
+	// A runner tries another daemon when its heartbeat or sign-off has had no
+	// answer for a second.
 	eligibilityTimeout = 950 * time.Millisecond
-	heartbeatTimeout   = 970 * time.Millisecond
+	heartbeatTimeout   = 970 * time.Millisecond // for the answer to the runner
 )
 
-// Pauses before a run is looked at again.
+// Pauses before the next step of a run.
 const (
 	leaseWaitPause      = 50 * time.Millisecond  // a start waits for a longer lease
 	startRetryStep      = 10 * time.Millisecond  // after each unanswered start of the run
@@ -25,9 +25,18 @@
 	newIncarnationPause = 500 * time.Millisecond // until its heartbeat ends the old one
 )
 
-// maxUnhealthyStarts is how often an unhealthy runner is asked to start a run.
+// maxUnhealthyStarts is how many times a start is sent that the runner answers
+// with 429 or 503; then the run counts as refused.
 const maxUnhealthyStarts = 3
 
+// minUnansweredCalls is how many calls in a row must have had no answer before a
+// runner counts as silent.
+const minUnansweredCalls = 2
+
+// maxMissedPolls is how many complete lists in a row may leave out a run that was
+// started; then it counts as stopped.
+const maxMissedPolls = 2
+
 // minStartLeaseMs is the least lease that a start is sent with, on the runner's
 // clock: a shorter one could end before the start arrives.
 const minStartLeaseMs = 300
@@ -42,6 +51,6 @@
 
 // Pauses of the supervision of the runner's health.
 const (
-	unhealthyPause = 100 * time.Millisecond // while the leader holds it for unhealthy
+	unhealthyPause = 100 * time.Millisecond // while it is reported as unhealthy
 	silentPause    = 50 * time.Millisecond  // while it answers nothing
 )
