--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -92,7 +92,7 @@
 	sender := r.aggregator
 	go func() {
 		defer cancel()
-		r.post(ctx, Event{LeaderResponse: &leaderResponse{sender, batch, await()}})
+		r.post(ctx, loopEvent{leaderResponse: &leaderResponse{sender, batch, await()}})
 	}()
 }
 
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -107,7 +107,7 @@
 			// The cluster may have been bootstrapped while this server was slow,
 			// and the seed may have forgotten it.
 			if r.requestJoin(ctx, current.announcement.Voter, tuning.DialTimeout) {
-				r.post(ctx, Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: []raft.Member{{}}}})
+				r.post(ctx, loopEvent{bootstrapProposal: &rpc.BootstrapProposal{Voters: []raft.Member{{}}}})
 			}
 		}
 	}
@@ -156,7 +156,7 @@
 		return
 	}
 	selector.OnResponse(time.Now())
-	r.post(ctx, Event{BootstrapProposal: &proposal})
+	r.post(ctx, loopEvent{bootstrapProposal: &proposal})
 }
 
 // announceBootstrapped tells all seeds of the set that formed the first cluster, so
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -141,6 +141,6 @@
 		if err != nil {
 			stream = nil
 		}
-		r.post(ctx, Event{PeerDialed: &dialedPeer{address, stream}})
+		r.post(ctx, loopEvent{peerDialed: &dialedPeer{address, stream}})
 	}()
 }
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -26,7 +26,7 @@
 
 // reportDigest has another replica report its digest.
 func (h *harness) reportDigest(from string, index, digest uint64) {
-	h.replica.handleEvent(h.t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, digest, programVersion})}}})
+	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, digest, programVersion})}}})
 }
 
 // applyUpTo commits entries until the state has applied one.
@@ -163,7 +163,7 @@
 			t.Error(err)
 		}
 		// The writes of the identity before count no more.
-		h.replica.handleEvent(t.Context(), Event{Written: []storage.WriteRequest{{}}})
+		h.replica.handleEvent(t.Context(), loopEvent{written: []storage.WriteRequest{{}}})
 		if h.replica.writesInFlight != 0 {
 			t.Error("a write of the old storage was counted")
 		}
@@ -176,7 +176,7 @@
 func (h *harness) checkTakesNoPart() {
 	h.t.Helper()
 	h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
-	h.replica.handleEvent(h.t.Context(), Event{BootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
+	h.replica.handleEvent(h.t.Context(), loopEvent{bootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
 	if h.endTurn(); h.replica.node != nil {
 		h.t.Fatal("it takes part again with its old state")
 	}
--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -4,7 +4,7 @@
 // appoints the aggregators of the zones; leader or not, it sends the agents that
 // are connected to it their assignments.
 //
-// All of a Replica belongs to one event loop (Replica.Run), which takes an Event
+// All of a Replica belongs to one event loop (Replica.Run), which takes one event
 // at a time and never waits for the network or the disk: what may wait runs beside
 // the loop and comes back as an event. The package changes the state only by
 // commands in the log (see package state), and it never answers a client's call
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -44,7 +44,7 @@
 		default:
 		}
 	}
-	if !r.post(ctx, Event{FederationRequest: &LocalRequest{Request: rpc.Request{Kind: kind, Body: body}, Reply: reply}}) {
+	if !r.post(ctx, loopEvent{federationRequest: &localRequest{request: rpc.Request{Kind: kind, Body: body}, reply: reply}}) {
 		return rpc.Response{}, false
 	}
 	select {
@@ -57,21 +57,21 @@
 
 // handleFederationRequest answers the offloader of this process; streams can't reach
 // it.
-func (r *Replica) handleFederationRequest(local *LocalRequest) {
+func (r *Replica) handleFederationRequest(local *localRequest) {
 	if r.node == nil || !r.node.LeaderReady() || !r.leading || r.federation == nil {
-		local.Reply(responseNotLeader)
+		local.reply(responseNotLeader)
 		return
 	}
-	switch local.Request.Kind {
+	switch local.request.Kind {
 	case rpc.KindFederationWork:
-		local.Reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(federationWork(r.state, r.federation))})
+		local.reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(federationWork(r.state, r.federation))})
 	case rpc.KindPropose:
 		var command state.EncodedCommand
-		if transport.Decode(local.Request.Body, &command) != nil {
-			local.Reply(responseBadRequest)
+		if transport.Decode(local.request.Body, &command) != nil {
+			local.reply(responseBadRequest)
 			return
 		}
-		r.enqueueEncoded(command, outcomeReply(local.Reply))
+		r.enqueueEncoded(command, outcomeReply(local.reply))
 	}
 }
 
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -33,7 +33,7 @@
 	replica := newReplica()
 	replica.log, replica.trace, replica.settings = log.NewNopLogger(), tracing.NewRing(16), settings.File{NodeName: "n-a"}
 	replica.self, replica.aggregator = testVoters[0], aggregator.New("a")
-	replica.events, replica.writeQueue = make(chan Event, 64), make(chan storage.WriteRequest, 1024)
+	replica.events, replica.writeQueue = make(chan loopEvent, 64), make(chan storage.WriteRequest, 1024)
 	replica.leaseDuration = tuning.MaxLeaseDuration
 	replica.storageOpened.Store(true)
 	replica.startNode(raft.Snapshot{Index: 1, Voters: testVoters})
@@ -49,7 +49,7 @@
 // receive hands the node a message as it comes in on a stream.
 func (h *harness) receive(message raft.Message) {
 	message.To = h.replica.self.ID
-	h.replica.handleEvent(h.t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: rpc.FrameRaft, Body: transport.Encode(message)}}})
+	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: rpc.FrameRaft, Body: transport.Encode(message)}}})
 }
 
 // endTurn ends a turn of the loop and has all writes of it succeed.
@@ -60,7 +60,7 @@
 		writes = append(writes, <-h.replica.writeQueue)
 	}
 	if len(writes) > 0 {
-		h.replica.handleEvent(h.t.Context(), Event{Written: writes})
+		h.replica.handleEvent(h.t.Context(), loopEvent{written: writes})
 	}
 	return writes
 }
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -24,7 +24,7 @@
 	ctx, r.stopWriter = context.WithCancel(ctx)
 	opened := r.storage
 	go opened.Run(ctx, r.writeQueue, func(writes []storage.WriteRequest, err error) {
-		r.post(ctx, Event{Written: writes, WriteErr: err, WrittenBy: opened})
+		r.post(ctx, loopEvent{written: writes, writeErr: err, writtenBy: opened})
 	})
 }
 
@@ -60,7 +60,7 @@
 	for {
 		opened, persisted, err := storage.ResetIdentity(dataDir)
 		if err == nil {
-			r.post(ctx, Event{NewIdentity: &newIdentity{opened, persisted}})
+			r.post(ctx, loopEvent{newIdentity: &newIdentity{opened, persisted}})
 			return
 		}
 		_ = r.log.Log("level", "error", "event", "replica.reset_failed", "error", err)
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -26,7 +26,7 @@
 // up to a bound, while the others could not do without this server's storage.
 func (r *Replica) Leave() {
 	done := make(chan struct{})
-	r.events <- Event{Leave: done}
+	r.events <- loopEvent{leave: done}
 	select {
 	case <-done:
 	case <-time.After(r.leaveTimeout() + tuning.ShutdownWaitSlack):
@@ -71,7 +71,7 @@
 			case <-callCtx.Done():
 			}
 		}
-		r.post(ctx, Event{LeaveGranted: true})
+		r.post(ctx, loopEvent{leaveGranted: true})
 	}()
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -19,42 +19,42 @@
 	redialDelay = 100 * time.Millisecond
 )
 
-// Event is an input of the loop. Exactly one of its fields is set, except that
-// WrittenBy goes with Written and WriteErr.
-type Event struct {
-	// Transport is a frame of a stream, or the stream's end.
-	Transport *transport.Event
-	// Request is a request of this process, FederationRequest one of its
+// loopEvent is an input of the loop. Exactly one of its fields is set, except that
+// writtenBy goes with written and writeErr.
+type loopEvent struct {
+	// transport is a frame of a stream, or the stream's end.
+	transport *transport.Event
+	// request is a request of this process, federationRequest one of its
 	// offloader.
-	Request           *LocalRequest
-	FederationRequest *LocalRequest
-	// Written are writes that were synced, WriteErr says why writes failed that
-	// are being retried; WrittenBy is the storage that tells so.
-	Written   []storage.WriteRequest
-	WriteErr  error
-	WrittenBy *storage.Store
-	// PeerDialed is the outcome of dialing a peer.
-	PeerDialed *dialedPeer
-	// BootstrapProposal is a seed's response to this candidate.
-	BootstrapProposal *rpc.BootstrapProposal
-	// StorageOpened is the storage, once it could be opened.
-	StorageOpened *openedStorage
-	// SnapshotEncoded is a snapshot that is ready to be written.
-	SnapshotEncoded *encodedSnapshot
-	// NewIdentity is the empty storage of a replica that starts over.
-	NewIdentity *newIdentity
-	// LeaderResponse is the leader's response to a batch of this server's aggregator.
-	LeaderResponse *leaderResponse
-	// Leave asks the replica to leave; the channel is closed once the process may
-	// end. LeaveGranted is the leader's consent.
-	Leave        chan struct{}
-	LeaveGranted bool
+	request           *localRequest
+	federationRequest *localRequest
+	// written are writes that were synced, writeErr says why writes failed that
+	// are being retried; writtenBy is the storage that tells so.
+	written   []storage.WriteRequest
+	writeErr  error
+	writtenBy *storage.Store
+	// peerDialed is the outcome of dialing a peer.
+	peerDialed *dialedPeer
+	// bootstrapProposal is a seed's response to this candidate.
+	bootstrapProposal *rpc.BootstrapProposal
+	// storageOpened is the storage, once it could be opened.
+	storageOpened *openedStorage
+	// snapshotEncoded is a snapshot that is ready to be written.
+	snapshotEncoded *encodedSnapshot
+	// newIdentity is the empty storage of a replica that starts over.
+	newIdentity *newIdentity
+	// leaderResponse is the leader's response to a batch of this server's aggregator.
+	leaderResponse *leaderResponse
+	// leave asks the replica to leave; the channel is closed once the process may
+	// end. leaveGranted is the leader's consent.
+	leave        chan struct{}
+	leaveGranted bool
 }
 
-// LocalRequest is a request of this process.
-type LocalRequest struct {
-	Request rpc.Request
-	Reply   func(rpc.Response)
+// localRequest is a request of this process.
+type localRequest struct {
+	request rpc.Request
+	reply   func(rpc.Response)
 }
 
 // dialedPeer is the outcome of dialing a peer; stream is nil if that failed.
@@ -68,13 +68,13 @@
 	go r.openStorage(ctx)
 	go r.runAnnouncer(ctx)
 	daemon.Loop(ctx, r.events,
-		func(event Event) { r.handleEvent(ctx, event) },
+		func(event loopEvent) { r.handleEvent(ctx, event) },
 		func(now time.Time) time.Duration { return r.endTurn(ctx, now) })
 	return nil
 }
 
 // post hands the loop an event from a goroutine beside it; false if ctx ended first.
-func (r *Replica) post(ctx context.Context, event Event) bool {
+func (r *Replica) post(ctx context.Context, event loopEvent) bool {
 	select {
 	case r.events <- event:
 		return true
@@ -84,36 +84,36 @@
 }
 
 // handleEvent takes one event.
-func (r *Replica) handleEvent(ctx context.Context, event Event) {
+func (r *Replica) handleEvent(ctx context.Context, event loopEvent) {
 	defer r.metrics.startTimer("handle_event")()
 	switch {
-	case event.Transport != nil:
-		r.handleTransport(ctx, event.Transport)
-	case event.SnapshotEncoded != nil:
-		r.handleSnapshotEncoded(ctx, event.SnapshotEncoded)
-	case event.NewIdentity != nil:
-		r.adoptNewIdentity(ctx, event.NewIdentity)
-	case event.Request != nil:
-		r.handleRequest(event.Request.Request, nil, r.withAppliedVersions(event.Request.Reply))
-	case event.FederationRequest != nil:
-		r.handleFederationRequest(event.FederationRequest)
-	case (event.Written != nil || event.WriteErr != nil) && event.WrittenBy != r.storage:
+	case event.transport != nil:
+		r.handleTransport(ctx, event.transport)
+	case event.snapshotEncoded != nil:
+		r.handleSnapshotEncoded(ctx, event.snapshotEncoded)
+	case event.newIdentity != nil:
+		r.adoptNewIdentity(ctx, event.newIdentity)
+	case event.request != nil:
+		r.handleRequest(event.request.request, nil, r.withAppliedVersions(event.request.reply))
+	case event.federationRequest != nil:
+		r.handleFederationRequest(event.federationRequest)
+	case (event.written != nil || event.writeErr != nil) && event.writtenBy != r.storage:
 		// A write of the identity that this server has given up.
-	case event.Written != nil:
-		r.handleWritten(ctx, event.Written)
-	case event.WriteErr != nil:
-		_ = r.log.Log("level", "error", "event", "storage.write_failed", "error", event.WriteErr)
-	case event.PeerDialed != nil:
-		r.handlePeerDialed(ctx, event.PeerDialed)
-	case event.LeaderResponse != nil:
-		r.handleLeaderResponse(event.LeaderResponse)
-	case event.StorageOpened != nil:
-		r.handleStorageOpened(ctx, event.StorageOpened)
-	case event.BootstrapProposal != nil && r.StorageOpened():
-		r.handleBootstrapProposal(*event.BootstrapProposal)
-	case event.Leave != nil:
-		r.beginLeave(ctx, event.Leave)
-	case event.LeaveGranted:
+	case event.written != nil:
+		r.handleWritten(ctx, event.written)
+	case event.writeErr != nil:
+		_ = r.log.Log("level", "error", "event", "storage.write_failed", "error", event.writeErr)
+	case event.peerDialed != nil:
+		r.handlePeerDialed(ctx, event.peerDialed)
+	case event.leaderResponse != nil:
+		r.handleLeaderResponse(event.leaderResponse)
+	case event.storageOpened != nil:
+		r.handleStorageOpened(ctx, event.storageOpened)
+	case event.bootstrapProposal != nil && r.StorageOpened():
+		r.handleBootstrapProposal(*event.bootstrapProposal)
+	case event.leave != nil:
+		r.beginLeave(ctx, event.leave)
+	case event.leaveGranted:
 		r.finishLeaving()
 	}
 }
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -56,7 +56,7 @@
 	incomingSnapshots  map[string]*snapshotReceiver
 
 	// Other daemons.
-	events          chan Event
+	events          chan loopEvent
 	leaderClient    *discovery.Client
 	seeds           atomic.Pointer[[]string]
 	bootstrap       bootstrap.Coordinator
@@ -130,7 +130,7 @@
 	r.settings, r.log, r.trace, r.debug, r.processID = env.Settings, env.Log, env.Trace, env.Debug, env.ProcessID
 	r.metrics = newLoopMetrics(env.Debug)
 	r.self = raft.Member{Node: env.Settings.NodeName, Addr: env.Settings.InternalAddress()}
-	r.events = make(chan Event, eventQueueLength)
+	r.events = make(chan loopEvent, eventQueueLength)
 	r.writeQueue = make(chan storage.WriteRequest, tuning.StorageQueueLength)
 	r.leaderClient = leaderClient
 	r.leaseDuration = env.Settings.LeaseDuration(tuning.MaxLeaseDuration)
@@ -196,10 +196,10 @@
 
 // Deliver hands the loop an event of an accepted stream. It blocks while the
 // loop's queue is full.
-func (r *Replica) Deliver(event transport.Event) { r.events <- Event{Transport: &event} }
+func (r *Replica) Deliver(event transport.Event) { r.events <- loopEvent{transport: &event} }
 
 // HandleLocal hands the loop a request of this process; reply is called in the
 // loop and must not block.
 func (r *Replica) HandleLocal(request rpc.Request, reply func(rpc.Response)) {
-	r.events <- Event{Request: &LocalRequest{Request: request, Reply: reply}}
+	r.events <- loopEvent{request: &localRequest{request: request, reply: reply}}
 }
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -52,7 +52,7 @@
 	node := r.node
 	go func() {
 		snapshot.Data = copied.Encode()
-		r.post(ctx, Event{SnapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}})
+		r.post(ctx, loopEvent{snapshotEncoded: &encodedSnapshot{node, snapshot, state.SnapshotDigest(snapshot.Data)}})
 	}()
 }
 
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -101,7 +101,7 @@
 		give := func(to string, offset, end int) {
 			withoutData := *snapshot
 			withoutData.Data = nil
-			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(snapshotChunk{
+			h.replica.handleEvent(t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(snapshotChunk{
 				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &withoutData}, len(data), offset, data[offset:end]})}}})
 			h.endTurn()
 		}
@@ -133,7 +133,7 @@
 		now := time.Now()
 		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "b", To: "a", Term: 3, Snapshot: snapshot}, now)
 		give := func(chunk snapshotChunk) {
-			h.replica.handleEvent(t.Context(), Event{Transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}}})
+			h.replica.handleEvent(t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}}})
 		}
 		for !sender.complete() {
 			chunk := sender.nextChunk(now)
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -48,7 +48,7 @@
 		}
 		store, err = state.DecodeSnapshot(persisted.Snapshot.Data, state.Limits{})
 	}
-	if !r.post(ctx, Event{StorageOpened: &openedStorage{opened, persisted, store, setAsideReason}}) {
+	if !r.post(ctx, loopEvent{storageOpened: &openedStorage{opened, persisted, store, setAsideReason}}) {
 		r.closeStorage(opened)
 	}
 }
