--- a/internal/state/accept_job.go
+++ b/internal/state/accept_job.go
@@ -2,7 +2,7 @@
 
 import "tealpond/internal/protocol"
 
-// AcceptJob takes a peer's job over at the target, under a loan.
+// AcceptJob accepts a peer's job at the target, under a loan.
 type AcceptJob struct {
 	_       struct{} `cbor:",toarray"`
 	Peer    string
@@ -15,11 +15,11 @@
 
 // Apply accepts an offer at most once, and never if it was voided. The outcome's
 // Text is the answer to the peer: AnswerAccepted with CodeOK, else AnswerRefused
-// with CodeConflict. A refused offer is voided, so that a copy of it that comes
-// later, when the reason is gone, is refused too.
+// with CodeConflict. A refused offer is voided, so that a copy that arrives later,
+// when the reason no longer applies, is refused too.
 func (c *AcceptJob) Apply(s *Store) Outcome {
 	if job := s.Jobs[c.ID]; job != nil {
-		if job.cameBy(c.Peer, c.OfferID) {
+		if job.cameFromOffer(c.Peer, c.OfferID) {
 			return Outcome{Code: CodeOK, Text: AnswerAccepted}
 		}
 		return c.refuse(s)
@@ -43,7 +43,7 @@
 	return Outcome{Code: CodeConflict, Text: AnswerRefused}
 }
 
-// IncomingJobStatus is what a source is told of its job here.
+// IncomingJobStatus is the answer to a source about its job here.
 func IncomingJobStatus(job *Job) string {
 	if job.ended() {
 		return job.Status()
--- a/internal/state/allocation.go
+++ b/internal/state/allocation.go
@@ -1,7 +1,8 @@
 package state
 
-// Allocation is one run of one task on one worker, with the resources that it
-// holds. It exists from when the run is booked until the run's end is known.
+// Allocation is one run of one task on one worker, with the resources reserved for
+// it. It exists from when the run is booked until its end is known: by a
+// completion, an expired lease or a crash of the runner.
 type Allocation struct {
 	_               struct{} `cbor:",toarray"`
 	ID              uint64
@@ -49,7 +50,7 @@
 	})
 }
 
-// removeAllocation gives back all that a run held. Its task, unless it is done,
+// removeAllocation releases all resources of a run. Its task, unless it is done,
 // may be placed again.
 func (s *Store) removeAllocation(allocation *Allocation) {
 	if worker := s.Workers[allocation.Worker]; worker != nil {
@@ -79,8 +80,8 @@
 	}
 }
 
-// stopRun has a run stopped, unless it is stopping already. It keeps its
-// resources and its task's lock until its end is known.
+// stopRun marks a run as stopping; its agent then stops it. It keeps its resources
+// and its task's lock until its end is known.
 func (s *Store) stopRun(allocation *Allocation, reason string) {
 	if allocation.Stopping {
 		return
@@ -89,7 +90,7 @@
 	s.changedRuns = append(s.changedRuns, allocation.ID)
 }
 
-// stopTaskRuns has all runs of a task stopped.
+// stopTaskRuns marks all runs of a task as stopping.
 func (s *Store) stopTaskRuns(task *Task, reason string) {
 	for _, id := range task.Allocations {
 		if allocation := s.Allocations[id]; allocation != nil {
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -1,8 +1,8 @@
 package state
 
-// ApplyPlans books runs as the scheduler planned them. Plans are made beside
-// the log, on an older version of the state, so each placement is checked anew
-// against the present rows.
+// ApplyPlans books runs as the scheduler planned them. Plans are made outside the
+// log, on a snapshot of the state, so each placement is checked again against the
+// present rows.
 type ApplyPlans struct {
 	_     struct{} `cbor:",toarray"`
 	Plans []Plan
@@ -89,9 +89,9 @@
 }
 
 // applyPlacement books one run, under the given number or, if that is 0, the
-// next of its task. False if it is refused, with changes left to be taken back
-// by the caller's savepoint. A placement that is no longer wanted, or that no
-// other worker could take either, is passed over and counts as booked.
+// next of its task. It returns false if the placement is refused; the caller's
+// savepoint then undoes what was changed. A placement that is no longer wanted, or
+// that no other worker could take either, is skipped and counts as booked.
 func (s *Store) applyPlacement(job *Job, instance *JobInstance, step int, placement Placement, run int) bool {
 	spec := &job.Steps[step]
 	if placement.TaskIndex >= len(instance.Steps[step].Tasks) {
@@ -121,9 +121,21 @@
 	if run == 0 {
 		run = task.LastRun + 1
 	}
-	allocation := &Allocation{ID: id, Worker: worker.ID, Job: job.ID, Instance: instance.Number, Step: step, TaskIndex: placement.TaskIndex, Copy: placement.Copy, Run: run,
-		MilliCPU: spec.CPUUnits, MemoryMB: spec.MemoryMB, GPUs: gpus, BookedAt: s.Clock}
-	// A run is given a checkpoint only if its step asks for checkpoints.
+	allocation := &Allocation{
+		ID:        id,
+		Worker:    worker.ID,
+		Job:       job.ID,
+		Instance:  instance.Number,
+		Step:      step,
+		TaskIndex: placement.TaskIndex,
+		Copy:      placement.Copy,
+		Run:       run,
+		MilliCPU:  spec.CPUUnits,
+		MemoryMB:  spec.MemoryMB,
+		GPUs:      gpus,
+		BookedAt:  s.Clock,
+	}
+	// A run starts from a checkpoint only if its step has checkpoints.
 	if spec.Checkpoints {
 		allocation.Checkpoint = task.Checkpoint
 	}
@@ -131,9 +143,8 @@
 	return true
 }
 
-// placementStillValid tells whether a placement still holds on its worker's present
-// row. The version changes when the worker drains or its lease expires, which
-// the plan didn't know of.
+// placementStillValid tells whether a placement fits its worker's present row. The
+// row's version changes when the worker drains or its lease expires.
 func (s *Store) placementStillValid(job *Job, instance *JobInstance, step int, worker *Worker, placement Placement) bool {
 	if worker.Version != placement.WorkerVersion || !s.Feasible(job, step, worker) {
 		return false
--- a/internal/state/collect_garbage.go
+++ b/internal/state/collect_garbage.go
@@ -1,7 +1,7 @@
 package state
 
 // CollectGarbage removes jobs that ended long ago and crash counts of nodes that
-// have been calm. Since each entry advances the clocks, it also makes periodic
+// have had none for long. Since each entry advances the clocks, it also makes periodic
 // jobs fall due while nothing else happens.
 type CollectGarbage struct {
 	_              struct{} `cbor:",toarray"`
@@ -12,7 +12,8 @@
 // that still has runs, or that a peer hasn't settled, is kept.
 func (c *CollectGarbage) Apply(s *Store) Outcome {
 	for id, job := range s.Jobs {
-		if !job.ended() || job.heldForPeer() || s.Limits.JobRetentionMs <= 0 || s.Clock-job.EndedAt < s.Limits.JobRetentionMs {
+		if !job.ended() || job.keptForPeer() || s.Limits.JobRetentionMs <= 0 ||
+			s.Clock-job.EndedAt < s.Limits.JobRetentionMs {
 			continue
 		}
 		busy := false
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -14,9 +14,9 @@
 	Apply(s *Store) Outcome
 }
 
-// Names under which commands stand in the log. They were given before the Go
-// types got their present names, and they stay: logs of earlier versions and
-// messages between daemons of two versions hold them.
+// Names of commands in the log. They are older than the Go types' present names,
+// and never change: logs of earlier versions and messages between daemons of two
+// versions contain them.
 const (
 	CommandAcceptJob            = "accept"
 	CommandAppointAggregator    = "appoint"
@@ -93,8 +93,8 @@
 	return EncodedCommand{Name: name, Body: raw}
 }
 
-// decodeCommand reads a command of the log. It panics if it can't: to pass the
-// command over would make this replica's state differ from the others'.
+// decodeCommand decodes a command of the log. It panics if it can't: skipping the
+// command would make this replica's state differ from the others'.
 func decodeCommand(encoded EncodedCommand) Command {
 	create := commandConstructors[encoded.Name]
 	if create == nil {
@@ -125,7 +125,7 @@
 	return outcomes
 }
 
-// SkipEntry passes over an entry of the log that holds no commands.
+// SkipEntry advances over an entry of the log that has no commands.
 func (s *Store) SkipEntry(index uint64) {
 	s.advanceIndex(index)
 	s.extendDigestChain(nil, nil)
--- a/internal/state/configuration_history.go
+++ b/internal/state/configuration_history.go
@@ -6,13 +6,13 @@
 )
 
 // MaxAcceptedRecords is how many accepted configurations are remembered.
-// Operators send an order again within minutes; a busy day holds some 11,000
-// changes and one record takes about 30 bytes of the snapshot.
+// Operators repeat an update within minutes; a busy day has some 11,000 updates,
+// and one record takes about 30 bytes of the snapshot.
 const MaxAcceptedRecords = 4096
 
-// MaxRefusedRecords is how many refusals are remembered of orders on a version
-// that was never in force. Only such an order could be accepted after it was
-// refused, and operators build on versions that they have seen.
+// MaxRefusedRecords is how many refused updates are remembered that were based on a
+// version above the present one. Only such an update could be accepted after it was
+// refused; they are rare, since operators base updates on versions that they read.
 const MaxRefusedRecords = 256
 
 // ConfigurationDigest identifies the text of a configuration.
@@ -27,11 +27,11 @@
 }
 
 // ConfigurationHistory remembers the configurations that were accepted, so that
-// an order that is sent again has the outcome that it had at first, however many
-// changes came between. Each version is built on once and the version that
-// follows is the next base, so the accepted ones form a chain: Accepted is
-// ordered by BaseVersion and by Version, and what was dropped from its front
-// lies at or below the first BaseVersion.
+// an update that is sent again has the outcome that it had at first, however many
+// were accepted in between. Each version is the base of one accepted update at
+// most, and the version that this puts in force is the next base: Accepted is a
+// chain, ordered by BaseVersion and by Version. Versions of records that were
+// dropped from its front are at most the first BaseVersion.
 type ConfigurationHistory struct {
 	_        struct{} `cbor:",toarray"`
 	Accepted []ConfigurationRecord
@@ -40,11 +40,11 @@
 
 // configurationDigest is the first half of the SHA-256 of a configuration's text.
 func configurationDigest(raw []byte) ConfigurationDigest {
-	sum := sha256.Sum256(raw)
-	return ConfigurationDigest(sum[:16])
+	digest := sha256.Sum256(raw)
+	return ConfigurationDigest(digest[:len(ConfigurationDigest{})])
 }
 
-// acceptedOn finds the accepted configuration that was built on a base.
+// acceptedOn finds the accepted configuration that was based on a version.
 func (h *ConfigurationHistory) acceptedOn(base int64) (ConfigurationRecord, bool) {
 	i := sort.Search(len(h.Accepted), func(i int) bool { return h.Accepted[i].BaseVersion >= base })
 	if i == len(h.Accepted) || h.Accepted[i].BaseVersion != base {
@@ -59,7 +59,8 @@
 	h.Accepted = lastRecords(h.Accepted, MaxAcceptedRecords)
 }
 
-// recordRefused notes that an order on a version that isn't in force was refused.
+// recordRefused notes that an update based on a version that isn't in force yet was
+// refused.
 func (h *ConfigurationHistory) recordRefused(base int64, digest ConfigurationDigest) {
 	if !h.wasRefused(base, digest) {
 		h.Refused = append(h.Refused, ConfigurationRecord{BaseVersion: base, Digest: digest})
@@ -76,9 +77,9 @@
 	return false
 }
 
-// forgottenVersion is the version up to which nothing is known any more: 0 while all
-// accepted configurations are remembered, and the current version in a state
-// that was saved before there were records.
+// forgottenVersion is the version below which no update based on it is remembered:
+// 0 while all accepted configurations are remembered, and the current version in a
+// state that was saved before this history existed.
 func (h *ConfigurationHistory) forgottenVersion(current int64) int64 {
 	if len(h.Accepted) == 0 {
 		return current
@@ -86,7 +87,7 @@
 	return h.Accepted[0].BaseVersion
 }
 
-// lastRecords keeps the last so many records.
+// lastRecords returns the last records, as many as most.
 func lastRecords(records []ConfigurationRecord, most int) []ConfigurationRecord {
 	if len(records) <= most {
 		return records
--- a/internal/state/confirm_digest.go
+++ b/internal/state/confirm_digest.go
@@ -1,13 +1,12 @@
 package state
 
-// ConfirmDigest tells which digest most replicas had at an index. It changes
-// nothing in the tables: each replica compares the digest with its own, beside
-// the log.
+// ConfirmDigest names the digest that most replicas had at an index. It changes no
+// table: each replica compares the digest with its own after applying the command.
 type ConfirmDigest struct {
 	_              struct{} `cbor:",toarray"`
 	Index          uint64
 	Digest         uint64
-	ProgramVersion string // the version of the program that the digest holds for
+	ProgramVersion string // the version of the program that computed the digest
 }
 
 // Apply keeps it for TakeConfirmedDigests.
--- a/internal/state/crash_backoff.go
+++ b/internal/state/crash_backoff.go
@@ -6,35 +6,44 @@
 	"tealpond/internal/tuning"
 )
 
-// CrashBackoff counts how often a node's runner crashed lately.
+// CrashBackoff counts the recent crashes of a node's runner.
 type CrashBackoff struct {
 	_         struct{} `cbor:",toarray"`
 	Crashes   float64  // at UpdatedAt; halves with each tuning.CrashCountHalfLife
 	UpdatedAt int64
 }
 
+// minBackoffCrashes is the least count of crashes that leads to a back-off: a second
+// crash within one half-life reaches it.
+const minBackoffCrashes = 1.5
+
+// crashMemoryHalfLives is after how many half-lives without a crash a node's count
+// is removed.
+const crashMemoryHalfLives = 8
+
 // recordCrash counts a crash of a node's runner. It returns for how many ms the
 // node's next worker gets no work: none after the first crash, then twice as
 // long with each, up to tuning.MaxCrashBackoff.
 func (s *Store) recordCrash(node string) int64 {
 	backoff := s.CrashBackoffs[node]
-	faded := backoff.Crashes * math.Exp2(-float64(s.Clock-backoff.UpdatedAt)/float64(tuning.CrashCountHalfLife.Milliseconds()))
-	backoff = CrashBackoff{Crashes: faded + 1, UpdatedAt: s.Clock}
+	decayed := backoff.Crashes * math.Exp2(-float64(s.Clock-backoff.UpdatedAt)/float64(tuning.CrashCountHalfLife.Milliseconds()))
+	backoff = CrashBackoff{Crashes: decayed + 1, UpdatedAt: s.Clock}
 	if s.CrashBackoffs == nil {
 		s.CrashBackoffs = map[string]CrashBackoff{}
 	}
 	s.CrashBackoffs[node] = backoff
-	if backoff.Crashes < 1.5 {
+	if backoff.Crashes < minBackoffCrashes {
 		return 0
 	}
-	return int64(min(float64(tuning.CrashBackoff.Milliseconds())*math.Exp2(backoff.Crashes-2), float64(tuning.MaxCrashBackoff.Milliseconds())))
+	backoffMs := float64(tuning.CrashBackoff.Milliseconds()) * math.Exp2(backoff.Crashes-2)
+	return int64(min(backoffMs, float64(tuning.MaxCrashBackoff.Milliseconds())))
 }
 
-// forgetOldCrashes removes the counts of nodes that have been calm for eight
-// half-lives.
+// forgetOldCrashes removes the counts of nodes without a crash for
+// crashMemoryHalfLives.
 func (s *Store) forgetOldCrashes() {
 	for node, backoff := range s.CrashBackoffs {
-		if s.Clock-backoff.UpdatedAt > 8*tuning.CrashCountHalfLife.Milliseconds() {
+		if s.Clock-backoff.UpdatedAt > crashMemoryHalfLives*tuning.CrashCountHalfLife.Milliseconds() {
 			delete(s.CrashBackoffs, node)
 		}
 	}
--- a/internal/state/device.go
+++ b/internal/state/device.go
@@ -29,7 +29,7 @@
 	Reservations []Reservation
 }
 
-// Reservation holds a device for an allocation, or for a loan, over the time
+// Reservation reserves a device for an allocation, or for a loan, over the time
 // [From, To).
 type Reservation struct {
 	_          struct{} `cbor:",toarray"`
@@ -53,7 +53,7 @@
 	d.Reservations = slices.DeleteFunc(d.Reservations, func(r Reservation) bool { return r.Allocation == allocation })
 }
 
-// dropExpiredReservations drops the reservations that are over.
+// dropExpiredReservations drops the reservations that have ended.
 func (d *Device) dropExpiredReservations(clock int64) {
 	d.Reservations = slices.DeleteFunc(d.Reservations, func(r Reservation) bool { return r.To <= clock })
 }
@@ -69,9 +69,9 @@
 	return true
 }
 
-// reserveGPUs reserves GPUs of a worker, those of the lowest numbers that are
-// free. It returns false if they are too few, some of them reserved: the caller
-// has a savepoint open.
+// reserveGPUs reserves the free GPUs of a worker with the lowest numbers. If too few
+// are free it returns false and leaves some reserved: the caller's savepoint undoes
+// that.
 func (s *Store) reserveGPUs(worker *Worker, count int, allocation uint64) ([]string, bool) {
 	var gpus []string
 	for i := 0; i < worker.Capacity.GPUs && len(gpus) < count; i++ {
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -5,19 +5,19 @@
 	"encoding/binary"
 )
 
-// Replicas prove that they agree by digests of two kinds. The digest chain
-// (Store.DigestChain) is kept up with every entry: it covers the entries, the
+// Replicas compare their states by digests of two kinds. The digest chain
+// (Store.DigestChain) is extended with every entry: it covers the entries, the
 // outcomes of their commands and the numbers of rows. SnapshotDigest covers the
 // whole state, at some indexes only. No command reads either of them.
 
 // SnapshotDigest is the digest of an encoded snapshot.
 func SnapshotDigest(snapshot []byte) uint64 {
-	sum := sha256.Sum256(snapshot)
-	return binary.BigEndian.Uint64(sum[:])
+	digest := sha256.Sum256(snapshot)
+	return binary.BigEndian.Uint64(digest[:])
 }
 
-// extendDigestChain takes an entry and its outcomes into the chain, once the
-// chain has begun. An entry without commands has neither data nor outcomes.
+// extendDigestChain adds an entry and its outcomes to the chain, once the chain has
+// begun. An entry without commands has neither data nor outcomes.
 func (s *Store) extendDigestChain(data []byte, outcomes []Outcome) {
 	if s.DigestChainFrom == 0 {
 		return
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -6,11 +6,11 @@
 // each replica. So nothing here reads a clock, a setting of its process, a
 // random number or the order of a map, nothing does I/O, and nothing is safe
 // for use by several goroutines: the owner of a Store applies entries and reads
-// tables from one goroutine, and hands a Snapshot to others.
+// tables from one goroutine, and gives other goroutines a Snapshot.
 //
-// Two times are in use, both given by the leader with each entry. The state
-// clock (Store.Clock) never goes back and rests on no date: fields of rows that
-// tell a time are in its milliseconds unless they say otherwise. The wall clock
+// Two clocks are in use, both set by the leader with each entry. The state clock
+// (Store.Clock) is monotonic and has no relation to the date: times in rows are in
+// its milliseconds unless their comment says otherwise. The wall clock
 // (Store.WallClock) is in milliseconds since 1970 and serves periodic jobs and
 // the record of demand only.
 //
--- a/internal/state/end_run.go
+++ b/internal/state/end_run.go
@@ -5,7 +5,7 @@
 const (
 	ResultDone    = "done"
 	ResultFailed  = "failed"  // by the task's own fault
-	ResultRefused = "refused" // the runner would not start it
+	ResultRefused = "refused" // the runner did not start it
 	// ResultLeaseExpired and ResultCrashed are given here to runs of a worker
 	// whose leases expired, or whose runner crashed.
 	ResultLeaseExpired = "lapsed"
@@ -29,8 +29,8 @@
 	}
 }
 
-// endRun ends a run: it keeps its checkpoint, gives back what the run held, and
-// moves its job on as the result says.
+// endRun ends a run: it saves its checkpoint, releases its resources, and updates
+// its job by the result.
 func (s *Store) endRun(allocation *Allocation, result, checkpoint string) {
 	s.saveCheckpoint(allocation, checkpoint)
 	s.removeAllocation(allocation)
@@ -51,7 +51,8 @@
 	}
 }
 
-// stopGang stops the other members of a gang, which can't go on without one.
+// stopGang stops the other members of a gang, which can't continue without the
+// given one.
 func (s *Store) stopGang(instance *JobInstance, member *Allocation, reason string) {
 	for i := range instance.Steps[member.Step].Tasks {
 		for _, id := range instance.Steps[member.Step].Tasks[i].Allocations {
@@ -80,8 +81,8 @@
 }
 
 // recordDone completes the task of a run that is done, or all tasks of its gang.
-// The time that a run took from the start counts for estimates, as if it had
-// run near its data.
+// The time that it took counts for estimates, converted to that of a run near its
+// data, unless the run resumed from a checkpoint.
 func (s *Store) recordDone(job *Job, instance *JobInstance, allocation *Allocation) {
 	spec := &job.Steps[allocation.Step]
 	if spec.LongRunning || instance.Failed || job.Canceled {
--- a/internal/state/expire_leases.go
+++ b/internal/state/expire_leases.go
@@ -1,9 +1,9 @@
 package state
 
-// ExpireLeases notes workers whose leases have surely expired, so that nothing
-// runs there any more. Each is named with the fence under which that was
-// decided: a worker that was registered again meanwhile may run something, since
-// its new agent may have started it.
+// ExpireLeases records that the leases of workers have surely expired, so that
+// nothing runs there any more. Each worker is named with the fence under which the
+// leader decided that: one that was registered again meanwhile may have runs that
+// its new agent started.
 type ExpireLeases struct {
 	_       struct{} `cbor:",toarray"`
 	Workers []FencedWorker
@@ -18,7 +18,7 @@
 
 // Apply ends all runs of the workers, so that their tasks can be placed again.
 // Workers that are unknown, dead, expired already or under another fence are
-// passed over.
+// skipped.
 func (c *ExpireLeases) Apply(s *Store) Outcome {
 	for _, expired := range c.Workers {
 		worker := s.Workers[expired.ID]
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -62,7 +62,7 @@
 	Tasks         []Task
 }
 
-// Task is how far a task of a step is.
+// Task is the progress of a task of a step.
 type Task struct {
 	_           struct{} `cbor:",toarray"`
 	LastRun     int      // the highest number of a run that was booked
@@ -72,7 +72,7 @@
 	Allocations []uint64 // of its runs; replaced as a whole, never written in place
 }
 
-// Statuses of jobs, in the words that clients are shown.
+// Statuses of jobs, as clients see them.
 const (
 	StatusPending  = "pending"
 	StatusRunning  = "serving"
@@ -89,7 +89,7 @@
 	return j
 }
 
-// followRoute takes over what a job's route says of its jobs.
+// followRoute copies a route's settings to a job.
 func (j *Job) followRoute(route *clusterconfig.Route) {
 	j.Service, j.Priority, j.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
 	j.Stretch, j.TargetMs = route.Stretch, route.TargetMs
@@ -97,7 +97,7 @@
 
 func (j *Job) ended() bool { return j.EndedAt != 0 }
 
-// Status is the job's status as clients are shown it.
+// Status is the job's status as clients see it.
 func (j *Job) Status() string {
 	switch {
 	case j.Canceled:
@@ -132,8 +132,8 @@
 // IsGang tells whether a step's tasks run together: all at once or none.
 func (j *Job) IsGang(step int) bool { return j.Steps[step].Gang }
 
-// InFinalRuns tells whether all that is left of a job is under way: its next
-// change is its end, or a run that must be repeated.
+// InFinalRuns tells whether every task that is left of a job has a run: the next
+// change is the job's end, or a run that must be repeated.
 func (j *Job) InFinalRuns() bool {
 	if j.ended() || j.hasMoreInstances() || j.AtPeer() {
 		return false
@@ -227,6 +227,9 @@
 	return longest
 }
 
+// taskNameParts is the number of parts of a task's name, see TaskName.
+const taskNameParts = 4
+
 // TaskName is the name that runners know a task by: the job's ID and the numbers
 // of instance, step and task, with dots between.
 func TaskName(job string, instance, step, index int) string {
--- a/internal/state/job_progress.go
+++ b/internal/state/job_progress.go
@@ -2,7 +2,12 @@
 
 // addInstance creates the next instance of a job.
 func (s *Store) addInstance(job *Job) {
-	instance := &JobInstance{Number: job.NextInstance, CreatedAt: s.Clock, StepsLeft: len(job.Steps), Steps: make([]StepState, len(job.Steps))}
+	instance := &JobInstance{
+		Number:    job.NextInstance,
+		CreatedAt: s.Clock,
+		StepsLeft: len(job.Steps),
+		Steps:     make([]StepState, len(job.Steps)),
+	}
 	for i, step := range job.Steps {
 		instance.Steps[i] = StepState{TasksLeft: step.TaskCount, Tasks: make([]Task, step.TaskCount)}
 	}
@@ -36,12 +41,16 @@
 	return true
 }
 
-// addTaskLocks makes the locks under which a task runs, one for each copy that
-// may run at a time.
+// maxTaskCopies is the most copies of a task that run at a time; only tasks of
+// speculative steps have more than one.
+const maxTaskCopies = 2
+
+// addTaskLocks adds a task's locks, one for each copy that may run at a time. A run
+// reserves the lock of its copy.
 func (s *Store) addTaskLocks(job *Job, instance, step, index int) {
 	copies := 1
 	if job.Steps[step].Speculative {
-		copies = 2
+		copies = maxTaskCopies
 	}
 	for number := range copies {
 		id := taskLockID(TaskName(job.ID, instance, step, index), number)
@@ -49,9 +58,9 @@
 	}
 }
 
-// dropTaskLocks removes the locks of a task that is not to be run any more.
+// dropTaskLocks removes the locks of a task that is never to run again.
 func (s *Store) dropTaskLocks(job *Job, instance, step, index int) {
-	for number := range 2 {
+	for number := range maxTaskCopies {
 		delete(s.Devices, taskLockID(TaskName(job.ID, instance, step, index), number))
 	}
 }
--- a/internal/state/lend_capacity.go
+++ b/internal/state/lend_capacity.go
@@ -26,10 +26,10 @@
 	SliceMilliCPU int64 // of one slice
 }
 
-// Apply reserves free slices until they are as much as is wanted. The outcome's
-// Value is the CPU that is lent; a loan that is known has the same outcome
-// again. The outcome is CodeConflict, and nothing is reserved, if less than the
-// minimum is free, and CodeInvalid if an amount isn't positive.
+// Apply reserves free slices until they add up to MilliCPU. The outcome's Value is
+// the CPU that is lent; a command that is repeated has the same outcome. The outcome
+// is CodeConflict, and nothing is reserved, if less than MinMilliCPU is free, and
+// CodeInvalid if an amount isn't positive.
 func (c *LendCapacity) Apply(s *Store) Outcome {
 	if loan := s.Loans[c.ID]; loan != nil {
 		return Outcome{Code: CodeOK, Value: loan.MilliCPU}
@@ -61,7 +61,7 @@
 	return Outcome{Code: CodeOK, Value: loan.MilliCPU}
 }
 
-// loanSlice returns a slice of a service's CPU and makes it if there is none.
+// loanSlice returns a slice of a service's CPU and creates it if there is none.
 func (s *Store) loanSlice(service string, number int) *Device {
 	id := loanSliceID(service, number)
 	if s.Devices[id] == nil {
@@ -71,8 +71,8 @@
 }
 
 // LoanRemaining is the CPU that a loan still has for new runs of an incoming
-// job; false for any other job. After the loan's end the jobs under it go on, so
-// that they end, with one run at a time.
+// job; false for any other job. After the loan's end its jobs continue with one run
+// at a time, so that they finish.
 func (s *Store) LoanRemaining(job *Job) (int64, bool) {
 	if !job.Transfer.Incoming {
 		return 0, false
@@ -88,15 +88,15 @@
 	return 0, true
 }
 
-// loanExhausted tells whether an incoming job's loan has no room for a run. A
+// loanExhausted tells whether an incoming job's loan has no CPU left for a run. A
 // run that needs more than the whole loan may start alone.
 func (s *Store) loanExhausted(job *Job, milliCPU int64) bool {
 	left, ok := s.LoanRemaining(job)
 	return ok && (left <= 0 || left < milliCPU && s.loanUsed(job.Transfer.Loan) > 0)
 }
 
-// loanUsed is the CPU that runs hold under a loan; a run that needs none counts
-// for a little, so that the number of runs is bounded.
+// loanUsed is the CPU of all runs under a loan. A run that needs none counts as a
+// thousandth of a core, so that the number of runs is bounded.
 func (s *Store) loanUsed(loan string) int64 {
 	used := int64(0)
 	for _, allocation := range s.Allocations {
--- a/internal/state/offer_job.go
+++ b/internal/state/offer_job.go
@@ -1,14 +1,14 @@
 package state
 
-// OfferJob begins to hand a job that hasn't started to a peer.
+// OfferJob begins to move a job that hasn't started to a peer.
 type OfferJob struct {
 	_    struct{} `cbor:",toarray"`
 	Job  string
 	Peer string
 }
 
-// Apply lets nothing of the job start here until it is settled who has it. The
-// outcome's Value is the ID of the offer. It is CodeGone if the job has ended,
+// Apply marks the job as offered: none of its runs starts here until the offer is
+// settled. The outcome's Value is the ID of the offer. It is CodeGone if the job has ended,
 // and CodeConflict if it has started, is periodic, or is in a transfer already.
 func (c *OfferJob) Apply(s *Store) Outcome {
 	job := s.Jobs[c.Job]
@@ -19,6 +19,11 @@
 		return Outcome{Code: CodeConflict, Text: "it has begun or moves already"}
 	}
 	s.LastID++
-	job.Transfer = JobTransfer{Peer: c.Peer, OfferID: int64(s.LastID), State: TransferOffered, OfferCount: job.Transfer.OfferCount + 1}
+	job.Transfer = JobTransfer{
+		Peer:       c.Peer,
+		OfferID:    int64(s.LastID),
+		State:      TransferOffered,
+		OfferCount: job.Transfer.OfferCount + 1,
+	}
 	return Outcome{Code: CodeOK, Value: job.Transfer.OfferID}
 }
--- a/internal/state/outcome.go
+++ b/internal/state/outcome.go
@@ -21,9 +21,9 @@
 	CodeAccepted           Code = 202 // it is noted and takes effect later
 	CodeInvalid            Code = 400 // it contradicts itself or the state; resending is useless
 	CodeNotFound           Code = 404 // no route leads there
-	CodeConflict           Code = 409 // what it refers to has moved on
-	CodeGone               Code = 410 // what it refers to isn't there, or is over
+	CodeConflict           Code = 409 // what it refers to has changed, such as a worker's fence
+	CodeGone               Code = 410 // what it refers to doesn't exist, or has ended
 	CodePreconditionFailed Code = 412 // it was decided on an older version; Value is the present one
 	CodeUnavailable        Code = 503 // nothing is configured yet
-	CodeUnknown            Code = 504 // whether it was accepted earlier can't be told any more
+	CodeUnknown            Code = 504 // whether it was accepted earlier is no longer known
 )
--- a/internal/state/register_worker.go
+++ b/internal/state/register_worker.go
@@ -7,8 +7,8 @@
 )
 
 // RegisterWorker binds a runner to the agent beside it and gives the agent a
-// fence: a number that its later commands must bear, so that those of an agent
-// that was replaced are refused. It is repeated when an agent starts anew.
+// fencing token (fence): a number that its later commands must carry, so that those
+// of an agent that was replaced are refused. An agent repeats it after a restart.
 type RegisterWorker struct {
 	_            struct{} `cbor:",toarray"`
 	ID           string
@@ -20,9 +20,9 @@
 	Capacity     protocol.Resources
 	Draining     bool
 	LeavesInMs   int64 // from now; negative if it stays
-	// ReplacesFence is the fence of the node's worker before this one, as the
-	// agent was told of it. A registration may come late, when a newer worker
-	// than its own is registered on the node, and must not end that one.
+	// ReplacesFence is the fence of the node's earlier worker, as far as the agent
+	// knows it. A registration may arrive late, when a newer worker than its own is
+	// registered on the node, and must not end that one.
 	ReplacesFence int64
 }
 
@@ -60,7 +60,8 @@
 	}
 	s.LastID++
 	worker.Fence = int64(s.LastID)
-	worker.AgentProcess, worker.Service, worker.Zone, worker.Labels, worker.Capacity = c.AgentProcess, c.Service, c.Zone, c.Labels, c.Capacity
+	worker.AgentProcess, worker.Service, worker.Zone = c.AgentProcess, c.Service, c.Zone
+	worker.Labels, worker.Capacity = c.Labels, c.Capacity
 	worker.LeaseExpired, worker.Unhealthy = false, false
 	if c.Draining {
 		worker.leave(s.Clock, c.LeavesInMs)
--- a/internal/state/release_job.go
+++ b/internal/state/release_job.go
@@ -12,7 +12,7 @@
 // forgotten. The outcome's Text is AnswerReleased.
 func (c *ReleaseJob) Apply(s *Store) Outcome {
 	s.voidOffer(c.Peer, c.ID, c.OfferID)
-	if job := s.Jobs[c.ID]; job != nil && job.cameBy(c.Peer, c.OfferID) {
+	if job := s.Jobs[c.ID]; job != nil && job.cameFromOffer(c.Peer, c.OfferID) {
 		job.Transfer.State = TransferReleased
 	}
 	return Outcome{Code: CodeOK, Text: AnswerReleased}
--- a/internal/state/replace_configuration.go
+++ b/internal/state/replace_configuration.go
@@ -6,15 +6,15 @@
 	"tealpond/internal/clusterconfig"
 )
 
-// ReplaceConfiguration puts an operator's configuration in force that was built
-// on a version.
+// ReplaceConfiguration is an operator's conditional update: it puts a configuration
+// in force if the version that it is based on is still the present one.
 type ReplaceConfiguration struct {
 	_           struct{} `cbor:",toarray"`
 	BaseVersion int64
 	Raw         []byte // the text as the operator sent it
 }
 
-// Texts of the outcomes of orders that aren't put in force.
+// Texts of the outcomes of updates that aren't put in force.
 const (
 	textKnown           = "known"
 	textNotCurrent      = "another version is in place"
@@ -22,13 +22,13 @@
 	textForgotten       = "too long ago to tell whether it was taken: read the configuration"
 )
 
-// Apply decides in the order of the log: of two changes on the same version only
-// the first is accepted. The outcome's Value is the version that it put in
-// force, or the present one.
+// Apply puts the configuration in force or refuses it. Of two updates based on the
+// same version only the first in the log is accepted. The outcome's Value is the
+// version that it put in force, or the present one.
 //
-// The very same order, base and text, has the same outcome each time: CodeOK if
-// it was accepted, CodePreconditionFailed or CodeInvalid if it was refused. If it
-// is older than what is remembered the outcome is CodeUnknown.
+// An update that is sent again, with the same base and text, has the same outcome
+// each time: CodeOK if it was accepted, CodePreconditionFailed or CodeInvalid if it
+// was refused. If it is older than the history the outcome is CodeUnknown.
 func (c *ReplaceConfiguration) Apply(s *Store) Outcome {
 	if outcome, decided := c.alreadyDecided(s); decided {
 		return outcome
@@ -45,8 +45,8 @@
 	return Outcome{Code: CodeOK, Value: next.Version}
 }
 
-// alreadyDecided returns the outcome of an order that was decided before, or
-// that isn't built on the present version.
+// alreadyDecided returns the outcome of an update that was decided before, or
+// that isn't based on the present version.
 func (c *ReplaceConfiguration) alreadyDecided(s *Store) (Outcome, bool) {
 	current := s.Configuration.Version
 	digest := configurationDigest(c.Raw)
@@ -62,8 +62,8 @@
 	}
 	switch {
 	case c.BaseVersion > current:
-		// It is refused for good: if its base comes into force later, a copy
-		// that was late on its way must not be accepted after all.
+		// It is refused for good: if its base comes into force later, a delayed
+		// copy of this update must not be accepted.
 		s.ConfigurationHistory.recordRefused(c.BaseVersion, digest)
 		return notCurrent, true
 	case c.BaseVersion < current || s.ConfigurationHistory.wasRefused(c.BaseVersion, digest):
@@ -72,20 +72,19 @@
 	return Outcome{}, false
 }
 
-// decideForgotten returns the outcome of an order whose base is older than all
-// that is remembered. It can have been accepted only if its own version isn't
-// above that either.
+// decideForgotten returns the outcome of an update whose base is older than the
+// history. It can have been accepted only if its own version is at most forgotten.
 func (c *ReplaceConfiguration) decideForgotten(s *Store, forgotten int64, notCurrent Outcome) Outcome {
 	if len(s.ConfigurationHistory.Accepted) == 0 && bytes.Equal(c.Raw, s.Configuration.Raw) {
 		return Outcome{Code: CodeOK, Text: textKnown, Value: s.Configuration.Version}
 	}
-	if order, err := clusterconfig.Parse(c.Raw); err != nil || order.Version > forgotten {
+	if config, err := clusterconfig.Parse(c.Raw); err != nil || config.Version > forgotten {
 		return notCurrent
 	}
 	return Outcome{Code: CodeUnknown, Text: textForgotten, Value: s.Configuration.Version}
 }
 
-// applyConfiguration puts a configuration in force, for open jobs too.
+// applyConfiguration puts a configuration in force, also for open jobs.
 func (s *Store) applyConfiguration(next *clusterconfig.Config) {
 	s.Configuration = *next
 	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
--- a/internal/state/report_completions.go
+++ b/internal/state/report_completions.go
@@ -13,8 +13,9 @@
 //
 // A runner numbers its completions from 1. They are accepted as a contiguous
 // prefix: one beyond a gap changes nothing and is reported again later. The
-// outcome's Value is the prefix that the state holds (Worker.LastCompletion),
-// and the only number up to which the runner may be told to forget completions.
+// outcome's Value is the last one of that prefix (Worker.LastCompletion): the agent
+// may acknowledge completions to the runner, which then forgets them, up to there
+// and no further.
 //
 // A completion of number 0 was made by the agent itself, for a run that the
 // runner will never list. It is outside the numbering.
@@ -25,16 +26,16 @@
 	Completions []protocol.Completion // as listed, one right after the other
 	Checkpoints []protocol.RunProgress
 	// FromOldest tells that Completions begins with the oldest one that the
-	// runner still holds: what it numbered below is forgotten there for good.
+	// runner still has: it has forgotten those with lower numbers for good.
 	FromOldest bool
 }
 
 // Faults that an accepted report can show. The outcome's Text begins with one
-// of them and goes on with the completions that it is about, or is empty. Each
-// is to be logged, since none can happen while all daemons keep their promises.
+// of them and goes on with the completions that it is about, or is empty. Agents
+// log them: each is a sign of an error in a daemon or a runner.
 const (
-	// CompletionsLost says that the runner was told to forget completions that
-	// were never committed.
+	// CompletionsLost says that the runner has forgotten completions that were
+	// never committed: they were acknowledged too early.
 	CompletionsLost = "ends lost"
 	// CompletionOfOpenRun says that a run was still booked though its
 	// completion had been committed.
@@ -70,7 +71,7 @@
 	return Outcome{Code: CodeOK, Value: worker.LastCompletion, Text: fault}
 }
 
-// applyCompletion ends one run. It returns the fault that shows, if any.
+// applyCompletion ends one run. It returns the fault that this shows, if any.
 func (s *Store) applyCompletion(worker *Worker, completion protocol.Completion) string {
 	fault := ""
 	committed := completion.Sequence > 0 && completion.Sequence <= worker.LastCompletion
@@ -100,15 +101,16 @@
 }
 
 // findAllocation finds the allocation of a run on a worker, or nil. Both copies
-// of a gang's task bear its run number: of several allocations it is the oldest,
-// since all replicas must choose the same one.
+// of a gang's task have the same run number. Of several allocations the oldest is
+// chosen, since all replicas must choose the same one.
 func (s *Store) findAllocation(worker, task string, run int) *Allocation {
 	parts := strings.Split(task, ".")
-	if len(parts) != 4 {
+	if len(parts) != taskNameParts {
 		return nil
 	}
 	matches := func(a *Allocation) bool {
-		return a.Run == run && a.Job == parts[0] && strconv.Itoa(a.Instance) == parts[1] && strconv.Itoa(a.Step) == parts[2] && strconv.Itoa(a.TaskIndex) == parts[3]
+		return a.Run == run && a.Job == parts[0] && strconv.Itoa(a.Instance) == parts[1] &&
+			strconv.Itoa(a.Step) == parts[2] && strconv.Itoa(a.TaskIndex) == parts[3]
 	}
 	var oldest *Allocation
 	for _, allocation := range s.allocationsByWorker[worker] {
@@ -123,7 +125,7 @@
 // with each booking. Nothing is known of a job that garbage collection removed.
 func (s *Store) runWasBooked(task string, run int) bool {
 	parts := strings.Split(task, ".")
-	if len(parts) != 4 || s.Jobs[parts[0]] == nil {
+	if len(parts) != taskNameParts || s.Jobs[parts[0]] == nil {
 		return false
 	}
 	var numbers [3]int // of the instance, the step and the task
--- a/internal/state/rollup.go
+++ b/internal/state/rollup.go
@@ -1,8 +1,8 @@
 package state
 
-// Rollup sums a service's capacity up for operators and their queries. The
-// scheduler never reads it. What is used is kept up with each run; all else is
-// as of RebuiltAt.
+// Rollup is a service's total capacity and use, for queries of operators. The
+// scheduler never reads it. The use is updated with each run; all else is as of
+// RebuiltAt.
 type Rollup struct {
 	_                   struct{} `cbor:",toarray"`
 	TotalMilliCPU       int64
@@ -18,7 +18,7 @@
 	RebuiltAt           int64
 }
 
-// rollup returns the rollup of a service and makes it if there is none.
+// rollup returns the rollup of a service and creates it if there is none.
 func (s *Store) rollup(service string) *Rollup {
 	rollup := s.Rollups[service]
 	if rollup == nil {
@@ -28,7 +28,7 @@
 	return rollup
 }
 
-// adjustRollup adds what a run holds, or takes it off if sign is -1.
+// adjustRollup adds a run's resources, or subtracts them if sign is -1.
 func (s *Store) adjustRollup(allocation *Allocation, sign int64) {
 	worker := s.Workers[allocation.Worker]
 	if worker == nil {
@@ -40,7 +40,7 @@
 	rollup.UsedGPUs += int(sign) * len(allocation.GPUs)
 }
 
-// RebuildRollups counts all rollups anew from workers and allocations.
+// RebuildRollups computes all rollups again from workers and allocations.
 func (s *Store) RebuildRollups() {
 	s.Rollups = map[string]*Rollup{}
 	for _, worker := range s.Workers {
--- a/internal/state/savepoint.go
+++ b/internal/state/savepoint.go
@@ -1,8 +1,8 @@
 package state
 
-// savepoint makes a change and takes all of it back if change returns false.
-// Savepoints may be nested. What is taken back is what recordUndo was told:
-// rows, reservations and the index, but not numbers that were given out.
+// savepoint makes a change and undoes it if change returns false. Savepoints may
+// be nested. Undone is what was recorded by recordUndo: rows, reservations and the
+// index, but not IDs that were used.
 func (s *Store) savepoint(change func() bool) bool {
 	outer := s.undoLog
 	var inner []func()
@@ -19,7 +19,7 @@
 	return ok
 }
 
-// recordUndo notes how to take a change back, while a savepoint is open.
+// recordUndo records how to undo a change, while a savepoint is open.
 func (s *Store) recordUndo(undo func()) {
 	if s.undoLog != nil {
 		*s.undoLog = append(*s.undoLog, undo)
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -10,7 +10,7 @@
 // schedulingIndex is what the scheduler reads instead of walking the tables. It
 // follows from them, is kept up as commands apply, is rebuilt with a snapshot or
 // a new configuration, and is not part of the state. No outcome of a command
-// rests on it, so two replicas may hold its sets in another order.
+// depends on it, so two replicas may have its sets in different orders.
 type schedulingIndex struct {
 	placeableSteps map[StepRef]struct{}          // may have tasks to place
 	used           map[ServicePriority]Resources // by all runs
@@ -87,8 +87,14 @@
 }
 
 func (s *Store) rebuildIndex() {
-	s.index = schedulingIndex{placeableSteps: map[StepRef]struct{}{}, used: map[ServicePriority]Resources{}, capacity: map[string]Resources{}, workers: map[string]int{},
-		byFreeCPU: map[string]*[freeCPUClasses]workerSet{}, byLabel: map[string]map[string]*workerSet{}}
+	s.index = schedulingIndex{
+		placeableSteps: map[StepRef]struct{}{},
+		used:           map[ServicePriority]Resources{},
+		capacity:       map[string]Resources{},
+		workers:        map[string]int{},
+		byFreeCPU:      map[string]*[freeCPUClasses]workerSet{},
+		byLabel:        map[string]map[string]*workerSet{},
+	}
 	for _, worker := range s.Workers {
 		worker.position = indexPosition{}
 		s.reindexWorker(worker)
@@ -113,7 +119,8 @@
 	schedulable := worker.Schedulable()
 	class := freeCPUClass(worker.FreeMilliCPU())
 	capacity := resourcesOf(worker.Capacity)
-	if position.indexed && schedulable && position.service == worker.Service && position.capacity == capacity && slices.Equal(position.labels, worker.Labels) {
+	if position.indexed && schedulable && position.service == worker.Service && position.capacity == capacity &&
+		slices.Equal(position.labels, worker.Labels) {
 		if position.cpuClass != class {
 			s.removeByFreeCPU(worker)
 			position.cpuClass = class
@@ -185,11 +192,12 @@
 	}
 }
 
-// addUsage adds what a run holds to its job's service and priority.
+// addUsage adds a run's resources to those of its job's service and priority.
 func (s *Store) addUsage(allocation *Allocation) {
 	if job := s.Jobs[allocation.Job]; job != nil {
 		allocation.servicePriority = ServicePriority{job.Service, job.Priority}
-		s.index.used[allocation.servicePriority] = s.index.used[allocation.servicePriority].plus(Resources{allocation.MilliCPU, allocation.MemoryMB})
+		used := s.index.used[allocation.servicePriority]
+		s.index.used[allocation.servicePriority] = used.plus(Resources{allocation.MilliCPU, allocation.MemoryMB})
 	}
 	s.index.booked = append(s.index.booked, allocation.ID)
 }
--- a/internal/state/set_eligibility.go
+++ b/internal/state/set_eligibility.go
@@ -1,18 +1,18 @@
 package state
 
-// SetEligibility notes what decides on whether a worker is given new work.
+// SetEligibility records whether a worker may get new work.
 type SetEligibility struct {
 	_          struct{} `cbor:",toarray"`
 	ID         string
 	Draining   bool
 	LeavesInMs int64 // from now, of a worker that drains or leaves; negative if unknown
 	Leaving    bool  // the runner signed off
-	Unhealthy  bool  // silent or standing still: no new work for now
+	Unhealthy  bool  // silent or stalled: no new work for now
 }
 
-// Apply writes the worker's row and raises its version, so that a placement
-// that was planned before is refused. Draining is never taken back. The outcome
-// is CodeGone for a worker that is unknown or dead.
+// Apply writes the worker's row and raises its version, so that placements planned
+// before are refused. Draining is never undone. The outcome is CodeGone for a
+// worker that is unknown or dead.
 func (c *SetEligibility) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker == nil || worker.Dead {
--- a/internal/state/set_epoch.go
+++ b/internal/state/set_epoch.go
@@ -1,13 +1,13 @@
 package state
 
-// SetEpoch names this cluster's history. Peers tell by it whether a cluster that
-// they know was formed anew.
+// SetEpoch sets the ID of this cluster's history. By it peers notice that a cluster
+// was bootstrapped again.
 type SetEpoch struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch string
 }
 
-// Apply keeps the first name for good.
+// Apply sets the epoch if there is none yet; it never changes after that.
 func (c *SetEpoch) Apply(s *Store) Outcome {
 	if s.Epoch == "" {
 		s.Epoch = c.Epoch
--- a/internal/state/set_limits.go
+++ b/internal/state/set_limits.go
@@ -6,9 +6,9 @@
 	Limits Limits
 }
 
-// Apply replaces the limits. It begins the digest chain if the state has none:
-// the log has to begin it and not a program's start, since a state that was
-// saved without a chain is loaded at another index on each replica.
+// Apply replaces the limits. It begins the digest chain if the state has none: the
+// chain begins with a command, at one index on all replicas, and not when a program
+// starts, since each replica may load a state without a chain at another index.
 func (c *SetLimits) Apply(s *Store) Outcome {
 	if s.DigestChainFrom == 0 {
 		s.DigestChainFrom = s.AppliedIndex
--- a/internal/state/settle_transfer.go
+++ b/internal/state/settle_transfer.go
@@ -1,21 +1,21 @@
 package state
 
-// SettleTransfer notes at the source what the target says of an offer.
+// SettleTransfer records at the source the target's answer to an offer.
 type SettleTransfer struct {
 	_       struct{} `cbor:",toarray"`
 	Job     string
 	OfferID int64
 	Peer    string
-	Epoch   string // of the peer, at the entry of its log that the answer rests on
+	Epoch   string // of the peer, at the entry of its log that the answer is based on
 	Index   uint64
 	Answer  string // one of the Answer constants, or the status of a job that ended
 }
 
-// Answers of a target to its source, in the words of the calls between clusters.
+// Answers of a target to its source, as calls between clusters name them.
 const (
 	AnswerAccepted = "taken"
 	AnswerRefused  = "refused"  // this offer is never accepted
-	AnswerVoided   = "voided"   // as AnswerRefused, on the source's wish
+	AnswerVoided   = "voided"   // as AnswerRefused, requested by the source
 	AnswerReleased = "released" // the target has forgotten the job
 )
 
@@ -34,9 +34,9 @@
 	StatusCanceled: func(s *Store, job *Job) { s.cancelJob(job) },
 }
 
-// Apply believes only a peer whose log has not gone back: the outcome is
-// CodeConflict for any other, and for a peer that denies a job that it accepted.
-// An answer that is no longer of interest changes nothing.
+// Apply accepts the answer only of a peer whose log has not gone back: the outcome
+// is CodeConflict for any other, and for a peer that denies a job that it accepted.
+// An answer to an offer that is settled already changes nothing.
 func (c *SettleTransfer) Apply(s *Store) Outcome {
 	progress := s.Peers[c.Peer]
 	if progress != nil && (progress.Epoch != c.Epoch || c.Index < progress.Index) {
@@ -47,12 +47,14 @@
 	}
 	s.Peers[c.Peer] = &PeerProgress{Epoch: c.Epoch, Index: c.Index}
 	job := s.Jobs[c.Job]
-	if job != nil && c.Answer == AnswerReleased && job.ended() && job.Transfer.State == TransferAccepted && job.Transfer.OfferID == c.OfferID {
+	if job != nil && c.Answer == AnswerReleased && job.ended() &&
+		job.Transfer.State == TransferAccepted && job.Transfer.OfferID == c.OfferID {
 		job.Transfer.State = TransferReleased
 		return Outcome{Code: CodeOK}
 	}
 	effect := answerEffects[c.Answer]
-	if job == nil || effect == nil || job.ended() || !job.AtPeer() || job.Transfer.OfferID != c.OfferID || job.Transfer.Peer != c.Peer {
+	if job == nil || effect == nil || job.ended() || !job.AtPeer() ||
+		job.Transfer.OfferID != c.OfferID || job.Transfer.Peer != c.Peer {
 		return Outcome{Code: CodeOK, Text: "no longer of interest"}
 	}
 	if (c.Answer == AnswerRefused || c.Answer == AnswerVoided) && job.Transfer.State == TransferAccepted {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -12,9 +12,9 @@
 	buildLargeTables []func() // each builds the map of one large table
 }
 
-// Snapshot copies the state. It costs a fraction of what encoding does, since it
-// blocks all else: rows are copied in bulk, with only those lists below them
-// that commands write in place, and the maps of the large tables are left to
+// Snapshot copies the state. No command can be applied meanwhile, so it is made to
+// cost a fraction of encoding: rows are copied in bulk, with only those nested lists
+// that commands modify in place, and the maps of the large tables are built by
 // Encode.
 func (s *Store) Snapshot() *Snapshot {
 	frozen := *s
--- a/internal/state/snapshot_encoding.go
+++ b/internal/state/snapshot_encoding.go
@@ -21,8 +21,12 @@
 // snapshotDecoding allows for larger tables than the library's own bound of
 // 131,072 rows, with which a state could be saved and never be loaded again.
 var snapshotDecoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: tuning.MaxSnapshotElements, MaxMapPairs: tuning.MaxSnapshotElements, MaxNestedLevels: tuning.MaxSnapshotNesting,
-		IndefLength: cbor.IndefLengthForbidden}.DecMode()
+	mode, err := cbor.DecOptions{
+		MaxArrayElements: tuning.MaxSnapshotElements,
+		MaxMapPairs:      tuning.MaxSnapshotElements,
+		MaxNestedLevels:  tuning.MaxSnapshotNesting,
+		IndefLength:      cbor.IndefLengthForbidden,
+	}.DecMode()
 	if err != nil {
 		panic("state: " + err.Error())
 	}
@@ -39,8 +43,8 @@
 }
 
 // DecodeSnapshot reads a state that EncodeSnapshot wrote; no bytes are an empty
-// state. The limits hold for a state that has none, because it is empty or was
-// saved before they were part of it. A snapshot that can't be read, or whose
+// state. The limits are the default for a state that has none, because it is empty
+// or was saved before they were part of it. A snapshot that can't be read, or whose
 // tables contradict one another, is an error.
 func DecodeSnapshot(raw []byte, limits Limits) (*Store, error) {
 	s := New(limits)
@@ -56,8 +60,8 @@
 	return s, nil
 }
 
-// deriveFromUntrusted is derive for tables that may have been changed on their
-// way: rows that refer to rows that aren't there are an error, not a panic.
+// deriveFromUntrusted is derive for tables that may be damaged: rows that refer to
+// rows that don't exist are an error, not a panic.
 func (s *Store) deriveFromUntrusted() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -68,9 +72,9 @@
 	return nil
 }
 
-// BindSnapshotIndex binds a state to the log's index that its snapshot stands
-// for. A state that holds no index yet, being new or saved before indexes were
-// part of it, takes this one; for any other a different index is an error.
+// BindSnapshotIndex checks that a state is of the log's index that its snapshot
+// names. A state without an index, because it is new or was saved before indexes
+// were part of it, gets this one; for any other a different index is an error.
 func (s *Store) BindSnapshotIndex(index uint64) error {
 	if s.AppliedIndex == 0 {
 		s.AppliedIndex = index
--- a/internal/state/stop_runs.go
+++ b/internal/state/stop_runs.go
@@ -1,7 +1,6 @@
 package state
 
-// StopRuns has runs stopped that were preempted or stand still, or whose worker
-// leaves.
+// StopRuns stops runs: those that are preempted or stalled, or whose worker leaves.
 type StopRuns struct {
 	_           struct{} `cbor:",toarray"`
 	Allocations []uint64
@@ -9,7 +8,7 @@
 }
 
 // Apply marks the runs as stopping. They keep their resources and their tasks'
-// locks until their completions are reported. Runs that ended are passed over.
+// locks until their completions are reported. Runs that ended are skipped.
 func (c *StopRuns) Apply(s *Store) Outcome {
 	for _, id := range c.Allocations {
 		if allocation := s.Allocations[id]; allocation != nil {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -23,8 +23,8 @@
 }
 
 // Store is the whole state. Its exported fields are what replicas agree on and
-// snapshots hold, under the names of their tags. The tags stay when a field is
-// renamed, since snapshots of earlier versions bear them. Snapshot copies each
+// snapshots contain, under the names of their tags. The tags stay when a field is
+// renamed, since snapshots of earlier versions use them. Snapshot copies each
 // field. Other packages read the tables; only commands change them.
 type Store struct {
 	AppliedIndex         uint64                           `cbor:"Applied"` // of the last entry of the log that was applied
@@ -40,7 +40,7 @@
 	Allocations          map[uint64]*Allocation           `cbor:"Allocs"`
 	Jobs                 map[string]*Job                  `cbor:"Jobs"`
 	Rollups              map[string]*Rollup               `cbor:"Rollups"` // by service
-	LastID               uint64                           `cbor:"Last"`    // the last number that was given to an allocation, a fence, an offer or a loan
+	LastID               uint64                           `cbor:"Last"`    // of allocations, fences, offers and loans, in one sequence
 	LastJobSequence      int64                            `cbor:"LastSeq"`
 	Epoch                string                           `cbor:"Epoch"` // see SetEpoch
 	Peers                map[string]*PeerProgress         `cbor:"Peers"`
@@ -58,8 +58,8 @@
 	derived
 }
 
-// derived is what follows from the tables, or waits to be taken by the owner of
-// the state. It is not in snapshots.
+// derived is what can be computed from the tables, and lists of changes that wait
+// for the owner of the state to take them. It is not in snapshots.
 type derived struct {
 	routeTable          *clusterconfig.RouteTable
 	openJobs            map[string]*Job
@@ -75,14 +75,21 @@
 
 // New returns an empty state.
 func New(limits Limits) *Store {
-	s := &Store{Routes: map[string]*clusterconfig.Route{}, Services: map[string]clusterconfig.Service{}, Workers: map[string]*Worker{},
-		Devices: map[string]*Device{}, Allocations: map[uint64]*Allocation{}, Jobs: map[string]*Job{}, Rollups: map[string]*Rollup{}}
-	s.Limits = limits
+	s := &Store{
+		Routes:      map[string]*clusterconfig.Route{},
+		Services:    map[string]clusterconfig.Service{},
+		Workers:     map[string]*Worker{},
+		Devices:     map[string]*Device{},
+		Allocations: map[uint64]*Allocation{},
+		Jobs:        map[string]*Job{},
+		Rollups:     map[string]*Rollup{},
+		Limits:      limits,
+	}
 	s.derive()
 	return s
 }
 
-// derive rebuilds what follows from the tables. It panics if they contradict one
+// derive computes the indexes from the tables. It panics if they contradict one
 // another.
 func (s *Store) derive() {
 	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
@@ -148,7 +155,8 @@
 	return next
 }
 
-// RemoteFactor is how many times as long a task takes away from its data.
+// RemoteFactor is how many times as long a task takes away from its data, at least
+// 1.
 func (s *Store) RemoteFactor() float64 { return max(s.Limits.RemoteFactor, 1) }
 
 // RouteTable finds the routes of the configuration in force.
@@ -168,7 +176,7 @@
 	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.Sequence, b.Sequence) })
 }
 
-// JobStatus is a job's status as clients are shown it; false if there is no such
+// JobStatus is a job's status as clients see it; false if there is no such
 // job.
 func (s *Store) JobStatus(id string) (string, bool) {
 	job := s.Jobs[id]
@@ -199,14 +207,14 @@
 	return allocations
 }
 
-// TakeChangedRuns returns the IDs of the allocations that were booked, or told
-// to stop, since the last call.
+// TakeChangedRuns returns the IDs of the allocations that were booked, or marked
+// as stopping, since the last call.
 func (s *Store) TakeChangedRuns() []uint64 { return take(&s.changedRuns) }
 
 // TakeEndedJobs returns the jobs that ended since the last call.
 func (s *Store) TakeEndedJobs() []*Job { return take(&s.endedJobs) }
 
-// take empties a list and returns what it held.
+// take empties a list and returns its elements.
 func take[T any](list *[]T) []T {
 	taken := *list
 	*list = nil
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -1,21 +1,21 @@
 package state
 
-// A job is moved to a peer cluster in steps that each may be repeated. The
-// source offers it (OfferJob), from when on it starts nothing of it. The target
-// accepts or refuses (AcceptJob). The source notes the answer (SettleTransfer);
-// if none comes, the target is asked to settle the offer (VoidOffer). When the
-// job has ended at the target and the source has noted it, the target may forget
-// it (ReleaseJob). So a job never runs at both.
+// A job is moved to a peer cluster in steps, each of which may be repeated. The
+// source offers it (OfferJob) and from then on starts none of its runs. The target
+// accepts or refuses (AcceptJob). The source records the answer (SettleTransfer);
+// if none comes, it has the target settle the offer (VoidOffer). When the job has
+// ended at the target and the source has recorded that, the target may forget it
+// (ReleaseJob). So a job never runs at both.
 
 // States of a job's transfer, as its source sees them.
 const (
 	TransferNone     = byte(iota)
-	TransferOffered  // the peer may have it: nothing starts here
-	TransferAccepted // the peer has it
-	TransferReleased // its end is known to both
+	TransferOffered  // the peer may have accepted it: nothing starts here
+	TransferAccepted // the peer has accepted it
+	TransferReleased // both clusters know its end
 )
 
-// JobTransfer is what is kept of a job that goes to a peer or came from one.
+// JobTransfer is the state of a job's move to a peer or from one.
 type JobTransfer struct {
 	_               struct{} `cbor:",toarray"`
 	Peer            string
@@ -24,11 +24,12 @@
 	CancelRequested bool  // a client wants it canceled, and the peer hasn't settled
 	Incoming        bool  // it came from the peer: this cluster is the target
 	Loan            string
-	OfferCount      int // how often it was offered
+	OfferCount      int // how many times it was offered
 }
 
-// PeerProgress is how far a peer's log was when it last said something. A peer
-// that shows less has come back with an older state and isn't believed.
+// PeerProgress is the index of a peer's log as of its last answer. A peer whose
+// index is lower later was restored from an older state, and its answers are not
+// accepted.
 type PeerProgress struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch string
@@ -38,21 +39,22 @@
 // AtPeer tells whether a peer has the job or may have it.
 func (j *Job) AtPeer() bool { return !j.Transfer.Incoming && j.Transfer.State != TransferNone }
 
-// heldForPeer tells whether a job must be kept, ended or not, for a peer that
+// keptForPeer tells whether a job must be kept, ended or not, for a peer that
 // has not settled it.
-func (j *Job) heldForPeer() bool {
+func (j *Job) keptForPeer() bool {
 	if j.Transfer.Incoming {
 		return j.Transfer.State != TransferReleased
 	}
 	return j.Transfer.State == TransferOffered || j.Transfer.State == TransferAccepted
 }
 
-// cameBy tells whether this is the job that a peer's offer brought.
-func (j *Job) cameBy(peer string, offerID int64) bool {
+// cameFromOffer tells whether this is the job that a peer's offer brought.
+func (j *Job) cameFromOffer(peer string, offerID int64) bool {
 	return j.Transfer.Incoming && j.Transfer.Peer == peer && j.Transfer.OfferID == offerID
 }
 
-// voidOffer has an offer, and those of the job before it, refused from now on.
+// voidOffer makes AcceptJob refuse an offer, and earlier ones of the job, from now
+// on.
 func (s *Store) voidOffer(peer, job string, offerID int64) {
 	if s.VoidedOffers == nil {
 		s.VoidedOffers = map[string]int64{}
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -117,7 +117,7 @@
 	if settle(StatusDone, 11); !f.store.Jobs["j"].Done {
 		t.Fatal("its end isn't kept")
 	}
-	if settle(AnswerReleased, 12); f.store.Jobs["j"].heldForPeer() {
+	if settle(AnswerReleased, 12); f.store.Jobs["j"].keptForPeer() {
 		t.Fatal("kept after it was released")
 	}
 }
--- a/internal/state/void_offer.go
+++ b/internal/state/void_offer.go
@@ -1,7 +1,7 @@
 package state
 
-// VoidOffer asks the target to settle an offer: it is accepted if it was, and
-// else never will be.
+// VoidOffer settles an offer at the target: if it was not accepted before, it never
+// will be.
 type VoidOffer struct {
 	_       struct{} `cbor:",toarray"`
 	Peer    string
@@ -11,10 +11,10 @@
 }
 
 // Apply settles the offer. The outcome's Text is AnswerVoided, or what
-// IncomingJobStatus tells of a job that was accepted.
+// IncomingJobStatus returns for a job that was accepted.
 func (c *VoidOffer) Apply(s *Store) Outcome {
 	job := s.Jobs[c.ID]
-	if job == nil || !job.cameBy(c.Peer, c.OfferID) {
+	if job == nil || !job.cameFromOffer(c.Peer, c.OfferID) {
 		s.voidOffer(c.Peer, c.ID, c.OfferID)
 		return Outcome{Code: CodeOK, Text: AnswerVoided}
 	}
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -6,9 +6,9 @@
 	"tealpond/internal/protocol"
 )
 
-// Worker is the row of one registered life of a runner: a runner that crashed
-// and came back is another worker. Commands that make a worker ineligible raise
-// Version, so that placements planned before them are refused.
+// Worker is the row of one registered incarnation of a runner: a runner that
+// crashed and was restarted is another worker. Commands that make a worker
+// ineligible raise Version, so that placements planned before them are refused.
 type Worker struct {
 	_              struct{} `cbor:",toarray"`
 	ID             string
@@ -23,12 +23,12 @@
 	AgentProcess   string // of the agent that registered it
 	Draining       bool
 	LeavesAt       int64 // 0 if it stays
-	Unhealthy      bool  // silent or standing still: no new work for now
+	Unhealthy      bool  // silent or stalled: no new work for now
 	LeaseExpired   bool  // its leases have surely expired, so nothing runs there
-	Dead           bool  // it crashed, and never comes back
+	Dead           bool  // its runner crashed or was replaced; it is never used again
 	Version        uint64
 	LastCompletion int64 // all completions up to this number are committed
-	BackoffUntil   int64 // no new work before, since it refused a start or its node's runner crashed
+	BackoffUntil   int64 // no new work before this time, after a refused start or a crash on its node
 	position       indexPosition
 }
 
@@ -41,7 +41,7 @@
 	return w.Labels[len(w.Labels)-1]
 }
 
-// HasLabel tells whether the worker bears a label.
+// HasLabel tells whether the worker has a label.
 func (w *Worker) HasLabel(label string) bool { return slices.Contains(w.Labels, label) }
 
 // RemoteFrom tells whether a worker is away from the rack near which a task's
@@ -58,8 +58,8 @@
 func (w *Worker) FreeMemoryMB() int64 { return max(0, w.Capacity.MemoryMB-w.UsedMemoryMB) }
 
 // leave notes that the worker drains and, unless leavesInMs is negative, when
-// it leaves. A worker that drains never stays after all, and leaves no later
-// than was known before: what comes later may be older news.
+// it leaves. Draining is never undone, and the time is never postponed: a command
+// that is applied later may carry older information.
 func (w *Worker) leave(clock, leavesInMs int64) {
 	w.Draining = true
 	if at := clock + leavesInMs; leavesInMs >= 0 && (w.LeavesAt == 0 || at < w.LeavesAt) {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// retireWorker ends all that a crashed runner's worker held, for good.
+// retireWorker marks a worker as dead, ends its runs and removes its devices.
 func (s *Store) retireWorker(worker *Worker) {
 	worker.Dead = true
 	worker.Version++
