--- a/internal/clusterconfig/config.go
+++ b/internal/clusterconfig/config.go
@@ -22,17 +22,17 @@
 	TargetMs      int64  `json:"targetMs"` // see Stretch
 	Priority      int    `json:"priority"` // 0 goes first
 	TargetService string `json:"targetService"`
-	MaxAttempts   int    `json:"maxTries"` // a job fails when a task has failed so often
-	// Stretch: a job should be done in Stretch times the sum of its longest
-	// chain of estimates, plus TargetMs.
+	MaxAttempts   int    `json:"maxTries"` // a job fails when one of its tasks has failed so many times
+	// Stretch: a job should be done in Stretch times the sum of the estimates on
+	// its critical path, plus TargetMs.
 	Stretch float64 `json:"stretch"`
 }
 
 // Service is a kind of runner.
 type Service struct {
 	Name string `json:"name"`
-	// EnforcesResources: its runners refuse what does not fit; the others start
-	// whatever they are told.
+	// EnforcesResources: its runners refuse a run for which they lack resources;
+	// the others start every run that they get.
 	EnforcesResources bool `json:"guards"`
 }
 
@@ -53,8 +53,8 @@
 	Raw      []byte    `json:"-" cbor:"raw"` // the text as it was sent
 }
 
-// Parse decodes a configuration and checks what its parts say of one another: all
-// problems that it finds are in the text of the error, which is of class Error.
+// Parse decodes a configuration and checks that its parts are consistent with one
+// another. The text of the error, which is of class Error, lists all problems.
 func Parse(raw []byte) (*Config, error) {
 	var config Config
 	if err := json.Unmarshal(raw, &config); err != nil {
@@ -94,8 +94,7 @@
 	return 0
 }
 
-// inconsistencies lists what the parts of a configuration say wrongly of one
-// another.
+// inconsistencies lists the contradictions between the parts of a configuration.
 func inconsistencies(config *Config) []string {
 	var problems []string
 	if config.Version <= 0 {
--- a/internal/clusterconfig/doc.go
+++ b/internal/clusterconfig/doc.go
@@ -1,7 +1,7 @@
 // Package clusterconfig reads and checks the configurations that operators send,
 // and finds the route of a request in one.
 //
-// A configuration passes two checks: Validate holds each field against a schema,
-// and Parse what the parts say of one another. The package never changes a
-// configuration and keeps none: the text as it was sent is part of the state.
+// A configuration passes two checks: Validate checks each field against a schema,
+// and Parse that the parts are consistent with one another. The package never
+// changes a configuration and stores none: the state has the text as it was sent.
 package clusterconfig
--- a/internal/clusterconfig/route_table.go
+++ b/internal/clusterconfig/route_table.go
@@ -37,7 +37,7 @@
 			return route, path[len(route.PathPrefix):]
 		}
 	}
-	// The queue itself may be asked for without the slash that ends its prefix.
+	// The path of the route itself may lack the slash that ends its prefix.
 	for _, route := range t.byHost[host] {
 		if path+"/" == route.PathPrefix {
 			return route, ""
--- a/internal/clusterconfig/schema.go
+++ b/internal/clusterconfig/schema.go
@@ -9,8 +9,8 @@
 	cuejson "cuelang.org/go/encoding/json"
 )
 
-// schema is what a configuration looks like, field by field, in CUE. #Lane is a
-// Route: the name stays, since texts of errors show it.
+// schema describes the fields of a configuration, in CUE. #Lane is a Route: the name
+// stays, since error texts contain it.
 const schema = `
 #Name: string & !=""
 #Lane: {
@@ -53,7 +53,7 @@
 // use.
 var schemaMu sync.Mutex
 
-// Validate holds a configuration against the schema; an error is of class Error.
+// Validate checks a configuration against the schema; an error is of class Error.
 func Validate(raw []byte) error {
 	schemaMu.Lock()
 	defer schemaMu.Unlock()
--- a/internal/protocol/runner.go
+++ b/internal/protocol/runner.go
@@ -3,10 +3,10 @@
 // States of a runner in its heartbeats.
 const (
 	RunnerReady    = "ready"
-	RunnerDraining = "draining" // it will leave, and takes no new runs
+	RunnerDraining = "draining" // it will leave, and accepts no new runs
 )
 
-// Heartbeat is a runner's account of itself.
+// Heartbeat is what a runner reports about itself.
 type Heartbeat struct {
 	Service       string    `json:"targetService"`
 	Address       string    `json:"address"`
@@ -14,7 +14,7 @@
 	ConfigVersion string    `json:"configVersion"` // of the runner's software
 	Slots         int       `json:"slots"`
 	State         string    `json:"state"`      // RunnerReady or RunnerDraining
-	WarmupLeftMs  int64     `json:"coldLeftMs"` // how much longer it is slow from its start
+	WarmupLeftMs  int64     `json:"coldLeftMs"` // how much longer it is slow after its start
 	FreeResources Resources `json:"freeRoom"`
 	Labels        []string  `json:"labels"` // its kind and its rack
 	ClockMs       int64     `json:"clockMs"`
@@ -24,7 +24,7 @@
 	Sequence int64 `json:"callSeq"`
 }
 
-// StartRequest tells a runner to start a run.
+// StartRequest is the body of a call that starts a run.
 type StartRequest struct {
 	TaskID       string `json:"taskId"`
 	RunID        int    `json:"runId"`
@@ -34,7 +34,7 @@
 	Checkpoint   string `json:"lastCheckpoint,omitempty"`
 }
 
-// StopRequest tells a runner to stop a run.
+// StopRequest is the body of a call that stops a run.
 type StopRequest struct {
 	TaskID string `json:"taskId"`
 	RunID  int    `json:"runId"`
@@ -50,22 +50,22 @@
 // Reasons of a runner's refusal.
 const (
 	ReasonStaleFence     = "fence" // it has seen a higher fence
-	ReasonAlreadyStarted = "old"   // that run, or a later one of the task, was there
-	ReasonLeaseEnded     = "late"  // the lease had ended when the start came
-	ReasonNoResources    = "room"  // the resources are taken
+	ReasonAlreadyStarted = "old"   // that run, or a later one of the task, was started there
+	ReasonLeaseEnded     = "late"  // the lease had expired when the start arrived
+	ReasonNoResources    = "room"  // too few resources are free
 )
 
 // KeepAliveRequest extends the lease of all that runs, acknowledges completions
-// and asks for the lists.
+// and requests both lists of runs.
 type KeepAliveRequest struct {
 	LeaseUntilMs         int64 `json:"untilMs,omitempty"` // on the runner's clock; 0: not extended
 	Fence                int64 `json:"fenceNumber"`
-	AcknowledgedSequence int64 `json:"lastSeen"`         // completions up to here are forgotten
+	AcknowledgedSequence int64 `json:"lastSeen"`         // the runner may forget completions up to here
 	WaitMs               int64 `json:"waitMs,omitempty"` // how long to wait for a completion
 }
 
-// KeepAliveResponse is a runner's answer to a KeepAliveRequest: its clock and
-// both lists, which Progress and Completions decode.
+// KeepAliveResponse is a runner's answer to a KeepAliveRequest: its clock and the
+// lists of what runs and what ended, which Progress and Completions decode.
 type KeepAliveResponse struct {
 	ClockMs int64   `json:"clockMs"`
 	Running [][]any `json:"runningCount"`
--- a/internal/protocol/runner_lists.go
+++ b/internal/protocol/runner_lists.go
@@ -4,8 +4,8 @@
 const (
 	ResultDone         = "done"
 	ResultFailed       = "failed"  // by its own fault or the runner's
-	ResultStopped      = "stopped" // it was told to stop
-	ResultLeaseExpired = "lapsed"  // its lease ended
+	ResultStopped      = "stopped" // by a StopRequest
+	ResultLeaseExpired = "lapsed"  // its lease expired
 	// ResultRefused is never listed by a runner: an agent reports it of a run
 	// that surely never started there.
 	ResultRefused = "refused"
@@ -15,7 +15,7 @@
 type RunProgress struct {
 	_          struct{} `cbor:",toarray"`
 	Task       string
-	Run        int    // counts the starts of the task, from 1
+	Run        int    // the number of the attempt at the task, from 1
 	Checkpoint string // the newest; empty: none
 	Percent    int
 }
@@ -23,13 +23,19 @@
 // Completion is one line of a runner's list of what ended.
 type Completion struct {
 	_          struct{} `cbor:",toarray"`
-	Sequence   int64    // rises from 1 within an incarnation; 0: not of a runner's list
+	Sequence   int64    // from 1 within an incarnation; 0: made by an agent, not listed by the runner
 	Task       string
 	Run        int
 	Result     string // ResultDone and so on
 	Checkpoint string
 }
 
+// Lengths of the lines of both lists.
+const (
+	progressColumns   = 4 // task, run, checkpoint, percent
+	completionColumns = 5 // sequence, task, run, result, checkpoint
+)
+
 // stringOf reads a text; anything else reads as empty.
 func stringOf(v any) string {
 	s, _ := v.(string)
@@ -42,26 +48,37 @@
 	return int64(f)
 }
 
-// Progress reads the list of what runs; a short line is left out.
+// Progress decodes the list of what runs; lines that are too short are skipped.
 func (r *KeepAliveResponse) Progress() []RunProgress {
 	progress := make([]RunProgress, 0, len(r.Running))
 	for _, line := range r.Running {
-		if len(line) < 4 {
+		if len(line) < progressColumns {
 			continue
 		}
-		progress = append(progress, RunProgress{Task: stringOf(line[0]), Run: int(integerOf(line[1])), Checkpoint: stringOf(line[2]), Percent: int(integerOf(line[3]))})
+		progress = append(progress, RunProgress{
+			Task:       stringOf(line[0]),
+			Run:        int(integerOf(line[1])),
+			Checkpoint: stringOf(line[2]),
+			Percent:    int(integerOf(line[3])),
+		})
 	}
 	return progress
 }
 
-// Completions reads the list of what ended; a short line is left out.
+// Completions decodes the list of what ended; lines that are too short are skipped.
 func (r *KeepAliveResponse) Completions() []Completion {
 	completions := make([]Completion, 0, len(r.Ended))
 	for _, line := range r.Ended {
-		if len(line) < 5 {
+		if len(line) < completionColumns {
 			continue
 		}
-		completions = append(completions, Completion{Sequence: integerOf(line[0]), Task: stringOf(line[1]), Run: int(integerOf(line[2])), Result: stringOf(line[3]), Checkpoint: stringOf(line[4])})
+		completions = append(completions, Completion{
+			Sequence:   integerOf(line[0]),
+			Task:       stringOf(line[1]),
+			Run:        int(integerOf(line[2])),
+			Result:     stringOf(line[3]),
+			Checkpoint: stringOf(line[4]),
+		})
 	}
 	return completions
 }
