--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -46,7 +46,7 @@
 	settings          settings.File
 	log               log.Logger
 	reload            <-chan settings.File
-	process           string // this process: each start of the daemon has another
+	processID         string // daemon.Environment.ProcessID
 	events            chan event
 	discovery         *discovery.Client
 	runner            RunnerClient
@@ -64,13 +64,13 @@
 // New builds the side role over a way to call its runner.
 func New(env daemon.Environment, runner RunnerClient) *Agent {
 	a := &Agent{
-		settings: env.Settings,
-		log:      env.Log,
-		reload:   env.Reload,
-		process:  env.ProcessID,
-		events:   make(chan event, eventQueueLength),
-		runner:   runner,
-		trace:    env.Trace,
+		settings:  env.Settings,
+		log:       env.Log,
+		reload:    env.Reload,
+		processID: env.ProcessID,
+		events:    make(chan event, eventQueueLength),
+		runner:    runner,
+		trace:     env.Trace,
 	}
 	a.discovery = discovery.NewClient(discovery.Options{
 		Seeds:            env.Settings.SeedAddresses(),
--- a/internal/agent/model_worker_test.go
+++ b/internal/agent/model_worker_test.go
@@ -226,7 +226,7 @@
 // startAgent starts an agent on the worker's machine.
 func (w *modelWorker) startAgent(ctx context.Context) {
 	agentCtx, cancel := context.WithCancel(ctx)
-	agent := &Agent{log: log.NewNopLogger(), process: fmt.Sprint(time.Now().UnixNano()), events: make(chan event, 1024), runner: w, callLeader: w.m.callLeader, trace: tracing.NewRing(16), ctx: agentCtx}
+	agent := &Agent{log: log.NewNopLogger(), processID: fmt.Sprint(time.Now().UnixNano()), events: make(chan event, 1024), runner: w, callLeader: w.m.callLeader, trace: tracing.NewRing(16), ctx: agentCtx}
 	agent.settings.NodeName = w.node
 	w.agent, w.stop = agent, cancel
 	go daemon.Loop(agentCtx, agent.events, agent.handle, agent.advance)
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -19,16 +19,16 @@
 	session.registering = true
 	heartbeat, draining := session.heartbeat, a.isLeaving(session)
 	command := &state.RegisterWorker{
-		ID:            session.id,
-		Node:          a.settings.NodeName,
-		AgentProcess:  a.process,
-		Service:       heartbeat.Service,
-		Zone:          heartbeat.Zone,
-		Labels:        heartbeat.Labels,
-		Capacity:      heartbeat.FreeResources,
-		Draining:      draining,
-		LeavesInMs:    a.leavesInMs(session),
-		ReplacesFence: session.replacedFence,
+		ID:             session.id,
+		Node:           a.settings.NodeName,
+		AgentProcessID: a.processID,
+		Service:        heartbeat.Service,
+		Zone:           heartbeat.Zone,
+		Labels:         heartbeat.Labels,
+		Capacity:       heartbeat.FreeResources,
+		Draining:       draining,
+		LeavesInMs:     a.leavesInMs(session),
+		ReplacesFence:  session.replacedFence,
 	}
 	a.requestLeader(rpc.KindRegisterWorker, command, registerTimeout, func(response rpc.Response) {
 		if a.session == session {
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -80,11 +80,11 @@
 // renewMembership renews this daemon's membership lease, until ctx ends.
 func (a *Agent) renewMembership(ctx context.Context) {
 	lease := rpc.MembershipLease{
-		Node:    a.settings.NodeName,
-		Role:    roleName,
-		Zone:    a.settings.Zone,
-		Addr:    a.settings.AgentAddress(),
-		Process: a.process,
+		Node:      a.settings.NodeName,
+		Role:      roleName,
+		Zone:      a.settings.Zone,
+		Addr:      a.settings.AgentAddress(),
+		ProcessID: a.processID,
 	}
 	ticker := time.NewTicker(tuning.AgentMembershipRenewInterval)
 	defer ticker.Stop()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -169,11 +169,11 @@
 // newest version of the configuration.
 func (s *Server) renewMembership(ctx context.Context) {
 	lease := rpc.MembershipLease{
-		Node:    s.settings.NodeName,
-		Role:    roleName,
-		Zone:    s.settings.Zone,
-		Addr:    s.settings.InternalAddress(),
-		Process: s.env.ProcessID,
+		Node:      s.settings.NodeName,
+		Role:      roleName,
+		Zone:      s.settings.Zone,
+		Addr:      s.settings.InternalAddress(),
+		ProcessID: s.env.ProcessID,
 	}
 	ticker := time.NewTicker(tuning.MembershipRenewInterval)
 	defer ticker.Stop()
--- a/internal/rpc/leases.go
+++ b/internal/rpc/leases.go
@@ -28,13 +28,13 @@
 // set in Requested. A set is sent with its members once; CodeUnknownSet says that
 // the leader does not know it.
 type LeaseBatch struct {
-	_                 struct{} `cbor:",toarray"`
-	AggregatorDisk    string   // the identity of the aggregator's disk
-	AggregatorProcess string   // its process, since each process numbers its sets from 1
-	SetNumber         uint64
-	Members           []BatchMember   // empty if the leader knows the set
-	Requested         []byte          // a bit for each member, that of member 0 lowest in the first byte
-	Runtimes          []MemberRuntime // those that changed
+	_                   struct{} `cbor:",toarray"`
+	AggregatorDisk      string   // the identity of the aggregator's disk
+	AggregatorProcessID string   // daemon.Environment.ProcessID; each process numbers its sets from 1
+	SetNumber           uint64
+	Members             []BatchMember   // empty if the leader knows the set
+	Requested           []byte          // a bit for each member, that of member 0 lowest in the first byte
+	Runtimes            []MemberRuntime // those that changed
 }
 
 // IsRequested tells whether a member, given by its place in the set, asks for a
--- a/internal/rpc/messages.go
+++ b/internal/rpc/messages.go
@@ -38,12 +38,12 @@
 // MembershipLease is what a daemon renews to be counted among the cluster's
 // members.
 type MembershipLease struct {
-	_       struct{} `cbor:",toarray"`
-	Node    string   // the name of its machine
-	Role    string
-	Zone    string
-	Addr    string // its address for other daemons
-	Process string // drawn at random by each process
+	_         struct{} `cbor:",toarray"`
+	Node      string   // the name of its machine
+	Role      string
+	Zone      string
+	Addr      string // its address for other daemons
+	ProcessID string // daemon.Environment.ProcessID
 }
 
 // TraceResult is a daemon's answer to KindTrace.
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -82,7 +82,7 @@
 func (r *Replica) sendBatch(ctx context.Context, batch aggregator.Batch) {
 	request := rpc.Request{Kind: rpc.KindBatch, Body: transport.Encode(batch.Requests)}
 	if batch.Renewals != nil {
-		batch.Renewals.AggregatorProcess = r.processID
+		batch.Renewals.AggregatorProcessID = r.processID
 		request = rpc.Request{Kind: rpc.KindLeaseBatch, Body: transport.Encode(batch.Renewals)}
 	}
 	r.metrics.count("batch_"+request.Kind, 1)
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -43,18 +43,18 @@
 	reply(response)
 }
 
-// memberSet is an aggregator's set of workers, as the leader was told it.
+// memberSet is an aggregator's set of workers, as the leader last received it.
 // A set is known by the aggregator's process and its number: a batch of an
 // earlier process may arrive late, and may bear the number of a later set.
 type memberSet struct {
-	process string
-	number  uint64
-	members []rpc.BatchMember
+	processID string
+	number    uint64
+	members   []rpc.BatchMember
 }
 
 // matches tells whether the set is the one that a batch numbers.
 func (s memberSet) matches(batch *rpc.LeaseBatch) bool {
-	return s.process == batch.AggregatorProcess && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
+	return s.processID == batch.AggregatorProcessID && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
 }
 
 // handleLeaseBatch renews the leases of all workers that ask for it in a batch of
@@ -62,7 +62,7 @@
 func (r *Replica) handleLeaseBatch(batch *rpc.LeaseBatch, _ *transport.Stream, reply replyFunc) {
 	set := r.memberSets[batch.AggregatorDisk]
 	if batch.Members != nil {
-		set = memberSet{batch.AggregatorProcess, batch.SetNumber, batch.Members}
+		set = memberSet{batch.AggregatorProcessID, batch.SetNumber, batch.Members}
 		r.memberSets[batch.AggregatorDisk] = set
 	}
 	if !set.matches(batch) {
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -46,8 +46,8 @@
 func TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet(t *testing.T) {
 	replica, fences := leaderWithWorkers("a", "b", "c")
 	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
-	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "1", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("b")}, Requested: []byte{3}}
-	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcess: "2", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("c")}, Requested: []byte{3}}
+	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcessID: "1", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("b")}, Requested: []byte{3}}
+	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcessID: "2", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("c")}, Requested: []byte{3}}
 	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "ac" {
 		t.Fatalf("the set with its members: %d, renewed %q", code, renewed)
 	}
--- a/internal/state/generator_test.go
+++ b/internal/state/generator_test.go
@@ -208,7 +208,7 @@
 		} else {
 			node = w.Node
 		}
-		return &state.RegisterWorker{ID: id, Node: node, AgentProcess: fmt.Sprint(g.workers), Service: g.oneOf("s", "s", "t"), Zone: g.oneOf("z1", "z2"), Labels: append(g.labels(), g.oneOf("r1", "r2")),
+		return &state.RegisterWorker{ID: id, Node: node, AgentProcessID: fmt.Sprint(g.workers), Service: g.oneOf("s", "s", "t"), Zone: g.oneOf("z1", "z2"), Labels: append(g.labels(), g.oneOf("r1", "r2")),
 			Capacity: protocol.Resources{CPUUnits: 200, MemoryMB: 200, GPUs: 2}, Draining: g.Intn(12) == 0, LeavesInMs: int64(g.Intn(500) - 250)}
 	}},
 	state.CommandStopRuns: {2, func(g *generator) state.Command {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -52,7 +52,7 @@
 		{Name: "replace", Value: &ReplaceConfiguration{BaseVersion: 1, Raw: []byte("text")}},
 		{Name: "settle", Value: &SettleTransfer{Job: "job", OfferID: 1, Peer: "peer", Epoch: "epoch", Index: 2, Answer: "what"}},
 		{Name: "sweep", Value: &CollectGarbage{RebuildRollups: true}},
-		{Name: "takeup", Value: &RegisterWorker{ID: "id", Node: "node", AgentProcess: "life", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: resources,
+		{Name: "takeup", Value: &RegisterWorker{ID: "id", Node: "node", AgentProcessID: "life", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: resources,
 			Draining: true, LeavesInMs: 1, ReplacesFence: 2}},
 		{Name: "void", Value: &VoidOffer{Peer: "peer", OfferID: 1, ID: "id", Cancel: true}},
 	}
@@ -103,7 +103,7 @@
 func TestRowBytes(t *testing.T) {
 	worker := func(set func(*Worker)) *Worker {
 		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123},
-			UsedMilliCPU: 1, UsedMemoryMB: 2, Fence: 3, AgentProcess: "life", LeavesAt: 4, Version: 5, LastCompletion: 6, BackoffUntil: 7}
+			UsedMilliCPU: 1, UsedMemoryMB: 2, Fence: 3, AgentProcessID: "life", LeavesAt: 4, Version: 5, LastCompletion: 6, BackoffUntil: 7}
 		set(w)
 		return w
 	}
--- a/internal/state/register_worker.go
+++ b/internal/state/register_worker.go
@@ -10,16 +10,16 @@
 // fencing token (fence): a number that its later commands must carry, so that those
 // of an agent that was replaced are refused. An agent repeats it after a restart.
 type RegisterWorker struct {
-	_            struct{} `cbor:",toarray"`
-	ID           string
-	Node         string
-	AgentProcess string
-	Service      string
-	Zone         string
-	Labels       []string
-	Capacity     protocol.Resources
-	Draining     bool
-	LeavesInMs   int64 // from now; negative if it stays
+	_              struct{} `cbor:",toarray"`
+	ID             string
+	Node           string
+	AgentProcessID string
+	Service        string
+	Zone           string
+	Labels         []string
+	Capacity       protocol.Resources
+	Draining       bool
+	LeavesInMs     int64 // from now; negative if it stays
 	// ReplacesFence is the fence of the node's earlier worker, as far as the agent
 	// knows it. A registration may arrive late, when a newer worker than its own is
 	// registered on the node, and must not end that one.
@@ -60,7 +60,7 @@
 	}
 	s.LastID++
 	worker.Fence = int64(s.LastID)
-	worker.AgentProcess, worker.Service, worker.Zone = c.AgentProcess, c.Service, c.Zone
+	worker.AgentProcessID, worker.Service, worker.Zone = c.AgentProcessID, c.Service, c.Zone
 	worker.Labels, worker.Capacity = c.Labels, c.Capacity
 	worker.LeaseExpired, worker.Unhealthy = false, false
 	if c.Draining {
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -20,7 +20,7 @@
 	UsedMilliCPU   int64
 	UsedMemoryMB   int64
 	Fence          int64  // rises with each registration; see RegisterWorker
-	AgentProcess   string // of the agent that registered it
+	AgentProcessID string // of the agent that registered it; see daemon.Environment.ProcessID
 	Draining       bool
 	LeavesAt       int64 // 0 if it stays
 	Unhealthy      bool  // silent or stalled: no new work for now
