--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -41,7 +41,7 @@
 	status chan int
 }
 
-// Agent is the side role. Its loop alone touches what it knows of the runner.
+// Agent is the side role. Only its loop reads and writes the session.
 type Agent struct {
 	settings          settings.File
 	log               log.Logger
@@ -94,7 +94,7 @@
 	}
 }
 
-// handle takes one input of the loop.
+// handle handles one input of the loop.
 func (a *Agent) handle(e event) {
 	a.now = time.Now()
 	switch {
@@ -113,8 +113,7 @@
 	}
 }
 
-// requestLeader sends a request to the leader and brings the response into the
-// loop.
+// requestLeader sends a request to the leader; onResponse is called in the loop.
 func (a *Agent) requestLeader(kind string, body any, timeout time.Duration, onResponse func(rpc.Response)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, timeout)
--- a/internal/agent/call_policy.go
+++ b/internal/agent/call_policy.go
@@ -12,13 +12,13 @@
 type callPolicy struct {
 	// Retryable: the same call may be made again at once. Otherwise the lists
 	// are read first, by a poll sent after the call, and the call is made again
-	// only if they don't settle the matter.
+	// only if they don't show its effect.
 	Retryable bool
-	// Reason is why that is so, and what makes a late call harmless.
+	// Reason explains that, and what makes a late call harmless.
 	Reason string
 }
 
-// callPolicies holds the policy of each call that is made to a runner.
+// callPolicies are the policies of the calls to a runner, by path.
 var callPolicies = map[string]callPolicy{
 	pathStart: {false, "the run may be there, or over; the same run is not started twice there, a late start is turned away " +
 		"once the run ended, was stopped, its untilMs is past, or a higher fence was seen"},
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -67,7 +67,7 @@
 	})
 }
 
-// noteCommitted takes note of the prefix of completions that is committed. It is
+// noteCommitted records the prefix of completions that is committed. It is
 // the one that the response names, never the last one reported, since an earlier
 // report may have been lost.
 func (a *Agent) noteCommitted(session *runnerSession, response rpc.Response, committedBefore, fence int64) {
@@ -131,7 +131,7 @@
 	})
 }
 
-// remember takes note of a completion. Old ones are forgotten once they are
+// remember records a completion. Old ones are forgotten once they are
 // committed, since their runs are never assigned again.
 func (s *runnerSession) remember(completion protocol.Completion, now time.Time) {
 	if s.completed == nil {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -14,8 +14,8 @@
 func (a *Agent) handleHeartbeat(request *heartbeatRequest) {
 	session := a.session
 	if a.endedIncarnations[request.id] && session != nil && session.id != request.id {
-		// It came late. A new session for it would end the one of the present
-		// incarnation, with its lease and what is known of its runs.
+		// It is late. A new session for it would replace that of the present
+		// incarnation, with its lease and its runs.
 		request.status <- http.StatusOK
 		return
 	}
@@ -63,8 +63,9 @@
 	a.registerRunner(session)
 }
 
-// isLeaving tells whether the runner said that it leaves: by a heartbeat or by
-// its sign-off, after which some go on to say that they are ready.
+// isLeaving tells whether the runner announced that it leaves: by a heartbeat, or by
+// its sign-off. Some runners report the state "ready" again after their sign-off;
+// that changes nothing.
 func (a *Agent) isLeaving(session *runnerSession) bool {
 	_, signedOff := a.signedOff[session.id]
 	return signedOff || session.heartbeat.State == protocol.RunnerDraining
@@ -111,12 +112,12 @@
 	})
 }
 
-// handleSignOff takes a sign-off, which is acknowledged once it is committed.
+// handleSignOff handles a sign-off, which is acknowledged once it is committed.
 func (a *Agent) handleSignOff(request *signOffRequest) {
 	session := a.session
 	if session == nil || session.id != request.id {
-		// It is committed all the same: this daemon may have been restarted, and
-		// the state may know that incarnation from the process before.
+		// It is committed nevertheless: this daemon may have been restarted, and
+		// the previous process may have registered that incarnation.
 		session = &runnerSession{id: request.id}
 	}
 	a.noteSignOff(session)
@@ -141,7 +142,7 @@
 	})
 }
 
-// noteSignOff takes note of when an incarnation that signs off leaves; a second
+// noteSignOff records when an incarnation that signs off will leave; a second
 // sign-off changes nothing.
 func (a *Agent) noteSignOff(session *runnerSession) {
 	if _, again := a.signedOff[session.id]; again {
@@ -149,7 +150,7 @@
 	}
 	leavesAt := a.now
 	if !session.drainingCommitted && !a.isLeaving(session) {
-		// It never drained, and goes on for that long from now.
+		// It has not drained yet, and stays for the drain time from now on.
 		leavesAt = leavesAt.Add(time.Duration(a.settings.Bounds.DrainMs * float64(time.Millisecond)))
 	}
 	if a.signedOff == nil {
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -20,8 +20,8 @@
 	unanswered := session.hasUnansweredCall()
 	if session.polling {
 		if unanswered && !session.probing {
-			// A second poll is sent beside the first, which began before the
-			// call and may still wait for a completion.
+			// A second poll is sent at the same time as the first, which began
+			// before the call and may still wait for a completion.
 			a.sendKeepAlive(session, 0, &session.probing)
 		}
 		return 0
@@ -72,7 +72,7 @@
 			wait = min(wait, stoppedRunPollWait)
 		}
 		if run.overdue(now) {
-			// It may stand still, and then nothing would end the wait.
+			// It may be stalled, and no completion would end the wait.
 			wait = min(wait, tuning.OverdueRunPollWait)
 		}
 	}
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -33,8 +33,8 @@
 	return now.Sub(r.startedAt).Milliseconds() > 3*r.assignment.EstimateMs/2+graceMs
 }
 
-// trackProgress takes note of how far a run is, and has it stopped if it stands
-// still.
+// trackProgress records a run's progress, and requests that it is stopped if it is
+// stalled.
 func (a *Agent) trackProgress(session *runnerSession, run *taskRun, progress protocol.RunProgress) {
 	unchangedFor := run.noteProgress(progress.Percent, a.now)
 	if unchangedFor == 0 || !run.stalled(unchangedFor, time.Duration(a.settings.Bounds.RestoreMs)*time.Millisecond) {
@@ -46,8 +46,7 @@
 	session.lastStalledAt = a.now
 }
 
-// noteProgress takes note of how far a run is and gives for how long that has not
-// changed.
+// noteProgress records a run's progress and returns for how long it has not changed.
 func (r *taskRun) noteProgress(percent int, now time.Time) time.Duration {
 	if r.startedAt.IsZero() {
 		r.startedAt, r.percentChangedAt = now, now
@@ -85,8 +84,8 @@
 	return unchangedFor >= timeout && unchangedFor >= maxPercentDelay*timePerPercent
 }
 
-// sampleRuntime takes note of how long a run took that is done. A run that
-// resumed from a checkpoint says nothing of the estimate.
+// sampleRuntime records how long a run took that is done. A run that resumed from a
+// checkpoint is left out, since the estimate is of a whole run.
 func (s *runnerSession) sampleRuntime(run *taskRun, now time.Time) {
 	if run.startedAt.IsZero() || run.assignment.EstimateMs <= 0 || run.assignment.Checkpoint != "" {
 		return
@@ -94,9 +93,9 @@
 	s.runtimeSamples = append(s.runtimeSamples, runtimeSample{now.Sub(run.startedAt).Milliseconds() * 100 / run.assignment.EstimateMs, now})
 }
 
-// medianRuntimePercent is the median of how long runs took lately, in percent of
-// their estimates; 0: not known. What still runs counts too, since little ends on
-// a slow runner.
+// medianRuntimePercent is the median duration of recent runs, in percent of their
+// estimates; 0: not known. Runs that still run count too, since few end on a slow
+// runner.
 func (s *runnerSession) medianRuntimePercent(now time.Time) int64 {
 	s.runtimeSamples = slices.DeleteFunc(s.runtimeSamples, func(sample runtimeSample) bool {
 		return now.Sub(sample.takenAt) >= tuning.SpeedSampleDecay
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -27,8 +27,8 @@
 	return l
 }
 
-// reconcile compares what the runner listed with what is known here: it reports
-// new completions and checkpoints, and closes runs that are gone.
+// reconcile compares the runner's lists with the session: it reports new completions
+// and checkpoints, and closes runs that are in neither list.
 func (a *Agent) reconcile(session *runnerSession, poll uint64, listed listing) {
 	unreported := a.noteCompletions(session, listed.completions)
 	checkpoints := a.noteRunning(session, listed.running)
@@ -47,8 +47,8 @@
 	}
 }
 
-// noteCompletions takes note of the completions listed and gives those that were
-// not read before.
+// noteCompletions records the completions listed and returns those that were not
+// read before.
 func (a *Agent) noteCompletions(session *runnerSession, completions []protocol.Completion) []protocol.Completion {
 	var unreported []protocol.Completion
 	for _, completion := range completions {
@@ -66,8 +66,8 @@
 	return unreported
 }
 
-// noteRunning takes note of the runs listed and gives those whose checkpoint is
-// new.
+// noteRunning records the progress of the runs listed and returns those whose
+// checkpoint is new.
 func (a *Agent) noteRunning(session *runnerSession, running map[string]protocol.RunProgress) []protocol.RunProgress {
 	var checkpoints []protocol.RunProgress
 	for key, progress := range running {
--- a/internal/agent/runner_handlers.go
+++ b/internal/agent/runner_handlers.go
@@ -26,8 +26,8 @@
 	return a.respond(c, event{signOff: request}, request.status)
 }
 
-// respond hands an event to the loop and answers with the status that comes of
-// it, or with 503 if none comes in time.
+// respond passes an event to the loop and answers with the resulting status, or with
+// 503 if there is none within heartbeatTimeout.
 func (a *Agent) respond(c echo.Context, e event, status chan int) error {
 	a.events <- e
 	timer := time.NewTimer(heartbeatTimeout)
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -50,7 +50,7 @@
 	reporting      bool   // the declared result is being reported
 }
 
-// handleAssignment takes an assignment of the leader, if it is of this fence.
+// handleAssignment handles an assignment, if it is for the present fence.
 func (a *Agent) handleAssignment(assignment rpc.Assignment) {
 	session := a.session
 	if session == nil || session.id != assignment.Worker || session.fence != assignment.Fence {
@@ -59,8 +59,8 @@
 	key := runKey(assignment.Task, assignment.Run)
 	if done := session.completed[key]; done != nil {
 		// It is never started again: the runner would refuse it, and the refusal
-		// could close the allocation before the completion does. A task that is
-		// done would then run twice.
+		// could end the allocation before the completion does. A task that is done
+		// would then run again.
 		a.reportAgain(session, done)
 		return
 	}
@@ -144,8 +144,8 @@
 	return 0
 }
 
-// callRunner makes one call about a run and brings the response into the loop,
-// unless the session or the fence has changed meanwhile.
+// callRunner makes one call about a run; onResponse is called in the loop, unless the
+// session or the fence has changed meanwhile.
 func (a *Agent) callRunner(
 	session *runnerSession, run *taskRun, path string, body any,
 	onResponse func(*runnerSession, *taskRun, RunnerResponse),
@@ -178,7 +178,7 @@
 	}()
 }
 
-// handleStartResponse takes the response to a start.
+// handleStartResponse handles the response to a start.
 func (a *Agent) handleStartResponse(session *runnerSession, run *taskRun, response RunnerResponse) {
 	a.trace.Record(run.assignment.Task, "start answered", int64(response.StatusCode), response.Run.Reason)
 	if response.effectUnknown() {
@@ -210,7 +210,7 @@
 	}
 }
 
-// handleStartRefusal takes a runner's refusal to start a run.
+// handleStartRefusal handles a runner's refusal to start a run.
 func (a *Agent) handleStartRefusal(session *runnerSession, run *taskRun, reason string) {
 	_ = a.log.Log("level", "info", "event", "run.start_refused", "task", run.assignment.Task, "run", run.assignment.Run, "reason", reason)
 	switch reason {
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -7,8 +7,8 @@
 	"tealpond/internal/tuning"
 )
 
-// runnerSession is what is known of one incarnation of the runner. Times that
-// end in Ms are on the runner's monotonic clock.
+// runnerSession is what is known of one incarnation of the runner. Fields whose
+// names end in Ms are times on the runner's monotonic clock.
 type runnerSession struct {
 	id                string // the incarnation
 	heartbeat         protocol.Heartbeat
@@ -35,7 +35,7 @@
 	// Health.
 	unansweredCalls   int // in a row
 	lastResponseAt    time.Time
-	lastStalledAt     time.Time // when a run last stood still
+	lastStalledAt     time.Time // when a run was last found stalled
 	reportedUnhealthy bool      // as the leader has last confirmed
 	reportingHealth   bool
 	runtimeSamples    []runtimeSample
@@ -45,7 +45,7 @@
 	lastPollAt       time.Time
 	lastCompletePoll uint64 // the newest that brought both lists completely
 	polling          bool   // a poll that may wait is in flight
-	probing          bool   // one that doesn't wait is in flight beside it
+	probing          bool   // a second one, that doesn't wait, is in flight
 	pollFailures     int    // in a row
 	listed           bool   // both lists were read completely under this fence
 
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -81,9 +81,8 @@
 	return left - min(left/10, tuning.ResponseReserve)
 }
 
-// writeError answers with an error. The connection is closed after a refusal of
-// a request whose body was not read: the rest of the body must not be taken for
-// the next request.
+// writeError answers with an error. If the request's body was not read, the
+// connection is closed: the body would be read as the next request.
 func (r *jobRequest) writeError(err *statusError) {
 	header := r.client.Response().Header()
 	err.setRetryAfter(header)
--- a/internal/api/limits.go
+++ b/internal/api/limits.go
@@ -108,7 +108,7 @@
 	errBodyTooLarge   = &statusError{status: http.StatusRequestEntityTooLarge, text: "the body is too large"}
 )
 
-// checkSize gives the limits in force, or an error if a request exceeds them.
+// checkSize returns the limits in force, or an error if a request exceeds them.
 // Before a request is refused the limits are fetched from the leader, since those
 // known here may be of an older configuration; errNoLeader if that fails.
 func (s *Server) checkSize(ctx context.Context, exceeds func(*sizeLimits) bool, tooLarge error) (*sizeLimits, error) {
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -53,7 +53,7 @@
 }
 
 // serveConfigRead serves GET /-/Config.Read: the newest configuration, as it was
-// sent. Only a leader that a majority has confirmed within its lease gives it.
+// sent. Only a leader with a valid lease answers it.
 func (s *Server) serveConfigRead(c echo.Context) error {
 	if s.redirectToLeader(c) {
 		return nil
--- a/internal/api/redirect.go
+++ b/internal/api/redirect.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return false
 	}
-	// Ports are the same on all machines (DEPLOY, "What a process is told").
+	// All machines use the same ports, see "What a process is told" in DEPLOY.
 	_, port, err := net.SplitHostPort(s.settings.ListenAddresses.Control)
 	if err != nil {
 		return false
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -52,7 +52,7 @@
 	limitsStale   chan struct{} // signals followLimits that a newer version was heard of
 }
 
-// newServer builds the edge role; with a disk it holds a replica of the state.
+// newServer builds the edge role, with a replica of the state if there is a disk.
 func newServer(env daemon.Environment) (daemon.Role, error) {
 	s := &Server{
 		settings:      env.Settings,
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// start begins all that runs beside the HTTP listeners, until ctx ends.
+// start starts everything but the HTTP listeners; it runs until ctx ends.
 func (s *Server) start(ctx context.Context) error {
 	handleFrame := s.handleFrame
 	if s.replica != nil {
--- a/internal/clusterconfig/config.go
+++ b/internal/clusterconfig/config.go
@@ -67,8 +67,8 @@
 	return &config, nil
 }
 
-// VersionOf gives the version of a text without reading all of it, to name the
-// text by: 0 if it has none or can't be read up to there.
+// VersionOf returns the version of a configuration's text without parsing all of it,
+// for traces; 0 if there is none or the text before it can't be parsed.
 func VersionOf(raw []byte) int64 {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
--- a/internal/clusterconfig/route_table.go
+++ b/internal/clusterconfig/route_table.go
@@ -25,7 +25,7 @@
 	return table
 }
 
-// Find gives the route of a request and what follows its prefix in the path; nil
+// Find returns the route of a request and what follows its prefix in the path; nil
 // where no route matches. A port in the host is left out.
 func (t *RouteTable) Find(host, path string) (*Route, string) {
 	host = strings.ToLower(host)
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -73,7 +73,7 @@
 }
 
 // freeCPUClasses is the number of classes of free CPU. There are four to each
-// doubling; the last one holds all that is more.
+// doubling; the last one has all workers with more.
 const freeCPUClasses = 160
 
 // freeCPUClass is the class of an amount of free CPU. A worker that has more is
@@ -240,8 +240,8 @@
 	}
 }
 
-// UsedByServicePriority is what runs hold, by service and priority. The caller
-// must not change it.
+// UsedByServicePriority is the resources of all runs, by service and priority. The
+// caller must not change it.
 func (s *Store) UsedByServicePriority() map[ServicePriority]Resources { return s.index.used }
 
 // SchedulableCapacity is the capacity of a service's schedulable workers, and
