--- a/internal/agent/completions_test.go
+++ b/internal/agent/completions_test.go
@@ -84,7 +84,7 @@
 		f.settle()
 		f.check(1, 2)
 
-		// A completion that the state counts as held, while the run is still open.
+		// A completion that is committed, while its run is still open.
 		f.session.remember(protocol.Completion{Sequence: 1, Task: "j.0.0.1", Run: 1, Result: "done"}, f.agent.now)
 		f.assign(1)
 		f.settle()
@@ -104,7 +104,7 @@
 }
 
 // TestUncommittedCompletionsAreNotForgotten: a completion is forgotten once it is
-// old and the state holds it, and never before.
+// old and committed, and never before.
 func TestUncommittedCompletionsAreNotForgotten(t *testing.T) {
 	session := &runnerSession{committedSequence: 600}
 	now := time.Unix(1000, 0)
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -19,7 +19,9 @@
 )
 
 // testConfig is a configuration with one route, to service s.
-const testConfig = `{"configVersion":1,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],"serviceList":[{"name":"s","guards":true}]}`
+const testConfig = `{"configVersion":1,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/",` +
+	`"kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],` +
+	`"serviceList":[{"name":"s","guards":true}]}`
 
 // fixture is an agent without its loop, over a state without a log.
 type fixture struct {
@@ -34,16 +36,25 @@
 
 // execute applies a command to the state.
 func (f *fixture) execute(kind string, c state.Command) state.Outcome {
-	return f.state.ApplyEntry(f.state.AppliedIndex+1, transport.Encode(state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}))[0]
+	return applyCommand(f.state, kind, c)
 }
 
-// newFixture gives a worker w to which n tasks of job j are allocated as run 1.
+// applyCommand applies one command to a state as its next entry.
+func applyCommand(s *state.Store, kind string, c state.Command) state.Outcome {
+	batch := state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}
+	return s.ApplyEntry(s.AppliedIndex+1, transport.Encode(batch))[0]
+}
+
+// newFixture has a worker w to which n tasks of job j are allocated as run 1.
 func newFixture(t *testing.T, n int) *fixture {
 	t.Helper()
 	f := &fixture{t: t, state: state.New(state.Limits{JobRetentionMs: 1e6, MaxReplans: 2})}
 	f.execute(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{Raw: []byte(testConfig)})
-	fence := f.execute(state.CommandRegisterWorker, &state.RegisterWorker{ID: "w", Node: "n", Service: "s", Capacity: protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}, LeavesInMs: -1}).Value
-	f.execute(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: n, EstimateMs: 100}}}})
+	capacity := protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}
+	register := &state.RegisterWorker{ID: "w", Node: "n", Service: "s", Capacity: capacity, LeavesInMs: -1}
+	fence := f.execute(state.CommandRegisterWorker, register).Value
+	job := protocol.Job{Steps: []protocol.Step{{TaskCount: n, EstimateMs: 100}}}
+	f.execute(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: job})
 	var placements []state.Placement
 	for i := range n {
 		placements = append(placements, state.Placement{TaskIndex: i, Worker: "w", WorkerVersion: f.state.Workers["w"].Version})
@@ -93,12 +104,12 @@
 	}
 }
 
-// assign brings the assignment that the leader sends for an allocated task.
+// assign delivers the assignment that the leader sends for an allocated task.
 func (f *fixture) assign(index int) {
 	f.agent.handleAssignment(rpc.Assignment{Worker: "w", Fence: f.session.fence, Task: fmt.Sprintf("j.0.0.%d", index), Run: 1, EstimateMs: 100})
 }
 
-// listCompletions brings an answer to a poll that lists these tasks as done, with
+// listCompletions delivers an answer to a poll that lists these tasks as done, with
 // sequence index + 1.
 func (f *fixture) listCompletions(indexes ...int) {
 	response := RunnerResponse{StatusCode: 200, KeepAlive: protocol.KeepAliveResponse{ClockMs: 5}}
@@ -106,7 +117,8 @@
 		response.KeepAlive.Ended = append(response.KeepAlive.Ended, []any{float64(i + 1), fmt.Sprintf("j.0.0.%d", i), float64(1), "done", ""})
 	}
 	f.session.lastPoll++
-	f.agent.handleKeepAlive(f.session, protocol.KeepAliveRequest{AcknowledgedSequence: f.session.committedSequence}, f.session.lastPoll, response)
+	request := protocol.KeepAliveRequest{AcknowledgedSequence: f.session.committedSequence}
+	f.agent.handleKeepAlive(f.session, request, f.session.lastPoll, response)
 }
 
 // check demands that completions up to a sequence are committed and acknowledged,
@@ -114,14 +126,15 @@
 func (f *fixture) check(committed int64, open int) {
 	f.t.Helper()
 	if w := f.state.Workers["w"]; w.LastCompletion != committed || f.session.committedSequence != committed {
-		f.t.Errorf("the state holds completions up to %d and the runner is told %d, want %d", w.LastCompletion, f.session.committedSequence, committed)
+		f.t.Errorf("completions are committed up to %d and acknowledged up to %d, want %d",
+			w.LastCompletion, f.session.committedSequence, committed)
 	}
 	if len(f.state.Allocations) != open {
 		f.t.Errorf("%d allocations are open, want %d", len(f.state.Allocations), open)
 	}
 }
 
-// heartbeat brings a heartbeat and gives the status of its answer, or 0.
+// heartbeat delivers a heartbeat and returns the status of its answer, or 0.
 func (f *fixture) heartbeat(id, state string, sequence int64) int {
 	f.t.Helper()
 	request := &heartbeatRequest{id: id, status: make(chan int, 1), heartbeat: protocol.Heartbeat{Service: "s", State: state,
@@ -131,7 +144,7 @@
 	return statusOf(request.status)
 }
 
-// signOff brings a sign-off and gives the status of its answer, or 0.
+// signOff delivers a sign-off and returns the status of its answer, or 0.
 func (f *fixture) signOff(id string) int {
 	f.t.Helper()
 	request := &signOffRequest{id: id, status: make(chan int, 1)}
@@ -150,7 +163,7 @@
 	}
 }
 
-// checkLeavesIn demands that the state holds that a worker leaves in so many ms.
+// checkLeavesIn checks the time until the worker leaves, in ms, in the state.
 func (f *fixture) checkLeavesIn(id string, wantMs int64) {
 	f.t.Helper()
 	w := f.state.Workers[id]
--- a/internal/agent/heartbeats_test.go
+++ b/internal/agent/heartbeats_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestLateHeartbeatDoesNotOverrideANewerOne: a heartbeat with a lower callSeq came
-// seconds later; it is acknowledged, and what the newer one said holds.
+// seconds later; it is acknowledged, and what the newer one said stays in force.
 func TestLateHeartbeatDoesNotOverrideANewerOne(t *testing.T) {
 	for newer, late := range map[string]string{"draining": "ready", "ready": "draining"} {
 		t.Run(newer, func(t *testing.T) {
@@ -50,8 +50,10 @@
 				if code := f.heartbeat("w", late, 8); code != 200 {
 					t.Errorf("the late heartbeat gets %d", code)
 				}
-				if w := f.state.Workers["w"]; w.Draining != (newer == "draining") || f.session.heartbeat.State != newer || f.session.heartbeatSequence != 9 {
-					t.Errorf("the row says draining %v; the agent holds heartbeat %d, %s", w.Draining, f.session.heartbeatSequence, f.session.heartbeat.State)
+				session, w := f.session, f.state.Workers["w"]
+				if w.Draining != (newer == "draining") || session.heartbeat.State != newer || session.heartbeatSequence != 9 {
+					t.Errorf("the row says draining %v; the agent has heartbeat %d, %s",
+						w.Draining, session.heartbeatSequence, session.heartbeat.State)
 				}
 			})
 		})
@@ -128,7 +130,7 @@
 
 // TestReadyHeartbeatAfterSignOffIsIgnored: neither a late heartbeat nor a
 // newer one of the same incarnation brings it back, not even if the runner is
-// registered anew on it.
+// registered again on it.
 func TestReadyHeartbeatAfterSignOffIsIgnored(t *testing.T) {
 	for name, seq := range map[string]int64{"sent before": 6, "sent after": 9} {
 		t.Run(name, func(t *testing.T) {
@@ -185,7 +187,7 @@
 }
 
 // TestUncommittedSignOffIsNotAcknowledged: nor is a heartbeat that says
-// `draining` after it, before the state holds it.
+// `draining` after it, before it is committed.
 func TestUncommittedSignOffIsNotAcknowledged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := newDrainFixture(t)
--- a/internal/agent/model_test.go
+++ b/internal/agent/model_test.go
@@ -13,7 +13,6 @@
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
-	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
 
@@ -63,7 +62,7 @@
 
 // execute applies a command to the state.
 func (m *model) execute(kind string, c state.Command) state.Outcome {
-	return m.state.ApplyEntry(m.state.AppliedIndex+1, transport.Encode(state.Batch{Clock: time.Now().UnixMilli(), Commands: []state.EncodedCommand{state.EncodeCommand(kind, c)}}))[0]
+	return applyCommand(m.state, kind, c)
 }
 
 // apply is what the leader does with one request.
@@ -129,8 +128,14 @@
 		for _, w := range m.workers {
 			if n%10 == 0 && !w.silent {
 				w.heartbeats++
-				w.deliver(event{heartbeat: &heartbeatRequest{id: w.incarnation, status: make(chan int, 1), heartbeat: protocol.Heartbeat{Service: "s", State: "ready",
-					FreeResources: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000}, ClockMs: w.clockMs(), Sequence: w.heartbeats}}})
+				heartbeat := protocol.Heartbeat{
+					Service:       "s",
+					State:         protocol.RunnerReady,
+					FreeResources: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000},
+					ClockMs:       w.clockMs(),
+					Sequence:      w.heartbeats,
+				}
+				w.deliver(event{heartbeat: &heartbeatRequest{id: w.incarnation, status: make(chan int, 1), heartbeat: heartbeat}})
 			}
 		}
 		if m.leaderAway {
@@ -156,9 +161,16 @@
 		}
 		for _, w := range m.workers {
 			for _, a := range m.state.AllocationsOn(w.incarnation) {
-				// Every second all is assigned anew, as to a new stream.
+				// Every second all assignments are sent again, as on a new stream.
 				if n%50 == 0 || fresh[a.ID] && m.random.Intn(10) > 0 {
-					w.deliver(event{assignment: &rpc.Assignment{Worker: w.incarnation, Fence: m.state.Workers[w.incarnation].Fence, Stop: a.Stopping, Task: a.TaskName(), Run: a.Run, EstimateMs: 200}})
+					w.deliver(event{assignment: &rpc.Assignment{
+						Worker:     w.incarnation,
+						Fence:      m.state.Workers[w.incarnation].Fence,
+						Stop:       a.Stopping,
+						Task:       a.TaskName(),
+						Run:        a.Run,
+						EstimateMs: 200,
+					}})
 				}
 			}
 		}
@@ -167,7 +179,7 @@
 
 // TestNoTaskRunsTwice plays the model: whatever is lost, late or doubled, no
 // task runs twice, none is started after its end was taken note of, no runner
-// forgets what the state doesn't hold, and all tasks end.
+// forgets what isn't committed, and all tasks end.
 func TestNoTaskRunsTwice(t *testing.T) {
 	const tasks = 300
 	for seed := range *modelSeeds {
@@ -177,7 +189,8 @@
 				m := &model{t: t, random: rand.New(rand.NewSource(int64(seed))), state: state.New(state.Limits{JobRetentionMs: 1e9, MaxReplans: 2}),
 					granted: map[string]time.Time{}, running: map[string]string{}, acknowledgedDone: map[string]bool{}}
 				m.execute(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{Raw: []byte(testConfig)})
-				m.execute(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: tasks, CPUUnits: 1000, EstimateMs: 200}}}})
+				job := protocol.Job{Steps: []protocol.Step{{TaskCount: tasks, CPUUnits: 1000, EstimateMs: 200}}}
+				m.execute(state.CommandSubmitJob, &state.SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: job})
 				for _, node := range []string{"a", "b"} {
 					w := &modelWorker{m: m, node: node}
 					m.workers = append(m.workers, w)
--- a/internal/agent/model_worker_test.go
+++ b/internal/agent/model_worker_test.go
@@ -22,19 +22,19 @@
 	stop         context.CancelFunc
 
 	// The runner's present incarnation.
-	incarnation   string
-	startedAt     time.Time
-	clockSlowness float64
-	silent        bool
-	fence         int64
-	leaseUntilMs  int64
-	lapsedAt      time.Time
-	acknowledged  int64
-	lastSequence  int64
-	runs          map[string]modelRun // by task
-	highestRun    map[string]int
-	ended         []protocol.Completion
-	endedAt       map[int64]time.Time
+	incarnation    string
+	startedAt      time.Time
+	clockSlowness  float64
+	silent         bool
+	fence          int64
+	leaseUntilMs   int64
+	leaseExpiredAt time.Time
+	acknowledged   int64
+	lastSequence   int64
+	runs           map[string]modelRun // by task
+	highestRun     map[string]int
+	ended          []protocol.Completion
+	endedAt        map[int64]time.Time
 }
 
 // modelRun is a run on a runner of the model.
@@ -51,7 +51,7 @@
 // advance ends what is due on the runner: by its lease, or because it is done.
 func (w *modelWorker) advance() {
 	if w.leaseUntilMs > 0 && w.clockMs() > w.leaseUntilMs {
-		w.leaseUntilMs, w.lapsedAt = 0, time.Now()
+		w.leaseUntilMs, w.leaseExpiredAt = 0, time.Now()
 		for task := range w.runs {
 			w.end(task, protocol.ResultLeaseExpired)
 		}
@@ -207,26 +207,34 @@
 	return response
 }
 
-// acknowledge forgets completions up to a sequence, and demands that the state
-// holds them.
+// acknowledge forgets completions up to a sequence, and checks that they are
+// committed.
 func (w *modelWorker) acknowledge(sequence int64) {
 	for len(w.ended) > 0 && w.ended[0].Sequence <= sequence {
 		e := w.ended[0]
-		if e.Result == "done" && !w.lapsedAt.After(w.endedAt[e.Sequence]) {
+		if e.Result == "done" && !w.leaseExpiredAt.After(w.endedAt[e.Sequence]) {
 			w.m.acknowledgedDone[e.Task] = true
 		}
 		w.ended = w.ended[1:]
 	}
 	w.acknowledged = max(w.acknowledged, sequence)
 	if worker := w.m.state.Workers[w.incarnation]; worker != nil && w.acknowledged > worker.LastCompletion {
-		w.m.t.Errorf("%s was told to forget completions up to %d, the state holds %d", w.incarnation, w.acknowledged, worker.LastCompletion)
+		w.m.t.Errorf("%s may forget completions up to %d, committed are those up to %d", w.incarnation, w.acknowledged, worker.LastCompletion)
 	}
 }
 
 // startAgent starts an agent on the worker's machine.
 func (w *modelWorker) startAgent(ctx context.Context) {
 	agentCtx, cancel := context.WithCancel(ctx)
-	agent := &Agent{log: log.NewNopLogger(), processID: fmt.Sprint(time.Now().UnixNano()), events: make(chan event, 1024), runner: w, callLeader: w.m.callLeader, trace: tracing.NewRing(16), ctx: agentCtx}
+	agent := &Agent{
+		log:        log.NewNopLogger(),
+		processID:  fmt.Sprint(time.Now().UnixNano()),
+		events:     make(chan event, eventQueueLength),
+		runner:     w,
+		callLeader: w.m.callLeader,
+		trace:      tracing.NewRing(16),
+		ctx:        agentCtx,
+	}
 	agent.settings.NodeName = w.node
 	w.agent, w.stop = agent, cancel
 	go daemon.Loop(agentCtx, agent.events, agent.handle, agent.advance)
--- a/internal/agent/progress_test.go
+++ b/internal/agent/progress_test.go
@@ -30,7 +30,12 @@
 	} {
 		a := &Agent{log: log.NewNopLogger(), now: time.Unix(1000, 0), settings: settings.File{Bounds: settings.Bounds{RestoreMs: 600}}}
 		session := &runnerSession{runs: map[string]*taskRun{}}
-		run := &taskRun{assignment: rpc.Assignment{Worker: "w", Task: task, Run: 1, Checkpoint: c.saved, EstimateMs: c.est}, phase: runRunning, startedAt: a.now, percentChangedAt: a.now}
+		run := &taskRun{
+			assignment:       rpc.Assignment{Worker: "w", Task: task, Run: 1, Checkpoint: c.saved, EstimateMs: c.est},
+			phase:            runRunning,
+			startedAt:        a.now,
+			percentChangedAt: a.now,
+		}
 		for _, p := range c.seen {
 			a.now = a.now.Add(300 * time.Millisecond)
 			a.trackProgress(session, run, protocol.RunProgress{Task: task, Run: 1, Percent: p})
@@ -61,18 +66,22 @@
 		runs    []*taskRun
 		want    int64
 	}{
-		"too few":                      {fresh(100, 200), nil, 0},
-		"samples":                      {fresh(300, 100, 200), nil, 200},
-		"never below 1":                {fresh(0, 0, 0), nil, 1},
-		"an old sample":                {append(fresh(100, 200), runtimeSample{300, now.Add(-tuning.SpeedSampleDecay)}), nil, 0},
-		"a run by its progress":        {fresh(100, 300), []*taskRun{run(50, time.Second, time.Second, "")}, 200},
-		"a run that began":             {fresh(100, 300), []*taskRun{run(4, 2*time.Second, 0, "")}, 0},
-		"a run that takes long":        {fresh(100, 300), []*taskRun{run(4, 2500*time.Millisecond, 0, "")}, 250},
-		"a run that resumed":           {fresh(100, 300), []*taskRun{run(50, time.Second, time.Second, "x")}, 0},
-		"a run that is being stopped":  {fresh(100, 300), []*taskRun{{phase: runStopping, percent: 50, startedAt: now, assignment: rpc.Assignment{EstimateMs: 1000}}}, 0},
-		"a run that has no estimate":   {fresh(100, 300), []*taskRun{{phase: runRunning, percent: 50, startedAt: now}}, 0},
-		"a run that was not seen yet":  {fresh(100, 300), []*taskRun{{phase: runRunning, percent: 50, assignment: rpc.Assignment{EstimateMs: 1000}}}, 0},
-		"runs of different progresses": {nil, []*taskRun{run(50, time.Second, time.Second, ""), run(10, time.Second, 100*time.Millisecond, ""), run(100, time.Second, time.Second, "")}, 100},
+		"too few":                     {fresh(100, 200), nil, 0},
+		"samples":                     {fresh(300, 100, 200), nil, 200},
+		"never below 1":               {fresh(0, 0, 0), nil, 1},
+		"an old sample":               {append(fresh(100, 200), runtimeSample{300, now.Add(-tuning.SpeedSampleDecay)}), nil, 0},
+		"a run by its progress":       {fresh(100, 300), []*taskRun{run(50, time.Second, time.Second, "")}, 200},
+		"a run that began":            {fresh(100, 300), []*taskRun{run(4, 2*time.Second, 0, "")}, 0},
+		"a run that takes long":       {fresh(100, 300), []*taskRun{run(4, 2500*time.Millisecond, 0, "")}, 250},
+		"a run that resumed":          {fresh(100, 300), []*taskRun{run(50, time.Second, time.Second, "x")}, 0},
+		"a run that is being stopped": {fresh(100, 300), []*taskRun{{phase: runStopping, percent: 50, startedAt: now, assignment: rpc.Assignment{EstimateMs: 1000}}}, 0},
+		"a run that has no estimate":  {fresh(100, 300), []*taskRun{{phase: runRunning, percent: 50, startedAt: now}}, 0},
+		"a run that was not seen yet": {fresh(100, 300), []*taskRun{{phase: runRunning, percent: 50, assignment: rpc.Assignment{EstimateMs: 1000}}}, 0},
+		"runs of different progresses": {nil, []*taskRun{
+			run(50, time.Second, time.Second, ""),
+			run(10, time.Second, 100*time.Millisecond, ""),
+			run(100, time.Second, time.Second, ""),
+		}, 100},
 	} {
 		session := &runnerSession{runtimeSamples: test.samples, runs: map[string]*taskRun{}}
 		for i, run := range test.runs {
--- a/internal/api/history_test.go
+++ b/internal/api/history_test.go
@@ -81,7 +81,9 @@
 func (c *testCluster) commit(replace rpc.ConfigUpdate) rpc.Response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	entry, err := cbor.Marshal(state.Batch{Commands: []state.EncodedCommand{state.EncodeCommand("replace", &state.ReplaceConfiguration{BaseVersion: replace.BaseVersion, Raw: replace.Raw})}})
+	command := &state.ReplaceConfiguration{BaseVersion: replace.BaseVersion, Raw: replace.Raw}
+	encoded := state.EncodeCommand(state.CommandReplaceConfiguration, command)
+	entry, err := cbor.Marshal(state.Batch{Commands: []state.EncodedCommand{encoded}})
 	if err != nil {
 		panic(err)
 	}
@@ -198,7 +200,7 @@
 
 func (o *operator) anyServer() *Server { return o.servers[o.randomBelow(len(o.servers))] }
 
-// read asks until there is an answer.
+// read sends reads until one is answered.
 func (o *operator) read() {
 	for range 20 {
 		begun := o.tick()
@@ -233,7 +235,8 @@
 // newChange is a new one; operators may pick the same number, even the same text.
 func (o *operator) newChange(base int64) callInput {
 	in := callInput{base: base, version: base + 1 + int64(o.randomBelow(3))}
-	in.text = fmt.Sprintf(`{"configVersion":%d,"routeList":[{"name":"r%d","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`, in.version, o.randomBelow(3))
+	in.text = fmt.Sprintf(`{"configVersion":%d,"routeList":[{"name":"r%d","hostName":"h","pathPrefix":"/p/",`+
+		`"timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`, in.version, o.randomBelow(3))
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.changes = append(o.changes, in)
@@ -308,14 +311,15 @@
 	return c
 }
 
-// check holds a history against the model, and the replicas against each other.
+// check compares a history with the model, and the replicas with each other.
 func (c *testCluster) check() string {
 	if !porcupine.CheckOperations(registerModel, c.history) {
 		return "the history is not linearizable"
 	}
 	for i := range c.replicas {
 		c.catchUp(i)
-		if !reflect.DeepEqual(c.replicas[i].Configuration, c.replicas[0].Configuration) || !reflect.DeepEqual(c.replicas[i].ConfigurationHistory, c.replicas[0].ConfigurationHistory) {
+		if !reflect.DeepEqual(c.replicas[i].Configuration, c.replicas[0].Configuration) ||
+			!reflect.DeepEqual(c.replicas[i].ConfigurationHistory, c.replicas[0].ConfigurationHistory) {
 			return fmt.Sprintf("replica %d differs from the first", i)
 		}
 	}
--- a/internal/api/limits_test.go
+++ b/internal/api/limits_test.go
@@ -66,7 +66,8 @@
 		s := newTestServer(func(_ context.Context, a rpc.Request) rpc.Response {
 			if a.Kind == rpc.KindGetLimits {
 				fetches++
-				return rpc.Response{Code: 200, Value: version, ConfigVersion: version, Body: transport.Encode(clusterconfig.Limits{MaxBodyBytes: version})}
+				limits := transport.Encode(clusterconfig.Limits{MaxBodyBytes: version})
+				return rpc.Response{Code: 200, Value: version, ConfigVersion: version, Body: limits}
 			}
 			return rpc.Response{Code: 200, ConfigVersion: version}
 		})
--- a/internal/api/operators_test.go
+++ b/internal/api/operators_test.go
@@ -30,7 +30,8 @@
 	return recorder
 }
 
-const validConfig = `{"configVersion":7,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`
+const validConfig = `{"configVersion":7,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/",` +
+	`"timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s"}]}`
 
 func replaceConfig(s *Server, base, raw string) *httptest.ResponseRecorder {
 	return serveWith(s.serveConfigReplace, http.MethodPost, "/-/Config.Replace", raw, protocol.HeaderBasedOn, base)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -78,7 +78,12 @@
 		name string
 		own  rpc.Code // 0: no answer
 		want rpc.Code
-	}{{"not the leader", rpc.CodeNotLeader, rpc.CodeNoLeader}, {"the term was lost", rpc.CodeLeadershipLost, rpc.CodeTimeout}, {"silent", 0, rpc.CodeTimeout}, {"answered", 412, 412}} {
+	}{
+		{"not the leader", rpc.CodeNotLeader, rpc.CodeNoLeader},
+		{"the term was lost", rpc.CodeLeadershipLost, rpc.CodeTimeout},
+		{"silent", 0, rpc.CodeTimeout},
+		{"answered", 412, 412},
+	} {
 		synctest.Test(t, func(t *testing.T) {
 			got := callLocalThenLeader(t.Context(), rpc.Request{}, func(_ rpc.Request, reply func(rpc.Response)) {
 				if c.own != 0 {
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/rpc"
 )
 
-// TestErrorOfResponse: what each kind of call is told of a leader's response, or
-// of its lack.
+// TestErrorOfResponse: the answer to each kind of call by the leader's response, or
+// without one.
 func TestErrorOfResponse(t *testing.T) {
 	none := statusError{}
 	noLeader := statusError{503, "no leader at the moment, nothing was taken", 1}
@@ -30,7 +30,12 @@
 		{rpc.Response{Code: 503, RetryAfterMs: 2500}, statusError{503, "", 3}, statusError{503, "", 3}, statusError{503, "", 3}, statusError{503, "", 3}},
 		{rpc.Response{Code: 504}, statusError{504, "", 0}, statusError{504, "", 0}, statusError{504, "", 1}, statusError{504, "", 1}},
 	} {
-		for call, want := range map[operation]statusError{jobChange: test.jobChange, jobRead: test.jobRead, configChange: test.configChange, configRead: test.configRead} {
+		for call, want := range map[operation]statusError{
+			jobChange:    test.jobChange,
+			jobRead:      test.jobRead,
+			configChange: test.configChange,
+			configRead:   test.configRead,
+		} {
 			got := statusError{}
 			if err := errorOf(call, test.response); err != nil {
 				got = *statusOf(err)
--- a/internal/state/apply_plans_test.go
+++ b/internal/state/apply_plans_test.go
@@ -8,7 +8,8 @@
 
 func TestTaskLockRefusesASecondRun(t *testing.T) {
 	f := newFixture(t)
-	a, b := f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000}), f.addWorker("b", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+	a := f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
+	b := f.addWorker("b", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	f.submit("j", protocol.Step{TaskCount: 1, CPUUnits: 10})
 	if n := f.applyPlan("j", 0, false, placementOn(a, 0)); n != 0 {
 		t.Fatal("the first plan was refused")
--- a/internal/state/appoint_aggregator_test.go
+++ b/internal/state/appoint_aggregator_test.go
@@ -18,7 +18,8 @@
 		{"z1", "c", 1, CodeOK, 2},
 		{"z1", "d", 7, CodePreconditionFailed, 2},
 	} {
-		if o := f.apply(&AppointAggregator{Aggregator: ZoneAggregator{Zone: c.zone, Member: c.member}, BaseRevision: c.base}); o.Code != c.code || o.Value != c.value {
+		aggregator := ZoneAggregator{Zone: c.zone, Member: c.member}
+		if o := f.apply(&AppointAggregator{Aggregator: aggregator, BaseRevision: c.base}); o.Code != c.code || o.Value != c.value {
 			t.Errorf("%s to %s on %d: %+v", c.zone, c.member, c.base, o)
 		}
 	}
--- a/internal/state/device_test.go
+++ b/internal/state/device_test.go
@@ -28,9 +28,13 @@
 	}
 }
 
-// TestReservationsAreDropped: by their allocation, or when they are over.
+// TestReservationsAreDropped: by their allocation, or when they have ended.
 func TestReservationsAreDropped(t *testing.T) {
-	d := &Device{Reservations: []Reservation{{Allocation: 1, From: 0, To: 10}, {Allocation: 2, From: 10, To: 20}, {Allocation: 3, From: 20, To: 30}}}
+	d := &Device{Reservations: []Reservation{
+		{Allocation: 1, From: 0, To: 10},
+		{Allocation: 2, From: 10, To: 20},
+		{Allocation: 3, From: 20, To: 30},
+	}}
 	d.dropExpiredReservations(10)
 	if len(d.Reservations) != 2 || d.Reservations[0].Allocation != 2 {
 		t.Errorf("at 10 there are %v", d.Reservations)
--- a/internal/state/fixture_test.go
+++ b/internal/state/fixture_test.go
@@ -11,7 +11,9 @@
 )
 
 // testConfiguration is a configuration of a given version with one route.
-const testConfiguration = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],"serviceList":[{"name":"s","guards":true}]}`
+const testConfiguration = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/",` +
+	`"kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],` +
+	`"serviceList":[{"name":"s","guards":true}]}`
 
 // fixture is a state that commands reach through the log's own encoding.
 type fixture struct {
@@ -105,7 +107,8 @@
 // complete reports the first completion of a worker.
 func (f *fixture) complete(worker, task string, run int, result string) {
 	f.t.Helper()
-	f.apply(&ReportCompletions{Worker: worker, Fence: f.store.Workers[worker].Fence, Completions: []protocol.Completion{{Sequence: 1, Task: task, Run: run, Result: result}}})
+	completions := []protocol.Completion{{Sequence: 1, Task: task, Run: run, Result: result}}
+	f.apply(&ReportCompletions{Worker: worker, Fence: f.store.Workers[worker].Fence, Completions: completions})
 }
 
 // status is the status of job j, or empty if there is no such job.
--- a/internal/state/generator_test.go
+++ b/internal/state/generator_test.go
@@ -75,8 +75,19 @@
 func (g *generator) job() protocol.Job {
 	j := protocol.Job{Spec: fmt.Sprint("spec", g.Intn(100))}
 	for i := range 1 + g.Intn(3) {
-		st := protocol.Step{TaskCount: 1 + g.Intn(3), CPUUnits: int64(g.Intn(60)), MemoryMB: int64(g.Intn(40)), GPUs: g.Intn(8) / 7, EstimateMs: int64(g.Intn(500)),
-			Checkpoints: g.Intn(2) == 0, Gang: g.Intn(3) == 0, SameRack: g.Intn(3) == 0, MaxPerWorker: g.Intn(3), Speculative: g.Intn(4) == 0, LongRunning: g.Intn(12) == 0}
+		st := protocol.Step{
+			TaskCount:    1 + g.Intn(3),
+			CPUUnits:     int64(g.Intn(60)),
+			MemoryMB:     int64(g.Intn(40)),
+			GPUs:         g.Intn(8) / 7,
+			EstimateMs:   int64(g.Intn(500)),
+			Checkpoints:  g.Intn(2) == 0,
+			Gang:         g.Intn(3) == 0,
+			SameRack:     g.Intn(3) == 0,
+			MaxPerWorker: g.Intn(3),
+			Speculative:  g.Intn(4) == 0,
+			LongRunning:  g.Intn(12) == 0,
+		}
 		if g.Intn(5) == 0 {
 			st.RequiredLabels = g.labels()
 		}
@@ -102,8 +113,18 @@
 		if g.Intn(6) == 0 {
 			continue
 		}
-		configuration.Routes = append(configuration.Routes, clusterconfig.Route{Name: fmt.Sprint("l", i), HostName: g.oneOf("h", "H2"), PathPrefix: fmt.Sprintf("/%s%d/", g.oneOf("p", "q"), i), Kind: "writing",
-			TimeoutMs: 1000, TargetMs: int64(g.Intn(500)), Priority: g.Intn(3), TargetService: g.oneOf("s", "t"), MaxAttempts: g.Intn(3), Stretch: 1 + g.Float64()})
+		configuration.Routes = append(configuration.Routes, clusterconfig.Route{
+			Name:          fmt.Sprint("l", i),
+			HostName:      g.oneOf("h", "H2"),
+			PathPrefix:    fmt.Sprintf("/%s%d/", g.oneOf("p", "q"), i),
+			Kind:          "writing",
+			TimeoutMs:     1000,
+			TargetMs:      int64(g.Intn(500)),
+			Priority:      g.Intn(3),
+			TargetService: g.oneOf("s", "t"),
+			MaxAttempts:   g.Intn(3),
+			Stretch:       1 + g.Float64(),
+		})
 	}
 	configuration.Services = []clusterconfig.Service{{Name: "s", EnforcesResources: true}, {Name: "t"}}
 	raw, err := json.Marshal(configuration)
@@ -162,7 +183,12 @@
 	}},
 	state.CommandSubmitJob: {10, func(g *generator) state.Command {
 		g.jobs++
-		c := &state.SubmitJob{Host: g.oneOf("h", "h", "h2"), Path: fmt.Sprintf("/%s%d/x", g.oneOf("p", "q"), g.Intn(routeCount)), ID: g.jobID(), Job: g.job()}
+		c := &state.SubmitJob{
+			Host: g.oneOf("h", "h", "h2"),
+			Path: fmt.Sprintf("/%s%d/x", g.oneOf("p", "q"), g.Intn(routeCount)),
+			ID:   g.jobID(),
+			Job:  g.job(),
+		}
 		if g.Intn(2) == 0 {
 			c.DemandBucket = g.store.WallClock / 100
 		}
@@ -183,8 +209,13 @@
 		}
 		c := &state.ReportCompletions{Worker: w.ID, Fence: w.Fence - int64(g.Intn(12)/11)}
 		for i := range 1 + g.Intn(2) {
-			c.Completions = append(c.Completions, protocol.Completion{Sequence: w.LastCompletion + int64(i) + 1, Task: a.TaskName(), Run: a.Run - g.Intn(12)/11,
-				Result: g.oneOf("done", "done", "done", "failed", "stopped", "refused", "lapsed", "crashed"), Checkpoint: g.oneOf("", "text")})
+			c.Completions = append(c.Completions, protocol.Completion{
+				Sequence:   w.LastCompletion + int64(i) + 1,
+				Task:       a.TaskName(),
+				Run:        a.Run - g.Intn(12)/11,
+				Result:     g.oneOf("done", "done", "done", "failed", "stopped", "refused", "lapsed", "crashed"),
+				Checkpoint: g.oneOf("", "text"),
+			})
 			a = g.allocation()
 		}
 		if g.Intn(3) == 0 {
@@ -193,7 +224,13 @@
 		return c
 	}},
 	state.CommandSetEligibility: {3, func(g *generator) state.Command {
-		return &state.SetEligibility{ID: g.worker().ID, Draining: g.Intn(4) == 0, LeavesInMs: int64(g.Intn(500) - 100), Leaving: g.Intn(12) == 0, Unhealthy: g.Intn(4) == 0}
+		return &state.SetEligibility{
+			ID:         g.worker().ID,
+			Draining:   g.Intn(4) == 0,
+			LeavesInMs: int64(g.Intn(500) - 100),
+			Leaving:    g.Intn(12) == 0,
+			Unhealthy:  g.Intn(4) == 0,
+		}
 	}},
 	state.CommandExpireLeases: {1, func(g *generator) state.Command {
 		a, b := g.worker(), g.worker()
@@ -208,8 +245,17 @@
 		} else {
 			node = w.Node
 		}
-		return &state.RegisterWorker{ID: id, Node: node, AgentProcessID: fmt.Sprint(g.workers), Service: g.oneOf("s", "s", "t"), Zone: g.oneOf("z1", "z2"), Labels: append(g.labels(), g.oneOf("r1", "r2")),
-			Capacity: protocol.Resources{CPUUnits: 200, MemoryMB: 200, GPUs: 2}, Draining: g.Intn(12) == 0, LeavesInMs: int64(g.Intn(500) - 250)}
+		return &state.RegisterWorker{
+			ID:             id,
+			Node:           node,
+			AgentProcessID: fmt.Sprint(g.workers),
+			Service:        g.oneOf("s", "s", "t"),
+			Zone:           g.oneOf("z1", "z2"),
+			Labels:         append(g.labels(), g.oneOf("r1", "r2")),
+			Capacity:       protocol.Resources{CPUUnits: 200, MemoryMB: 200, GPUs: 2},
+			Draining:       g.Intn(12) == 0,
+			LeavesInMs:     int64(g.Intn(500) - 250),
+		}
 	}},
 	state.CommandStopRuns: {2, func(g *generator) state.Command {
 		return &state.StopRuns{Allocations: []uint64{g.allocation().ID, g.allocation().ID}, Reason: g.oneOf("pushed", "stuck")}
@@ -218,10 +264,17 @@
 	state.CommandCancelJob:      {1, func(g *generator) state.Command { return &state.CancelJob{ID: g.jobID()} }},
 	state.CommandAppointAggregator: {1, func(g *generator) state.Command {
 		z := g.oneOf("z1", "z2")
-		return &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: z, Member: g.oneOf("a", "b"), Address: "x"}, BaseRevision: g.store.Aggregators[z].Revision}
+		return &state.AppointAggregator{
+			Aggregator:   state.ZoneAggregator{Zone: z, Member: g.oneOf("a", "b"), Address: "x"},
+			BaseRevision: g.store.Aggregators[z].Revision,
+		}
 	}},
 	state.CommandSetLimits: {1, func(g *generator) state.Command {
-		return &state.SetLimits{Limits: state.Limits{JobRetentionMs: int64(g.Intn(4) * 300), MaxReplans: g.Intn(3), RemoteFactor: 1 + 2*g.Float64()}}
+		return &state.SetLimits{Limits: state.Limits{
+			JobRetentionMs: int64(g.Intn(4) * 300),
+			MaxReplans:     g.Intn(3),
+			RemoteFactor:   1 + 2*g.Float64(),
+		}}
 	}},
 	state.CommandConfirmDigest: {1, func(g *generator) state.Command {
 		return &state.ConfirmDigest{Index: g.store.AppliedIndex, Digest: g.Uint64()}
@@ -231,16 +284,39 @@
 	state.CommandSettleTransfer: {3, func(g *generator) state.Command {
 		id := g.jobID()
 		peer, offerID := g.offer(id)
-		return &state.SettleTransfer{Job: id, OfferID: offerID, Peer: peer, Epoch: g.oneOf("e", "e", "e", "e", "e", "f"), Index: g.store.LastID, Answer: g.oneOf("taken", "refused", "voided", "done", "failed", "called_off", "released")}
+		return &state.SettleTransfer{
+			Job:     id,
+			OfferID: offerID,
+			Peer:    peer,
+			Epoch:   g.oneOf("e", "e", "e", "e", "e", "f"),
+			Index:   g.store.LastID,
+			Answer:  g.oneOf("taken", "refused", "voided", "done", "failed", "called_off", "released"),
+		}
 	}},
 	state.CommandLendCapacity: {1, func(g *generator) state.Command {
-		return &state.LendCapacity{ID: fmt.Sprint("loan", g.Intn(6)), Peer: g.oneOf("p1", "p2"), Service: g.oneOf("s", "t"), MilliCPU: int64(g.Intn(100)), MinMilliCPU: 10, DurationMs: int64(g.Intn(2000)), Slices: 6, SliceMilliCPU: 20}
+		return &state.LendCapacity{
+			ID:            fmt.Sprint("loan", g.Intn(6)),
+			Peer:          g.oneOf("p1", "p2"),
+			Service:       g.oneOf("s", "t"),
+			MilliCPU:      int64(g.Intn(100)),
+			MinMilliCPU:   10,
+			DurationMs:    int64(g.Intn(2000)),
+			Slices:        6,
+			SliceMilliCPU: 20,
+		}
 	}},
 	state.CommandAcceptJob: {3, func(g *generator) state.Command {
 		g.jobs++
 		j := g.job()
 		j.PeriodicInstances = 0
-		c := &state.AcceptJob{Peer: g.oneOf("p1", "p2"), OfferID: int64(1 + g.Intn(30)), ID: g.jobID(), Route: g.route(), Loan: fmt.Sprint("loan", g.Intn(6)), Job: j}
+		c := &state.AcceptJob{
+			Peer:    g.oneOf("p1", "p2"),
+			OfferID: int64(1 + g.Intn(30)),
+			ID:      g.jobID(),
+			Route:   g.route(),
+			Loan:    fmt.Sprint("loan", g.Intn(6)),
+			Job:     j,
+		}
 		if l := g.store.Loans[c.Loan]; l != nil {
 			c.Peer = l.Peer
 		}
--- a/internal/state/invariants_test.go
+++ b/internal/state/invariants_test.go
@@ -39,7 +39,7 @@
 	return ""
 }
 
-// usedResourcesFault holds what workers count as used against their allocations
+// usedResourcesFault compares what workers count as used with their allocations
 // and their capacity.
 func usedResourcesFault(s *Store) string {
 	used := map[string]Resources{}
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// rollupFault holds the rollups, as they were kept up, against rebuilt ones.
+// rollupFault compares the rollups, as commands updated them, with rebuilt ones.
 func rollupFault(s *Store) string {
 	kept := map[string]Rollup{}
 	for service, rollup := range s.Rollups {
--- a/internal/state/job_test.go
+++ b/internal/state/job_test.go
@@ -9,7 +9,12 @@
 // TestCriticalPathFollowsDependencies: the longest chain counts, not the sum, and
 // of a chain only what isn't done.
 func TestCriticalPathFollowsDependencies(t *testing.T) {
-	diamond := []protocol.Step{{EstimateMs: 10}, {EstimateMs: 30, DependsOn: []int{0}}, {EstimateMs: 20, DependsOn: []int{0}}, {EstimateMs: 5, DependsOn: []int{1, 2}}}
+	diamond := []protocol.Step{
+		{EstimateMs: 10},
+		{EstimateMs: 30, DependsOn: []int{0}},
+		{EstimateMs: 20, DependsOn: []int{0}},
+		{EstimateMs: 5, DependsOn: []int{1, 2}},
+	}
 	for _, c := range []struct {
 		name            string
 		steps           []protocol.Step
--- a/internal/state/outcome_test.go
+++ b/internal/state/outcome_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestOutcomeCodesKeepTheirNumbers holds the codes against the numbers that
+// TestOutcomeCodesKeepTheirNumbers compares the codes with the numbers that
 // stand in the digest chain and in responses between daemons.
 func TestOutcomeCodesKeepTheirNumbers(t *testing.T) {
 	for code, number := range map[Code]int{
@@ -18,12 +18,14 @@
 	}
 }
 
-// TestWordsOfOthersStay holds results, statuses and answers against the words
-// that runners, clients and peers know.
+// TestWordsOfOthersStay compares results, statuses and answers with the words that
+// runners, clients and peers know.
 func TestWordsOfOthersStay(t *testing.T) {
 	words := map[string]string{
-		"ResultDone": ResultDone, "ResultFailed": ResultFailed, "ResultRefused": ResultRefused, "ResultLeaseExpired": ResultLeaseExpired, "ResultCrashed": ResultCrashed,
-		"StatusPending": StatusPending, "StatusRunning": StatusRunning, "StatusDone": StatusDone, "StatusFailed": StatusFailed, "StatusCanceled": StatusCanceled,
+		"ResultDone": ResultDone, "ResultFailed": ResultFailed, "ResultRefused": ResultRefused,
+		"ResultLeaseExpired": ResultLeaseExpired, "ResultCrashed": ResultCrashed,
+		"StatusPending": StatusPending, "StatusRunning": StatusRunning, "StatusDone": StatusDone,
+		"StatusFailed": StatusFailed, "StatusCanceled": StatusCanceled,
 		"AnswerAccepted": AnswerAccepted, "AnswerRefused": AnswerRefused, "AnswerVoided": AnswerVoided, "AnswerReleased": AnswerReleased,
 	}
 	want := map[string]string{
--- a/internal/state/random_commands_test.go
+++ b/internal/state/random_commands_test.go
@@ -63,8 +63,16 @@
 // submitJob submits a job of two steps.
 func (d *randomDriver) submitJob(id string) {
 	r := d.random
-	d.submit(id, protocol.Step{TaskCount: 1 + r.Intn(3), CPUUnits: int64(r.Intn(60)), MemoryMB: int64(r.Intn(60)), GPUs: r.Intn(2), Speculative: r.Intn(3) == 0, MaxPerWorker: r.Intn(2)},
-		protocol.Step{TaskCount: 2, CPUUnits: int64(r.Intn(60)), Gang: r.Intn(2) == 0, DependsOn: []int{0}})
+	first := protocol.Step{
+		TaskCount:    1 + r.Intn(3),
+		CPUUnits:     int64(r.Intn(60)),
+		MemoryMB:     int64(r.Intn(60)),
+		GPUs:         r.Intn(2),
+		Speculative:  r.Intn(3) == 0,
+		MaxPerWorker: r.Intn(2),
+	}
+	second := protocol.Step{TaskCount: 2, CPUUnits: int64(r.Intn(60)), Gang: r.Intn(2) == 0, DependsOn: []int{0}}
+	d.submit(id, first, second)
 	d.jobs = append(d.jobs, id)
 }
 
@@ -74,7 +82,12 @@
 	var placements []Placement
 	for i := range job.Steps[step].TaskCount {
 		worker := d.worker()
-		placements = append(placements, Placement{TaskIndex: i, Copy: d.random.Intn(2), Worker: worker.ID, WorkerVersion: worker.Version - uint64(d.random.Intn(2))})
+		placements = append(placements, Placement{
+			TaskIndex:     i,
+			Copy:          d.random.Intn(2),
+			Worker:        worker.ID,
+			WorkerVersion: worker.Version - uint64(d.random.Intn(2)),
+		})
 	}
 	d.applyPlan(id, step, job.IsGang(step), placements...)
 }
--- a/internal/state/register_worker_test.go
+++ b/internal/state/register_worker_test.go
@@ -12,13 +12,14 @@
 	a := f.addWorker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submit("j", protocol.Step{TaskCount: 1})
 	f.applyPlan("j", 0, false, placementOn(a, 0))
-	// The registration of a worker of which the newer one knows nothing comes late.
-	if o := f.apply(&RegisterWorker{ID: "a0", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: a.Fence - 1}); o.Code != CodePreconditionFailed || o.Value != a.Fence || len(f.store.Allocations) != 1 || f.store.Workers["a0"] != nil {
-		t.Fatalf("a late registration ended a newer worker: %d, value %d", o.Code, o.Value)
+	// A registration arrives late: its agent doesn't know the newer worker a yet.
+	late := f.apply(&RegisterWorker{ID: "a0", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: a.Fence - 1})
+	if late.Code != CodePreconditionFailed || late.Value != a.Fence || len(f.store.Allocations) != 1 || f.store.Workers["a0"] != nil {
+		t.Fatalf("a late registration ended a newer worker: %d, value %d", late.Code, late.Value)
 	}
 	f.apply(&RegisterWorker{ID: "a2", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: a.Fence})
 	if len(f.store.Allocations) != 0 {
-		t.Fatal("a crashed worker holds runs")
+		t.Fatal("a crashed worker still has runs")
 	}
 	if o := f.apply(&RegisterWorker{ID: "a", Node: "n-a", Service: "s", LeavesInMs: -1}); o.Code != CodeConflict {
 		t.Fatalf("a late heartbeat registered a dead worker: %d", o.Code)
@@ -33,7 +34,14 @@
 	crash := func() int64 {
 		workers++
 		id := fmt.Sprint("w", workers)
-		f.apply(&RegisterWorker{ID: id, Node: "n", Service: "s", Capacity: protocol.Resources{CPUUnits: 10}, LeavesInMs: -1, ReplacesFence: int64(f.store.LastID)})
+		f.apply(&RegisterWorker{
+			ID:            id,
+			Node:          "n",
+			Service:       "s",
+			Capacity:      protocol.Resources{CPUUnits: 10},
+			LeavesInMs:    -1,
+			ReplacesFence: int64(f.store.LastID),
+		})
 		return max(f.store.Workers[id].BackoffUntil-f.store.Clock, 0)
 	}
 	last := int64(-1)
--- a/internal/state/replace_configuration_test.go
+++ b/internal/state/replace_configuration_test.go
@@ -6,14 +6,15 @@
 	"testing"
 )
 
-// replaceConfiguration is an operator's order: a configuration that was built on a
-// version. The label tells two of the same version apart.
+// replaceConfiguration is an operator's update, based on a version. The label makes
+// the texts of two with the same version differ.
 func replaceConfiguration(base, version int64, label string) *ReplaceConfiguration {
-	raw := fmt.Sprintf(`{"configVersion":%d,"routeList":[{"name":"a%s","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s","guards":true}]}`, version, label)
+	raw := fmt.Sprintf(`{"configVersion":%d,"routeList":[{"name":"a%s","hostName":"h","pathPrefix":"/p/",`+
+		`"timeoutMs":1000,"targetService":"s"}],"serviceList":[{"name":"s","guards":true}]}`, version, label)
 	return &ReplaceConfiguration{BaseVersion: base, Raw: []byte(raw)}
 }
 
-// expect applies an order to a state and to a copy from its snapshot.
+// expect applies an update to a state and to a copy from its snapshot.
 func (f *fixture) expect(what string, c *ReplaceConfiguration, code Code) {
 	f.t.Helper()
 	for from, at := range map[string]*fixture{"log": f, "snapshot": f.restored()} {
@@ -76,10 +77,10 @@
 	f := newEmptyFixture(t, Limits{})
 	f.apply(replaceConfiguration(0, 2, ""))
 	early := replaceConfiguration(5, 9, "")
-	f.expect("an order on a version not in force", early, CodePreconditionFailed)
+	f.expect("an update based on a version not in force", early, CodePreconditionFailed)
 	f.apply(replaceConfiguration(2, 5, ""))
 	f.expect("its late copy", early, CodePreconditionFailed)
-	f.expect("another order on that base", replaceConfiguration(5, 9, "x"), CodeOK)
+	f.expect("another update on that base", replaceConfiguration(5, 9, "x"), CodeOK)
 }
 
 func TestConfigurationsOfAStateWithoutRecords(t *testing.T) {
@@ -93,30 +94,34 @@
 	f.expect("the current one after the next", replaceConfiguration(2, 5, ""), CodeUnknown)
 }
 
-// TestReplicasAgreeOnConfigurations applies the same orders from the log, and from a
+// TestReplicasAgreeOnConfigurations applies the same updates from the log, and from a
 // snapshot and the rest of the log: all answers and records are equal.
 func TestReplicasAgreeOnConfigurations(t *testing.T) {
-	var orders []*ReplaceConfiguration
+	var updates []*ReplaceConfiguration
 	for i := range int64(40) {
 		base := i - i%3
-		orders = append(orders, replaceConfiguration(base, base+1+i%5, ""), replaceConfiguration(base, base+3, "x"), replaceConfiguration(base, base+1+i%5, ""))
+		updates = append(updates,
+			replaceConfiguration(base, base+1+i%5, ""),
+			replaceConfiguration(base, base+3, "x"),
+			replaceConfiguration(base, base+1+i%5, ""))
 	}
 	whole := newEmptyFixture(t, Limits{})
 	var answers []Outcome
-	for _, o := range orders {
+	for _, o := range updates {
 		answers = append(answers, whole.apply(o))
 	}
-	for cut := range orders {
+	for cut := range updates {
 		part := newEmptyFixture(t, Limits{})
-		for i, o := range orders {
+		for i, o := range updates {
 			if i == cut {
 				part = part.restored()
 			}
 			if got := part.apply(o); got != answers[i] {
-				t.Fatalf("snapshot before %d: order %d is answered %v, from the log %v", cut, i, got, answers[i])
+				t.Fatalf("snapshot before %d: update %d is answered %v, from the log %v", cut, i, got, answers[i])
 			}
 		}
-		if !reflect.DeepEqual(part.store.ConfigurationHistory, whole.store.ConfigurationHistory) || !reflect.DeepEqual(part.store.Configuration, whole.store.Configuration) {
+		if !reflect.DeepEqual(part.store.ConfigurationHistory, whole.store.ConfigurationHistory) ||
+			!reflect.DeepEqual(part.store.Configuration, whole.store.Configuration) {
 			t.Fatalf("snapshot before %d: records or configuration differ", cut)
 		}
 	}
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -83,7 +83,13 @@
 
 func newReplicaTest(t *testing.T, seed int64) *replicaTest {
 	t.Helper()
-	test := &replicaTest{T: t, generator: &generator{Rand: rand.New(rand.NewSource(seed))}, clock: 1, wall: 1000000, snapshots: make(chan []byte, 1)}
+	test := &replicaTest{
+		T:         t,
+		generator: &generator{Rand: rand.New(rand.NewSource(seed))},
+		clock:     1,
+		wall:      1000000,
+		snapshots: make(chan []byte, 1),
+	}
 	for _, limits := range []state.Limits{{}, {JobRetentionMs: 1, MaxReplans: 1, RemoteFactor: 2}, {JobRetentionMs: 1000, RemoteFactor: 9}} {
 		test.replicas = append(test.replicas, &replica{store: state.New(state.Limits{}), limits: limits})
 	}
--- a/internal/state/report_completions_test.go
+++ b/internal/state/report_completions_test.go
@@ -46,7 +46,7 @@
 		{[]protocol.Completion{doneCompletion(1, 0, 1), doneCompletion(3, 2, 1)}, false, 1, 3, ""},            // a gap inside
 		{[]protocol.Completion{doneCompletion(1, 0, 1), doneCompletion(2, 1, 1)}, true, 2, 2, ""},             // the first again
 		{[]protocol.Completion{doneCompletion(1, 0, 1)}, false, 2, 2, ""},                                     // late and doubled
-		{[]protocol.Completion{doneCompletion(5, 3, 1)}, true, 5, 1, CompletionsLost + ": 3 to 4"},            // the runner holds no more
+		{[]protocol.Completion{doneCompletion(5, 3, 1)}, true, 5, 1, CompletionsLost + ": 3 to 4"},            // the runner has no more
 		{[]protocol.Completion{doneCompletion(6, 0, 1)}, false, 6, 1, ""},                                     // known to be over
 		{[]protocol.Completion{doneCompletion(7, 0, 2)}, false, 7, 1, CompletionOfUnknownRun + ": j.0.0.0/2"}, // never booked
 		{[]protocol.Completion{doneCompletion(3, 2, 1)}, false, 7, 0, CompletionOfOpenRun + ": j.0.0.2/1"},    // acknowledged, yet open
@@ -55,7 +55,8 @@
 	} {
 		o := f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: c.completions, FromOldest: c.fromOldest})
 		if o.Code != CodeOK || o.Value != c.last || a.LastCompletion != c.last || len(f.store.Allocations) != c.open || o.Text != c.fault {
-			t.Errorf("%d: code %d, last %d (want %d), open %d (want %d), fault %q (want %q)", i, o.Code, o.Value, c.last, len(f.store.Allocations), c.open, o.Text, c.fault)
+			t.Errorf("%d: code %d, last %d (want %d), open %d (want %d), fault %q (want %q)",
+				i, o.Code, o.Value, c.last, len(f.store.Allocations), c.open, o.Text, c.fault)
 		}
 	}
 	if status := f.status(); status != "done" {
--- a/internal/state/scheduling_index_test.go
+++ b/internal/state/scheduling_index_test.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/protocol"
 )
 
-// schedulingIndexFault holds the index, as it was kept up, against a recount
+// schedulingIndexFault compares the index, as commands updated it, with a recount
 // from the tables.
 func schedulingIndexFault(s *Store) string {
 	for _, check := range []func(*Store) string{workerPositionFault, usageFault, capacityFault, placeableStepsFault} {
@@ -74,7 +74,7 @@
 	return count
 }
 
-// usageFault holds what runs hold by service and priority against a recount.
+// usageFault compares the use by service and priority with a recount.
 func usageFault(s *Store) string {
 	recounted := map[ServicePriority]Resources{}
 	for _, a := range s.Allocations {
@@ -96,7 +96,7 @@
 	return ""
 }
 
-// capacityFault holds the schedulable capacity of services against a recount.
+// capacityFault compares the schedulable capacity of services with a recount.
 func capacityFault(s *Store) string {
 	capacity, workers := map[string]Resources{}, map[string]int{}
 	for _, worker := range s.Workers {
--- a/internal/state/set_eligibility_test.go
+++ b/internal/state/set_eligibility_test.go
@@ -20,7 +20,8 @@
 			leavesAt := a.LeavesAt
 			f.apply(&SetEligibility{ID: "a", LeavesInMs: -1, Unhealthy: unhealthy})
 			if !a.Draining || a.LeavesAt != leavesAt || a.Schedulable() || a.Unhealthy != unhealthy {
-				t.Errorf("%s, then unhealthy %v: draining %v, unhealthy %v, leaves at %d, want %d", name, unhealthy, a.Draining, a.Unhealthy, a.LeavesAt, leavesAt)
+				t.Errorf("%s, then unhealthy %v: draining %v, unhealthy %v, leaves at %d, want %d",
+					name, unhealthy, a.Draining, a.Unhealthy, a.LeavesAt, leavesAt)
 			}
 		}
 	}
@@ -74,7 +75,8 @@
 		t.Fatalf("the sign-off itself ended or stopped the run: %d left", len(on))
 	}
 	f.apply(&StopRuns{Allocations: []uint64{f.store.AllocationsOn("a")[0].ID}, Reason: "worker leaves"})
-	f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{{Sequence: 1, Task: "j.0.0.0", Run: 1, Result: "stopped", Checkpoint: "text"}}})
+	completion := protocol.Completion{Sequence: 1, Task: "j.0.0.0", Run: 1, Result: "stopped", Checkpoint: "text"}
+	f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{completion}})
 	f.applyPlan("j", 0, false, placementOn(b, 0))
 	if on := f.store.AllocationsOn("b"); len(on) != 1 || on[0].Checkpoint != "text" {
 		t.Errorf("it goes on elsewhere as %+v", on)
--- a/internal/state/submit_job_test.go
+++ b/internal/state/submit_job_test.go
@@ -17,7 +17,8 @@
 
 func TestPeriodicJobFallsDue(t *testing.T) {
 	f := newFixture(t)
-	f.apply(&SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}, PeriodicInstances: 3, FirstRunMs: 1000, IntervalMs: 500}})
+	job := protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}, PeriodicInstances: 3, FirstRunMs: 1000, IntervalMs: 500}
+	f.apply(&SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: job})
 	j := f.store.Jobs["j"]
 	for _, c := range []struct{ wall, instances int64 }{{999, 0}, {1000, 1}, {1400, 1}, {2100, 3}} {
 		f.store.AdvanceClock(f.now, c.wall)
--- a/internal/state/transfer_test.go
+++ b/internal/state/transfer_test.go
@@ -6,12 +6,28 @@
 	"tealpond/internal/protocol"
 )
 
+// lend lends CPU of service s to peer p for a second; the service has four slices of
+// 25 thousandths of a core.
+func (f *fixture) lend(id string, milliCPU, minMilliCPU int64) Outcome {
+	f.t.Helper()
+	return f.apply(&LendCapacity{
+		ID:            id,
+		Peer:          "p",
+		Service:       "s",
+		MilliCPU:      milliCPU,
+		MinMilliCPU:   minMilliCPU,
+		DurationMs:    1000,
+		Slices:        4,
+		SliceMilliCPU: 25,
+	})
+}
+
 // newLoanFixture makes a state that lends 100 thousandths of a core to a peer.
 func newLoanFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(t)
 	f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
-	if o := f.apply(&LendCapacity{ID: "l", Peer: "p", Service: "s", MilliCPU: 100, MinMilliCPU: 50, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeOK || o.Value != 100 {
+	if o := f.lend("l", 100, 50); o.Code != CodeOK || o.Value != 100 {
 		t.Fatalf("loan: %+v", o)
 	}
 	return f
@@ -20,16 +36,17 @@
 // acceptJob accepts, or refuses, a peer's offer of job j under a loan.
 func (f *fixture) acceptJob(offerID int64, loan string) Outcome {
 	f.t.Helper()
-	return f.apply(&AcceptJob{Peer: "p", OfferID: offerID, ID: "j", Route: "a", Loan: loan, Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 4, CPUUnits: 50}}}})
+	job := protocol.Job{Steps: []protocol.Step{{TaskCount: 4, CPUUnits: 50}}}
+	return f.apply(&AcceptJob{Peer: "p", OfferID: offerID, ID: "j", Route: "a", Loan: loan, Job: job})
 }
 
 func TestCapacityIsLentOnce(t *testing.T) {
 	f := newLoanFixture(t)
-	if o := f.apply(&LendCapacity{ID: "m", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeConflict {
+	if o := f.lend("m", 25, 25); o.Code != CodeConflict {
 		t.Fatalf("lent twice: %+v", o)
 	}
 	f.now += 2000
-	if o := f.apply(&LendCapacity{ID: "n", Peer: "p", Service: "s", MilliCPU: 25, MinMilliCPU: 25, DurationMs: 1000, Slices: 4, SliceMilliCPU: 25}); o.Code != CodeOK {
+	if o := f.lend("n", 25, 25); o.Code != CodeOK {
 		t.Fatalf("not lent again after the end: %+v", o)
 	}
 }
@@ -111,7 +128,8 @@
 	if o := settle(StatusDone, 5); o.Code != CodeConflict || f.store.Jobs["j"].Done {
 		t.Fatalf("a peer with an older state is believed: %+v", o)
 	}
-	if o := f.apply(&SettleTransfer{Job: "j", OfferID: offerID, Peer: "p", Epoch: "other", Index: 50, Answer: StatusDone}); o.Code != CodeConflict {
+	ofOtherEpoch := &SettleTransfer{Job: "j", OfferID: offerID, Peer: "p", Epoch: "other", Index: 50, Answer: StatusDone}
+	if o := f.apply(ofOtherEpoch); o.Code != CodeConflict {
 		t.Fatalf("another history is believed: %+v", o)
 	}
 	if settle(StatusDone, 11); !f.store.Jobs["j"].Done {
