--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -19,7 +19,7 @@
 	announceEvery   = 4
 	introduceOften  = 40
 	introduceRarely = 40
-	// A candidate asks each askToJoin-th turn whether there is a cluster already.
+	// A candidate tries each askToJoin-th turn to join a cluster that exists already.
 	askToJoin = 12
 	// joinTimeout bounds one request to be taken into a cluster.
 	joinTimeout = time.Second
@@ -167,7 +167,7 @@
 	}
 	for _, seed := range *r.seeds.Load() {
 		go func() {
-			// A seed that does not hear of it is told again.
+			// The error is dropped: the announcement is repeated in later turns.
 			_, _ = rpc.Call(ctx, seed, rpc.KindBootstrap, transport.Encode(announcement), tuning.DialTimeout)
 		}()
 	}
--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -26,7 +26,9 @@
 // canAggregate tells whether a voter may aggregate for a zone now, and notes since
 // when it is heard.
 func (r *Replica) canAggregate(voter raft.Member, now time.Time) bool {
-	ok := voter.ID != r.self.ID && r.node.SilentFor(voter.ID) < tuning.AggregatorSilenceTimeout && now.After(r.appointments.leavingUntil[voter.ID])
+	heard := r.node.SilentFor(voter.ID) < tuning.AggregatorSilenceTimeout
+	leaving := !now.After(r.appointments.leavingUntil[voter.ID])
+	ok := voter.ID != r.self.ID && heard && !leaving
 	if !ok {
 		delete(r.appointments.heardSince, voter.ID)
 	} else if r.appointments.heardSince[voter.ID].IsZero() {
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -8,7 +8,11 @@
 // aggregatedKinds are the kinds of agents' requests that an aggregator takes and
 // batches for the leader.
 var aggregatedKinds = map[string]bool{
-	rpc.KindRenewLease: true, rpc.KindRegisterWorker: true, rpc.KindReportCompletions: true, rpc.KindSetEligibility: true, rpc.KindRenewMembership: true,
+	rpc.KindRenewLease:        true,
+	rpc.KindRegisterWorker:    true,
+	rpc.KindReportCompletions: true,
+	rpc.KindSetEligibility:    true,
+	rpc.KindRenewMembership:   true,
 }
 
 // handleBatch answers the requests of an aggregator's batch, all in one response.
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -48,7 +48,8 @@
 	}
 	var message raft.Message
 	if transport.Decode(body, &message) != nil || message.To != r.self.ID {
-		// Addresses are reused: this message is meant for another member.
+		// The message is for an earlier member at this address, for instance the
+		// one before the disk was replaced.
 		return
 	}
 	if r.node == nil {
@@ -103,7 +104,7 @@
 		return r.sendOnInbound(to, frame)
 	}
 	if !stream.Send(frame) {
-		// Here too, since a stream may have ended before it was noted.
+		// The stream has ended, and its end is still in the event queue.
 		delete(r.connections, address)
 		r.dial(ctx, address)
 		return r.sendOnInbound(to, frame)
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -8,6 +8,9 @@
 	"tealpond/internal/state"
 )
 
+// milliCPUPerCore turns work in milli-CPU times ms into core-ms.
+const milliCPUPerCore = 1000
+
 // logJob logs how a job went: each step as its tasks x milli-CPU, and the ms until it
 // was ready, until all of it was placed, and until it was complete.
 func (r *Replica) logJob(job *state.Job) {
@@ -46,8 +49,9 @@
 			cpuByPriority[job.Priority] += allocation.MilliCPU
 		}
 	}
-	_ = r.log.Log("level", "debug", "event", "capacity.measured", "workers", workers, "cpu", totalCPU, "cpu_used", usedCPU, "mem", totalMemory, "mem_used", usedMemory,
-		"waiting", r.state.PendingWork()/1000,
+	_ = r.log.Log("level", "debug", "event", "capacity.measured", "workers", workers,
+		"cpu", totalCPU, "cpu_used", usedCPU, "mem", totalMemory, "mem_used", usedMemory,
+		"waiting", r.state.PendingWork()/milliCPUPerCore,
 		"p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
 }
 
@@ -59,8 +63,9 @@
 		return
 	}
 	step := job.Steps[allocation.Step]
+	readyAt := job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt
 	_ = r.log.Log("level", "debug", "event", "run.completed", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy,
 		"result", completed.Result, "reason", allocation.StopReason, "worker", worker.Node,
-		"waited_ms", allocation.BookedAt-job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt, "took_ms", completed.ClosedAt-allocation.BookedAt,
+		"waited_ms", allocation.BookedAt-readyAt, "took_ms", completed.ClosedAt-allocation.BookedAt,
 		"estimate_ms", step.EstimateMs, "remote", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
 }
--- a/internal/server/digest_exchange.go
+++ b/internal/server/digest_exchange.go
@@ -20,13 +20,13 @@
 // frameDigest is the frame of a replica's digestReport to the leader.
 const frameDigest = byte(64)
 
-// digestReport is a replica's digest at a log index. It is encoded by the names of
-// its fields, which therefore stay.
+// digestReport is a replica's digest at a log index. It is encoded by the names in
+// its tags, or by those of its fields, which therefore stay.
 type digestReport struct {
 	From    string
 	To      string
 	Index   uint64
-	Sum     uint64
+	Digest  uint64 `cbor:"Sum"`
 	Program string
 }
 
@@ -52,18 +52,24 @@
 		return
 	}
 	if leader := r.node.Leader(); leader != "" {
-		r.sendFrame(ctx, leader, transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{r.self.ID, leader, index, digest, programVersion})})
+		report := digestReport{From: r.self.ID, To: leader, Index: index, Digest: digest, Program: programVersion}
+		r.sendFrame(ctx, leader, transport.Frame{Kind: frameDigest, Body: transport.Encode(report)})
 	}
 }
 
 // handleDigestReport takes another replica's digest.
 func (r *Replica) handleDigestReport(body []byte) {
 	var report digestReport
-	if transport.Decode(body, &report) != nil || report.To != r.self.ID || report.Program != programVersion || r.node == nil || !r.node.IsLeader() ||
-		r.digests.decided[report.Index] || report.Index > r.node.CommitIndex() {
+	if transport.Decode(body, &report) != nil || report.To != r.self.ID || report.Program != programVersion {
 		return
 	}
-	r.digests.addReported(report.From, report.Index, report.Sum)
+	if r.node == nil || !r.node.IsLeader() {
+		return
+	}
+	if r.digests.decided[report.Index] || report.Index > r.node.CommitIndex() {
+		return
+	}
+	r.digests.addReported(report.From, report.Index, report.Digest)
 	r.countDigests(report.Index)
 }
 
@@ -72,7 +78,8 @@
 func (r *Replica) countDigests(index uint64) {
 	switch count := r.digests.count(index, r.self.ID, r.node.Voters()); count.verdict {
 	case digestsConfirmed:
-		r.enqueueCommand(state.CommandConfirmDigest, &state.ConfirmDigest{Index: index, Digest: count.majority, ProgramVersion: programVersion}, nil)
+		confirm := &state.ConfirmDigest{Index: index, Digest: count.majority, ProgramVersion: programVersion}
+		r.enqueueCommand(state.CommandConfirmDigest, confirm, nil)
 	case digestsDiverged:
 		r.compareDigest(index, count.majority)
 	case digestsDisagree:
--- a/internal/server/digests.go
+++ b/internal/server/digests.go
@@ -9,14 +9,19 @@
 // compares them. It is pure: it knows nothing of the network or the log.
 type digestTracker struct {
 	own        map[uint64]uint64
-	agreed     map[uint64]uint64            // from the log, where the own one is not known yet
+	agreed     map[uint64]uint64            // confirmed by the log, kept until the own one is known
 	reported   map[uint64]map[string]uint64 // by index and member ID, while this replica leads
-	decided    map[uint64]bool              // indexes whose digests were counted to an end
+	decided    map[uint64]bool              // indexes with a verdict other than digestsUndecided
 	divergedAt uint64                       // the index at which this replica differs; 0: none
 }
 
 func newDigestTracker() digestTracker {
-	return digestTracker{own: map[uint64]uint64{}, agreed: map[uint64]uint64{}, reported: map[uint64]map[string]uint64{}, decided: map[uint64]bool{}}
+	return digestTracker{
+		own:      map[uint64]uint64{},
+		agreed:   map[uint64]uint64{},
+		reported: map[uint64]map[string]uint64{},
+		decided:  map[uint64]bool{},
+	}
 }
 
 // digestVerdict is what the digests of the voters at one index say together.
@@ -37,7 +42,7 @@
 }
 
 // addOwn keeps a digest of this replica and drops those that are too old to be
-// compared. If the agreed digest is known already it is given back.
+// compared. It returns the agreed digest if that is known already.
 func (d *digestTracker) addOwn(index, digest uint64) (agreed uint64, known bool) {
 	d.own[index] = digest
 	d.discardOld(index)
@@ -73,8 +78,8 @@
 		}
 	}
 	result := digestCount{distinct: len(votes)}
-	for digest, n := range votes {
-		if 2*n <= len(voters) {
+	for digest, count := range votes {
+		if 2*count <= len(voters) {
 			continue
 		}
 		result.majority, result.verdict = digest, digestsConfirmed
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -9,7 +9,13 @@
 // federationWork is what the offloader works on: the open transfers, the jobs that
 // may be offered to another cluster, and the record of demand.
 func federationWork(store *state.Store, config *federation.Settings) federation.PendingWork {
-	work := federation.PendingWork{IsLeader: true, Epoch: store.Epoch, Index: store.AppliedIndex, WallMs: store.WallClock, Demand: map[int64]float64{}}
+	work := federation.PendingWork{
+		IsLeader: true,
+		Epoch:    store.Epoch,
+		Index:    store.AppliedIndex,
+		WallMs:   store.WallClock,
+		Demand:   map[int64]float64{},
+	}
 	peerRoutes := map[string]string{} // by the local route
 	for _, route := range config.Routes {
 		peerRoutes[route.LocalRoute] = route.PeerRoute
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -16,9 +16,9 @@
 		Snapshot: &raft.Snapshot{Index: 7, Term: 8, Voters: []raft.Member{{Node: "node", ID: "disk", Addr: "address"}}, Data: []byte{},
 			OutgoingVoters: []raft.Member{{Node: "old-node", ID: "old-disk", Addr: "old-address"}}}}
 	golden.Check(t, "frames.txt", codec, []golden.Case{
-		{Name: "digest", Value: &digestReport{From: "from", To: "to", Index: 11, Sum: 12, Program: "program"}},
-		{Name: "snapshot-part", Value: &snapshotChunk{Msg: message, Total: 21, Offset: 22, Data: []byte("part")}},
-		{Name: "snapshot-part-received", Value: &snapshotAck{From: "from", To: "to", Index: 31, Have: 32}},
+		{Name: "digest", Value: &digestReport{From: "from", To: "to", Index: 11, Digest: 12, Program: "program"}},
+		{Name: "snapshot-part", Value: &snapshotChunk{Message: message, Total: 21, Offset: 22, Data: []byte("part")}},
+		{Name: "snapshot-part-received", Value: &snapshotAck{From: "from", To: "to", Index: 31, Received: 32}},
 	})
 	golden.Text(t, "kinds.txt", fmt.Sprintf("frame digest %d\nframe snapshot-part %d\nframe snapshot-part-received %d\ncode stay %d\n",
 		frameDigest, frameSnapshotChunk, frameSnapshotAck, codeStillNeeded))
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -11,8 +11,8 @@
 // leaderWork does what a leader has to do at this time; it returns after how long
 // it must be called again, 0 for a replica that does not lead.
 func (r *Replica) leaderWork(now time.Time) time.Duration {
-	// Another term in between had another leader, perhaps: what this one knew of
-	// leases, clocks and callers is of the term before.
+	// A new term may follow that of another leader, who renewed leases and applied
+	// entries: what this replica kept in memory as leader is void then.
 	if r.leading && (!r.node.LeaderReady() || r.leadingTerm != r.node.Term()) {
 		r.stepDown()
 	}
@@ -56,8 +56,8 @@
 	if wait > 0 {
 		return wait
 	}
-	// Only one command is proposed at a time: until it is applied the run stays
-	// due, and each turn of the loop would add another.
+	// Applying the clean-up starts the jobs that are due. Only one is proposed at a
+	// time: until it is applied they stay due, and each turn would propose another.
 	if !r.garbageCollectionProposed {
 		r.garbageCollectionProposed = true
 		r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, func(state.Outcome, bool) { r.garbageCollectionProposed = false })
@@ -104,7 +104,7 @@
 		r.enqueueCommand(state.CommandSetEpoch, &state.SetEpoch{Epoch: r.processID + "-" + r.self.ID}, nil)
 	}
 	r.membership = membershipTracker{}
-	r.planner = scheduler.Planner{CheckpointIntervalMs: int64(r.settings.Bounds.CheckpointEveryS * 1000)}
+	r.planner = scheduler.Planner{CheckpointIntervalMs: int64(r.settings.Bounds.CheckpointEveryS * msPerSecond)}
 	_ = r.log.Log("level", "info", "event", "leader.elected", "term", r.node.Term(), "index", r.node.AppliedIndex())
 }
 
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -120,8 +120,9 @@
 	}
 }
 
-// handleReleaseZones takes its zones from a server that leaves; the standbys take
-// over. A candidate that waits for a voter's place may have its.
+// handleReleaseZones takes the zones from a server that leaves; their standbys take
+// over, and a waiting candidate may become a voter in its place. The answer is
+// codeStillNeeded until the others can do without the server.
 func (r *Replica) handleReleaseZones(request *rpc.ZoneRelease, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
 	r.appointments.leavingUntil[request.Disk] = now.Add(tuning.ShutdownExclusionPeriod)
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -28,8 +28,8 @@
 	// offloader.
 	request           *localRequest
 	federationRequest *localRequest
-	// written are writes that were synced, writeErr says why writes failed that
-	// are being retried; writtenBy is the storage that tells so.
+	// written are writes that were synced, writeErr is the error of writes that are
+	// being retried; writtenBy is the storage that reports either.
 	written   []storage.WriteRequest
 	writeErr  error
 	writtenBy *storage.Store
@@ -163,8 +163,8 @@
 	defer r.metrics.startTimer("end_turn")()
 	wake := r.node.Tick(now)
 	r.watchStorageLag(now)
-	// Before anything is applied: a snapshot that came in replaces the state
-	// which the entries above it don't follow.
+	// The node is drained before the leader acts on the state: a received snapshot
+	// replaces the state, and the committed entries above it apply to the new one only.
 	r.drainNode(ctx)
 	for _, wait := range []time.Duration{r.leaderWork(now), r.sendBatches(ctx, now), r.proposeQueued(now)} {
 		wake = sooner(wake, wait)
@@ -198,6 +198,8 @@
 			if ready.Snapshot != nil {
 				r.installSnapshot(ready.Snapshot)
 			}
+			// MessagesAfterSync also wait for all earlier writes, so they follow those
+			// through the queue, even if nothing new is to be written.
 			if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
 				r.writesInFlight++
 				r.writeQueue <- storage.WriteRequest{Ready: ready}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -11,7 +11,8 @@
 	"tealpond/internal/tuning"
 )
 
-// handleJoin notes a candidate for a voter's place.
+// handleJoin registers a candidate: a server that wants to become a voter. Until it
+// is one it gets the log as a learner (see reconcileVoters).
 func (r *Replica) handleJoin(candidate *raft.Member, _ *transport.Stream, reply replyFunc) {
 	if candidate.ID == "" {
 		reply(responseBadRequest)
@@ -40,7 +41,7 @@
 	return r.membership.candidates
 }
 
-// liveCandidates are the servers that ask for a voter's place, in the order of their
+// liveCandidates are the servers that want to become voters, in the order of their
 // IDs; one that fell silent is forgotten, and announces itself when it is back.
 func (r *Replica) liveCandidates() []raft.Member {
 	var live []raft.Member
@@ -60,7 +61,8 @@
 	return live
 }
 
-// canTakePlace tells whether a candidate can take a place at once.
+// canTakePlace tells whether a candidate may become a voter now: it has caught up, so
+// that commits need not wait for it, and was heard lately.
 func (r *Replica) canTakePlace(candidate raft.Member) bool {
 	return r.node.CaughtUp(candidate.ID) && r.node.SilentFor(candidate.ID) <= tuning.CandidateContactTimeout
 }
@@ -90,7 +92,8 @@
 		old := voters[i]
 		_ = r.log.Log("level", "info", "event", "voter.replacement_proposed", "node", old.Node, "disk", old.ID, "reason", reason,
 			"new_node", candidate.Node, "new_disk", candidate.ID)
-		// The old voter is still to be told of the change, if it lives.
+		// The configuration no longer names the old voter, which must learn of the
+		// change if it is still up, so its address is kept.
 		r.addresses[old.ID] = old.Addr
 		next := slices.Clone(voters)
 		next[i] = candidate
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -33,7 +33,7 @@
 	trace     *tracing.Ring
 	metrics   *loopMetrics
 	debug     bool   // lines of level debug are kept
-	processID string // the ID of this process
+	processID string // daemon.Environment.ProcessID
 
 	// Identity, storage and consensus. The node is nil until the storage is open
 	// and this server belongs, or wants to belong, to a cluster.
@@ -117,7 +117,7 @@
 // stateLimits are the limits in this server's settings; a leader puts them into the log.
 func stateLimits(config settings.File) state.Limits {
 	return state.Limits{
-		JobRetentionMs: int64(config.Bounds.StatusS*1000) + tuning.JobRetentionMargin.Milliseconds(),
+		JobRetentionMs: int64(config.Bounds.StatusS*msPerSecond) + tuning.JobRetentionMargin.Milliseconds(),
 		MaxReplans:     tuning.MaxReplans,
 		RemoteFactor:   config.Bounds.SpreadFactor,
 	}
@@ -169,7 +169,8 @@
 	seed := fnv.New64()
 	_, _ = seed.Write([]byte(r.self.ID)) // a hash never fails to write
 	if r.state.AppliedIndex == 0 {
-		// The limits come by the log, also where there is no state yet.
+		// The limits come by the log (see becomeLeader), so that all replicas apply
+		// each entry under the same ones.
 		r.state.Limits = state.Limits{}
 	}
 	if err := r.state.BindSnapshotIndex(snapshot.Index); err != nil {
@@ -188,7 +189,8 @@
 	r.node.SetSnapshotSource(r.snapshotForFollower)
 	r.persisted.Entries = nil
 	r.persisted.Snapshot.Data = nil
-	_ = r.log.Log("level", "info", "event", "raft.started", "disk", r.self.ID, "term", r.node.Term(), "last", r.node.LastIndex(), "voters", len(r.node.Voters()))
+	_ = r.log.Log("level", "info", "event", "raft.started", "disk", r.self.ID,
+		"term", r.node.Term(), "last", r.node.LastIndex(), "voters", len(r.node.Voters()))
 }
 
 // SetSeeds replaces the addresses of the seeds.
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -11,7 +11,7 @@
 type agentSession struct {
 	stream *transport.Stream
 	fence  int64
-	// knownIndex is the log index of the newest state that the agent was told of.
+	// knownIndex is the log index of the newest state that was sent to the agent.
 	// Assignments are held back until this replica has applied it: an older state
 	// may name a run that is over, and which runs elsewhere by now.
 	knownIndex uint64
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -26,7 +26,13 @@
 	if !ok {
 		panic("server: a snapshot at an entry that the log does not know")
 	}
-	return &raft.Snapshot{Index: index, Term: term, Voters: r.node.VotersAt(index), OutgoingVoters: r.node.OutgoingVotersAt(index)}, r.state.Snapshot()
+	snapshot := &raft.Snapshot{
+		Index:          index,
+		Term:           term,
+		Voters:         r.node.VotersAt(index),
+		OutgoingVoters: r.node.OutgoingVotersAt(index),
+	}
+	return snapshot, r.state.Snapshot()
 }
 
 // snapshotForFollower is a snapshot for a follower that lags: the newest one, since
@@ -56,8 +62,9 @@
 	}()
 }
 
-// handleSnapshotEncoded has a snapshot written, unless a newer one was received. The
-// one before stays valid until it is synced: the storage replaces it in one step.
+// handleSnapshotEncoded has a snapshot written, unless a newer one was received or
+// the node was replaced meanwhile. The snapshot before stays valid until this one is
+// synced: the storage replaces it in one step.
 func (r *Replica) handleSnapshotEncoded(ctx context.Context, encoded *encodedSnapshot) {
 	if encoded.node != r.node {
 		return
@@ -86,8 +93,8 @@
 	r.lastSnapshotIndex, r.latestSnapshot = snapshot.Index, snapshot
 	r.planDue = true
 	r.digests.discardOwn()
-	// Nobody will apply the entries that these wait for: they are part of the
-	// snapshot, if anywhere.
+	// The entries up to the snapshot's are never applied one by one here, so whether
+	// they are those that the callers proposed can't be told.
 	for index := range r.pending {
 		if index <= snapshot.Index {
 			r.abandonEntry(index)
--- a/internal/server/snapshot_exchange.go
+++ b/internal/server/snapshot_exchange.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/tuning"
 )
 
-// sendSnapshot begins to send a snapshot, or sends a chunk again that may be lost.
+// sendSnapshot begins to send a snapshot, or repeats a chunk that may be lost.
 func (r *Replica) sendSnapshot(ctx context.Context, message raft.Message) {
 	now := time.Now()
 	sender := r.outgoingSnapshots[message.To]
@@ -56,11 +56,11 @@
 // the snapshot is there.
 func (r *Replica) handleSnapshotChunk(ctx context.Context, body []byte, stream *transport.Stream) {
 	var chunk snapshotChunk
-	if transport.Decode(body, &chunk) != nil || chunk.Msg.To != r.self.ID || chunk.Msg.Snapshot == nil || r.node == nil ||
+	if transport.Decode(body, &chunk) != nil || chunk.Message.To != r.self.ID || chunk.Message.Snapshot == nil || r.node == nil ||
 		chunk.Total <= 0 || chunk.Total > tuning.MaxFrameBytes {
 		return
 	}
-	from, snapshot := chunk.Msg.From, chunk.Msg.Snapshot
+	from, snapshot := chunk.Message.From, chunk.Message.Snapshot
 	r.inbound[from] = stream
 	receiver := r.incomingSnapshots[from]
 	if !receiver.expects(chunk) {
@@ -69,13 +69,15 @@
 	}
 	received, complete := receiver.add(chunk)
 	if snapshot.Index <= r.node.CommitIndex() {
-		// No longer wanted: the message alone is answered.
+		// This replica has caught up by other means. The node answers the message
+		// by its commit index, without a look at the data.
 		received, complete = chunk.Total, true
 	}
-	r.sendFrame(ctx, from, transport.Frame{Kind: frameSnapshotAck, Body: transport.Encode(snapshotAck{r.self.ID, from, snapshot.Index, received})})
+	ack := snapshotAck{From: r.self.ID, To: from, Index: snapshot.Index, Received: received}
+	r.sendFrame(ctx, from, transport.Frame{Kind: frameSnapshotAck, Body: transport.Encode(ack)})
 	if complete {
 		delete(r.incomingSnapshots, from)
 		snapshot.Data = receiver.data
-		r.node.Step(chunk.Msg, time.Now())
+		r.node.Step(chunk.Message, time.Now())
 	}
 }
--- a/internal/server/snapshot_transfer.go
+++ b/internal/server/snapshot_transfer.go
@@ -10,7 +10,7 @@
 // A snapshot goes to a follower that lags in bounded chunks, one under way at a
 // time, so that heartbeats and entries on the same stream don't wait behind it.
 // The consensus node sees one message, when all of it is there. It sends a snapshot
-// again until it is answered; that does not restart a transfer in progress.
+// again until it is acknowledged; that does not restart a transfer in progress.
 //
 // Sender and receiver are pure: chunks and acknowledgements in, chunks out.
 
@@ -20,21 +20,21 @@
 	frameSnapshotAck   = byte(66)
 )
 
-// snapshotChunk is a part of a snapshot's data. It is encoded by the names of its
-// fields, which therefore stay.
+// snapshotChunk is a part of a snapshot's data. It is encoded by the names in its
+// tags, or by those of its fields, which therefore stay.
 type snapshotChunk struct {
-	Msg    raft.Message // the message, its snapshot without the data
-	Total  int          // length of the whole data, in bytes
-	Offset int          // of this part, in bytes
-	Data   []byte
+	Message raft.Message `cbor:"Msg"` // its snapshot is without the data
+	Total   int          // length of the whole data, in bytes
+	Offset  int          // of this part, in bytes
+	Data    []byte
 }
 
-// snapshotAck tells the sender how many bytes of a snapshot the receiver holds. It
-// is encoded by the names of its fields, which therefore stay.
+// snapshotAck tells the sender how many bytes of a snapshot the receiver has. It is
+// encoded by the names in its tags, or by those of its fields, which therefore stay.
 type snapshotAck struct {
 	From, To string
 	Index    uint64
-	Have     int // in bytes
+	Received int `cbor:"Have"` // in bytes, counted from the start
 }
 
 // snapshotSender is a transfer to one follower.
@@ -58,8 +58,9 @@
 // complete tells whether the receiver holds all of it.
 func (s *snapshotSender) complete() bool { return s.acknowledged == len(s.data) }
 
-// serves tells whether a transfer serves a message: it makes progress, be it
-// with an earlier snapshot, or this snapshot has arrived.
+// serves tells whether no new transfer is needed for a message of the node: this
+// one makes progress, if perhaps with an earlier snapshot, or has delivered the
+// message's snapshot. A nil sender serves nothing.
 func (s *snapshotSender) serves(message raft.Message, now time.Time) bool {
 	if s == nil || s.message.Term != message.Term {
 		return false
@@ -70,26 +71,27 @@
 	return now.Sub(s.progressedAt) < tuning.SnapshotTransferStallTimeout
 }
 
-// nextChunk is the chunk that the receiver lacks. Once all has arrived it is empty,
-// and makes the receiver respond again: its first response may be lost.
+// nextChunk is the chunk that the receiver lacks. Once all has arrived it is empty:
+// it makes the receiver acknowledge again, as the first acknowledgement may be lost.
 func (s *snapshotSender) nextChunk(now time.Time) snapshotChunk {
 	s.sentAt = now
-	return snapshotChunk{s.message, len(s.data), s.acknowledged, s.data[s.acknowledged:min(s.acknowledged+tuning.SnapshotChunkBytes, len(s.data))]}
+	end := min(s.acknowledged+tuning.SnapshotChunkBytes, len(s.data))
+	return snapshotChunk{Message: s.message, Total: len(s.data), Offset: s.acknowledged, Data: s.data[s.acknowledged:end]}
 }
 
 // acknowledge takes the receiver's acknowledgement; true if another chunk is due.
 func (s *snapshotSender) acknowledge(ack snapshotAck, now time.Time) bool {
-	if s == nil || ack.Index != s.message.Snapshot.Index || ack.Have < 0 || ack.Have > len(s.data) {
+	if s == nil || ack.Index != s.message.Snapshot.Index || ack.Received < 0 || ack.Received > len(s.data) {
 		return false
 	}
-	if ack.Have == s.acknowledged && ack.Have > 0 {
-		return false // doubled
+	if ack.Received == s.acknowledged && ack.Received > 0 {
+		return false // a duplicate
 	}
 	// Less than before: the receiver was restarted and begins again.
-	if ack.Have > s.acknowledged {
+	if ack.Received > s.acknowledged {
 		s.progressedAt = now
 	}
-	s.acknowledged = ack.Have
+	s.acknowledged = ack.Received
 	return !s.complete()
 }
 
@@ -102,16 +104,16 @@
 
 // newSnapshotReceiver begins to receive the snapshot that a chunk belongs to.
 func newSnapshotReceiver(chunk snapshotChunk) *snapshotReceiver {
-	return &snapshotReceiver{index: chunk.Msg.Snapshot.Index, term: chunk.Msg.Snapshot.Term, total: chunk.Total}
+	return &snapshotReceiver{index: chunk.Message.Snapshot.Index, term: chunk.Message.Snapshot.Term, total: chunk.Total}
 }
 
 // expects tells whether a chunk belongs to this transfer.
 func (s *snapshotReceiver) expects(chunk snapshotChunk) bool {
-	return s != nil && s.index == chunk.Msg.Snapshot.Index && s.term == chunk.Msg.Snapshot.Term && s.total == chunk.Total
+	return s != nil && s.index == chunk.Message.Snapshot.Index && s.term == chunk.Message.Snapshot.Term && s.total == chunk.Total
 }
 
-// add adds a chunk, which counts only if it is the one after the last; it gives how
-// many bytes are held, and whether that is all.
+// add takes a chunk, and ignores it unless it follows the last one. It returns how
+// many bytes have arrived, and whether these are all.
 func (s *snapshotReceiver) add(chunk snapshotChunk) (int, bool) {
 	if chunk.Offset == len(s.data) && len(s.data)+len(chunk.Data) <= s.total {
 		s.data = append(s.data, chunk.Data...)
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -76,7 +76,7 @@
 // length, begins a transfer of its own.
 func TestSnapshotReceiverExpectsItsSnapshot(t *testing.T) {
 	chunk := func(index, term uint64, total int) snapshotChunk {
-		return snapshotChunk{Msg: raft.Message{Snapshot: &raft.Snapshot{Index: index, Term: term}}, Total: total}
+		return snapshotChunk{Message: raft.Message{Snapshot: &raft.Snapshot{Index: index, Term: term}}, Total: total}
 	}
 	receiver := newSnapshotReceiver(chunk(9, 2, 100))
 	if !receiver.expects(chunk(9, 2, 100)) {
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -93,7 +93,8 @@
 func jobTable(store *state.Store) rpc.Table {
 	table := newTable("jobs", "id", "inbox", "service", "priority", "state", "born_ms", "ended_ms", "steps", "run_times")
 	for _, job := range store.Jobs {
-		addRow(&table, job.ID, job.Route, job.Service, job.Priority, job.Status(), job.CreatedAt, job.EndedAt, len(job.Steps), job.PeriodicInstances)
+		addRow(&table, job.ID, job.Route, job.Service, job.Priority, job.Status(), job.CreatedAt, job.EndedAt,
+			len(job.Steps), job.PeriodicInstances)
 	}
 	return table
 }
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -21,7 +21,7 @@
 type workerLease struct {
 	grantedAt      time.Time
 	expiring       bool      // its expiry is being put into the log
-	heardAt        time.Time // the last sign of life, also without a renewal
+	heardAt        time.Time // when the agent was last heard, also without a renewal
 	runtimePercent int64     // see rpc.LeaseRenewal
 }
 
@@ -107,8 +107,7 @@
 	return nil
 }
 
-// leaseRefusalCode is the code by which an agent is told that its lease was not
-// renewed.
+// leaseRefusalCode is the response code for an agent whose lease was not renewed.
 func leaseRefusalCode(err error) rpc.Code {
 	if errors.Is(err, errWorkerGone) {
 		return rpc.CodeGone
@@ -117,7 +116,9 @@
 }
 
 // expireWorkerLeases ends the leases of workers that were not renewed for so long
-// that all their runs must be over.
+// that all their runs must be over: an agent stops its runs when its lease runs out by
+// its own clock. The timeout covers a clock that is slower by
+// tuning.LeaseClockDriftFactor, so that no task is started again while it may run.
 func (r *Replica) expireWorkerLeases(now time.Time) {
 	timeout := time.Duration(float64(r.leaseDuration)*tuning.LeaseClockDriftFactor) + tuning.LeaseExpiryMargin
 	var expired []state.FencedWorker
