--- a/cmd/tealpond/daemon.go
+++ b/cmd/tealpond/daemon.go
@@ -33,7 +33,8 @@
 	}
 	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMb) * tuning.MemoryLimitFraction * bytesPerMb))
 	debug.SetGCPercent(tuning.GCPercent)
-	logger := log.With(levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(p.stderr)), logLevels[level]}, "node", file.NodeName, "role", role.Name)
+	filtered := levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(p.stderr)), logLevels[level]}
+	logger := log.With(filtered, "node", file.NodeName, "role", role.Name)
 	environment := daemon.Environment{Settings: file, Log: logger, ProcessID: newProcessID(), Reload: make(chan settings.File, 1),
 		Trace: tracing.NewRing(tuning.TraceRingLength), FederationFile: federationFile, Debug: level == "debug"}
 	process, err := role.New(environment)
@@ -93,7 +94,7 @@
 	}
 }
 
-// modTime is when a file was changed, in ns since 1970; 0 if it can't be told.
+// modTime is when a file was changed, in ns since 1970; 0 if that is unknown.
 func modTime(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -81,7 +81,8 @@
 		return p.fail(err)
 	}
 	for _, step := range change.Steps {
-		p.printf("at=%s node=%s id=%s what=%q n=%d text=%q\n", time.Unix(0, step.TimeNs).UTC().Format("15:04:05.000000"), step.Node, step.Subject, step.Action, step.Value, step.Detail)
+		at := time.Unix(0, step.TimeNs).UTC().Format("15:04:05.000000")
+		p.printf("at=%s node=%s id=%s what=%q n=%d text=%q\n", at, step.Node, step.Subject, step.Action, step.Value, step.Detail)
 	}
 	for _, node := range change.Unreachable {
 		p.reportf("%s did not answer: its part is missing", node)
--- a/internal/admin/jobrecord.go
+++ b/internal/admin/jobrecord.go
@@ -115,7 +115,14 @@
 // newJobRecord builds the record of a job from its row in the cluster that it was
 // submitted to, its move from there (nil if it never moved) and its guests.
 func newJobRecord(cluster string, job, move row, guests []guest) JobRecord {
-	record := JobRecord{Job: job.text("id"), Cluster: cluster, RanOn: cluster, State: job.text("state"), SubmittedMs: job.integer("born_ms"), EndedMs: job.integer("ended_ms")}
+	record := JobRecord{
+		Job:         job.text("id"),
+		Cluster:     cluster,
+		RanOn:       cluster,
+		State:       job.text("state"),
+		SubmittedMs: job.integer("born_ms"),
+		EndedMs:     job.integer("ended_ms"),
+	}
 	away := move != nil && move.text("state") != moveBack
 	if away {
 		record.RanOn = move.text("peer")
--- a/internal/aggregator/batcher.go
+++ b/internal/aggregator/batcher.go
@@ -13,7 +13,7 @@
 
 // Batch is one message to the leader, with either Renewals or Requests.
 type Batch struct {
-	ID       uint64 // to be handed back with the leader's response
+	ID       uint64 // to be passed to HandleRenewals or HandleResponses
 	Renewals *rpc.LeaseBatch
 	Requests *rpc.Batch
 }
@@ -46,8 +46,14 @@
 
 // New builds the aggregator of the server whose disk has this identity.
 func New(disk string) *Batcher {
-	return &Batcher{disk: disk, renewals: map[string]pendingRenewal{}, missedBatches: map[string]int{}, reportedRuntimes: map[string]int64{},
-		renewalsInFlight: map[uint64]sentRenewals{}, requestsInFlight: map[uint64][]pendingRequest{}}
+	return &Batcher{
+		disk:             disk,
+		renewals:         map[string]pendingRenewal{},
+		missedBatches:    map[string]int{},
+		reportedRuntimes: map[string]int64{},
+		renewalsInFlight: map[uint64]sentRenewals{},
+		requestsInFlight: map[uint64][]pendingRequest{},
+	}
 }
 
 // Enqueue takes any request but the renewal of a lease; false if too many wait
@@ -141,12 +147,13 @@
 	Reply   Reply
 }
 
-// TakeUnsent hands out what was not sent: this server leads now, and handles it
-// itself.
+// TakeUnsent removes and returns what was not sent: this server leads now, and
+// handles it itself.
 func (b *Batcher) TakeUnsent() []Unsent {
 	var unsent []Unsent
 	for _, waiting := range b.renewals {
-		unsent = append(unsent, Unsent{rpc.Request{Kind: rpc.KindRenewLease, Body: transport.Encode(&waiting.request)}, waiting.reply})
+		request := rpc.Request{Kind: rpc.KindRenewLease, Body: transport.Encode(&waiting.request)}
+		unsent = append(unsent, Unsent{request, waiting.reply})
 	}
 	for _, waiting := range b.requests {
 		unsent = append(unsent, Unsent{waiting.request, waiting.reply})
--- a/internal/api/leader.go
+++ b/internal/api/leader.go
@@ -43,7 +43,7 @@
 func (s *Server) Call(ctx context.Context, kind string, body any) rpc.Response {
 	startedAt := time.Now()
 	response := s.callLeader(ctx, rpc.Request{Kind: kind, Body: transport.Encode(body)})
-	if response.Code >= minHTTPCode {
+	if response.Code >= rpc.MinHTTPCode {
 		s.leaderContact.record(startedAt)
 	}
 	if response.ConfigVersion != 0 {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -71,16 +71,12 @@
 	outcomeUnknown                 // carried out, or not, or will be later
 )
 
-// minHTTPCode is the lowest code of a response that is an HTTP status, given by the
-// leader. The codes below are used between daemons only: no leader has answered.
-const minHTTPCode = 100
-
 // outcomeOf tells the outcome from the code of a response.
 func outcomeOf(response rpc.Response) outcome {
 	switch {
 	case response.Code == rpc.CodeNoLeader:
 		return outcomeNotTaken
-	case response.Code < minHTTPCode:
+	case response.Code < rpc.MinHTTPCode:
 		return outcomeUnknown
 	}
 	return outcomeAnswered
--- a/internal/bootstrap/coordinator.go
+++ b/internal/bootstrap/coordinator.go
@@ -31,8 +31,8 @@
 // names no voters while there is none.
 func (c *Coordinator) HandleAnnouncement(announcement rpc.BootstrapAnnouncement, now time.Time) rpc.BootstrapProposal {
 	if announcement.Voter.ID == "" {
-		// Nothing that is bound to or counted may rest on a disk without an
-		// identity.
+		// A candidate without an identity has no disk on which it could bind itself
+		// to a set, so it must not count.
 		return rpc.BootstrapProposal{}
 	}
 	c.record(announcement, now)
@@ -57,7 +57,8 @@
 		c.announcements = map[string]receivedAnnouncement{}
 	}
 	for disk, other := range c.announcements {
-		if announcement.Voter.Node != "" && other.Voter.Node == announcement.Voter.Node && disk != announcement.Voter.ID && len(other.BoundVoters) == 0 {
+		sameNode := announcement.Voter.Node != "" && other.Voter.Node == announcement.Voter.Node
+		if sameNode && disk != announcement.Voter.ID && len(other.BoundVoters) == 0 {
 			// The machine came back with another disk before the cluster was
 			// formed: it must not count twice.
 			delete(c.announcements, disk)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -80,8 +80,13 @@
 
 // NewClient builds a client; it works once Run is called.
 func NewClient(options Options) *Client {
-	return &Client{options: options, seeds: options.Seeds, events: make(chan clientEvent, eventQueueLength),
-		pending: map[uint64]*pendingRequest{}, backoffs: map[string]backoff{}}
+	return &Client{
+		options:  options,
+		seeds:    options.Seeds,
+		events:   make(chan clientEvent, eventQueueLength),
+		pending:  map[uint64]*pendingRequest{},
+		backoffs: map[string]backoff{},
+	}
 }
 
 // CurrentAddress is the address of the daemon that requests go to now: the
@@ -106,8 +111,8 @@
 	return <-servers
 }
 
-// Introduce makes this server known to the seeds, which may hold no state and
-// know nobody after all daemons were restarted. It does not wait for them.
+// Introduce makes this server known to the seeds: a seed without a disk knows no
+// server after all daemons were restarted. It does not wait for them.
 func (c *Client) Introduce(ctx context.Context, seeds []string) {
 	for _, addr := range seeds {
 		if addr == c.options.SelfAddress {
@@ -124,7 +129,9 @@
 // Run is the client's loop; it returns when ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	c.disconnectedAt = time.Now()
-	daemon.Loop(ctx, c.events, func(event clientEvent) { c.handle(ctx, event) }, func(now time.Time) time.Duration { return c.tick(ctx, now) })
+	daemon.Loop(ctx, c.events,
+		func(event clientEvent) { c.handle(ctx, event) },
+		func(now time.Time) time.Duration { return c.tick(ctx, now) })
 }
 
 // handle takes one event.
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -132,8 +132,8 @@
 		return
 	}
 	if response.Code == rpc.CodeNotLeader || response.Code == rpc.CodeLeadershipLost {
-		// It is sent again: a request has the same effect however often it is
-		// taken.
+		// The request stays pending, and is sent again on the next connection:
+		// requests are idempotent.
 		if response.Leader != "" {
 			c.leader = response.Leader
 		}
@@ -192,7 +192,7 @@
 		if pending.sentAt.IsZero() {
 			continue
 		}
-		// Any frame counts as a sign of life: a busy leader answers late, and
+		// Any frame shows that the leader is up: a busy one answers late, and
 		// to reconnect would only add to its load.
 		silentSince := pending.sentAt
 		if c.lastFrameAt.After(silentSince) {
--- a/internal/discovery/search.go
+++ b/internal/discovery/search.go
@@ -25,8 +25,8 @@
 	addr         string
 	isLeader     bool
 	knownServers []string
-	partial      bool // some addresses have not answered yet
-	late         bool // the outcome of these in the end
+	partial      bool // some addresses have not answered yet; a late result follows
+	late         bool // the result of the addresses that a partial one did not wait for
 }
 
 // probeResult is what the daemon at one address said of itself.
@@ -95,7 +95,9 @@
 // for longer than an election takes, and a search at all addresses has just
 // failed.
 func (c *Client) leaderless(now time.Time) bool {
-	return c.stream == nil && now.Sub(c.disconnectedAt) >= tuning.ExpectedElectionTime && !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < tuning.NoLeaderFindingTTL
+	disconnected := c.stream == nil && now.Sub(c.disconnectedAt) >= tuning.ExpectedElectionTime
+	searchFailed := !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < tuning.NoLeaderFindingTTL
+	return disconnected && searchFailed
 }
 
 // candidateAddresses are the addresses to try, the likeliest first.
@@ -146,7 +148,8 @@
 // planSearch chooses what a search tries, by what became of the last ones.
 func (c *Client) planSearch(id int) searchPlan {
 	plan := searchPlan{id: id, addresses: c.candidateAddresses(), patience: tuning.DiscoveryStragglerWait}
-	if c.options.PreferAggregator && c.failedSearches == 0 && c.standby != "" && c.standby != c.address && c.now.After(c.backoffs[c.standby].until) {
+	hasStandby := c.standby != "" && c.standby != c.address && c.now.After(c.backoffs[c.standby].until)
+	if c.options.PreferAggregator && c.failedSearches == 0 && hasStandby {
 		plan.standby = c.standby
 	}
 	if c.failedSearches > 0 {
@@ -235,12 +238,13 @@
 		probe.stream.Close()
 		return false
 	}
-	// The rest need not be waited for: only a leader with a valid lease says so.
+	// The search can end here: a daemon says that it leads only while it has a valid
+	// lease, so no other can lead now.
 	r.stream, r.addr, r.isLeader = probe.stream, probe.addr, true
 	return true
 }
 
-// closeRest closes the streams of probes that aren't needed any more.
+// closeRest closes the streams of the remaining probes, which aren't needed.
 func closeRest(probes <-chan probeResult, remaining int) {
 	for range remaining {
 		if probe := <-probes; probe.stream != nil {
@@ -288,7 +292,8 @@
 	if err != nil {
 		return nil, rpc.LeaderInfo{}, false
 	}
-	stream.Send(transport.Frame{Kind: rpc.FrameRequest, ID: probeFrameID, Body: transport.Encode(rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.options.SelfAddress)})})
+	request := rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.options.SelfAddress)}
+	stream.Send(transport.Frame{Kind: rpc.FrameRequest, ID: probeFrameID, Body: transport.Encode(request)})
 	timer := time.NewTimer(tuning.LeaderProbeInterval)
 	defer timer.Stop()
 	select {
--- a/internal/federation/crowding.go
+++ b/internal/federation/crowding.go
@@ -26,7 +26,9 @@
 	if work.CapacityMilliCPU == 0 {
 		return false
 	}
-	_, _, ok := forecast.FirstCrowded(work.Demand, s.BucketOf(work.WallMs)-1, int64(s.HorizonBuckets)+1, s.demandLimit(work.CapacityMilliCPU), s.dayShape())
+	lastComplete := s.BucketOf(work.WallMs) - 1
+	limit := s.demandLimit(work.CapacityMilliCPU)
+	_, _, ok := forecast.FirstCrowded(work.Demand, lastComplete, int64(s.HorizonBuckets)+1, limit, s.dayShape())
 	return ok
 }
 
--- a/internal/federation/offers.go
+++ b/internal/federation/offers.go
@@ -13,9 +13,11 @@
 	// maxWaitingJobs is how many jobs may wait for others to leave the room that a
 	// peer has lent.
 	maxWaitingJobs = 8
-	// loanRetriesPerBucket is how often, in a bucket of time, a peer that refused
-	// a loan is asked again.
+	// loanRetriesPerBucket is how many loan requests a peer that refuses gets in a
+	// bucket of time.
 	loanRetriesPerBucket = 4
+	// loanMarginDivisor is the part of a loan's time, one tenth, that is left unused.
+	loanMarginDivisor = 10
 )
 
 // offerJobs offers jobs to peers, the least urgent first, while a crowd is foreseen.
@@ -47,12 +49,12 @@
 	}
 }
 
-// borrow gives the loan of a peer, a new one unless some room of the last is left;
+// borrow returns the loan of a peer, a new one unless some room of the last is left;
 // false if there is none.
 func (o *Offloader) borrow(ctx context.Context, work PendingWork, peer string, milliCPU int64) (loan, bool) {
 	lent := o.loans[peer]
 	if time.Now().Before(lent.expiresAt) {
-		// More jobs than the room holds are offered: they follow one another in it.
+		// More jobs are offered than fit at a time: they run one after another.
 		return lent, lent.remainingMilliCPU > -maxWaitingJobs*max(milliCPU, 1)
 	}
 	id := fmt.Sprintf("%s/%s/%d", o.settings.Name, work.Epoch, work.Index)
@@ -62,9 +64,9 @@
 		_ = o.log.Log("level", "info", "event", "loan.refused", "peer", peer, "status", response.Status)
 		return loan{}, false
 	}
-	// It ends a tenth sooner here, since offers must arrive while it lasts.
+	// It ends sooner here, since offers must arrive while it is still valid.
 	duration := seconds(o.settings.LoanS)
-	lent = loan{id: id, remainingMilliCPU: response.MilliCPU, expiresAt: time.Now().Add(duration - duration/10)}
+	lent = loan{id: id, remainingMilliCPU: response.MilliCPU, expiresAt: time.Now().Add(duration - duration/loanMarginDivisor)}
 	o.loans[peer] = lent
 	_ = o.log.Log("level", "info", "event", "loan.received", "peer", peer, "milli_cpu", response.MilliCPU, "loan", id)
 	return lent, true
--- a/internal/federation/offloader.go
+++ b/internal/federation/offloader.go
@@ -40,13 +40,19 @@
 // loan is room that a peer has lent.
 type loan struct {
 	id                string
-	remainingMilliCPU int64 // below 0 once jobs are to follow one another in it
+	remainingMilliCPU int64 // below 0 once more jobs were offered than fit at a time
 	expiresAt         time.Time
 }
 
 // New builds an Offloader; it acts once Run is called.
 func New(config Settings, logger log.Logger, local LocalCluster) *Offloader {
-	offloader := &Offloader{settings: config, log: logger, local: local, peers: map[string]*discovery.Client{}, loans: map[string]loan{}}
+	offloader := &Offloader{
+		settings: config,
+		log:      logger,
+		local:    local,
+		peers:    map[string]*discovery.Client{},
+		loans:    map[string]loan{},
+	}
 	for _, peer := range config.Peers {
 		offloader.peers[peer.Name] = discovery.NewClient(discovery.Options{Seeds: peer.Seeds})
 	}
@@ -120,7 +126,7 @@
 	return call
 }
 
-// settle moves one transfer on: the peer's log says what holds.
+// settle moves one transfer on: the peer's committed state decides its outcome.
 func (o *Offloader) settle(ctx context.Context, open OpenTransfer) {
 	request := settlingCall(open, o.loans[open.Peer], time.Now())
 	response, ok := o.call(ctx, open.Peer, request)
@@ -129,12 +135,21 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	outcome, ok := o.local.Propose(callCtx, state.CommandSettleTransfer, &state.SettleTransfer{Job: open.JobID, OfferID: open.OfferID, Peer: open.Peer, Epoch: response.Epoch, Index: response.Index, Answer: response.Status})
+	settle := &state.SettleTransfer{
+		Job:     open.JobID,
+		OfferID: open.OfferID,
+		Peer:    open.Peer,
+		Epoch:   response.Epoch,
+		Index:   response.Index,
+		Answer:  response.Status,
+	}
+	outcome, ok := o.local.Propose(callCtx, state.CommandSettleTransfer, settle)
 	if ok && outcome.Code == state.CodeConflict {
 		_ = o.log.Log("level", "error", "event", "transfer.answer_rejected", "job", open.JobID, "peer", open.Peer, "reason", outcome.Text)
 		return
 	}
 	if ok && (open.State != state.TransferAccepted || response.Status != state.AnswerAccepted) {
-		_ = o.log.Log("level", "info", "event", "transfer.settled", "job", open.JobID, "peer", open.Peer, "offer", open.OfferID, "status", response.Status)
+		_ = o.log.Log("level", "info", "event", "transfer.settled", "job", open.JobID, "peer", open.Peer,
+			"offer", open.OfferID, "status", response.Status)
 	}
 }
--- a/internal/federation/settings.go
+++ b/internal/federation/settings.go
@@ -53,6 +53,19 @@
 	Routes         []Route `toml:"lanes"`
 }
 
+// defaultSettings are the values of keys that the file leaves out.
+var defaultSettings = Settings{
+	BucketS:        300,
+	DayS:           86400,
+	MinDays:        2,
+	HorizonBuckets: 6,
+	CrowdedShare:   0.8,
+	LendShare:      0.3,
+	LoanS:          1800,
+	MaxOffers:      8,
+	IntervalMs:     1000,
+}
+
 // Load reads and checks the file at path. The error is of class Error and names the
 // file; a fault of a field is a *settings.FieldError.
 func Load(path string) (Settings, error) {
@@ -67,7 +80,7 @@
 // unlike those of a daemon's settings: the file is tealpond's own, and a typing error
 // would leave something off without a word. The error is as that of Load.
 func Parse(path string, raw []byte) (Settings, error) {
-	file := Settings{BucketS: 300, DayS: 86400, MinDays: 2, HorizonBuckets: 6, CrowdedShare: 0.8, LendShare: 0.3, LoanS: 1800, MaxOffers: 8, IntervalMs: 1000}
+	file := defaultSettings
 	metadata, err := toml.NewDecoder(bytes.NewReader(raw)).Decode(&file)
 	if err != nil {
 		return Settings{}, Error.New("%s: %w", path, err)
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -90,7 +90,7 @@
 }
 
 // tallyVotes goes on to the next stage of an election once a majority has
-// granted its votes.
+// granted its vote.
 func (n *Node) tallyVotes() {
 	if !n.latestConfiguration().hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return
@@ -150,10 +150,11 @@
 		n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: true}, false)
 		return
 	}
-	// A pre-candidate votes too: it has promised its vote to nobody.
+	// A pre-candidate may vote too, since it has not yet voted for itself.
 	granted := (n.vote == "" || n.vote == m.From) && n.leader == "" && n.isUpToDate(m)
-	// There is no vote soon after a start either, since a lease from before it
-	// may still be trusted.
+	// Within an election timeout of its start a member grants no vote either (New sets
+	// lastLeaderContact), since a leader may still trust a lease that it confirmed
+	// before it stopped.
 	if !m.Force && n.now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 		granted = false
 	}
--- a/internal/raft/leader_transfer.go
+++ b/internal/raft/leader_transfer.go
@@ -38,8 +38,8 @@
 	return true
 }
 
-// sendTimeoutNow tells the transferee to campaign, once it holds the last entry:
-// before that the others would refuse it their votes.
+// sendTimeoutNow makes the transferee campaign, once it has the last entry: before
+// that the others would not vote for it.
 func (n *Node) sendTimeoutNow() {
 	peer := n.peers[n.transfer.transferee]
 	if !n.transferring || peer == nil || peer.faulty || peer.match < n.LastIndex() {
@@ -48,8 +48,8 @@
 	n.transfer.timeoutNowSent = true
 	n.send(Message{Kind: MsgTimeoutNow, To: n.transfer.transferee}, false)
 	if !n.IsVoter(n.id) {
-		// This member was voted out: nobody tells it of the next term, and it
-		// can't lead on.
+		// This member is no longer a voter: it hears of no later term, and must not
+		// go on leading.
 		n.becomeFollower(n.term, "")
 	}
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -170,8 +170,8 @@
 
 // CaughtUp tells whether a member holds all that was committed when the last
 // complete round of heartbeats began. Under load the newest entries are always
-// under way, so that no more can be asked for; a member that lags by more than a
-// round is not caught up, however few entries that are.
+// under way, so that a member can't be required to have them; one that lags by more
+// than a round is not caught up, however few entries that are.
 func (n *Node) CaughtUp(id string) bool {
 	peer := n.peers[id]
 	return peer != nil && !peer.probing && !peer.faulty && peer.match >= n.previousRoundCommitIndex
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -90,8 +90,8 @@
 		n.recordConfiguration(entry)
 	}
 	n.syncedIndex = n.LastIndex()
-	// A full election timeout passes after a start, since a lease that this
-	// member confirmed before it stopped may still be trusted.
+	// A full election timeout passes after a start, since a leader may still trust a
+	// lease that this member confirmed before it stopped.
 	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + n.randomUpTo(n.config.ElectionJitter/2)
 	return n
 }
@@ -137,7 +137,7 @@
 func (n *Node) tickLeader() time.Duration {
 	withoutQuorum := n.now.Sub(n.lastQuorumContact(n.now)) > n.config.CheckQuorumTimeout
 	if withoutQuorum && n.now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
-		// Whoever can reach a majority must not wait for this member.
+		// A member that can reach a majority must be free to campaign.
 		n.becomeFollower(n.term, "")
 		n.electionTimerStart = n.now
 		n.resetElectionTimeout()
@@ -170,7 +170,7 @@
 		case MsgPreVote, MsgPreVoteResponse:
 			// They name a term that nobody is in yet.
 		case MsgVote:
-			// While a leader lives, its lease may rest on this member.
+			// A leader that is up may rely on this member for its lease.
 			if !m.Force && now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 				return
 			}
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -10,15 +10,16 @@
 	snapshotResendInterval = time.Second
 	// entryOverheadBytes is added to an entry's data when an append is sized.
 	entryOverheadBytes = 16
-	// noEntryTerm is the term of no entry. An append that names it as LogTerm only
-	// asks for a sign of life, and its rejection means nothing.
+	// noEntryTerm is the term of no entry. An append that names it as LogTerm is a
+	// bare heartbeat: it is always rejected, and the rejection counts as a response
+	// but says nothing of the log.
 	noEntryTerm = ^uint64(0)
 )
 
 // progress is what the leader knows of another member (thesis, section 3.5).
 type progress struct {
 	match, next uint64
-	probing     bool // the place where the logs agree is searched, or a snapshot is on its way
+	probing     bool // the index up to which the logs agree is not known, or a snapshot is on its way
 	// The newest send stamps that had been given out when next was last set
 	// anew, and when match last rose.
 	nextSetStamp, matchSetStamp int64
@@ -29,7 +30,7 @@
 	lastSend                    time.Time
 	wallClock                   int64 // ms since 1970, read at wallClockAt
 	wallClockAt                 time.Time
-	commitSent                  uint64 // the newest commit index that it was told
+	commitSent                  uint64 // the newest commit index sent to it
 }
 
 // Propose adds a command to the log. It returns the index at which the command
@@ -46,8 +47,8 @@
 // and not with the next append: they act on what they have applied.
 func (n *Node) SetEagerCommitPeers(ids map[string]bool) { n.eagerCommitPeers = ids }
 
-// sendCommit tells a member of the commit index. It wants no response, and has no
-// send stamp therefore.
+// sendCommit sends a member the commit index. It needs no response, and therefore
+// has no send stamp.
 func (n *Node) sendCommit(id string, peer *progress) {
 	prevIndex := peer.next - 1
 	logTerm, ok := n.TermAt(prevIndex)
@@ -92,7 +93,7 @@
 // before it.
 func (n *Node) stampTime(stamp int64) time.Time { return n.startedAt.Add(time.Duration(stamp)) }
 
-// sendHeartbeat asks for a sign of life, where no entries can be sent.
+// sendHeartbeat sends a bare heartbeat, where no entries can be sent; see noEntryTerm.
 func (n *Node) sendHeartbeat(id string, peer *progress) {
 	peer.lastSend = n.now
 	n.send(Message{Kind: MsgAppend, To: id, Index: n.commitIndex, LogTerm: noEntryTerm, SendStamp: n.nextStamp()}, false)
@@ -134,7 +135,7 @@
 	}
 	size := 0
 	for i := peer.next; i <= n.LastIndex() && size < n.config.MaxAppendBytes; i++ {
-		// One entry only: while the place is searched, more would be wasted.
+		// One entry only: while match is unknown, more would likely be rejected.
 		if peer.probing && i > peer.next {
 			break
 		}
--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -18,7 +18,8 @@
 	responses := make(chan Response, 1)
 	stream, err := transport.Dial(ctx, addr, func(event transport.Event) {
 		var response Response
-		if !event.Closed && event.Frame.Kind == FrameResponse && event.Frame.ID == callID && transport.Decode(event.Frame.Body, &response) == nil {
+		isResponse := !event.Closed && event.Frame.Kind == FrameResponse && event.Frame.ID == callID
+		if isResponse && transport.Decode(event.Frame.Body, &response) == nil {
 			select {
 			case responses <- response:
 			default:
--- a/internal/rpc/codes.go
+++ b/internal/rpc/codes.go
@@ -1,11 +1,16 @@
 package rpc
 
-// Code tells how a request ended. Those below 100 are tealpond's own and never
-// reach a client; those from 100 on have the meaning of the HTTP status of the same
-// number, and the front end hands most of them on. The numbers stand in the
-// messages between daemons.
+// Code tells how a request ended. Those below MinHTTPCode are tealpond's own and
+// never reach a client; those from it on have the meaning of the HTTP status of the
+// same number, and package api passes most of them to clients. The numbers are part
+// of the messages between daemons.
 type Code int
 
+// MinHTTPCode is the lowest code that is an HTTP status, given by the leader. The
+// codes below it are used between daemons only: no leader has carried the request
+// out, as far as is known.
+const MinHTTPCode Code = 100
+
 // The codes that responses hold.
 const (
 	// CodeNotLeader: the replica does not lead, and the request had no effect;
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -30,8 +30,9 @@
 // whether it takes effect.
 func (r *Replica) Propose(ctx context.Context, name string, command state.Command) (state.Outcome, bool) {
 	response, ok := r.callLoop(ctx, rpc.KindPropose, transport.Encode(state.EncodeCommand(name, command)))
-	// The codes below 100 are those of package rpc, for a command without an outcome.
-	return state.Outcome{Code: state.Code(response.Code), Text: response.Text, Value: response.Value}, ok && response.Code >= 100
+	outcome := state.Outcome{Code: state.Code(response.Code), Text: response.Text, Value: response.Value}
+	// The codes below mean that the command has no outcome here.
+	return outcome, ok && response.Code >= rpc.MinHTTPCode
 }
 
 // callLoop sends a request of the offloader to the loop of this process and waits
@@ -96,7 +97,7 @@
 			reply(responseOutcomeUnknown)
 			return
 		}
-		// A job that was taken is looked up again: it may have ended since.
+		// The current status of an accepted job is sent, as it may have ended since.
 		status := outcome.Text
 		if job := r.state.Jobs[request.JobID]; status == state.AnswerAccepted && job != nil {
 			status = state.IncomingJobStatus(job)
@@ -107,10 +108,18 @@
 	case federation.CallLoan:
 		r.lendCapacity(&request, reply, respond)
 	case federation.CallOffer:
-		accept := &state.AcceptJob{Peer: request.From, OfferID: request.OfferID, ID: request.JobID, Route: request.Route, Loan: request.Loan, Job: request.Job}
+		accept := &state.AcceptJob{
+			Peer:    request.From,
+			OfferID: request.OfferID,
+			ID:      request.JobID,
+			Route:   request.Route,
+			Loan:    request.Loan,
+			Job:     request.Job,
+		}
 		r.enqueueCommand(state.CommandAcceptJob, accept, respondOutcome)
 	case federation.CallRelease:
-		r.enqueueCommand(state.CommandReleaseJob, &state.ReleaseJob{Peer: request.From, OfferID: request.OfferID, ID: request.JobID}, respondOutcome)
+		release := &state.ReleaseJob{Peer: request.From, OfferID: request.OfferID, ID: request.JobID}
+		r.enqueueCommand(state.CommandReleaseJob, release, respondOutcome)
 	case federation.CallVoidOffer:
 		void := &state.VoidOffer{Peer: request.From, OfferID: request.OfferID, ID: request.JobID, Cancel: request.Cancel}
 		r.enqueueCommand(state.CommandVoidOffer, void, respondOutcome)
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -44,7 +44,7 @@
 // newestMeta chooses among the two meta pages as bbolt does: the valid one with the
 // higher transaction ID. One that is not valid was torn by a loss of power before
 // its sync, so that its transaction was never reported, and the other one is right.
-// (A page that decays after its sync can't be told from that.) The older one can't
+// (A page that decays after its sync looks the same.) The older one can't
 // be used instead if the tree of the newer one is corrupt: the newer one was written
 // after its pages were synced, and what it holds may have been acknowledged.
 func newestMeta(reader io.ReaderAt, size int64) (boltMeta, error) {
