--- a/internal/scheduler/pace_test.go
+++ b/internal/scheduler/pace_test.go
@@ -25,8 +25,8 @@
 				if a.Worker == slow {
 					need *= 4
 				}
-				if a.BookedAt+need <= c.clock || i > 2000 {
-					from := a.BookedAt
+				if a.AllocatedAt+need <= c.clock || i > 2000 {
+					from := a.AllocatedAt
 					c.complete(a)
 					p.RecordCompletion(c.store, a, from+need)
 					break
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		spec := &job.Steps[allocation.Step]
-		lostMs := store.Clock - allocation.BookedAt
+		lostMs := store.Clock - allocation.AllocatedAt
 		if spec.Checkpoints {
 			lostMs = min(lostMs, p.CheckpointIntervalMs)
 		}
--- a/internal/scheduler/straggler_queue.go
+++ b/internal/scheduler/straggler_queue.go
@@ -45,12 +45,12 @@
 	return last
 }
 
-// enqueueNew adds the runs booked since the last plan that may get copies.
+// enqueueNew adds the runs allocated since the last plan that may get copies.
 func (q *stragglerQueue) enqueueNew(store *state.Store) {
 	if q.nextCheck == nil {
 		q.nextCheck = map[uint64]int64{}
 	}
-	ids := store.TakeBookedRuns()
+	ids := store.TakeNewAllocations()
 	if !q.initialized {
 		q.initialized = true
 		ids = ids[:0:0]
@@ -67,7 +67,7 @@
 		if job == nil || !job.Steps[allocation.Step].Speculative || job.IsGang(allocation.Step) {
 			continue
 		}
-		q.schedule(id, allocation.BookedAt+tuning.MinStragglerAge.Milliseconds())
+		q.schedule(id, allocation.AllocatedAt+tuning.MinStragglerAge.Milliseconds())
 	}
 }
 
--- a/internal/scheduler/stragglers.go
+++ b/internal/scheduler/stragglers.go
@@ -62,7 +62,7 @@
 		// worker; a copy would take as long.
 		factor *= tuning.HealthyWorkerDelayFactor
 	}
-	ageMs := float64(store.Clock - allocation.BookedAt)
+	ageMs := float64(store.Clock - allocation.AllocatedAt)
 	worker := store.Workers[allocation.Worker]
 	lost := worker == nil || !worker.Schedulable() && !worker.Draining || p.SilentWorkers[allocation.Worker] || allocation.Stopping
 	slow := p.Slowdown[allocation.Worker] > tuning.SlowWorkerFactor
@@ -111,7 +111,7 @@
 		return
 	}
 	expectedMs := float64(spec.EstimateMs) * max(p.EstimateRatio, minEstimateRatio)
-	tookMs := float64(endedAt - allocation.BookedAt)
+	tookMs := float64(endedAt - allocation.AllocatedAt)
 	localMs := tookMs // as it would have been near its data
 	if worker := store.Workers[allocation.Worker]; worker != nil && worker.RemoteFrom(spec.PreferredRack) {
 		expectedMs *= store.RemoteFactor()
--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -74,7 +74,7 @@
 	r.planDue = true
 	if !r.leading {
 		// Only a leader plans, and a new one looks at all jobs.
-		r.state.TakeBookedRuns()
+		r.state.TakeNewAllocations()
 	}
 	r.recordCompletions(entry)
 	r.replyToEntry(entry, outcomes)
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -19,7 +19,7 @@
 		for i := range instance.Steps {
 			step := &instance.Steps[i]
 			fmt.Fprintf(&steps, "%dx%d:%d+%d+%d ", job.Steps[i].TaskCount, job.Steps[i].CPUUnits,
-				step.ReadyAt-instance.CreatedAt, step.LastBookedAt-step.ReadyAt, step.CompletedAt-step.LastBookedAt)
+				step.ReadyAt-instance.CreatedAt, step.LastAllocatedAt-step.ReadyAt, step.CompletedAt-step.LastAllocatedAt)
 		}
 	}
 	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "route", job.Route, "priority", job.Priority, "state", job.Status(),
@@ -66,6 +66,6 @@
 	readyAt := job.Instances[allocation.Instance].Steps[allocation.Step].ReadyAt
 	_ = r.log.Log("level", "debug", "event", "run.completed", "task", allocation.TaskName(), "run", allocation.Run, "copy", allocation.Copy,
 		"result", completed.Result, "reason", allocation.StopReason, "worker", worker.Node,
-		"waited_ms", allocation.BookedAt-readyAt, "took_ms", completed.ClosedAt-allocation.BookedAt,
+		"waited_ms", allocation.AllocatedAt-readyAt, "took_ms", completed.ClosedAt-allocation.AllocatedAt,
 		"estimate_ms", step.EstimateMs, "remote", worker.RemoteFrom(step.PreferredRack), "priority", job.Priority, "cpu", allocation.MilliCPU)
 }
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -76,7 +76,7 @@
 	table := newTable("allocs", "id", "worker", "task", "run", "cpu", "mem", "gpus", "since_ms", "stopping", "why")
 	for _, allocation := range store.Allocations {
 		addRow(&table, allocation.ID, allocation.Worker, allocation.TaskName(), allocation.Run,
-			allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.BookedAt, allocation.Stopping, allocation.StopReason)
+			allocation.MilliCPU, allocation.MemoryMB, len(allocation.GPUs), allocation.AllocatedAt, allocation.Stopping, allocation.StopReason)
 	}
 	return table
 }
--- a/internal/state/allocation.go
+++ b/internal/state/allocation.go
@@ -1,7 +1,7 @@
 package state
 
 // Allocation is one run of one task on one worker, with the resources reserved for
-// it. It exists from when the run is booked until its end is known: by a
+// it. It exists from when a plan is applied until the run's end is known: by a
 // completion, an expired lease or a crash of the runner.
 type Allocation struct {
 	_               struct{} `cbor:",toarray"`
@@ -16,7 +16,7 @@
 	MilliCPU        int64
 	MemoryMB        int64
 	GPUs            []string // IDs of devices
-	BookedAt        int64
+	AllocatedAt     int64
 	Stopping        bool
 	StopReason      string
 	Checkpoint      string // text that the run starts from
@@ -26,7 +26,7 @@
 // TaskName is the name that runners know the allocation's task by.
 func (a *Allocation) TaskName() string { return TaskName(a.Job, a.Instance, a.Step, a.TaskIndex) }
 
-// addAllocation books a run: it enters the allocation in all tables but those
+// addAllocation adds a run's allocation to all tables but those
 // of devices and of its worker's resources, which are claimed before.
 func (s *Store) addAllocation(job *Job, instance *JobInstance, allocation *Allocation) {
 	task := &instance.Steps[allocation.Step].Tasks[allocation.TaskIndex]
@@ -34,7 +34,7 @@
 	task.LastRun = allocation.Run
 	task.Allocations = append(task.Allocations[:len(task.Allocations):len(task.Allocations)], allocation.ID)
 	job.Started = true
-	instance.Steps[allocation.Step].LastBookedAt = s.Clock
+	instance.Steps[allocation.Step].LastAllocatedAt = s.Clock
 	s.Allocations[allocation.ID] = allocation
 	s.indexAllocation(allocation)
 	s.adjustRollup(allocation, 1)
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -1,6 +1,6 @@
 package state
 
-// ApplyPlans books runs as the scheduler planned them. Plans are made outside the
+// ApplyPlans allocates runs as the scheduler planned them. Plans are made outside the
 // log, on a snapshot of the state, so each placement is checked again against the
 // present rows.
 type ApplyPlans struct {
@@ -14,7 +14,7 @@
 	Job          string
 	Instance     int
 	Step         int
-	AllOrNothing bool // of a gang: either all placements are booked or none
+	AllOrNothing bool // of a gang: either all placements are applied or none
 	Placements   []Placement
 }
 
@@ -32,9 +32,9 @@
 // it must be deterministic.
 var Replan func(s *Store, p Plan) (Plan, bool)
 
-// Apply books each plan that still fits. One of which a placement is refused is
+// Apply applies each plan that still fits. One of which a placement is refused is
 // replanned in the same command, Limits.MaxReplans times at most. The outcome's
-// Value is the number of plans that were not booked whole.
+// Value is the number of plans that were not applied completely.
 func (c *ApplyPlans) Apply(s *Store) Outcome {
 	refused := 0
 	for _, plan := range c.Plans {
@@ -57,8 +57,8 @@
 	return Outcome{Code: CodeOK, Value: int64(refused)}
 }
 
-// applyPlan books a plan; false if a placement was refused. A plan that is no
-// longer wanted, since its job has ended or gone to a peer, counts as booked.
+// applyPlan applies a plan; false if a placement was refused. A plan that is no
+// longer wanted, since its job has ended or gone to a peer, counts as applied.
 func (s *Store) applyPlan(plan Plan) bool {
 	job := s.Jobs[plan.Job]
 	if job == nil || job.Canceled || job.ended() || job.instance(plan.Instance) == nil || plan.Step >= len(job.Steps) {
@@ -88,10 +88,10 @@
 	return all
 }
 
-// applyPlacement books one run, under the given number or, if that is 0, the
+// applyPlacement allocates one run, under the given number or, if that is 0, the
 // next of its task. It returns false if the placement is refused; the caller's
 // savepoint then undoes what was changed. A placement that is no longer wanted, or
-// that no other worker could take either, is skipped and counts as booked.
+// that no other worker could take either, is skipped and counts as applied.
 func (s *Store) applyPlacement(job *Job, instance *JobInstance, step int, placement Placement, run int) bool {
 	spec := &job.Steps[step]
 	if placement.TaskIndex >= len(instance.Steps[step].Tasks) {
@@ -122,18 +122,18 @@
 		run = task.LastRun + 1
 	}
 	allocation := &Allocation{
-		ID:        id,
-		Worker:    worker.ID,
-		Job:       job.ID,
-		Instance:  instance.Number,
-		Step:      step,
-		TaskIndex: placement.TaskIndex,
-		Copy:      placement.Copy,
-		Run:       run,
-		MilliCPU:  spec.CPUUnits,
-		MemoryMB:  spec.MemoryMB,
-		GPUs:      gpus,
-		BookedAt:  s.Clock,
+		ID:          id,
+		Worker:      worker.ID,
+		Job:         job.ID,
+		Instance:    instance.Number,
+		Step:        step,
+		TaskIndex:   placement.TaskIndex,
+		Copy:        placement.Copy,
+		Run:         run,
+		MilliCPU:    spec.CPUUnits,
+		MemoryMB:    spec.MemoryMB,
+		GPUs:        gpus,
+		AllocatedAt: s.Clock,
 	}
 	// A run starts from a checkpoint only if its step has checkpoints.
 	if spec.Checkpoints {
--- a/internal/state/apply_plans_test.go
+++ b/internal/state/apply_plans_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestGangIsBookedWhollyOrNotAtAll(t *testing.T) {
+func TestGangIsAllocatedWhollyOrNotAtAll(t *testing.T) {
 	f := newFixture(t)
 	a := f.addWorker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	b := f.addWorker("b", protocol.Resources{CPUUnits: 10, MemoryMB: 100})
--- a/internal/state/end_run.go
+++ b/internal/state/end_run.go
@@ -90,7 +90,7 @@
 	}
 	stepState := &instance.Steps[allocation.Step]
 	if allocation.Checkpoint == "" {
-		tookMs := float64(s.Clock - allocation.BookedAt)
+		tookMs := float64(s.Clock - allocation.AllocatedAt)
 		if worker := s.Workers[allocation.Worker]; worker != nil && worker.RemoteFrom(spec.PreferredRack) {
 			tookMs /= s.RemoteFactor()
 		}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -110,7 +110,7 @@
 	job := func(set func(*Job)) *Job {
 		j := &Job{ID: "id", Sequence: 1, Route: "route", Service: "service", Priority: 2, MaxAttempts: 3, Stretch: 4.5, TargetMs: 5, Spec: "spec", Steps: filledJob().Steps,
 			PeriodicInstances: 6, FirstRunMs: 7, IntervalMs: 8, CreatedAt: 9, NextInstance: 10, EndedAt: 11,
-			Instances: []*JobInstance{{Number: 12, CreatedAt: 13, StepsLeft: 14, Failed: true, Steps: []StepState{{Ready: true, ReadyAt: 15, LastBookedAt: 16, CompletedAt: 17, TasksLeft: 18, GangFailures: 19, LastFailedRun: 20,
+			Instances: []*JobInstance{{Number: 12, CreatedAt: 13, StepsLeft: 14, Failed: true, Steps: []StepState{{Ready: true, ReadyAt: 15, LastAllocatedAt: 16, CompletedAt: 17, TasksLeft: 18, GangFailures: 19, LastFailedRun: 20,
 				DoneRunsMs: 21, DoneRuns: 22, Tasks: []Task{{LastRun: 23, Failures: 24, Done: true, Checkpoint: "saved", Allocations: []uint64{25}}}}}}},
 			Transfer: JobTransfer{Peer: "peer", OfferID: 26, State: TransferAccepted, CancelRequested: true, Loan: "loan", OfferCount: 27}}
 		set(j)
@@ -123,7 +123,7 @@
 		{Name: "worker-dead", Value: worker(func(w *Worker) { w.Dead = true })},
 		{Name: "device", Value: &Device{ID: "id", Class: "class", Worker: "worker", Healthy: true, Reservations: []Reservation{{Allocation: 31, From: 32, To: 33}}}},
 		{Name: "allocation", Value: &Allocation{ID: 41, Worker: "worker", Job: "job", Instance: 42, Step: 43, TaskIndex: 44, Copy: 45, Run: 46, MilliCPU: 47, MemoryMB: 48, GPUs: []string{"gpu"},
-			BookedAt: 49, Stopping: true, StopReason: "why", Checkpoint: "saved"}},
+			AllocatedAt: 49, Stopping: true, StopReason: "why", Checkpoint: "saved"}},
 		{Name: "job-canceled", Value: job(func(j *Job) { j.Canceled = true })},
 		{Name: "job-failed", Value: job(func(j *Job) { j.Failed = true })},
 		{Name: "job-begun", Value: job(func(j *Job) { j.Started = true })},
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -30,7 +30,7 @@
 	Instances         []*JobInstance
 	Canceled          bool
 	Failed            bool
-	Started           bool // a run of it was booked
+	Started           bool // a run of it was allocated
 	Done              bool
 	EndedAt           int64 // 0 while it is open
 	Transfer          JobTransfer
@@ -49,23 +49,23 @@
 
 // StepState is how far a step of an instance is.
 type StepState struct {
-	_             struct{} `cbor:",toarray"`
-	Ready         bool     // the steps that it depends on are done
-	ReadyAt       int64    // when that was
-	LastBookedAt  int64    // when a run of it was last booked
-	CompletedAt   int64    // when its last task was done
-	TasksLeft     int      // that aren't done
-	GangFailures  int      // failed runs of the gang
-	LastFailedRun int      // the gang's run that failed last
-	DoneRunsMs    int64    // how long its done runs took together, as if near their data
-	DoneRuns      int64    // the number of these runs
-	Tasks         []Task
+	_               struct{} `cbor:",toarray"`
+	Ready           bool     // the steps that it depends on are done
+	ReadyAt         int64    // when that was
+	LastAllocatedAt int64    // when a run of it was last allocated
+	CompletedAt     int64    // when its last task was done
+	TasksLeft       int      // that aren't done
+	GangFailures    int      // failed runs of the gang
+	LastFailedRun   int      // the gang's run that failed last
+	DoneRunsMs      int64    // how long its done runs took together, as if near their data
+	DoneRuns        int64    // the number of these runs
+	Tasks           []Task
 }
 
 // Task is the progress of a task of a step.
 type Task struct {
 	_           struct{} `cbor:",toarray"`
-	LastRun     int      // the highest number of a run that was booked
+	LastRun     int      // the highest number of a run that was allocated
 	Failures    int      // failed runs, of a task that isn't in a gang
 	Done        bool
 	Checkpoint  string   // the newest, for the next run
@@ -168,7 +168,7 @@
 	return last
 }
 
-// hasRuns tells whether runs of an instance are booked.
+// hasRuns tells whether runs of an instance are allocated.
 func (i *JobInstance) hasRuns() bool {
 	for step := range i.Steps {
 		if slices.ContainsFunc(i.Steps[step].Tasks, func(task Task) bool { return len(task.Allocations) > 0 }) {
--- a/internal/state/report_completions.go
+++ b/internal/state/report_completions.go
@@ -37,10 +37,10 @@
 	// CompletionsLost says that the runner has forgotten completions that were
 	// never committed: they were acknowledged too early.
 	CompletionsLost = "ends lost"
-	// CompletionOfOpenRun says that a run was still booked though its
+	// CompletionOfOpenRun says that a run was still allocated though its
 	// completion had been committed.
 	CompletionOfOpenRun = "acknowledged end of an open run"
-	// CompletionOfUnknownRun says that no such run was ever booked.
+	// CompletionOfUnknownRun says that no such run was ever allocated.
 	CompletionOfUnknownRun = "end of an unknown run"
 )
 
@@ -81,7 +81,7 @@
 	worker.LastCompletion = max(worker.LastCompletion, completion.Sequence)
 	allocation := s.findAllocation(worker.ID, completion.Task, completion.Run)
 	if allocation == nil {
-		if !committed && !s.runWasBooked(completion.Task, completion.Run) {
+		if !committed && !s.runWasAllocated(completion.Task, completion.Run) {
 			fault = CompletionOfUnknownRun + ": " + runName(completion)
 		}
 		return fault
@@ -121,9 +121,9 @@
 	return oldest
 }
 
-// runWasBooked tells whether a run of a task was ever booked: run numbers rise
-// with each booking. Nothing is known of a job that garbage collection removed.
-func (s *Store) runWasBooked(task string, run int) bool {
+// runWasAllocated tells whether a run of a task was ever allocated: run numbers
+// rise with each allocation. Nothing is known of a job that garbage collection removed.
+func (s *Store) runWasAllocated(task string, run int) bool {
 	parts := strings.Split(task, ".")
 	if len(parts) != taskNameParts || s.Jobs[parts[0]] == nil {
 		return false
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -18,7 +18,7 @@
 	workers        map[string]int                // number of schedulable workers, by service
 	byFreeCPU      map[string]*[freeCPUClasses]workerSet
 	byLabel        map[string]map[string]*workerSet // by service and label
-	booked         []uint64                         // since TakeBookedRuns was called
+	newAllocations []uint64                         // since TakeBookedRuns was called
 }
 
 // ServicePriority is a service and a priority, by which use is summed up.
@@ -199,7 +199,7 @@
 		used := s.index.used[allocation.servicePriority]
 		s.index.used[allocation.servicePriority] = used.plus(Resources{allocation.MilliCPU, allocation.MemoryMB})
 	}
-	s.index.booked = append(s.index.booked, allocation.ID)
+	s.index.newAllocations = append(s.index.newAllocations, allocation.ID)
 }
 
 // removeUsage takes off what addUsage added.
@@ -250,9 +250,9 @@
 	return s.index.capacity[service], s.index.workers[service]
 }
 
-// TakeBookedRuns returns the IDs of the allocations that were booked since the
+// TakeNewAllocations returns the IDs of the allocations that were added since the
 // last call. Some of them may have ended. After a rebuild it returns all.
-func (s *Store) TakeBookedRuns() []uint64 { return take(&s.index.booked) }
+func (s *Store) TakeNewAllocations() []uint64 { return take(&s.index.newAllocations) }
 
 // EachWorkerByFreeCPU visits a service's schedulable workers, those of the least
 // free CPU first, until visit returns false. It begins with the class of the
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -207,7 +207,7 @@
 	return allocations
 }
 
-// TakeChangedRuns returns the IDs of the allocations that were booked, or marked
+// TakeChangedRuns returns the IDs of the allocations that were added, or marked
 // as stopping, since the last call.
 func (s *Store) TakeChangedRuns() []uint64 { return take(&s.changedRuns) }
 
