--- a/cmd/tealpond/daemon.go
+++ b/cmd/tealpond/daemon.go
@@ -35,8 +35,15 @@
 	debug.SetGCPercent(tuning.GCPercent)
 	filtered := levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(p.stderr)), logLevels[level]}
 	logger := log.With(filtered, "node", file.NodeName, "role", role.Name)
-	environment := daemon.Environment{Settings: file, Log: logger, ProcessID: newProcessID(), Reload: make(chan settings.File, 1),
-		Trace: tracing.NewRing(tuning.TraceRingLength), FederationFile: federationFile, Debug: level == "debug"}
+	environment := daemon.Environment{
+		Settings:       file,
+		Log:            logger,
+		ProcessID:      newProcessID(),
+		Reload:         make(chan settings.File, 1),
+		Trace:          tracing.NewRing(tuning.TraceRingLength),
+		FederationFile: federationFile,
+		Debug:          level == "debug",
+	}
 	process, err := role.New(environment)
 	if err != nil {
 		p.reportf("%v", err)
@@ -54,15 +61,15 @@
 	return exitOK
 }
 
-// newProcessID draws what tells this process from others of the same machine.
+// newProcessID draws a random ID for this process; see daemon.Environment.ProcessID.
 func newProcessID() string {
 	var id [processIDBytes]byte
 	_, _ = rand.Read(id[:]) // it never fails, as its package says
 	return hex.EncodeToString(id[:])
 }
 
-// watchSettings hands on a changed settings file, after a SIGHUP or when the file's
-// time has changed, until ctx ends. A file with a fault is logged and not handed on.
+// watchSettings sends a changed settings file to reload, after a SIGHUP or when the
+// file's time has changed, until ctx ends. A file with a fault is logged and ignored.
 func watchSettings(ctx context.Context, path string, reload chan<- settings.File, logger log.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -84,7 +84,8 @@
 	for _, role := range daemon.Roles() {
 		command := app.Command(role.Name, "Run the role: "+role.Description+".")
 		path := command.Flag("settings", "The settings file.").Envar(settings.PathEnvVar).String()
-		level := command.Flag("log", "The least level that is logged: debug, info, warn or error.").Default("info").Enum("debug", "info", "warn", "error")
+		level := command.Flag("log", "The least level that is logged: debug, info, warn or error.").
+			Default("info").Enum("debug", "info", "warn", "error")
 		federation := new(string)
 		if role.AcceptsFederationFile {
 			federation = command.Flag("moves", "The file that turns moving jobs between clusters on (docs/forecast.md); off without it.").String()
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -28,7 +28,9 @@
 
 	traceCommand := app.Command("trace", "Follow one change through all daemons.")
 	traceID := traceCommand.Arg("id", "A job's ID, a task's name, or desired/VERSION.").Required().String()
-	traceAddresses := traceCommand.Flag("at", "A daemon's address for daemons (HOST:PORT, the first inner port); may be repeated.").Required().Strings()
+	traceAddresses := traceCommand.
+		Flag("at", "A daemon's address for daemons (HOST:PORT, the first inner port); may be repeated.").
+		Required().Strings()
 	p.commands[traceCommand.FullCommand()] = func() int { return p.traceChange(*traceAddresses, *traceID) }
 
 	recordCommand := app.Command("record", "Show each deferrable job: where it ran, when, and that it finished once.")
--- a/internal/aggregator/batcher.go
+++ b/internal/aggregator/batcher.go
@@ -79,7 +79,7 @@
 		}
 	}
 	if len(b.renewals) > 0 {
-		if remaining := tuning.AggregatorGrantInterval - now.Sub(b.renewalsSince); remaining > 0 {
+		if remaining := tuning.AggregatorRenewalInterval - now.Sub(b.renewalsSince); remaining > 0 {
 			wakeIn(remaining)
 		} else {
 			batches = append(batches, b.renewalBatch())
--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -150,7 +150,7 @@
 			for i := range n {
 				batcher.Renew(rpc.LeaseRenewal{Worker: fmt.Sprintf("i-%010d", i)}, func(rpc.Response) {}, leader.now)
 			}
-			leader.now = leader.now.Add(tuning.AggregatorGrantInterval + time.Millisecond)
+			leader.now = leader.now.Add(tuning.AggregatorRenewalInterval + time.Millisecond)
 			batches, _ := batcher.DueBatches(leader.now)
 			if len(batches) != 1 {
 				t.Fatalf("%d batches for %d renewals", len(batches), n)
--- a/internal/aggregator/renewals.go
+++ b/internal/aggregator/renewals.go
@@ -129,8 +129,9 @@
 }
 
 // requeue puts renewals that the leader did not decide into the next batch, which
-// is due at once. Their clocks were read before the leader's response, so a later
-// grant is still counted from an earlier time.
+// is due at once. The agents read their clocks before they sent the renewals, so a
+// lease that is renewed by a later batch still ends no later at the agent than at the
+// leader.
 func (b *Batcher) requeue(renewals map[string]pendingRenewal, now time.Time) {
 	for worker, waiting := range renewals {
 		if _, ok := b.renewals[worker]; ok {
@@ -138,7 +139,7 @@
 			continue
 		}
 		b.renewals[worker] = waiting
-		b.renewalsSince = now.Add(-tuning.AggregatorGrantInterval)
+		b.renewalsSince = now.Add(-tuning.AggregatorRenewalInterval)
 	}
 }
 
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -26,7 +26,9 @@
 
 // reportDigest has another replica report its digest.
 func (h *harness) reportDigest(from string, index, digest uint64) {
-	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: frameDigest, Body: transport.Encode(digestReport{from, h.replica.self.ID, index, digest, programVersion})}}})
+	report := digestReport{From: from, To: h.replica.self.ID, Index: index, Digest: digest, Program: programVersion}
+	frame := transport.Frame{Kind: frameDigest, Body: transport.Encode(report)}
+	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 }
 
 // applyUpTo commits entries until the state has applied one.
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -49,7 +49,8 @@
 // receive hands the node a message as it comes in on a stream.
 func (h *harness) receive(message raft.Message) {
 	message.To = h.replica.self.ID
-	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: rpc.FrameRaft, Body: transport.Encode(message)}}})
+	frame := transport.Frame{Kind: rpc.FrameRaft, Body: transport.Encode(message)}
+	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 }
 
 // endTurn ends a turn of the loop and has all writes of it succeed.
@@ -94,7 +95,13 @@
 
 // acknowledge has a voter acknowledge all entries of this leader.
 func (h *harness) acknowledge(from string) {
-	h.receive(raft.Message{Kind: raft.MsgAppendResponse, From: from, Term: h.replica.node.Term(), Index: h.replica.node.LastIndex(), SendStamp: time.Now().UnixNano()})
+	h.receive(raft.Message{
+		Kind:      raft.MsgAppendResponse,
+		From:      from,
+		Term:      h.replica.node.Term(),
+		Index:     h.replica.node.LastIndex(),
+		SendStamp: time.Now().UnixNano(),
+	})
 }
 
 // newLeader gives a replica that leads and has a lease.
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -33,7 +33,7 @@
 	session.knownIndex = max(session.knownIndex, renewal.KnownIndex)
 }
 
-// syncSessions sends agents that connected anew all allocations on their workers:
+// syncSessions sends agents with a new connection all allocations on their workers:
 // assignments on their previous connection may be lost.
 func (r *Replica) syncSessions() {
 	if !r.sessionsUnsynced {
@@ -94,8 +94,13 @@
 	if lease := r.leases[allocation.Worker]; r.leading && (lease == nil || lease.expiring) {
 		return
 	}
-	assignment := rpc.Assignment{Worker: allocation.Worker, Fence: worker.Fence,
-		Stop: allocation.Stopping, Task: allocation.TaskName(), Run: allocation.Run}
+	assignment := rpc.Assignment{
+		Worker: allocation.Worker,
+		Fence:  worker.Fence,
+		Stop:   allocation.Stopping,
+		Task:   allocation.TaskName(),
+		Run:    allocation.Run,
+	}
 	if !allocation.Stopping {
 		job := r.state.Jobs[allocation.Job]
 		if job == nil {
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -93,8 +93,8 @@
 	r.lastSnapshotIndex, r.latestSnapshot = snapshot.Index, snapshot
 	r.planDue = true
 	r.digests.discardOwn()
-	// The entries up to the snapshot's are never applied one by one here, so whether
-	// they are those that the callers proposed can't be told.
+	// The entries up to the snapshot's are never applied one by one here, so it
+	// is unknown whether they are those that the callers proposed.
 	for index := range r.pending {
 		if index <= snapshot.Index {
 			r.abandonEntry(index)
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -13,14 +13,27 @@
 )
 
 // TestSnapshotTransferCompletesOverLossyLink: chunks and acknowledgements are lost
-// and doubled by lot, and the receiver is started anew in the middle.
+// and duplicated at random, and the receiver is restarted in the middle.
 func TestSnapshotTransferCompletesOverLossyLink(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
-		data := make([]byte, []int{1, tuning.SnapshotChunkBytes - 1, tuning.SnapshotChunkBytes, tuning.SnapshotChunkBytes + 1, 5*tuning.SnapshotChunkBytes + 7}[random.Intn(5)])
+		sizes := []int{
+			1,
+			tuning.SnapshotChunkBytes - 1,
+			tuning.SnapshotChunkBytes,
+			tuning.SnapshotChunkBytes + 1,
+			5*tuning.SnapshotChunkBytes + 7,
+		}
+		data := make([]byte, sizes[random.Intn(len(sizes))])
 		random.Read(data)
 		now := time.Unix(0, 0)
-		sender := newSnapshotSender(raft.Message{Kind: raft.MsgSnapshot, From: "a", To: "b", Term: 3, Snapshot: &raft.Snapshot{Index: 9, Term: 2, Data: data}}, now)
+		sender := newSnapshotSender(raft.Message{
+			Kind:     raft.MsgSnapshot,
+			From:     "a",
+			To:       "b",
+			Term:     3,
+			Snapshot: &raft.Snapshot{Index: 9, Term: 2, Data: data},
+		}, now)
 		receiver, now := transferOverLossyLink(t, seed, sender, now, random)
 		if !bytes.Equal(receiver.data, data) {
 			t.Fatalf("seed %d: other bytes arrived", seed)
@@ -33,7 +46,7 @@
 		if sender.serves(raft.Message{Term: 4, Snapshot: again.Snapshot}, now) || sender.serves(raft.Message{Term: 3, Snapshot: &raft.Snapshot{Index: 10}}, now) {
 			t.Fatal("it serves another leader's, or a newer snapshot")
 		}
-		// The receiver was started anew, without it.
+		// The receiver was restarted, without it.
 		if sender.acknowledge(snapshotAck{"b", "a", 9, 0}, now); !sender.serves(again, now) || sender.serves(again, now.Add(tuning.SnapshotTransferStallTimeout)) {
 			t.Fatal("a transfer that gets on is begun anew, or one that does not isn't")
 		}
@@ -42,7 +55,9 @@
 
 // transferOverLossyLink plays a transfer until all has arrived; it gives the receiver
 // and the time by then.
-func transferOverLossyLink(t *testing.T, seed int64, sender *snapshotSender, now time.Time, random *rand.Rand) (*snapshotReceiver, time.Time) {
+func transferOverLossyLink(
+	t *testing.T, seed int64, sender *snapshotSender, now time.Time, random *rand.Rand,
+) (*snapshotReceiver, time.Time) {
 	t.Helper()
 	fresh := func() *snapshotReceiver { return &snapshotReceiver{index: 9, term: 2, total: len(sender.data)} }
 	receiver, restarts, complete := fresh(), random.Intn(3), false
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// ask gives the response to a request of this process.
-func ask(replica *Replica, kind string) rpc.Response {
+// call gives the response to a request of this process.
+func call(replica *Replica, kind string) rpc.Response {
 	received := make(chan rpc.Response, 1)
 	replica.HandleLocal(rpc.Request{Kind: kind}, func(response rpc.Response) { received <- response })
 	return <-received
@@ -68,10 +68,10 @@
 	}()
 	logged.wait("storage.open_failed")
 	var info rpc.LeaderInfo
-	if response := ask(replica, rpc.KindLeader); response.Code != rpc.CodeOK || transport.Decode(response.Body, &info) != nil || info.IsLeader {
+	if response := call(replica, rpc.KindLeader); response.Code != rpc.CodeOK || transport.Decode(response.Body, &info) != nil || info.IsLeader {
 		t.Errorf("%+v %+v", response, info)
 	}
-	if response := ask(replica, rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
+	if response := call(replica, rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
 		t.Errorf("%+v", response)
 	}
 	if replica.StorageOpened() {
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -38,7 +38,7 @@
 	return code, renewed
 }
 
-// TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet: an aggregator is started anew and
+// TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet: an aggregator is restarted and
 // numbers its sets from 1 again; a late batch of its earlier process brings another
 // set of that number. The lease of a worker that asked nothing must not be renewed in
 // the place of one that did: the leader would hold that one for silent, and start its
@@ -46,8 +46,20 @@
 func TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet(t *testing.T) {
 	replica, fences := leaderWithWorkers("a", "b", "c")
 	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
-	old := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcessID: "1", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("b")}, Requested: []byte{3}}
-	current := rpc.LeaseBatch{AggregatorDisk: "d", AggregatorProcessID: "2", SetNumber: 1, Members: []rpc.BatchMember{member("a"), member("c")}, Requested: []byte{3}}
+	old := rpc.LeaseBatch{
+		AggregatorDisk:      "d",
+		AggregatorProcessID: "1",
+		SetNumber:           1,
+		Members:             []rpc.BatchMember{member("a"), member("b")},
+		Requested:           []byte{3},
+	}
+	current := rpc.LeaseBatch{
+		AggregatorDisk:      "d",
+		AggregatorProcessID: "2",
+		SetNumber:           1,
+		Members:             []rpc.BatchMember{member("a"), member("c")},
+		Requested:           []byte{3},
+	}
 	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "ac" {
 		t.Fatalf("the set with its members: %d, renewed %q", code, renewed)
 	}
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -161,7 +161,7 @@
 // A log that breaks them has lost records that were synced. The part below the gap
 // can't be kept under this identity: entries above it may have been acknowledged
 // and counted by the leader, and this member's vote would then help to elect a
-// leader that lacks them. What is missing can't be told from what is there, so the
+// leader that lacks them. What is there does not show what is missing, so the
 // whole file counts as corrupt.
 func checkLog(snapshot raft.Snapshot, entries []raft.Entry) error {
 	index, term := snapshot.Index, snapshot.Term
--- a/internal/storage/write_queue.go
+++ b/internal/storage/write_queue.go
@@ -67,23 +67,23 @@
 // nextBatch chooses the next transaction. The requests up to the next received
 // snapshot go into it, and after its last frames also those that follow it.
 func (q *writeQueue) nextBatch(generation uint64) batch {
-	b := batch{snapshot: q.nextSnapshot(generation)}
-	if b.snapshot != nil {
-		b.received = len(q.requests) > 0 && b.snapshot.snapshot == q.requests[0].Ready.Snapshot
-		b.endFrame, b.activates = b.snapshot.nextBatch()
+	next := batch{snapshot: q.nextSnapshot(generation)}
+	if next.snapshot != nil {
+		next.received = len(q.requests) > 0 && next.snapshot.snapshot == q.requests[0].Ready.Snapshot
+		next.endFrame, next.activates = next.snapshot.nextBatch()
 	}
 	count := 0
-	if b.received {
-		if !b.activates {
-			return b
+	if next.received {
+		if !next.activates {
+			return next
 		}
 		count = 1
 	}
 	for count < len(q.requests) && q.requests[count].Ready.Snapshot == nil {
 		count++
 	}
-	b.requests = q.requests[:count:count]
-	return b
+	next.requests = q.requests[:count:count]
+	return next
 }
 
 // write writes the batch. The generation is that of the snapshot in force.
@@ -137,15 +137,15 @@
 // commitNext runs the next transaction of the queue, and removes from it and returns
 // the requests that this completes. After an error the queue is as it was.
 func (s *Store) commitNext(q *writeQueue) ([]WriteRequest, error) {
-	b := q.nextBatch(s.snapshotGeneration)
-	err := s.commit(func(tx *bolt.Tx) error { return b.write(tx, s.snapshotGeneration) })
+	next := q.nextBatch(s.snapshotGeneration)
+	err := s.commit(func(tx *bolt.Tx) error { return next.write(tx, s.snapshotGeneration) })
 	if err != nil {
 		return nil, err
 	}
-	if b.activates {
-		s.snapshotGeneration = b.snapshot.header.Generation
+	if next.activates {
+		s.snapshotGeneration = next.snapshot.header.Generation
 	}
-	return q.complete(b), nil
+	return q.complete(next), nil
 }
 
 // logFillPercent is how full bbolt makes a page of the log before it starts the next;
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,4 +1,4 @@
 // Package transport carries frames between daemons over DRPC, on one two-way stream
 // for each pair. It never looks into the body of a frame, repeats a frame, or opens a
-// stream anew: that is up to those who send.
+// stream again: that is up to the senders.
 package transport
--- a/internal/tuning/aggregator.go
+++ b/internal/tuning/aggregator.go
@@ -4,10 +4,10 @@
 
 // Batching of the agents' requests.
 const (
-	// AggregatorGrantInterval is how long an aggregator collects lease renewals
+	// AggregatorRenewalInterval is how long an aggregator collects lease renewals
 	// before it sends them. Each agent's lease is shorter by as much, and leases
 	// have seconds to spare.
-	AggregatorGrantInterval = 150 * time.Millisecond
+	AggregatorRenewalInterval = 150 * time.Millisecond
 	// AggregatorBatchInterval is the least time between two batches of other
 	// requests: half of what an entry waits for its group commit anyway.
 	AggregatorBatchInterval = 5 * time.Millisecond
