--- a/internal/discovery/aggregator.go
+++ b/internal/discovery/aggregator.go
@@ -46,7 +46,10 @@
 	if response.Aggregator != "" || response.StandbyAggregator != "" {
 		c.standby = response.StandbyAggregator
 	}
-	if response.Aggregator == "" || response.Aggregator == c.address || c.switching || c.now.Before(c.backoffs[response.Aggregator].until) {
+	if response.Aggregator == "" || response.Aggregator == c.address || c.switching {
+		return
+	}
+	if c.now.Before(c.backoffs[response.Aggregator].until) {
 		return
 	}
 	c.switching = true
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -45,9 +45,9 @@
 }
 
 // supersedeWrites notes that the entries from an index on are replaced. Writes
-// that were handed out before and are not synced yet prove nothing of what will
-// stand there: the same entry may even come back while an older write is still
-// to remove it.
+// that Ready returned before and that are not synced yet prove nothing of what will
+// be there: the same entry may even come back while an older write is still to
+// remove it.
 func (n *Node) supersedeWrites(index uint64) {
 	n.syncedIndex = min(n.syncedIndex, index-1)
 	if n.syncedWrites >= n.supersededWrite || index < n.supersededFrom {
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -28,7 +28,7 @@
 	commitIndex, appliedIndex uint64
 	syncedIndex               uint64 // the log is on this member's disk up to here
 	unsyncedHardStates        int
-	// Sequences of the newest write handed out and of the newest one synced.
+	// Sequences of the newest write that Ready returned and of the newest one synced.
 	issuedWrites, syncedWrites uint64
 	// A write up to supersededWrite may hold entries that were replaced since:
 	// from supersededFrom on, its sync proves nothing.
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -20,8 +20,8 @@
 type progress struct {
 	match, next uint64
 	probing     bool // the index up to which the logs agree is not known, or a snapshot is on its way
-	// The newest send stamps that had been given out when next was last set
-	// anew, and when match last rose.
+	// The newest send stamps that had been used when next was last set by a
+	// response, and when match last rose.
 	nextSetStamp, matchSetStamp int64
 	faulty                      bool // it lost entries that it had acknowledged, and is not counted
 	snapshotSentAt              time.Time
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -45,10 +45,12 @@
 	r.stopWriter()
 	r.storageOpened.Store(false)
 	r.node, r.state, r.persisted, r.self.ID = nil, state.New(state.Limits{}), storage.Recovered{}, ""
-	r.digests, r.outgoingSnapshots, r.incomingSnapshots = newDigestTracker(), map[string]*snapshotSender{}, map[string]*snapshotReceiver{}
+	r.digests = newDigestTracker()
+	r.outgoingSnapshots, r.incomingSnapshots = map[string]*snapshotSender{}, map[string]*snapshotReceiver{}
 	r.identityResets++
 	if r.identityResets > 1 {
-		_ = r.log.Log("level", "error", "event", "replica.stayed_out", "reason", "its state diverged again after it was fetched from the leader")
+		_ = r.log.Log("level", "error", "event", "replica.stayed_out",
+			"reason", "its state diverged again after it was fetched from the leader")
 		return
 	}
 	go r.resetIdentity(ctx, r.settings.DataDir)
--- a/internal/server/scheduling.go
+++ b/internal/server/scheduling.go
@@ -13,8 +13,12 @@
 // before they are compared with each other.
 const minRuntimeReports = 3
 
+// percent turns a share in percent into one of 1.
+const percent = 100
+
 // schedule proposes the planner's plans and preemptions for what changed since it
-// last ran. Only one set of plans is proposed at a time.
+// last ran. Only one set of plans is proposed at a time, since the planner sees the
+// applied state alone and would place the same tasks again.
 func (r *Replica) schedule(now time.Time) {
 	if !r.planDue || r.plansProposed {
 		return
@@ -25,7 +29,8 @@
 	stopTimer()
 	if len(plans) > 0 {
 		r.plansProposed = true
-		r.enqueueCommand(state.CommandApplyPlans, &state.ApplyPlans{Plans: plans}, func(state.Outcome, bool) { r.plansProposed = false })
+		r.enqueueCommand(state.CommandApplyPlans, &state.ApplyPlans{Plans: plans},
+			func(state.Outcome, bool) { r.plansProposed = false })
 	}
 	if now.Sub(r.preemptedAt) < tuning.PreemptionInterval {
 		return
@@ -42,7 +47,7 @@
 func (r *Replica) updatePlanner(now time.Time) {
 	slowdown := map[string]float64{}
 	if median, ok := medianRuntimePercent(r.leases); ok {
-		r.planner.EstimateRatio = median / 100
+		r.planner.EstimateRatio = median / percent
 		for id, lease := range r.leases {
 			if lease.runtimePercent > 0 {
 				slowdown[id] = scheduler.DampSlowdown(float64(lease.runtimePercent) / median)
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -116,7 +116,7 @@
 }
 
 // expireWorkerLeases ends the leases of workers that were not renewed for so long
-// that all their runs must be over: an agent stops its runs when its lease runs out by
+// that all their runs must be over: a runner ends its runs when the lease runs out by
 // its own clock. The timeout covers a clock that is slower by
 // tuning.LeaseClockDriftFactor, so that no task is started again while it may run.
 func (r *Replica) expireWorkerLeases(now time.Time) {
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -83,7 +83,7 @@
 }
 
 func (r *recordReader) readEntry(key, value []byte) error {
-	if len(key) != 8 {
+	if len(key) != keyBytes {
 		return corrupt("log", "a key of %d bytes", len(key))
 	}
 	var entry raft.Entry
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	frames.FillPercent = 1
+	frames.FillPercent = 1 // frames are only ever appended, in the order of their keys
 	for i := w.nextFrame; i < end; i++ {
 		start := i * tuning.SnapshotFrameBytes
 		frameKey := encodeKey(i)
@@ -126,13 +126,13 @@
 
 // addFrame takes one frame, in order, of the generation with the given key.
 func (r *snapshotReader) addFrame(generation string, key, raw []byte) error {
-	if len(generation) != 8 {
+	if len(generation) != keyBytes {
 		return corrupt("snapshot", "a generation named %q", generation)
 	}
 	if !r.hasHeader || binary.BigEndian.Uint64([]byte(generation)) != r.header.Generation {
 		return nil // a crash left it over
 	}
-	if len(key) != 8 || decodeKey(key) != r.frameCount {
+	if len(key) != keyBytes || decodeKey(key) != r.frameCount {
 		return corrupt("snapshot", "frame %x in the place of %d", key, r.frameCount)
 	}
 	body, checksummed, err := verifyChecksum(key, raw)
--- a/internal/storage/write_queue.go
+++ b/internal/storage/write_queue.go
@@ -191,7 +191,11 @@
 	return nil
 }
 
-// encodeKey returns the key of an entry, a frame or a generation.
+// keyBytes is the length of the key of an entry, a frame or a generation.
+const keyBytes = 8
+
+// encodeKey returns the key of an entry, a frame or a generation: its number,
+// big-endian, so that bbolt keeps them in order.
 func encodeKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func decodeKey(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
