--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -53,7 +53,7 @@
 	if s.exported[pkg] == nil {
 		s.exported[pkg] = map[string]bool{}
 	}
-	for name := range file.Scope.Objects { //nolint:staticcheck // the deprecated scope lists the names of one file, which is all that is needed here
+	for name := range file.Scope.Objects {
 		s.exported[pkg][name] = true
 	}
 	test := strings.HasSuffix(path, "_test.go")
