--- a/internal/raft/codec.go
+++ b/internal/raft/codec.go
@@ -28,9 +28,9 @@
 	return raw
 }
 
-// decodeConfChange decodes the data of a configuration entry: the voters and, in
+// DecodeConfChange decodes the data of a configuration entry: the voters and, in
 // the entry that starts a change, the outgoing voters.
-func decodeConfChange(data []byte) (voters, outgoing []Member, err error) {
+func DecodeConfChange(data []byte) (voters, outgoing []Member, err error) {
 	if cbor.Unmarshal(data, &voters) == nil {
 		return voters, nil, nil
 	}
--- a/internal/raft/codec_test.go
+++ b/internal/raft/codec_test.go
@@ -17,8 +17,8 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if voters, outgoing, err := decodeConfChange(raw); err == nil && len(voters) > 0 {
-			again, againOutgoing, err := decodeConfChange(encodeConfChange(voters, outgoing))
+		if voters, outgoing, err := DecodeConfChange(raw); err == nil && len(voters) > 0 {
+			again, againOutgoing, err := DecodeConfChange(encodeConfChange(voters, outgoing))
 			if err != nil || len(again) != len(voters) || len(againOutgoing) != len(outgoing) {
 				t.Fatalf("%v, %v read back as %v, %v, %v", voters, outgoing, again, againOutgoing, err)
 			}
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -47,7 +47,7 @@
 		},
 		Decode: func(raw []byte, into any) (err error) {
 			sets := into.(*configurationData)
-			sets.Voters, sets.Old, err = decodeConfChange(raw)
+			sets.Voters, sets.Old, err = DecodeConfChange(raw)
 			return err
 		},
 	}
@@ -70,7 +70,7 @@
 		decoded.Voters[1] != voters[1] || string(decoded.Data) != "snapshot" || decoded.OutgoingVoters != nil {
 		t.Errorf("the snapshot decodes to %+v, %v", decoded, err)
 	}
-	got, outgoing, err := decodeConfChange(configuration)
+	got, outgoing, err := DecodeConfChange(configuration)
 	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || outgoing != nil {
 		t.Errorf("the configuration decodes to %v, %v, %v", got, outgoing, err)
 	}
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -16,7 +16,7 @@
 	if entry.Kind != EntryConfChange {
 		return
 	}
-	voters, outgoing, err := decodeConfChange(entry.Data)
+	voters, outgoing, err := DecodeConfChange(entry.Data)
 	if err != nil {
 		panic("raft: conf entry unreadable: " + err.Error())
 	}
--- a/internal/raft/membership_test.go
+++ b/internal/raft/membership_test.go
@@ -328,7 +328,7 @@
 		t.Fatal("a snapshot outside a change is written in another form")
 	}
 	raw, _ = cbor.Marshal(snapshot.Voters)
-	if voters, outgoing, err := decodeConfChange(raw); err != nil || !slices.Equal(voters, snapshot.Voters) || len(outgoing) > 0 {
+	if voters, outgoing, err := DecodeConfChange(raw); err != nil || !slices.Equal(voters, snapshot.Voters) || len(outgoing) > 0 {
 		t.Fatalf("entry read as %v, %v, %v", voters, outgoing, err)
 	}
 }
--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -30,7 +30,7 @@
 
 // confChangeVoterSets returns the sets of a configuration entry.
 func confChangeVoterSets(data []byte) ([][]string, error) {
-	voters, outgoing, err := decodeConfChange(data)
+	voters, outgoing, err := DecodeConfChange(data)
 	return voterIDSets(voters, outgoing), err
 }
 
--- a/internal/raft/model_mutations_test.go
+++ b/internal/raft/model_mutations_test.go
@@ -101,7 +101,7 @@
 	if entry.Kind != EntryConfChange {
 		return entry
 	}
-	voters, outgoing, err := decodeConfChange(entry.Data)
+	voters, outgoing, err := DecodeConfChange(entry.Data)
 	if err != nil || len(outgoing) == 0 {
 		return entry
 	}
--- /dev/null
+++ b/internal/simulation/upgrade_tables_test.go
@@ -0,0 +1,218 @@
+package simulation
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"tealpond/internal/raft"
+	"tealpond/internal/state"
+	"tealpond/internal/storage"
+	"tealpond/internal/transport"
+)
+
+// tables is a neutral text of a data folder: one line a row, with labels that
+// don't follow the names of the code.
+type tables struct{ strings.Builder }
+
+// row writes a line: the table's name, then labels and values in turn.
+func (x *tables) row(table string, cells ...any) {
+	x.WriteString(table)
+	for i := 0; i < len(cells); i += 2 {
+		format := " %s=%v"
+		switch cells[i+1].(type) {
+		case string, []byte, []string:
+			format = " %s=%q"
+		}
+		x.WriteString(fmt.Sprintf(format, cells[i], cells[i+1]))
+	}
+	x.WriteByte('\n')
+}
+
+// sorted gives a table's rows in the order of their keys.
+func sorted[K cmp.Ordered, V any](table map[K]V) func(yield func(K, V) bool) {
+	return func(yield func(K, V) bool) {
+		for _, key := range slices.Sorted(maps.Keys(table)) {
+			if !yield(key, table[key]) {
+				return
+			}
+		}
+	}
+}
+
+// describe gives the text of a data folder: what the disk holds, and the tables
+// once the whole log was applied to the snapshot.
+func describe(t *testing.T, folder string) string {
+	t.Helper()
+	opened, held, aside, err := storage.Open(folder)
+	if err != nil || aside != "" {
+		t.Fatalf("the data folder does not open: %v %s", err, aside)
+	}
+	if err := opened.Close(); err != nil {
+		t.Fatal(err)
+	}
+	var x tables
+	x.row("identity", "disk", held.ID, "fresh", held.NewIdentity)
+	x.row("hard-state", "term", held.HardState.Term, "vote", held.HardState.Vote)
+	x.voters("founder", held.Founders)
+	x.row("snapshot", "index", held.Snapshot.Index, "term", held.Snapshot.Term)
+	x.voters("snapshot-voter", held.Snapshot.Voters)
+	x.voters("snapshot-old-voter", held.Snapshot.OutgoingVoters)
+	store, err := state.DecodeSnapshot(held.Snapshot.Data, state.Limits{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := store.BindSnapshotIndex(held.Snapshot.Index); err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range held.Entries {
+		x.entry(t, store, entry)
+	}
+	x.state(store)
+	return x.String()
+}
+
+func (x *tables) voters(name string, voters []raft.Member) {
+	for _, voter := range voters {
+		x.row(name, "node", voter.Node, "disk", voter.ID, "address", voter.Addr)
+	}
+}
+
+// entry applies an entry of the log and writes what it holds.
+func (x *tables) entry(t *testing.T, store *state.Store, entry raft.Entry) {
+	t.Helper()
+	x.row("entry", "index", entry.Index, "term", entry.Term, "kind", entry.Kind)
+	if entry.Kind != raft.EntryNormal {
+		store.SkipEntry(entry.Index)
+	}
+	switch entry.Kind {
+	case raft.EntryConfChange:
+		voters, old, err := raft.DecodeConfChange(entry.Data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		x.voters(" voter", voters)
+		x.voters(" old-voter", old)
+	case raft.EntryNormal:
+		var batch state.Batch
+		if err := transport.Decode(entry.Data, &batch); err != nil {
+			t.Fatal(err)
+		}
+		outcomes := store.ApplyEntry(entry.Index, entry.Data)
+		for i, command := range batch.Commands {
+			x.row(" command", "kind", command.Name, "clock", batch.Clock, "wall", batch.WallClock, "code", outcomes[i].Code, "text", outcomes[i].Text, "number", outcomes[i].Value)
+		}
+	}
+}
+
+// state writes all tables.
+func (x *tables) state(s *state.Store) {
+	x.row("counters", "applied", s.AppliedIndex, "clock", s.Clock, "wall", s.WallClock, "origin", s.Origin, "last-id", s.LastID, "last-job", s.LastJobSequence,
+		"epoch", s.Epoch, "chain", s.DigestChain, "chain-from", s.DigestChainFrom)
+	x.row("limits", "keep-job-ms", s.Limits.JobRetentionMs, "replans", s.Limits.MaxReplans, "far", s.Limits.RemoteFactor)
+	x.configurations(s)
+	x.machines(s)
+	x.jobs(s)
+	x.moves(s)
+}
+
+// configurations writes the configuration in force and the records of others.
+func (x *tables) configurations(s *state.Store) {
+	limits := s.Configuration.Limits
+	x.row("configuration", "version", s.Configuration.Version, "text", s.Configuration.Raw)
+	x.row("configuration-limits", "header-bytes", limits.MaxHeaderBytes, "body-bytes", limits.MaxBodyBytes, "header-ms", limits.HeaderTimeoutMs, "idle-ms", limits.IdleTimeoutMs)
+	for _, route := range s.Configuration.Routes {
+		x.row("configuration-route", "name", route.Name, "host", route.HostName, "prefix", route.PathPrefix)
+	}
+	for _, service := range s.Configuration.Services {
+		x.row("configuration-service", "name", service.Name, "guards", service.EnforcesResources)
+	}
+	for name, route := range sorted(s.Routes) {
+		x.row("route", "key", name, "name", route.Name, "host", route.HostName, "prefix", route.PathPrefix, "kind", route.Kind, "timeout-ms", route.TimeoutMs,
+			"target-ms", route.TargetMs, "priority", route.Priority, "service", route.TargetService, "tries", route.MaxAttempts, "stretch", route.Stretch)
+	}
+	for name, service := range sorted(s.Services) {
+		x.row("service", "key", name, "name", service.Name, "guards", service.EnforcesResources)
+	}
+	for _, taken := range s.ConfigurationHistory.Accepted {
+		x.row("accepted", "base", taken.BaseVersion, "version", taken.Version, "digest", fmt.Sprintf("%x", taken.Digest[:]))
+	}
+	for _, refused := range s.ConfigurationHistory.Refused {
+		x.row("refused", "base", refused.BaseVersion, "version", refused.Version, "digest", fmt.Sprintf("%x", refused.Digest[:]))
+	}
+}
+
+// machines writes workers, devices, allocations and what is summed of them.
+func (x *tables) machines(s *state.Store) {
+	for key, w := range sorted(s.Workers) {
+		x.row("worker", "key", key, "id", w.ID, "node", w.Node, "service", w.Service, "zone", w.Zone, "labels", w.Labels,
+			"cpu", w.Capacity.CPUUnits, "memory", w.Capacity.MemoryMB, "gpus", w.Capacity.GPUs, "cpu-used", w.UsedMilliCPU, "memory-used", w.UsedMemoryMB, "fence", w.Fence, "life", w.AgentProcessID,
+			"draining", w.Draining, "leaves-at", w.LeavesAt, "sick", w.Unhealthy, "lost", w.LeaseExpired, "dead", w.Dead, "version", w.Version, "seen", w.LastCompletion, "shun-until", w.BackoffUntil)
+	}
+	for key, d := range sorted(s.Devices) {
+		x.row("device", "key", key, "id", d.ID, "class", d.Class, "worker", d.Worker, "healthy", d.Healthy)
+		for _, booking := range d.Reservations {
+			x.row(" booking", "allocation", booking.Allocation, "from", booking.From, "to", booking.To)
+		}
+	}
+	for key, a := range sorted(s.Allocations) {
+		x.row("allocation", "key", key, "id", a.ID, "worker", a.Worker, "job", a.Job, "instance", a.Instance, "step", a.Step, "index", a.TaskIndex, "copy", a.Copy, "run", a.Run,
+			"cpu", a.MilliCPU, "memory", a.MemoryMB, "gpus", a.GPUs, "from", a.BookedAt, "stopping", a.Stopping, "why", a.StopReason, "saved", a.Checkpoint)
+	}
+	for service, r := range sorted(s.Rollups) {
+		x.row("rollup", "service", service, "cpu-total", r.TotalMilliCPU, "cpu-free", r.AllocatableMilliCPU, "cpu-used", r.UsedMilliCPU, "memory-total", r.TotalMemoryMB, "memory-free", r.AllocatableMemoryMB,
+			"memory-used", r.UsedMemoryMB, "gpu-total", r.TotalGPUs, "gpu-used", r.UsedGPUs, "draining", r.Draining, "unreachable", r.Unreachable, "at", r.RebuiltAt)
+	}
+	for zone, duty := range sorted(s.Aggregators) {
+		x.row("aggregator", "key", zone, "zone", duty.Zone, "number", duty.Revision, "disk", duty.Member, "address", duty.Address, "next", duty.Standby, "next-address", duty.StandbyAddress)
+	}
+	for node, flap := range sorted(s.CrashBackoffs) {
+		x.row("flaps", "node", node, "count", flap.Crashes, "at", flap.UpdatedAt)
+	}
+}
+
+// jobs writes the jobs with their instances and tasks.
+func (x *tables) jobs(s *state.Store) {
+	for key, j := range sorted(s.Jobs) {
+		x.row("job", "key", key, "id", j.ID, "sequence", j.Sequence, "route", j.Route, "service", j.Service, "priority", j.Priority, "tries", j.MaxAttempts, "stretch", j.Stretch,
+			"target-ms", j.TargetMs, "spec", j.Spec, "times", j.PeriodicInstances, "first-ms", j.FirstRunMs, "interval-ms", j.IntervalMs, "born", j.CreatedAt, "next-instance", j.NextInstance,
+			"canceled", j.Canceled, "failed", j.Failed, "begun", j.Started, "done", j.Done, "ended", j.EndedAt, "state", j.Status())
+		x.row(" move", "peer", j.Transfer.Peer, "number", j.Transfer.OfferID, "state", j.Transfer.State, "cancel", j.Transfer.CancelRequested, "guest", j.Transfer.Incoming, "loan", j.Transfer.Loan, "offers", j.Transfer.OfferCount)
+		for _, step := range j.Steps {
+			x.row(" step", "tasks", step.TaskCount, "cpu", step.CPUUnits, "memory", step.MemoryMB, "gpus", step.GPUs, "estimate-ms", step.EstimateMs, "depends-on", step.DependsOn,
+				"checkpoints", step.Checkpoints, "all-together", step.Gang, "same-rack", step.SameRack, "labels", []string(step.RequiredLabels), "near", step.PreferredRack,
+				"apart", step.MaxPerWorker, "twice", step.Speculative, "long-running", step.LongRunning)
+		}
+		for _, instance := range j.Instances {
+			x.row(" instance", "number", instance.Number, "born", instance.CreatedAt, "steps-left", instance.StepsLeft, "failed", instance.Failed)
+			for _, step := range instance.Steps {
+				x.row("  step", "ready", step.Ready, "since", step.ReadyAt, "booked", step.LastBookedAt, "over", step.CompletedAt, "tasks-left", step.TasksLeft, "fails", step.GangFailures, "failed-run", step.LastFailedRun,
+					"took", step.DoneRunsMs, "runs", step.DoneRuns)
+				for _, task := range step.Tasks {
+					x.row("   task", "run", task.LastRun, "fails", task.Failures, "done", task.Done, "saved", task.Checkpoint, "allocations", task.Allocations)
+				}
+			}
+		}
+	}
+}
+
+// moves writes what is known of peers, loans and demand.
+func (x *tables) moves(s *state.Store) {
+	for name, peer := range sorted(s.Peers) {
+		x.row("peer", "name", name, "epoch", peer.Epoch, "index", peer.Index)
+	}
+	for key, number := range sorted(s.VoidedOffers) {
+		x.row("void", "key", key, "number", number)
+	}
+	for key, loan := range sorted(s.Loans) {
+		x.row("loan", "key", key, "id", loan.ID, "peer", loan.Peer, "service", loan.Service, "slices", loan.Slices, "cpu", loan.MilliCPU, "from", loan.From, "to", loan.To)
+	}
+	for route, buckets := range sorted(s.Demand) {
+		for bucket, work := range sorted(buckets) {
+			x.row("demand", "route", route, "bucket", bucket, "work", work)
+		}
+	}
+}
