--- a/internal/simulation/upgrade_tables_test.go
+++ b/internal/simulation/upgrade_tables_test.go
@@ -27,7 +27,7 @@
 		case string, []byte, []string:
 			format = " %s=%q"
 		}
-		x.WriteString(fmt.Sprintf(format, cells[i], cells[i+1]))
+		_, _ = fmt.Fprintf(x, format, cells[i], cells[i+1]) // a strings.Builder never fails
 	}
 	x.WriteByte('\n')
 }
@@ -160,7 +160,7 @@
 	}
 	for key, a := range sorted(s.Allocations) {
 		x.row("allocation", "key", key, "id", a.ID, "worker", a.Worker, "job", a.Job, "instance", a.Instance, "step", a.Step, "index", a.TaskIndex, "copy", a.Copy, "run", a.Run,
-			"cpu", a.MilliCPU, "memory", a.MemoryMB, "gpus", a.GPUs, "from", a.BookedAt, "stopping", a.Stopping, "why", a.StopReason, "saved", a.Checkpoint)
+			"cpu", a.MilliCPU, "memory", a.MemoryMB, "gpus", a.GPUs, "from", a.AllocatedAt, "stopping", a.Stopping, "why", a.StopReason, "saved", a.Checkpoint)
 	}
 	for service, r := range sorted(s.Rollups) {
 		x.row("rollup", "service", service, "cpu-total", r.TotalMilliCPU, "cpu-free", r.AllocatableMilliCPU, "cpu-used", r.UsedMilliCPU, "memory-total", r.TotalMemoryMB, "memory-free", r.AllocatableMemoryMB,
@@ -189,7 +189,7 @@
 		for _, instance := range j.Instances {
 			x.row(" instance", "number", instance.Number, "born", instance.CreatedAt, "steps-left", instance.StepsLeft, "failed", instance.Failed)
 			for _, step := range instance.Steps {
-				x.row("  step", "ready", step.Ready, "since", step.ReadyAt, "booked", step.LastBookedAt, "over", step.CompletedAt, "tasks-left", step.TasksLeft, "fails", step.GangFailures, "failed-run", step.LastFailedRun,
+				x.row("  step", "ready", step.Ready, "since", step.ReadyAt, "booked", step.LastAllocatedAt, "over", step.CompletedAt, "tasks-left", step.TasksLeft, "fails", step.GangFailures, "failed-run", step.LastFailedRun,
 					"took", step.DoneRunsMs, "runs", step.DoneRuns)
 				for _, task := range step.Tasks {
 					x.row("   task", "run", task.LastRun, "fails", task.Failures, "done", task.Done, "saved", task.Checkpoint, "allocations", task.Allocations)
