--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -251,7 +251,7 @@
 	f := newFixture(t, 1)
 	runner := &scriptedRunner{responses: map[string]RunnerResponse{pathKeepAlive: listRunning()}}
 	f.agent.runner = runner
-	f.session.clockMs, f.session.clockReadAt, f.session.leaseUntilMs, f.session.renewingLease = 1, time.Now(), 1e9, true
+	f.session.clockMs, f.session.clockReadAt, f.session.workerLeaseUntilMs, f.session.renewingLease = 1, time.Now(), 1e9, true
 	f.session.lastResponseAt = time.Now()
 	return f, runner
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -44,8 +44,8 @@
 		}
 		switch response.Code {
 		case rpc.CodeOK:
-			if requestedAtMs > 0 && requestedAtMs+response.Value > session.leaseUntilMs {
-				session.leaseUntilMs = requestedAtMs + response.Value
+			if requestedAtMs > 0 && requestedAtMs+response.Value > session.workerLeaseUntilMs {
+				session.workerLeaseUntilMs = requestedAtMs + response.Value
 			}
 		case rpc.CodeConflict:
 			a.registerRunner(session)
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -47,7 +47,7 @@
 // reported. The runner would answer a poll at once, with the same completions, so
 // the next one is sent only when the runner's lease has to be extended.
 func (s *runnerSession) reportPause(now time.Time) time.Duration {
-	extensionMs := s.reachableLeaseMs(now) - s.confirmedUntilMs
+	extensionMs := s.maxRunLeaseUntilMs(now) - s.confirmedRunLeaseUntilMs
 	if remainingMs := tuning.MaxRunLeaseAhead.Milliseconds()/2 - extensionMs; remainingMs > 0 {
 		return max(time.Duration(remainingMs)*time.Millisecond, minReportPause)
 	}
@@ -64,7 +64,7 @@
 	if len(s.runs) == 0 {
 		wait = tuning.RunnerIdlePollWait
 	}
-	if !s.listed || s.leaseUntilMs > 0 && s.confirmedUntilMs == 0 || unanswered {
+	if !s.listed || s.workerLeaseUntilMs > 0 && s.confirmedRunLeaseUntilMs == 0 || unanswered {
 		wait = 0
 	}
 	for _, run := range s.runs {
@@ -97,10 +97,15 @@
 // runner that left calls without an answer is not extended: each extension would
 // delay the moment from which its runs have surely ended.
 func (a *Agent) sendKeepAlive(session *runnerSession, wait time.Duration, inFlight *bool) {
-	request := protocol.KeepAliveRequest{Fence: session.fence, AcknowledgedSequence: session.committedSequence, WaitMs: wait.Milliseconds()}
-	if untilMs := session.reachableLeaseMs(a.now); session.clockMs > 0 && untilMs > session.confirmedUntilMs && session.unansweredCalls == 0 {
+	request := protocol.KeepAliveRequest{
+		Fence:                session.fence,
+		AcknowledgedSequence: session.committedSequence,
+		WaitMs:               wait.Milliseconds(),
+	}
+	untilMs := session.maxRunLeaseUntilMs(a.now)
+	if session.clockMs > 0 && untilMs > session.confirmedRunLeaseUntilMs && session.unansweredCalls == 0 {
 		request.LeaseUntilMs = untilMs
-		session.longestUntilMs = max(session.longestUntilMs, untilMs)
+		session.longestRunLeaseUntilMs = max(session.longestRunLeaseUntilMs, untilMs)
 	}
 	*inFlight, session.lastPollAt = true, a.now
 	session.lastPoll++
@@ -131,7 +136,7 @@
 	}
 	session.pollFailures = 0
 	session.noteClock(response.Run.ClockMs, a.now)
-	session.confirmedUntilMs = max(session.confirmedUntilMs, request.LeaseUntilMs)
+	session.confirmedRunLeaseUntilMs = max(session.confirmedRunLeaseUntilMs, request.LeaseUntilMs)
 	if poll < session.lastCompletePoll {
 		// The lists of a poll that was sent later were read already.
 		return
--- a/internal/agent/polling_test.go
+++ b/internal/agent/polling_test.go
@@ -26,7 +26,7 @@
 		"reports in flight":               {func(s *runnerSession) { s.reportsInFlight = 1 }, false, 0},
 		"not listed yet":                  {func(s *runnerSession) { s.listed = false }, false, 0},
 		"nothing runs, not listed yet":    {func(s *runnerSession) { s.runs, s.listed = nil, false }, false, 0},
-		"first lease not confirmed yet":   {func(s *runnerSession) { s.confirmedUntilMs = 0 }, false, 0},
+		"first lease not confirmed yet":   {func(s *runnerSession) { s.confirmedRunLeaseUntilMs = 0 }, false, 0},
 		"a call was unanswered":           {func(*runnerSession) {}, true, 0},
 		"the runner may be silent":        {func(s *runnerSession) { s.unansweredCalls = 1 }, false, 0},
 		"a run was stopped":               {func(s *runnerSession) { s.runs["b"] = &taskRun{phase: runStopped} }, false, stoppedRunPollWait},
@@ -34,7 +34,12 @@
 		"a run is nearly overdue":         {func(s *runnerSession) { s.runs["b"] = running(1600*time.Millisecond, false) }, false, tuning.RunnerPollWait},
 		"a long run goes on":              {func(s *runnerSession) { s.runs["b"] = running(time.Hour, true) }, false, tuning.RunnerPollWait},
 	} {
-		session := &runnerSession{listed: true, leaseUntilMs: 5000, confirmedUntilMs: 4000, runs: map[string]*taskRun{"a": running(time.Second, false)}}
+		session := &runnerSession{
+			listed:                   true,
+			workerLeaseUntilMs:       5000,
+			confirmedRunLeaseUntilMs: 4000,
+			runs:                     map[string]*taskRun{"a": running(time.Second, false)},
+		}
 		test.change(session)
 		if got := session.pollWait(now, test.unanswered); got != test.want {
 			t.Errorf("%s: waits %v, want %v", name, got, test.want)
@@ -56,7 +61,7 @@
 		{"nearly due", 10000 + aheadMs/2 + 10, minReportPause},
 		{"due", 10000 + aheadMs/2, 0},
 	} {
-		session := &runnerSession{clockMs: 9000, clockReadAt: now.Add(-time.Second), leaseUntilMs: 1e6, confirmedUntilMs: test.confirmedMs}
+		session := &runnerSession{clockMs: 9000, clockReadAt: now.Add(-time.Second), workerLeaseUntilMs: 1e6, confirmedRunLeaseUntilMs: test.confirmedMs}
 		if got := session.reportPause(now); got != test.want {
 			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -69,9 +69,9 @@
 	s.reportedUnhealthy, s.unansweredCalls, s.lastResponseAt = false, 0, now
 	// Another agent process that had registered this runner before may have
 	// extended its lease as far as this.
-	s.longestUntilMs = max(s.longestUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
+	s.longestRunLeaseUntilMs = max(s.longestRunLeaseUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
 	s.lastRenewalAt = time.Time{}
-	s.leaseUntilMs = 0
+	s.workerLeaseUntilMs = 0
 	s.pollFailures = 0
 	// The leader sends all assignments again under the new fence, and what runs
 	// already is read from the runner's lists.
--- a/internal/agent/runner_silence_test.go
+++ b/internal/agent/runner_silence_test.go
@@ -71,7 +71,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, runner := newFixtureWithRunner(t)
 		runner.silence(pathKeepAlive)
-		f.session.listed, f.session.longestUntilMs = false, 5000
+		f.session.listed, f.session.longestRunLeaseUntilMs = false, 5000
 		f.assign(0)
 		f.advance(4 * time.Second)
 		if !f.session.silent(f.agent.now) {
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -122,14 +122,14 @@
 		run.phase = runRefused
 		return a.settleRefusal(session, run)
 	}
-	if session.leaseUntilMs < session.estimatedClockMs(a.now)+minStartLeaseMs {
+	if session.workerLeaseUntilMs < session.estimatedClockMs(a.now)+minStartLeaseMs {
 		return leaseWaitPause
 	}
 	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
 	}
-	untilMs := session.reachableLeaseMs(a.now)
-	session.longestUntilMs = max(session.longestUntilMs, untilMs)
+	untilMs := session.maxRunLeaseUntilMs(a.now)
+	session.longestRunLeaseUntilMs = max(session.longestRunLeaseUntilMs, untilMs)
 	run.phase = runStarting
 	run.attempts++
 	body := protocol.StartRequest{
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -23,14 +23,14 @@
 	drainingCommitted bool
 	pendingHeartbeats []pendingHeartbeat
 
-	// Lease.
-	clockMs          int64 // newest reading of the runner's clock
-	clockReadAt      time.Time
-	leaseUntilMs     int64 // end of the lease that the leader gave
-	confirmedUntilMs int64 // end of the lease that the runner has confirmed
-	longestUntilMs   int64 // the latest end that was ever sent to the runner, answered or not
-	renewingLease    bool
-	lastRenewalAt    time.Time // of the last attempt, also of a registration that failed
+	// Leases.
+	clockMs                  int64 // newest reading of the runner's clock
+	clockReadAt              time.Time
+	workerLeaseUntilMs       int64 // end of the agent's lease on the worker, given by the leader
+	confirmedRunLeaseUntilMs int64 // end of the runner's lease on its runs, as the runner has confirmed it
+	longestRunLeaseUntilMs   int64 // the latest end of that lease that was ever sent to the runner, answered or not
+	renewingLease            bool
+	lastRenewalAt            time.Time // of the last attempt, also of a registration that failed
 
 	// Health.
 	unansweredCalls   int // in a row
@@ -75,19 +75,19 @@
 	return s.clockMs + now.Sub(s.clockReadAt).Milliseconds()
 }
 
-// reachableLeaseMs is the latest end that the runner's lease may be extended to
+// maxRunLeaseUntilMs is the latest end that the runner's lease may be extended to
 // now: the end of the leader's lease, but at most tuning.MaxRunLeaseAhead from
 // now. The shorter the runner's lease, the sooner the runs of a silent runner have
 // surely ended and can be placed elsewhere.
-func (s *runnerSession) reachableLeaseMs(now time.Time) int64 {
-	return min(s.leaseUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
+func (s *runnerSession) maxRunLeaseUntilMs(now time.Time) int64 {
+	return min(s.workerLeaseUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
 }
 
 // leasesExpired tells whether every lease that was ever sent to the silent runner
 // has expired: its clock may run slow, and never shows less than this.
 func (s *runnerSession) leasesExpired(now time.Time) bool {
 	lowestClockMs := s.clockMs + int64(float64(now.Sub(s.clockReadAt).Milliseconds())/tuning.LeaseClockDriftFactor)
-	return s.clockMs > 0 && lowestClockMs > s.longestUntilMs+tuning.RunLeaseExpiryMargin.Milliseconds()
+	return s.clockMs > 0 && lowestClockMs > s.longestRunLeaseUntilMs+tuning.RunLeaseExpiryMargin.Milliseconds()
 }
 
 // noteResponse counts calls in a row that the runner left without an answer.
--- a/internal/agent/session_test.go
+++ b/internal/agent/session_test.go
@@ -24,7 +24,7 @@
 		{"just after", 1000, slowest + 2*time.Millisecond, true},
 		{"the clock was never read", 0, time.Hour, false},
 	} {
-		session := &runnerSession{clockMs: test.clockMs, clockReadAt: readAt, longestUntilMs: untilMs}
+		session := &runnerSession{clockMs: test.clockMs, clockReadAt: readAt, longestRunLeaseUntilMs: untilMs}
 		if got := session.leasesExpired(readAt.Add(test.after)); got != test.want {
 			t.Errorf("%s: expired %v", test.name, got)
 		}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestCommandBytes holds each registered command against the golden bytes.
+// TestCommandBytes compares each registered command with the golden bytes.
 func TestCommandBytes(t *testing.T) {
 	commands := filledCommands()
 	golden.Check(t, "commands.txt", rows, commands)
@@ -77,16 +77,16 @@
 	}
 }
 
-// TestCommandNames holds the names under which commands stand in the log, and the
-// version of the state, against the golden list.
+// TestCommandNames compares the names of commands in the log, and the version of the
+// state, with the golden list.
 func TestCommandNames(t *testing.T) {
 	names := CommandNames()
 	slices.Sort(names)
 	golden.Text(t, "names.txt", fmt.Sprintf("version %d\ncommand %s\n", FormatVersion, strings.Join(names, "\ncommand ")))
 }
 
-// TestEntryBytes holds an entry of the log with all commands, and an outcome,
-// against the golden bytes.
+// TestEntryBytes compares an entry of the log with all commands, and an outcome,
+// with the golden bytes.
 func TestEntryBytes(t *testing.T) {
 	entry := Batch{Clock: 1, WallClock: 2}
 	for _, c := range filledCommands() {
@@ -99,7 +99,7 @@
 	})
 }
 
-// TestRowBytes holds the rows of the tables against the golden bytes.
+// TestRowBytes compares the rows of the tables with the golden bytes.
 func TestRowBytes(t *testing.T) {
 	worker := func(set func(*Worker)) *Worker {
 		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123},
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestStateBytes holds a saved state, with a row in each table, against the
-// golden bytes, and reads it again.
+// TestStateBytes compares a saved state, with a row in each table, with the golden
+// bytes, and reads it again.
 func TestStateBytes(t *testing.T) {
 	s := New(Limits{JobRetentionMs: 1, MaxReplans: 2, RemoteFactor: 3.5})
 	s.AppliedIndex, s.Clock, s.WallClock, s.Origin, s.LastID, s.LastJobSequence, s.Epoch, s.DigestChain, s.DigestChainFrom = 11, 12, 13, 14, 15, 16, "epoch", 17, 18
@@ -175,8 +175,8 @@
 	}
 }
 
-// TestStoredWords holds the numbers and words that stand in rows against the
-// golden list.
+// TestStoredWords compares the numbers and words that rows contain with the golden
+// list.
 func TestStoredWords(t *testing.T) {
 	golden.Text(t, "words.txt", fmt.Sprintf(`device gpu %s
 device turn %s
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -47,7 +47,7 @@
 	Steps     []StepState
 }
 
-// StepState is how far a step of an instance is.
+// StepState is the progress of a step of an instance.
 type StepState struct {
 	_               struct{} `cbor:",toarray"`
 	Ready           bool     // the steps that it depends on are done
@@ -57,7 +57,7 @@
 	TasksLeft       int      // that aren't done
 	GangFailures    int      // failed runs of the gang
 	LastFailedRun   int      // the gang's run that failed last
-	DoneRunsMs      int64    // how long its done runs took together, as if near their data
+	DoneRunsMs      int64    // total duration of its done runs, converted to that near their data
 	DoneRuns        int64    // the number of these runs
 	Tasks           []Task
 }
