--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -4,8 +4,8 @@
 // answers, if the message is of an older term.
 func (n *Node) followLeader(m Message) bool {
 	if m.Term < n.term {
-		// A leader that was paused must learn of the newer term. Without a
-		// stamp, the response says nothing of this member's log.
+		// A leader that was paused must learn of the newer term. The response has
+		// no send stamp, so the leader concludes nothing on this member's log.
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true}, false)
 		return false
 	}
@@ -25,7 +25,7 @@
 // reject, from where it may differ.
 func (n *Node) respondToAppend(m Message, index uint64, reject, afterSync bool) {
 	if m.Kind == MsgAppend && m.SendStamp == 0 && len(m.Entries) == 0 {
-		// See sendCommit.
+		// A commit index alone needs no response; see sendCommit.
 		return
 	}
 	response := Message{
@@ -44,7 +44,7 @@
 		return
 	}
 	if m.Index < n.commitIndex && m.LogTerm != noEntryTerm {
-		// What is committed can't differ, so the append is taken from there on.
+		// Committed entries are the same in both logs, so they are skipped.
 		skip := n.commitIndex - m.Index
 		if uint64(len(m.Entries)) <= skip {
 			n.respondToAppend(m, n.commitIndex, false, n.syncedIndex < n.commitIndex)
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -57,8 +57,8 @@
 }
 
 // NextCommittedEntries returns the committed entries that are to be applied, each
-// of them once. There are none while Ready still has a received snapshot to hand
-// out: they follow the state of that snapshot, and the owner has an older one.
+// of them once. There are none while Ready still has to return a received snapshot:
+// they apply to the state of that snapshot, and the owner has an older one.
 func (n *Node) NextCommittedEntries() []Entry {
 	if n.pending.Snapshot != nil || n.appliedIndex >= n.commitIndex {
 		return nil
--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -47,7 +47,7 @@
 	return ids
 }
 
-// hasQuorum tells whether a majority of each set has granted something.
+// hasQuorum tells whether granted is true for a majority of each set.
 func hasQuorum(sets [][]string, granted func(id string) bool) bool {
 	for _, set := range sets {
 		count := 0
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// clock is the state's clock in ms: it goes on from the newest stamp in the log.
+// clock is the state's clock in ms: it goes on from the newest reading in the log, so
+// that it never runs backwards when the leader changes.
 func (r *Replica) clock(now time.Time) int64 {
 	return r.clockBase + now.Sub(r.leadingSince).Milliseconds()
 }
 
 // wallClock is the wall-clock time in Unix ms: the median of the members' offsets
-// from this leader's steady clock, so that a jump of one machine's clock alone has
-// no effect.
+// from this leader's monotonic clock, so that a jump of one machine's clock alone has
+// no effect. Without a recent reading of another member it goes on from the last
+// offset.
 func (r *Replica) wallClock(now time.Time) int64 {
 	elapsed := now.Sub(r.leadingSince).Milliseconds()
 	offsets := []int64{now.UnixMilli() - elapsed}
@@ -25,9 +27,9 @@
 	return r.wallClockOffset + elapsed
 }
 
-// lowerMedian is the median of some offsets, the lower one of two: to start a run
-// too early breaks a rule, to start it late does not. It sorts its argument, which
-// must not be empty.
+// lowerMedian is the median of some offsets, the lower of two in the middle, since a
+// periodic job may start late but not early. It sorts its argument, which must not be
+// empty.
 func lowerMedian(offsets []int64) int64 {
 	slices.Sort(offsets)
 	return offsets[(len(offsets)-1)/2]
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// startTimer begins to time a cause; the function it returns ends that.
+// startTimer begins to time a part of the loop; the function that it returns ends it.
 func (m *loopMetrics) startTimer(name string) func() {
 	if m == nil {
 		return func() {}
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -9,13 +9,13 @@
 	"tealpond/internal/tuning"
 )
 
-// handleRegisterWorker gives a worker to an agent, under a new fence.
+// handleRegisterWorker registers a worker for an agent, under a new fencing token.
 func (r *Replica) handleRegisterWorker(request *state.RegisterWorker, _ *transport.Stream, reply replyFunc) {
 	r.enqueueCommand(state.CommandRegisterWorker, request, func(outcome state.Outcome, known bool) {
 		if known && outcome.Code == state.CodeOK {
 			if lease := r.leases[request.ID]; lease == nil || lease.expiring {
-				// The lease begins now: no run of an earlier one can be left,
-				// and silence is counted from here.
+				// The new lease begins now, and with it the time from which silence
+				// counts. No run of an earlier lease can be left.
 				r.leases[request.ID] = newWorkerLease(time.Now())
 			}
 			_ = r.log.Log("level", "info", "event", "worker.registered", "worker", request.ID, "node", request.Node, "fence", outcome.Value)
@@ -24,7 +24,7 @@
 	})
 }
 
-// handleSetEligibility takes a worker's draining, ill health or sign-off.
+// handleSetEligibility records whether a worker is draining, unhealthy or signed off.
 func (r *Replica) handleSetEligibility(request *state.SetEligibility, _ *transport.Stream, reply replyFunc) {
 	r.enqueueCommand(state.CommandSetEligibility, request, outcomeReply(reply))
 }
@@ -43,7 +43,8 @@
 	leadTime := r.settings.Bounds.StopGraceMs + tuning.DrainStopLead.Milliseconds()
 	var ids []uint64
 	for _, worker := range r.state.Workers {
-		if worker.Dead || worker.LeaseExpired || !worker.Draining || worker.LeavesAt == 0 || r.clock(now) < worker.LeavesAt-leadTime {
+		leaving := worker.Draining && worker.LeavesAt != 0 && r.clock(now) >= worker.LeavesAt-leadTime
+		if worker.Dead || worker.LeaseExpired || !leaving {
 			continue
 		}
 		for _, allocation := range r.state.AllocationsOn(worker.ID) {
