--- a/internal/bootstrap/model_test.go
+++ b/internal/bootstrap/model_test.go
@@ -78,7 +78,9 @@
 func (m *bootstrapModel) announce(addr string, announcement rpc.BootstrapAnnouncement) (rpc.BootstrapProposal, bool) {
 	seed := m.seeds[addr]
 	if !seed.wipedAt.IsZero() && !m.now.Before(seed.wipedAt) {
-		seed.coordinator, seed.startsAt, seed.wipedAt = Coordinator{MinVoters: seed.coordinator.MinVoters}, m.now.Add(time.Duration(300+m.random.Intn(1500))*time.Millisecond), time.Time{}
+		seed.coordinator = Coordinator{MinVoters: seed.coordinator.MinVoters}
+		seed.startsAt = m.now.Add(time.Duration(300+m.random.Intn(1500)) * time.Millisecond)
+		seed.wipedAt = time.Time{}
 	}
 	if m.now.Before(seed.startsAt) || m.random.Float64() < m.lossRate/2 {
 		return rpc.BootstrapProposal{}, false
@@ -91,13 +93,18 @@
 func (m *bootstrapModel) step(candidate *candidateNode) {
 	if !candidate.killedAt.IsZero() && !m.now.Before(candidate.killedAt) {
 		// What is on its disk stays: its identity, and what it is bound to.
-		candidate.nextAt, candidate.killedAt, candidate.restarted = m.now.Add(time.Duration(300+m.random.Intn(1500))*time.Millisecond), time.Time{}, true
+		candidate.nextAt = m.now.Add(time.Duration(300+m.random.Intn(1500)) * time.Millisecond)
+		candidate.killedAt, candidate.restarted = time.Time{}, true
 		candidate.turns, candidate.selector = 0, SeedSelector{}
 		return
 	}
 	candidate.nextAt = m.now.Add(tuning.BootstrapAnnounceInterval)
 	candidate.turns++
-	announcement := rpc.BootstrapAnnouncement{Voter: candidate.voter, BoundVoters: candidate.bound, NotFirstStart: candidate.restarted && len(candidate.bound) == 0}
+	announcement := rpc.BootstrapAnnouncement{
+		Voter:         candidate.voter,
+		BoundVoters:   candidate.bound,
+		NotFirstStart: candidate.restarted && len(candidate.bound) == 0,
+	}
 	if candidate.member {
 		if candidate.turns < tuning.BootstrapAnnounceRounds && candidate.turns%4 == 1 {
 			for _, addr := range m.addresses {
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -105,7 +105,11 @@
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, sent <-chan transport.Event) {
 		const requests = 16
 		for range requests {
-			c.handle(ctx, clientEvent{request: &pendingRequest{request: rpc.Request{Kind: rpc.KindSetEligibility}, reply: make(chan rpc.Response, 1), deadline: c.now.Add(time.Second)}})
+			c.handle(ctx, clientEvent{request: &pendingRequest{
+				request:  rpc.Request{Kind: rpc.KindSetEligibility},
+				reply:    make(chan rpc.Response, 1),
+				deadline: c.now.Add(time.Second),
+			}})
 		}
 		for range 2 {
 			c.useStream(open(), "l")
@@ -122,18 +126,24 @@
 }
 
 // TestResponsesAreMatchedByStream: a response of an earlier stream that is already
-// queued, one that is doubled, and one to no request reach nobody.
+// queued, a duplicate, and one to no request reach nobody.
 func TestResponsesAreMatchedByStream(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 		old, current := open(), open()
 		c.useStream(old, "l")
 		replies := []chan rpc.Response{make(chan rpc.Response, 1), make(chan rpc.Response, 1)}
 		for _, reply := range replies {
-			c.handle(ctx, clientEvent{request: &pendingRequest{request: rpc.Request{Kind: rpc.KindPutConfig}, reply: reply, deadline: c.now.Add(time.Second)}})
+			c.handle(ctx, clientEvent{request: &pendingRequest{
+				request:  rpc.Request{Kind: rpc.KindPutConfig},
+				reply:    reply,
+				deadline: c.now.Add(time.Second),
+			}})
 		}
 		c.useStream(current, "l")
 		respond := func(stream *transport.Stream, id uint64, value int64) {
-			c.onFrame(ctx, &transport.Event{Stream: stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(rpc.Response{Code: rpc.CodeOK, Value: value})}})
+			body := transport.Encode(rpc.Response{Code: rpc.CodeOK, Value: value})
+			frame := transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: body}
+			c.onFrame(ctx, &transport.Event{Stream: stream, Frame: frame})
 		}
 		respond(old, 1, 66)
 		respond(current, 3, 77)
@@ -174,9 +184,17 @@
 		withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 			c.searching = true
 			c.useStream(open(), "l")
-			c.onFrame(ctx, &transport.Event{Stream: c.stream, Frame: transport.Frame{Kind: rpc.FrameResponse, ID: 99, Body: transport.Encode(rpc.Response{Body: make([]byte, test.largestResponse)})}})
+			body := transport.Encode(rpc.Response{Body: make([]byte, test.largestResponse)})
+			frame := transport.Frame{Kind: rpc.FrameResponse, ID: 99, Body: body}
+			c.onFrame(ctx, &transport.Event{Stream: c.stream, Frame: frame})
 			for _, request := range test.requests {
-				c.handle(ctx, clientEvent{request: &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: c.now.Add(time.Minute), leaderlessBy: c.now.Add(time.Minute), noLeaderBy: c.now.Add(time.Minute)}})
+				c.handle(ctx, clientEvent{request: &pendingRequest{
+					request:      request,
+					reply:        make(chan rpc.Response, 1),
+					deadline:     c.now.Add(time.Minute),
+					leaderlessBy: c.now.Add(time.Minute),
+					noLeaderBy:   c.now.Add(time.Minute),
+				}})
 			}
 			c.tick(ctx, c.now.Add(test.after))
 			if disconnected := c.stream == nil; disconnected != test.disconnects {
--- a/internal/server/configuration_test.go
+++ b/internal/server/configuration_test.go
@@ -31,11 +31,14 @@
 	if outcome := (&state.ReplaceConfiguration{Raw: raw}).Apply(replica.state); outcome.Code != state.CodeOK {
 		t.Fatal(outcome)
 	}
-	if response := responseTo((*Replica).handleGetConfig, replica); response.Code != rpc.CodeOK || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
+	response := responseTo((*Replica).handleGetConfig, replica)
+	if response.Code != rpc.CodeOK || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("read: %+v", response)
 	}
 	var limits clusterconfig.Limits
-	if response := responseTo((*Replica).handleGetLimits, replica); response.Code != rpc.CodeOK || transport.Decode(response.Body, &limits) != nil || limits.MaxBodyBytes != 99 || response.Value != 7 || response.ConfigVersion != 7 {
+	response = responseTo((*Replica).handleGetLimits, replica)
+	decoded := transport.Decode(response.Body, &limits) == nil && limits.MaxBodyBytes == 99
+	if response.Code != rpc.CodeOK || !decoded || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("limits: %+v, %+v", response, limits)
 	}
 }
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -211,11 +211,15 @@
 		}
 		h.handleEvents()
 		writes := h.endTurn()
-		if h.replica.latestSnapshot == nil || h.replica.latestSnapshot.Index != tuning.SnapshotInterval || h.replica.digests.own[tuning.SnapshotInterval] != state.SnapshotDigest(h.replica.latestSnapshot.Data) {
-			t.Fatalf("the snapshot: %v", h.replica.latestSnapshot)
+		snapshot := h.replica.latestSnapshot
+		if snapshot == nil || snapshot.Index != tuning.SnapshotInterval ||
+			h.replica.digests.own[tuning.SnapshotInterval] != state.SnapshotDigest(snapshot.Data) {
+			t.Fatalf("the snapshot: %v", snapshot)
 		}
-		store, err := state.DecodeSnapshot(h.replica.latestSnapshot.Data, state.Limits{})
-		if err != nil || store.BindSnapshotIndex(tuning.SnapshotInterval) != nil || store.Aggregators["z"].Revision != 1 || store.Aggregators["late"].Revision != 0 || h.replica.state.Aggregators["late"].Revision != 1 {
+		store, err := state.DecodeSnapshot(snapshot.Data, state.Limits{})
+		if err != nil || store.BindSnapshotIndex(tuning.SnapshotInterval) != nil ||
+			store.Aggregators["z"].Revision != 1 || store.Aggregators["late"].Revision != 0 ||
+			h.replica.state.Aggregators["late"].Revision != 1 {
 			t.Errorf("it holds what came after it: %v", err)
 		}
 		if len(writes) != 1 || writes[0].LocalSnapshot != h.replica.latestSnapshot {
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -98,7 +98,8 @@
 		t.Error("its own chunk is not expected")
 	}
 	var none *snapshotReceiver
-	if none.expects(chunk(9, 2, 100)) || receiver.expects(chunk(10, 2, 100)) || receiver.expects(chunk(9, 3, 100)) || receiver.expects(chunk(9, 2, 101)) {
+	if none.expects(chunk(9, 2, 100)) ||
+		receiver.expects(chunk(10, 2, 100)) || receiver.expects(chunk(9, 3, 100)) || receiver.expects(chunk(9, 2, 101)) {
 		t.Error("another chunk is expected")
 	}
 	if have, complete := receiver.add(snapshotChunk{Offset: 50, Data: make([]byte, 50)}); have != 0 || complete {
@@ -116,8 +117,14 @@
 		give := func(to string, offset, end int) {
 			withoutData := *snapshot
 			withoutData.Data = nil
-			h.replica.handleEvent(t.Context(), loopEvent{transport: &transport.Event{Frame: transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(snapshotChunk{
-				raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &withoutData}, len(data), offset, data[offset:end]})}}})
+			chunk := snapshotChunk{
+				Message: raft.Message{Kind: raft.MsgSnapshot, From: "b", To: to, Term: 3, Snapshot: &withoutData},
+				Total:   len(data),
+				Offset:  offset,
+				Data:    data[offset:end],
+			}
+			frame := transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}
+			h.replica.handleEvent(t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 			h.endTurn()
 		}
 		half := len(data) / 2
