--- a/internal/federation/offers.go
+++ b/internal/federation/offers.go
@@ -58,7 +58,12 @@
 		return lent, lent.remainingMilliCPU > -maxWaitingJobs*max(milliCPU, 1)
 	}
 	id := fmt.Sprintf("%s/%s/%d", o.settings.Name, work.Epoch, work.Index)
-	response, ok := o.call(ctx, peer, Call{Kind: CallLoan, Loan: id, MilliCPU: max(milliCPU, 1), DurationMs: int64(o.settings.LoanS * 1000)})
+	response, ok := o.call(ctx, peer, Call{
+		Kind:       CallLoan,
+		Loan:       id,
+		MilliCPU:   max(milliCPU, 1),
+		DurationMs: int64(o.settings.LoanS * msPerSecond),
+	})
 	if !ok || response.Status != StatusLent {
 		o.backoffUntil = time.Now().Add(seconds(o.settings.BucketS) / loanRetriesPerBucket)
 		_ = o.log.Log("level", "info", "event", "loan.refused", "peer", peer, "status", response.Status)
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -13,7 +13,7 @@
 	"tealpond/internal/transport"
 )
 
-// eventLog is a log that hands out the event of each line.
+// eventLog is a log that passes on the event of each line.
 type eventLog chan string
 
 func (e eventLog) Log(kv ...any) error {
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -27,6 +27,8 @@
 	bucketLeafFlag        = 0x01
 	minPageSize           = 1 << 10
 	maxPageSize           = 1 << 24
+	metaPages             = 2 // the first pages of a file; no tree refers to them
+	pageIDSize            = 8
 	initialPages          = 4 // of a new file
 	initialPageSize       = 4 << 10
 	maxBucketDepth        = 4 // the layout of this package needs 3
--- a/internal/storage/page_walker.go
+++ b/internal/storage/page_walker.go
@@ -6,6 +6,9 @@
 	"io"
 )
 
+// bitsPerWord is the number of pages that one element of pageWalker.visited stands for.
+const bitsPerWord = 64
+
 // pageWalker walks a bbolt file without bbolt. It exists because bbolt trusts the
 // pages that it maps: on a corrupt file it panics, at times in a goroutine of its
 // own where no caller can recover, or walks a cycle for ever, and a file that is too
@@ -28,7 +31,7 @@
 	if meta.highWaterMark > uint64(size/meta.pageSize) {
 		return meta, corrupt("meta", "%d pages in use, room for %d", meta.highWaterMark, size/meta.pageSize)
 	}
-	w := &pageWalker{reader: reader, meta: meta, visited: make([]uint64, meta.highWaterMark/64+1), visit: visit}
+	w := &pageWalker{reader: reader, meta: meta, visited: make([]uint64, meta.highWaterMark/bitsPerWord+1), visit: visit}
 	if err := w.walkBucket("", meta.root, 0); err != nil {
 		return meta, err
 	}
@@ -36,10 +39,12 @@
 }
 
 // isVisited tells whether a page was reached before.
-func (w *pageWalker) isVisited(id uint64) bool { return w.visited[id/64]&(1<<(id%64)) != 0 }
+func (w *pageWalker) isVisited(id uint64) bool {
+	return w.visited[id/bitsPerWord]&(1<<(id%bitsPerWord)) != 0
+}
 
 // markVisited takes note that a page was reached.
-func (w *pageWalker) markVisited(id uint64) { w.visited[id/64] |= 1 << (id % 64) }
+func (w *pageWalker) markVisited(id uint64) { w.visited[id/bitsPerWord] |= 1 << (id % bitsPerWord) }
 
 // checkFreelist checks the list of free pages. Only files that were written with
 // other options have one; bbolt would trust it, and overwrite what it names.
@@ -56,15 +61,15 @@
 		return corrupt("page", "%d is no list of free pages", w.meta.freelist)
 	}
 	ids, count := p[pageHeaderSize:], uint64(p.count())
-	if count == freelistCountOverflow && len(ids) >= 8 {
-		count, ids = order.Uint64(ids), ids[8:]
+	if count == freelistCountOverflow && len(ids) >= pageIDSize {
+		count, ids = order.Uint64(ids), ids[pageIDSize:]
 	}
-	if count > uint64(len(ids)/8) {
+	if count > uint64(len(ids)/pageIDSize) {
 		return corrupt("page", "%d free pages don't fit", count)
 	}
 	for i := range count {
-		id := order.Uint64(ids[8*i:])
-		if id < 2 || id >= w.meta.highWaterMark || w.isVisited(id) {
+		id := order.Uint64(ids[pageIDSize*i:])
+		if id < metaPages || id >= w.meta.highWaterMark || w.isVisited(id) {
 			return corrupt("page", "%d is in use and free", id)
 		}
 		w.markVisited(id)
@@ -74,7 +79,7 @@
 
 // readPage reads one page with its overflow pages and marks them as visited.
 func (w *pageWalker) readPage(id uint64) (page, error) {
-	if id < 2 || id >= w.meta.highWaterMark {
+	if id < metaPages || id >= w.meta.highWaterMark {
 		return nil, corrupt("page", "%d of %d", id, w.meta.highWaterMark)
 	}
 	header := make(page, pageHeaderSize)
