--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -167,7 +167,7 @@
 	if store, _, _, err := fs.open(dir); err == nil || store != nil || synced != 2 {
 		t.Fatalf("the second attempt used a name that is not durable: %v, %d syncs", err, synced)
 	}
-	if _, recovered := reopen(t, nil, dir); !recovered.NewIdentity && recovered.ID == "" {
+	if _, recovered := reopen(t, nil, dir); recovered.NewIdentity || recovered.ID == "" {
 		t.Fatalf("%+v", recovered)
 	}
 }
