--- a/internal/simulation/upgrade_write_test.go
+++ b/internal/simulation/upgrade_write_test.go
@@ -133,12 +133,7 @@
 		}
 		source := pair.source
 		time.Sleep(3 * time.Second)
-		for _, change := range []struct{ version, base, code int }{{2, 1, 200}, {5, 2, 200}, {6, 2, 412}, {90, 60, 412}, {7, 5, 200}} {
-			more := slowRoute + routeJSON(fmt.Sprint("v", change.version))
-			if code := source.PutConfiguration("a-edge-2", change.version, change.base, more); code != change.code {
-				t.Fatalf("configuration %d on %d: %d, want %d", change.version, change.base, code, change.code)
-			}
-		}
+		sendConfigurations(source)
 		pair.recordDemand(firstRecords[0])
 		pair.submitAll([]upgradeJob{canceledJob()}, time.Second)
 		if code := source.CancelJob("a-edge-1", canceledJob().id); code != 200 {
@@ -177,6 +172,17 @@
 	})
 }
 
+// sendConfigurations sends configurations of which some are accepted and some refused.
+func sendConfigurations(c *Cluster) {
+	c.T.Helper()
+	for _, change := range []struct{ version, base, code int }{{2, 1, 200}, {5, 2, 200}, {6, 2, 412}, {90, 60, 412}, {7, 5, 200}} {
+		more := slowRoute + routeJSON(fmt.Sprint("v", change.version))
+		if code := c.PutConfiguration("a-edge-2", change.version, change.base, more); code != change.code {
+			c.T.Fatalf("configuration %d on %d: %d, want %d", change.version, change.base, code, change.code)
+		}
+	}
+}
+
 // onceLogged gives a channel that is closed at the first line of a log that holds
 // a mark.
 func (c *Cluster) onceLogged(mark string) <-chan struct{} {
