--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -121,6 +121,12 @@
 	c.lastVersion.Store(1)
 	c.addNodes(spec)
 	c.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Host(c.hostIP(clientHost)).DialContext}}
+	c.startAll()
+	return c
+}
+
+// startAll starts all nodes and the heartbeats of the runners.
+func (c *Cluster) startAll() {
 	for _, name := range c.nodeNames("") {
 		c.Start(name)
 	}
@@ -129,7 +135,6 @@
 	for name := range c.Runners {
 		go c.sendHeartbeats(ctx, name)
 	}
-	return c
 }
 
 // addNodes adds the nodes of a new cluster and its runners.
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"compress/gzip"
-	"context"
 	"flag"
 	"fmt"
 	"io"
@@ -79,18 +78,6 @@
 	}
 }
 
-// startAll starts all machines and the heartbeats of the runners.
-func (c *Cluster) startAll() {
-	for _, name := range c.nodeNames("") {
-		c.Start(name)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	c.stopHeartbeats = stop
-	for name := range c.Runners {
-		go c.sendHeartbeats(ctx, name)
-	}
-}
-
 // TestUpgrade opens data folders that earlier programs wrote: all tables hold
 // what they held, and the daemons go on from there. Accepted jobs end as they
 // must, each task done once; new jobs and configurations are accepted.
