--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,53 +16,51 @@
 	"tealpond/internal/tuning"
 )
 
-// event is an input of the side daemon's loop.
+// event is an input of the agent's loop; one field is set.
 type event struct {
 	heartbeat  *heartbeatRequest
 	signOff    *signOffRequest
 	assignment *rpc.Assignment
-	renew      bool
+	renew      bool // a new connection to the leader: the lease is renewed at once
 	callback   func()
 }
 
-// heartbeatRequest is a heartbeat with the channel for its answer.
+// heartbeatRequest is a heartbeat with the channel for the status of its answer.
 type heartbeatRequest struct {
-	id        string
+	id        string // the runner's incarnation
 	heartbeat protocol.Heartbeat
 	status    chan int
 }
 
-// signOffRequest is a sign-off with the channel for its answer.
+// signOffRequest is a sign-off with the channel for the status of its answer.
 type signOffRequest struct {
-	id     string
+	id     string // the runner's incarnation
 	status chan int
 }
 
-// Agent is the plug's state; only its loop touches it.
+// Agent is the side role. Its loop alone touches what it knows of the runner.
 type Agent struct {
-	settings      settings.File
-	log           log.Logger
-	process       string
-	events        chan event
-	discovery     *discovery.Client
-	runner        RunnerClient
-	callLeader    func(x context.Context, kind string, body any) rpc.Response // asks the leader
-	trace         *tracing.Ring
-	session       *runnerSession
-	signOff       map[string]time.Time // lives that signed off, and when they leave
-	over          map[string]bool      // lives that are over for the state or the runner
-	callsInFlight int
-	appliedIndex  uint64 // the newest state that an answer spoke of
-	ctx           context.Context
-	now           time.Time
+	settings          settings.File
+	log               log.Logger
+	reload            <-chan settings.File
+	process           string // this process: each start of the daemon has another
+	events            chan event
+	discovery         *discovery.Client
+	runner            RunnerClient
+	callLeader        func(ctx context.Context, kind string, body any) rpc.Response
+	trace             *tracing.Ring
+	session           *runnerSession       // of the present incarnation; nil: no heartbeat was heard yet
+	signedOff         map[string]time.Time // incarnations that signed off, and when they leave
+	endedIncarnations map[string]bool      // those that are over for the state or the runner
+	callsInFlight     int                  // to the runner, about its runs
+	appliedIndex      uint64               // the newest state that a response spoke of
+	ctx               context.Context      // of Run
+	now               time.Time            // of the present turn of the loop
 }
 
-// runKey names one run of a task.
-func runKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
-
-// newAgent builds a side daemon that turns to the leader through a seeker.
-func newAgent(env daemon.Environment, runner RunnerClient) *Agent {
-	a := &Agent{settings: env.Settings, log: env.Log, process: env.Incarnation, events: make(chan event, 1024), runner: runner, trace: env.Trace}
+// New builds the side role over a way to call its runner.
+func New(env daemon.Environment, runner RunnerClient) *Agent {
+	a := &Agent{settings: env.Settings, log: env.Log, reload: env.Reload, process: env.Incarnation, events: make(chan event, 1024), runner: runner, trace: env.Trace}
 	a.discovery = discovery.NewClient(discovery.Options{Seeds: env.Settings.SeedAddresses(), PreferAggregator: true,
 		OnAssignment: func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
 		OnConnected:  func() { go func() { a.events <- event{renew: true} }() }})
@@ -70,7 +68,10 @@
 	return a
 }
 
-// post runs f in the loop; f tells what came of a call.
+// runKey names one run of a task.
+func runKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
+
+// post has a function called by the loop, with what came of a call.
 func (a *Agent) post(callback func()) {
 	select {
 	case a.events <- event{callback: callback}:
@@ -78,7 +79,7 @@
 	}
 }
 
-// handle handles one input of the loop.
+// handle takes one input of the loop.
 func (a *Agent) handle(e event) {
 	a.now = time.Now()
 	switch {
@@ -97,7 +98,8 @@
 	}
 }
 
-// requestLeader carries an ask to the leader and brings the answer into the loop.
+// requestLeader sends a request to the leader and brings the response into the
+// loop.
 func (a *Agent) requestLeader(kind string, body any, timeout time.Duration, onResponse func(rpc.Response)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, timeout)
@@ -110,7 +112,8 @@
 	}()
 }
 
-// advance brings everything on that is due; it returns when to come back.
+// advance does all that is due and gives the time until more is; 0: only an
+// input brings more.
 func (a *Agent) advance(now time.Time) time.Duration {
 	a.now = now
 	session := a.session
@@ -124,30 +127,20 @@
 		return tuning.LeaseRenewInterval
 	}
 	wake := tuning.LeaseRenewInterval
-	if !session.renewingLease && (session.lastRenewalAt.IsZero() || now.Sub(session.lastRenewalAt) >= tuning.LeaseRenewInterval) {
-		a.renewLease(session)
-	} else if !session.renewingLease {
-		wake = min(wake, max(tuning.LeaseRenewInterval-now.Sub(session.lastRenewalAt), time.Millisecond))
-	}
-	if session.fence == 0 {
-		return wake
-	}
-	if delay := a.poll(session); delay > 0 && delay < wake {
-		wake = delay
-	}
-	if delay := a.superviseHealth(session); delay > 0 && delay < wake {
-		wake = delay
+	atLatest := func(delay time.Duration) {
+		if delay > 0 {
+			wake = min(wake, delay)
+		}
 	}
+	atLatest(a.renewLeaseIfDue(session))
+	atLatest(a.poll(session))
+	atLatest(a.superviseHealth(session))
 	for _, run := range session.runs {
-		if delay := a.reportDeclared(session, run); delay > 0 && delay < wake {
-			wake = delay
-		}
+		atLatest(a.reportDeclared(session, run))
 	}
-	if session.listed && !a.runnerSilent(session) {
-		for key, run := range session.runs {
-			if delay := a.advanceRun(session, key, run); delay > 0 && delay < wake {
-				wake = delay
-			}
+	if session.listed && !session.silent(now) {
+		for _, run := range session.runs {
+			atLatest(a.advanceRun(session, run))
 		}
 	}
 	return wake
--- a/internal/agent/call_policy.go
+++ b/internal/agent/call_policy.go
@@ -7,19 +7,18 @@
 	pathKeepAlive = "/-/hold"
 )
 
-// callPolicy says what may be done when a call to the runner brought no answer:
-// it may have been carried out, or may be seconds later, after newer ones.
+// callPolicy says what may be done after a call to the runner brought no answer:
+// it may have been carried out, or may be seconds later, after newer calls.
 type callPolicy struct {
-	// Retryable: the same call may be made again at once. Otherwise the
-	// lists are read first, by a look begun after the silence, and the call is
-	// made again only if they don't settle the matter.
+	// Retryable: the same call may be made again at once. Otherwise the lists
+	// are read first, by a poll sent after the call, and the call is made again
+	// only if they don't settle the matter.
 	Retryable bool
-	// Reason it is so, and what makes a late one harmless.
+	// Reason is why that is so, and what makes a late call harmless.
 	Reason string
 }
 
-// callPolicies declares each call that is made to a runner. The HTTP client never
-// makes one twice by itself.
+// callPolicies holds the policy of each call that is made to a runner.
 var callPolicies = map[string]callPolicy{
 	pathStart: {false, "the run may be there, or over; the same run is not started twice there, a late start is turned away " +
 		"once the run ended, was stopped, its untilMs is past, or a higher fence was seen"},
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -1,7 +1,8 @@
 package agent
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"tealpond/internal/protocol"
@@ -10,26 +11,28 @@
 	"tealpond/internal/tuning"
 )
 
-// completedRun is a run that is over here: its end as listed, or, with N = 0, as
-// this daemon told it.
+// completedRun is a run that has ended: its completion as the runner listed it or,
+// with sequence 0, as this daemon declared it.
 type completedRun struct {
 	completion protocol.Completion
 	notedAt    time.Time
-	reporting  bool // it is being told again
+	reporting  bool // it is being reported again
 }
 
-// reportCompletions has ends committed before they are acknowledged to the runner;
-// first tells that they begin the runner's list.
+// reportCompletions has completions committed, before they are acknowledged to the
+// runner, and checkpoints with them; startsList tells that the completions begin
+// the runner's list.
 func (a *Agent) reportCompletions(session *runnerSession, completions []protocol.Completion, startsList bool, checkpoints []protocol.RunProgress) {
 	fence, committedBefore := session.fence, session.committedSequence
 	if len(completions) > 0 {
 		session.reportsInFlight++
 	}
-	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: completions, FromOldest: startsList, Checkpoints: checkpoints}, 20*time.Second, func(response rpc.Response) {
+	command := &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: completions, FromOldest: startsList, Checkpoints: checkpoints}
+	a.requestLeader(rpc.KindReportCompletions, command, reportTimeout, func(response rpc.Response) {
 		if a.session != session {
 			return
 		}
-		if response.Code == 200 {
+		if response.Code == rpc.CodeOK {
 			a.noteCommitted(session, response, committedBefore, fence)
 		}
 		if fence != session.fence {
@@ -38,32 +41,34 @@
 		if len(completions) > 0 {
 			session.reportsInFlight--
 		}
-		if response.Code == 409 {
+		if response.Code == rpc.CodeConflict {
 			a.registerRunner(session)
 		}
-		if response.Code == 200 && len(completions) > 0 && response.Value < completions[len(completions)-1].Sequence {
-			// Why at once: an earlier end was lost on its way, and jobs wait.
+		if response.Code == rpc.CodeOK && len(completions) > 0 && response.Value < completions[len(completions)-1].Sequence {
+			// An earlier report was lost on its way. It is sent again at once,
+			// since jobs wait for it.
 			if missing := session.unacknowledged(); len(missing) > 0 && missing[0].Sequence == session.committedSequence+1 {
 				a.reportCompletions(session, missing, false, nil)
 			}
 		}
 		if session.reportsInFlight == 0 {
-			// Why read again: what is on its way no more, and not committed,
-			// is still in the runner's list.
+			// What is no longer being reported, and not committed, is still in
+			// the runner's list and is read again.
 			session.readSequence = session.committedSequence
 		}
 	})
 }
 
-// noteCommitted takes note of the prefix of ends that the state holds: never the
-// top of what was told, since what was told before may be lost.
+// noteCommitted takes note of the prefix of completions that the state holds. It
+// goes by the response, never by the last one reported, since earlier ones may be
+// lost.
 func (a *Agent) noteCommitted(session *runnerSession, response rpc.Response, committedBefore, fence int64) {
 	if response.Text != "" {
-		_ = a.log.Log("level", "error", "event", "ends.fault", "runner", session.id, "fence", fence, "why", response.Text)
+		_ = a.log.Log("level", "error", "event", "completions.mismatched", "worker", session.id, "fence", fence, "error", response.Text)
 	}
 	if response.Value < committedBefore {
-		_ = a.log.Log("level", "error", "event", "ends.fault", "runner", session.id, "fence", fence,
-			"why", "the state holds fewer ends than it said before", "held", response.Value, "acknowledged", committedBefore)
+		_ = a.log.Log("level", "error", "event", "completions.mismatched", "worker", session.id, "fence", fence,
+			"error", "the state holds fewer completions than it said before", "held", response.Value, "acknowledged", committedBefore)
 	}
 	if response.Value <= session.committedSequence {
 		return
@@ -76,79 +81,82 @@
 	session.committedSequence = response.Value
 }
 
-// unacknowledged are the ends that were read and aren't known to be committed.
-func (session *runnerSession) unacknowledged() []protocol.Completion {
+// unacknowledged are the completions that were read and aren't known to be
+// committed, in the order of their sequence.
+func (s *runnerSession) unacknowledged() []protocol.Completion {
 	var completions []protocol.Completion
-	for _, done := range session.completed {
-		if done.completion.Sequence > session.committedSequence {
+	for _, done := range s.completed {
+		if done.completion.Sequence > s.committedSequence {
 			completions = append(completions, done.completion)
 		}
 	}
-	sort.Slice(completions, func(a, b int) bool { return completions[a].Sequence < completions[b].Sequence })
+	slices.SortFunc(completions, func(a, b protocol.Completion) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	return completions
 }
 
-// reportAgain answers an order of a run that is over: an order says that the
-// state holds it as open. Mostly the two only crossed; if not, it closes it.
+// reportAgain reports a completion once more, after an assignment of its run: the
+// state seems to hold the run as open. Mostly the two only crossed on their way;
+// if not, the report closes the run.
 func (a *Agent) reportAgain(session *runnerSession, done *completedRun) {
 	if done.completion.Sequence > session.committedSequence || done.reporting {
-		// Why not: it is on its way, or will be once it is listed again.
+		// It is being reported, or will be once it is listed again.
 		return
 	}
 	done.reporting = true
 	fence, committedBefore := session.fence, session.committedSequence
-	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{done.completion}}, 20*time.Second, func(response rpc.Response) {
+	command := &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{done.completion}}
+	a.requestLeader(rpc.KindReportCompletions, command, reportTimeout, func(response rpc.Response) {
 		done.reporting = false
 		if a.session != session {
 			return
 		}
 		switch {
-		case response.Code == 200:
+		case response.Code == rpc.CodeOK:
 			a.noteCommitted(session, response, committedBefore, fence)
 		case fence != session.fence:
-			// Why no more: under a new fence all is ordered anew.
-		case response.Code == 409:
+			// Under a new fence all is assigned anew.
+		case response.Code == rpc.CodeConflict:
 			a.registerRunner(session)
-		case response.Code != 410:
+		case response.Code != rpc.CodeGone:
 			a.reportAgain(session, done)
 		}
 	})
 }
 
-// remember notes that a run is over; old ones are forgotten once the state
-// holds their ends: it then orders them no more.
-func (session *runnerSession) remember(completion protocol.Completion, now time.Time) {
-	if session.completed == nil {
-		session.completed = map[string]*completedRun{}
+// remember takes note of a completion. Old ones are forgotten once the state holds
+// them, since it assigns their runs no more.
+func (s *runnerSession) remember(completion protocol.Completion, now time.Time) {
+	if s.completed == nil {
+		s.completed = map[string]*completedRun{}
 	}
 	key := runKey(completion.Task, completion.Run)
-	if done := session.completed[key]; done != nil {
+	if done := s.completed[key]; done != nil {
 		if completion.Sequence > done.completion.Sequence {
-			// Why the listed one: it says how the run ended.
+			// The listed completion says how the run ended.
 			done.completion = completion
 		}
 		return
 	}
-	if len(session.completed) >= tuning.MaxCompletedRunsKept {
-		for otherKey, done := range session.completed {
-			if now.Sub(done.notedAt) > tuning.CompletedRunRetention && done.completion.Sequence <= session.committedSequence {
-				delete(session.completed, otherKey)
+	if len(s.completed) >= tuning.MaxCompletedRunsKept {
+		for otherKey, done := range s.completed {
+			if now.Sub(done.notedAt) > tuning.CompletedRunRetention && done.completion.Sequence <= s.committedSequence {
+				delete(s.completed, otherKey)
 			}
 		}
 	}
-	session.completed[key] = &completedRun{completion: completion, notedAt: now}
+	s.completed[key] = &completedRun{completion: completion, notedAt: now}
 }
 
-// declareResult has a run closed that the lists will never name. What was told once
-// holds: the run is never started again under this fence, since a command that
-// brought no answer may be committed at any later time.
+// declareResult has a run closed that the runner's lists will never name. It is
+// final: the run is never started again under this fence, since a report that
+// brought no response may be committed at any later time.
 func (a *Agent) declareResult(session *runnerSession, run *taskRun, result string) {
 	run.declaredResult = result
 	a.reportDeclared(session, run)
 }
 
-// reportDeclared has a run's verdict committed, again until an answer says that
-// it is; it returns when to come back.
+// reportDeclared has a run's declared result committed, again until a response
+// says that it is; it gives the time until it is to be called again, or 0.
 func (a *Agent) reportDeclared(session *runnerSession, run *taskRun) time.Duration {
 	if run.declaredResult == "" || run.reporting {
 		return 0
@@ -159,18 +167,19 @@
 	run.reporting = true
 	fence, committedBefore, key := session.fence, session.committedSequence, runKey(run.assignment.Task, run.assignment.Run)
 	completion := protocol.Completion{Task: run.assignment.Task, Run: run.assignment.Run, Result: run.declaredResult}
-	a.requestLeader(rpc.KindReportCompletions, &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{completion}}, 20*time.Second, func(response rpc.Response) {
+	command := &state.ReportCompletions{Worker: session.id, Fence: fence, Completions: []protocol.Completion{completion}}
+	a.requestLeader(rpc.KindReportCompletions, command, reportTimeout, func(response rpc.Response) {
 		run.reporting = false
 		run.notBefore = a.now.Add(tuning.LeaseRenewInterval)
 		if a.session != session || session.runs[key] != run {
 			return
 		}
 		switch response.Code {
-		case 200:
+		case rpc.CodeOK:
 			a.noteCommitted(session, response, committedBefore, fence)
 			session.remember(completion, a.now)
 			delete(session.runs, key)
-		case 409:
+		case rpc.CodeConflict:
 			a.registerRunner(session)
 		}
 	})
--- /dev/null
+++ b/internal/agent/health.go
@@ -0,0 +1,61 @@
+package agent
+
+import (
+	"time"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/tuning"
+)
+
+// superviseHealth tells the leader when the runner becomes unhealthy or healthy
+// again, and closes what a silent runner can no longer be running; it gives the
+// time until it is to be called again, or 0.
+func (a *Agent) superviseHealth(session *runnerSession) time.Duration {
+	silent := session.silent(a.now)
+	unhealthy := silent || a.now.Sub(session.lastStuckAt) < tuning.StalledRunnerExclusion
+	if unhealthy != session.reportedUnhealthy && !session.reportingHealth {
+		a.reportHealth(session, unhealthy, silent)
+	}
+	switch {
+	case silent:
+		a.closeRunsOfSilentRunner(session)
+		return silentPause
+	case session.reportedUnhealthy:
+		return unhealthyPause
+	}
+	return 0
+}
+
+// reportHealth tells the leader whether the runner is unhealthy: it is assigned
+// nothing while it is.
+func (a *Agent) reportHealth(session *runnerSession, unhealthy, silent bool) {
+	session.reportingHealth = true
+	_ = a.log.Log("level", "warn", "event", "runner.health_changed", "worker", session.id, "unhealthy", unhealthy, "silent", silent)
+	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: session.drainingCommitted, LeavesInMs: a.leavesInMs(session), Unhealthy: unhealthy}, healthTimeout, func(response rpc.Response) {
+		session.reportingHealth = false
+		if response.Code == rpc.CodeOK {
+			session.reportedUnhealthy = unhealthy
+		}
+	})
+}
+
+// closeRunsOfSilentRunner declares the results of runs that surely never started
+// or whose lease has surely expired.
+func (a *Agent) closeRunsOfSilentRunner(session *runnerSession) {
+	expired := session.leasesExpired(a.now)
+	for _, run := range session.runs {
+		if run.declaredResult != "" || run.callInFlight && !expired {
+			continue
+		}
+		switch {
+		case run.attempts == 0 && run.phase == runPending && session.listed:
+			// Before the lists were read, it may have been started under
+			// another fence.
+			a.declareResult(session, run, protocol.ResultRefused)
+		case expired:
+			a.declareResult(session, run, protocol.ResultLapsed)
+		}
+	}
+}
--- /dev/null
+++ b/internal/agent/heartbeats.go
@@ -0,0 +1,142 @@
+package agent
+
+import (
+	"net/http"
+	"time"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+)
+
+// handleHeartbeat takes a heartbeat; a new id is a new incarnation of the runner.
+func (a *Agent) handleHeartbeat(request *heartbeatRequest) {
+	session := a.session
+	if a.endedIncarnations[request.id] && session != nil && session.id != request.id {
+		// It came late. A new session for it would end the one of the present
+		// incarnation, with its lease and what is known of its runs.
+		request.status <- http.StatusOK
+		return
+	}
+	if session == nil || session.id != request.id {
+		a.startSession(request)
+		return
+	}
+	if request.heartbeat.Sequence < session.heartbeatSequence {
+		// It is acknowledged all the same: it was heard, only later than a
+		// newer one.
+		request.status <- http.StatusOK
+		return
+	}
+	session.heartbeatSequence = request.heartbeat.Sequence
+	session.heartbeat = request.heartbeat
+	draining := a.isLeaving(session)
+	session.noteClock(request.heartbeat.ClockMs, a.now)
+	if session.fence == 0 || session.registering {
+		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{draining, request.status})
+		return
+	}
+	if draining && !session.drainingCommitted {
+		a.commitDraining(session, request.status)
+		return
+	}
+	request.status <- http.StatusOK
+}
+
+// startSession begins a session for a new incarnation, in place of the present
+// one; its heartbeat is answered once it is registered.
+func (a *Agent) startSession(request *heartbeatRequest) {
+	_ = a.log.Log("level", "info", "event", "runner.detected", "worker", request.id)
+	session := &runnerSession{id: request.id, heartbeat: request.heartbeat, heartbeatSequence: request.heartbeat.Sequence, runs: map[string]*taskRun{}}
+	if a.session != nil && a.session.fence > 0 {
+		session.previousID = a.session.id
+	}
+	a.session = session
+	session.noteClock(request.heartbeat.ClockMs, a.now)
+	session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{a.isLeaving(session), request.status})
+	a.registerRunner(session)
+}
+
+// isLeaving tells whether the runner said that it leaves: by a heartbeat or by
+// its sign-off, after which some go on to say that they are ready.
+func (a *Agent) isLeaving(session *runnerSession) bool {
+	_, signedOff := a.signedOff[session.id]
+	return signedOff || session.heartbeat.State == protocol.RunnerDraining
+}
+
+// leavesInMs is the least time until the runner leaves, or -1 if that is not
+// known.
+func (a *Agent) leavesInMs(session *runnerSession) int64 {
+	if leavesAt, signedOff := a.signedOff[session.id]; signedOff {
+		return max(0, leavesAt.Sub(a.now).Milliseconds())
+	}
+	if session.heartbeat.LeavesInMs == nil {
+		return -1
+	}
+	return *session.heartbeat.LeavesInMs
+}
+
+// answerPendingHeartbeats answers what waited for the registration.
+func (a *Agent) answerPendingHeartbeats(session *runnerSession, status int) {
+	for _, pending := range session.pendingHeartbeats {
+		if status == http.StatusOK && pending.draining && !session.drainingCommitted {
+			a.commitDraining(session, pending.status)
+			continue
+		}
+		pending.status <- status
+	}
+	session.pendingHeartbeats = nil
+}
+
+// commitDraining has the runner's draining committed, and then acknowledges it.
+func (a *Agent) commitDraining(session *runnerSession, status chan int) {
+	_ = a.log.Log("level", "info", "event", "runner.draining_announced", "worker", session.id, "leaves_in_ms", a.leavesInMs(session), "clock_ms", session.heartbeat.ClockMs)
+	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: session.id, Draining: true, LeavesInMs: a.leavesInMs(session), Unhealthy: session.reportedUnhealthy}, eligibilityTimeout, func(response rpc.Response) {
+		if response.Code == rpc.CodeOK {
+			session.drainingCommitted = true
+			status <- http.StatusOK
+			return
+		}
+		status <- http.StatusServiceUnavailable
+	})
+}
+
+// handleSignOff takes a sign-off, which is acknowledged once it is committed.
+func (a *Agent) handleSignOff(request *signOffRequest) {
+	session := a.session
+	if session == nil || session.id != request.id {
+		// It is committed all the same: this daemon may have been restarted, and
+		// the state may know that incarnation from the process before.
+		session = &runnerSession{id: request.id}
+	}
+	a.noteSignOff(session)
+	if session == a.session && !session.superseded && (session.fence == 0 || session.registering) {
+		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{true, request.status})
+		return
+	}
+	a.requestLeader(rpc.KindSetEligibility, &state.SetEligibility{ID: request.id, Draining: true, LeavesInMs: a.leavesInMs(session), Leaving: true, Unhealthy: session.reportedUnhealthy}, eligibilityTimeout, func(response rpc.Response) {
+		if response.Code == rpc.CodeOK || response.Code == rpc.CodeGone {
+			session.drainingCommitted = true
+			request.status <- http.StatusOK
+			return
+		}
+		request.status <- http.StatusServiceUnavailable
+	})
+}
+
+// noteSignOff takes note of when an incarnation that signs off leaves; a second
+// sign-off changes nothing.
+func (a *Agent) noteSignOff(session *runnerSession) {
+	if _, again := a.signedOff[session.id]; again {
+		return
+	}
+	leavesAt := a.now
+	if !session.drainingCommitted && !a.isLeaving(session) {
+		// It never drained, and goes on for that long from now.
+		leavesAt = leavesAt.Add(time.Duration(a.settings.Bounds.DrainMs * float64(time.Millisecond)))
+	}
+	if a.signedOff == nil {
+		a.signedOff = map[string]time.Time{}
+	}
+	a.signedOff[session.id] = leavesAt
+}
--- /dev/null
+++ b/internal/agent/progress.go
@@ -0,0 +1,124 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/tuning"
+)
+
+// runtimeSample is how long a run took.
+type runtimeSample struct {
+	percentOfEstimate int64
+	takenAt           time.Time
+}
+
+// minRuntimeSamples is how many samples a median needs.
+const minRuntimeSamples = 3
+
+// minProgressPercent is the least progress from which a runtime is extrapolated.
+const minProgressPercent = 5
+
+// overdue tells whether a run takes far longer than its estimate.
+func (r *taskRun) overdue(now time.Time) bool {
+	const graceMs = 100
+	return r.phase == runRunning && !r.assignment.LongRunning && now.Sub(r.startedAt).Milliseconds() > 3*r.assignment.EstimateMs/2+graceMs
+}
+
+// trackProgress takes note of how far a run is, and has it stopped if it stands
+// still.
+func (a *Agent) trackProgress(session *runnerSession, run *taskRun, progress protocol.RunProgress) {
+	unchangedFor := run.noteProgress(progress.Percent, a.now)
+	if unchangedFor == 0 || !run.stalled(unchangedFor, time.Duration(a.settings.Bounds.RestoreMs)*time.Millisecond) {
+		return
+	}
+	_ = a.log.Log("level", "warn", "event", "run.stalled", "task", progress.Task, "run", progress.Run, "percent", progress.Percent, "unchanged_ms", unchangedFor.Milliseconds())
+	run.stopRequested = true
+	session.lastStuckAt = a.now
+}
+
+// noteProgress takes note of how far a run is and gives for how long that has not
+// changed.
+func (r *taskRun) noteProgress(percent int, now time.Time) time.Duration {
+	if r.startedAt.IsZero() {
+		r.startedAt, r.percentChangedAt = now, now
+	}
+	if !r.progressSeen {
+		// The first percentage is kept, since a run that resumes begins in its
+		// middle.
+		r.progressSeen, r.percent, r.firstPercent = true, percent, percent
+		r.percentChangedAt = now
+		return 0
+	}
+	if percent != r.percent {
+		r.percent, r.percentChangedAt = percent, now
+		return 0
+	}
+	return now.Sub(r.percentChangedAt)
+}
+
+// stalled tells whether a run stands still that made no progress for so long. It
+// is measured by the run's own pace, since a long task on a slow runner gains a
+// percent rarely. A run that resumes makes no progress while it restores its
+// checkpoint, which takes about restoreTime.
+func (r *taskRun) stalled(unchangedFor, restoreTime time.Duration) bool {
+	if r.assignment.LongRunning || r.stopRequested || r.assignment.Worker == "" {
+		return false
+	}
+	timePerPercent := r.percentChangedAt.Sub(r.startedAt) / time.Duration(max(r.percent-r.firstPercent, 1))
+	if r.percent == r.firstPercent {
+		timePerPercent = time.Duration(r.assignment.EstimateMs) * time.Millisecond / 100
+	}
+	timeout := tuning.StalledRunTimeout
+	if r.assignment.Checkpoint != "" {
+		timeout += 2 * restoreTime
+	}
+	return unchangedFor >= timeout && unchangedFor >= 8*timePerPercent
+}
+
+// sampleRuntime takes note of how long a run took that is done. A run that
+// resumed from a checkpoint says nothing of the estimate.
+func (s *runnerSession) sampleRuntime(run *taskRun, now time.Time) {
+	if run.startedAt.IsZero() || run.assignment.EstimateMs <= 0 || run.assignment.Checkpoint != "" {
+		return
+	}
+	s.runtimeSamples = append(s.runtimeSamples, runtimeSample{now.Sub(run.startedAt).Milliseconds() * 100 / run.assignment.EstimateMs, now})
+}
+
+// medianRuntimePercent is the median of how long runs took lately, in percent of
+// their estimates; 0: not known. What still runs counts too, since little ends on
+// a slow runner.
+func (s *runnerSession) medianRuntimePercent(now time.Time) int64 {
+	s.runtimeSamples = slices.DeleteFunc(s.runtimeSamples, func(sample runtimeSample) bool {
+		return now.Sub(sample.takenAt) >= tuning.SpeedSampleDecay
+	})
+	var percents []int64
+	for _, sample := range s.runtimeSamples {
+		percents = append(percents, sample.percentOfEstimate)
+	}
+	for _, run := range s.runs {
+		if percent, ok := run.expectedRuntimePercent(now); ok {
+			percents = append(percents, percent)
+		}
+	}
+	if len(percents) < minRuntimeSamples {
+		return 0
+	}
+	slices.Sort(percents)
+	return max(percents[len(percents)/2], 1)
+}
+
+// expectedRuntimePercent is how long a run will take by its progress so far, in
+// percent of its estimate; false if that can't be told yet.
+func (r *taskRun) expectedRuntimePercent(now time.Time) (int64, bool) {
+	estimateMs := r.assignment.EstimateMs
+	if r.phase != runRunning || r.startedAt.IsZero() || estimateMs <= 0 || r.assignment.Checkpoint != "" {
+		return 0, false
+	}
+	if r.percent >= minProgressPercent {
+		return r.percentChangedAt.Sub(r.startedAt).Milliseconds() * 100 / int64(r.percent) * 100 / estimateMs, true
+	}
+	elapsedMs := now.Sub(r.startedAt).Milliseconds()
+	return elapsedMs * 100 / estimateMs, elapsedMs > 2*estimateMs
+}
--- /dev/null
+++ b/internal/agent/registration.go
@@ -0,0 +1,111 @@
+package agent
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"tealpond/internal/protocol"
+	"tealpond/internal/rpc"
+	"tealpond/internal/state"
+	"tealpond/internal/tuning"
+)
+
+// registerRunner has the runner registered with this daemon under a new fence.
+func (a *Agent) registerRunner(session *runnerSession) {
+	if session.registering || session.superseded {
+		return
+	}
+	session.registering = true
+	heartbeat, draining := session.heartbeat, a.isLeaving(session)
+	command := &state.RegisterWorker{ID: session.id, Node: a.settings.NodeName, AgentProcess: a.process, Service: heartbeat.Service, Zone: heartbeat.Zone,
+		Labels: heartbeat.Labels, Capacity: heartbeat.FreeResources, Draining: draining, LeavesInMs: a.leavesInMs(session), ReplacesFence: session.replacedFence}
+	a.requestLeader(rpc.KindRegisterWorker, command, registerTimeout, func(response rpc.Response) {
+		if a.session == session {
+			a.handleRegistration(session, draining, response)
+		}
+	})
+}
+
+// handleRegistration takes the leader's response to a registration that named the
+// runner as draining, or not.
+func (a *Agent) handleRegistration(session *runnerSession, draining bool, response rpc.Response) {
+	if response.Code == rpc.CodePreconditionFailed && response.Value > session.replacedFence {
+		a.confirmIncarnation(session, response.Value)
+		return
+	}
+	session.registering = false
+	if response.Code == rpc.CodeConflict {
+		a.endSession(session)
+	}
+	if response.Code != rpc.CodeOK {
+		a.answerPendingHeartbeats(session, http.StatusServiceUnavailable)
+		session.lastRenewalAt = a.now
+		return
+	}
+	if session.previousID != "" {
+		// The state ended it with this registration.
+		a.noteEnded(session.previousID)
+	}
+	session.beginFence(response.Value, draining, a.now)
+	a.answerPendingHeartbeats(session, http.StatusOK)
+}
+
+// beginFence starts anew under a fence: what is in flight under an older one may
+// be refused, and no longer counts.
+func (s *runnerSession) beginFence(fence int64, draining bool, now time.Time) {
+	s.fence, s.listed, s.drainingCommitted = fence, false, draining
+	s.readSequence, s.reportsInFlight = s.committedSequence, 0
+	s.reportedUnhealthy, s.unansweredCalls, s.lastResponseAt = false, 0, now
+	// A daemon that commanded this runner before may have extended its lease as
+	// far as this.
+	s.longestUntilMs = max(s.longestUntilMs, s.estimatedClockMs(now)+tuning.MaxRunLeaseAhead.Milliseconds())
+	s.lastRenewalAt = time.Time{}
+	s.leaseUntilMs = 0
+	s.pollFailures = 0
+	// The leader assigns anew what is to run, and what does run is read from
+	// the lists under the new fence.
+	s.runs = map[string]*taskRun{}
+}
+
+// confirmIncarnation asks the runner whether it is still in this incarnation,
+// before the one that the state knows on this machine, under a fence, is ended:
+// the heartbeat may have come late.
+func (a *Agent) confirmIncarnation(session *runnerSession, fence int64) {
+	go func() {
+		ctx, cancel := context.WithTimeout(a.ctx, tuning.RunnerRequestTimeout)
+		response := a.runner.Call(ctx, session.id, pathKeepAlive, protocol.KeepAliveRequest{})
+		cancel()
+		a.post(func() {
+			if a.session != session {
+				return
+			}
+			session.registering = false
+			switch {
+			case !response.answered():
+				a.answerPendingHeartbeats(session, http.StatusServiceUnavailable)
+				session.lastRenewalAt = a.now
+			case response.StatusCode == http.StatusMisdirectedRequest:
+				a.endSession(session)
+				a.answerPendingHeartbeats(session, http.StatusOK)
+			default:
+				session.replacedFence = fence
+				a.registerRunner(session)
+			}
+		})
+	}()
+}
+
+// endSession ends a session whose incarnation is over.
+func (a *Agent) endSession(session *runnerSession) {
+	session.superseded = true
+	a.noteEnded(session.id)
+}
+
+// noteEnded notes that an incarnation is over: no heartbeat brings it back.
+func (a *Agent) noteEnded(id string) {
+	if a.endedIncarnations == nil {
+		a.endedIncarnations = map[string]bool{}
+	}
+	a.endedIncarnations[id] = true
+}
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -8,77 +8,69 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/daemon"
-	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
 
 func init() {
-	daemon.Register(daemon.RoleSpec{Name: "side", Description: "orders the runner on its machine", New: func(b daemon.Environment) (daemon.Role, error) {
-		return New(b, newHTTPRunnerClient(b.Settings.RunnerAddress)), nil
+	daemon.Register(daemon.RoleSpec{Name: "side", Description: "orders the runner on its machine", New: func(env daemon.Environment) (daemon.Role, error) {
+		return New(env, newHTTPRunnerClient(env.Settings.RunnerAddress)), nil
 	}})
 }
 
-// New builds the side daemon's plug over a way to call its runner.
-func New(env daemon.Environment, runner RunnerClient) daemon.Role {
-	return &role{Agent: newAgent(env, runner), env: env}
-}
-
-type role struct {
-	*Agent
-	env daemon.Environment
-}
-
-// Run serves the runner's calls and turns the loop.
-func (r *role) Run(ctx context.Context) error {
-	agent := r.Agent
-	agent.ctx = ctx
+// Run serves the runner's calls and turns the loop until ctx ends. What it starts
+// is told to end with ctx.
+func (a *Agent) Run(ctx context.Context) error {
+	a.ctx = ctx
 	router := echo.New()
 	router.HideBanner, router.HidePort = true, true
-	router.POST("/-/Runners.Heartbeat/:id", agent.serveHeartbeat)
-	router.POST("/-/Runners.SignOff/:id", agent.serveSignOff)
-	listener, err := transport.Listen(ctx, agent.settings.ListenAddresses.Control)
+	router.POST("/-/Runners.Heartbeat/:id", a.serveHeartbeat)
+	router.POST("/-/Runners.SignOff/:id", a.serveSignOff)
+	listener, err := transport.Listen(ctx, a.settings.ListenAddresses.Control)
 	if err != nil {
 		return err
 	}
 	httpServer := &http.Server{Handler: router, ReadHeaderTimeout: tuning.DefaultHeaderTimeout, IdleTimeout: time.Minute}
-	go func() { _ = httpServer.Serve(listener) }()
-	go agent.discovery.Run(ctx)
-	if err := transport.Serve(ctx, agent.settings.AgentAddress(), agent.handleFrame); err != nil {
-		// Why not fatal: only traces need it.
-		_ = agent.log.Log("level", "warn", "event", "trace.unserved", "why", err)
+	go func() { _ = httpServer.Serve(listener) }() // until it is closed below
+	go a.discovery.Run(ctx)
+	if err := transport.Serve(ctx, a.settings.AgentAddress(), a.handleFrame); err != nil {
+		// The daemon goes on, since only traces need it.
+		_ = a.log.Log("level", "warn", "event", "trace.serve_failed", "error", err)
 	}
-	go agent.renewMembership(ctx)
-	go func() {
-		for {
-			select {
-			case reloaded := <-r.env.Reload:
-				agent.discovery.SetSeeds(reloaded.SeedAddresses())
-			case <-ctx.Done():
-				return
-			}
-		}
-	}()
-	daemon.Loop(ctx, agent.events, agent.handle, agent.advance)
-	_ = httpServer.Close()
+	go a.renewMembership(ctx)
+	go a.followSettings(ctx)
+	daemon.Loop(ctx, a.events, a.handle, a.advance)
+	_ = httpServer.Close() // the daemon ends, whatever is open
 	return nil
 }
 
-// handleFrame answers a tracer.
+// followSettings takes over settings that were read again, until ctx ends.
+func (a *Agent) followSettings(ctx context.Context) {
+	for {
+		select {
+		case reloaded := <-a.reload:
+			a.discovery.SetSeeds(reloaded.SeedAddresses())
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// handleFrame answers requests for this daemon's trace.
 func (a *Agent) handleFrame(event transport.Event) {
 	var request rpc.Request
 	if event.Closed || event.Frame.Kind != rpc.FrameRequest || transport.Decode(event.Frame.Body, &request) != nil {
 		return
 	}
-	response := rpc.Response{Code: 400}
+	response := rpc.Response{Code: rpc.CodeBadRequest}
 	if request.Kind == rpc.KindTrace {
 		response = rpc.HandleTrace(a.trace, a.settings.NodeName, "side", request.Body)
 	}
 	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
 }
 
-// renewMembership renews this daemon's membership.
+// renewMembership renews this daemon's membership lease, until ctx ends.
 func (a *Agent) renewMembership(ctx context.Context) {
 	ticker := time.NewTicker(tuning.AgentMembershipRenewInterval)
 	defer ticker.Stop()
@@ -93,36 +85,3 @@
 		}
 	}
 }
-
-// serveHeartbeat: POST /-/Runners.Heartbeat/ID with a Beat; 200 once heard.
-func (a *Agent) serveHeartbeat(c echo.Context) error {
-	var heartbeat protocol.Heartbeat
-	if err := c.Echo().JSONSerializer.Deserialize(c, &heartbeat); err != nil {
-		return c.String(http.StatusBadRequest, "the beat cannot be read")
-	}
-	request := &heartbeatRequest{id: c.Param("id"), heartbeat: heartbeat, status: make(chan int, 1)}
-	return a.respond(c, event{heartbeat: request}, request.status)
-}
-
-// serveSignOff: POST /-/Runners.SignOff/ID; 200 once committed.
-func (a *Agent) serveSignOff(c echo.Context) error {
-	request := &signOffRequest{id: c.Param("id"), status: make(chan int, 1)}
-	return a.respond(c, event{signOff: request}, request.status)
-}
-
-func (a *Agent) respond(c echo.Context, e event, status chan int) error {
-	a.events <- e
-	timer := time.NewTimer(970 * time.Millisecond)
-	defer timer.Stop()
-	select {
-	case code := <-status:
-		if code == 200 {
-			return c.JSONBlob(200, []byte("{}"))
-		}
-		return c.NoContent(code)
-	case <-timer.C:
-		return c.NoContent(http.StatusServiceUnavailable)
-	case <-a.ctx.Done():
-		return c.NoContent(http.StatusServiceUnavailable)
-	}
-}
--- a/internal/agent/runner_client.go
+++ b/internal/agent/runner_client.go
@@ -1,5 +1,3 @@
-// Package agent is the side daemon: it takes a runner's beats, holds what
-// runs there, and carries out the leader's orders.
 package agent
 
 import (
@@ -18,39 +16,54 @@
 
 // RunnerResponse is what came of one call to the runner.
 type RunnerResponse struct {
-	StatusCode int // 0: no answer
+	StatusCode int // of HTTP; 0: no answer
 	Run        protocol.RunResponse
-	KeepAlive  protocol.KeepAliveResponse
+	KeepAlive  protocol.KeepAliveResponse // of a keep-alive only
 }
 
-// effectUnknown tells whether the call may have been carried out, or may be later:
-// only the answers that the pages name say that it wasn't.
+// answered tells whether the runner answered at all.
+func (r RunnerResponse) answered() bool { return r.StatusCode != 0 }
+
+// refusedFor tells whether the runner refused the call for a reason.
+func (r RunnerResponse) refusedFor(reason string) bool {
+	return r.StatusCode == http.StatusConflict && r.Run.Reason == reason
+}
+
+// effectUnknown tells whether the call may be carried out later, or was without
+// this answer saying so: only the statuses that PROTOCOL-tealpond.md names are
+// clear.
 func (r RunnerResponse) effectUnknown() bool {
 	switch r.StatusCode {
-	case 200, 400, 409, 421, 429, 503:
+	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return false
 	}
 	return true
 }
 
-// RunnerClient carries orders to a runner; duty_call is the one way at hand.
+// RunnerClient makes calls to a runner (duty_call in the settings). The body is a
+// request of package protocol, the path one of those in callPolicies. It makes
+// each call once, and never again by itself.
 type RunnerClient interface {
-	Call(ctx context.Context, life, path string, body any) RunnerResponse
+	Call(ctx context.Context, incarnation, path string, body any) RunnerResponse
 }
 
+// maxRunnerConnections bounds the connections to the runner.
+const maxRunnerConnections = 16
+
 // httpRunnerClient calls the runner over HTTP.
 type httpRunnerClient struct {
 	baseURL string
 	client  *http.Client
 }
 
+// newHTTPRunnerClient builds a client for the runner at an address. It follows no
+// redirect: that would be another call than was decided on.
 func newHTTPRunnerClient(address string) *httpRunnerClient {
 	dialer := &net.Dialer{Timeout: tuning.RunnerRequestTimeout, Control: transport.UserTimeoutControl(tuning.TCPUserTimeout), KeepAlive: -1}
 	return &httpRunnerClient{baseURL: "http://" + address, client: &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConns: 16, MaxIdleConnsPerHost: 16, MaxConnsPerHost: 16,
+		DialContext: dialer.DialContext, MaxIdleConns: maxRunnerConnections, MaxIdleConnsPerHost: maxRunnerConnections, MaxConnsPerHost: maxRunnerConnections,
 		IdleConnTimeout: time.Minute, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 4096,
 	}, CheckRedirect: func(*http.Request, []*http.Request) error {
-		// Why not followed: it would be another call than was decided on.
 		return http.ErrUseLastResponse
 	}}}
 }
@@ -60,13 +73,13 @@
 func (c *httpRunnerClient) Call(ctx context.Context, incarnation, path string, body any) RunnerResponse {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic("order: " + err.Error())
+		panic("agent: request to the runner: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(raw))
 	if err != nil {
 		return RunnerResponse{}
 	}
-	// Why no GetBody: the transport would send it again by itself.
+	// With GetBody the transport would send the request again by itself.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(protocol.HeaderTargetRunner, incarnation)
@@ -74,14 +87,14 @@
 	if err != nil {
 		return RunnerResponse{}
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // it was read, or the call is given up
 	payload, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxControlBodyBytes))
 	if err != nil {
 		return RunnerResponse{}
 	}
 	result := RunnerResponse{StatusCode: response.StatusCode}
 	if path == pathKeepAlive {
-		if response.StatusCode == 200 && json.Unmarshal(payload, &result.KeepAlive) != nil {
+		if response.StatusCode == http.StatusOK && json.Unmarshal(payload, &result.KeepAlive) != nil {
 			return RunnerResponse{}
 		}
 		result.Run.ClockMs = result.KeepAlive.ClockMs
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"tealpond/internal/protocol"
@@ -9,42 +10,47 @@
 	"tealpond/internal/tuning"
 )
 
-// runPhase is how far a run is, as this daemon sees it.
+// runPhase is how far a run is, as far as this daemon knows.
 type runPhase byte
 
 const (
-	runPending  = runPhase(iota) // ordered, not yet sent
-	runStarting                  // a start is under way
+	runPending  = runPhase(iota) // assigned, no start sent yet
+	runStarting                  // a start is in flight, or brought no answer
 	runRunning                   // an answer or a list says that it is there
-	runStopping                  // a stop is to be sent or under way
+	runStopping                  // a stop is to be sent, or in flight
 	runStopped                   // a stop was answered
-	runRefused                   // it surely never ran here
+	runRefused                   // the runner refused to start it
 )
 
-// taskRun is one run of a task that was ordered, or that the runner lists.
+// taskRun is one run of a task that was assigned, or that the runner lists.
 type taskRun struct {
-	assignment         rpc.Assignment
-	phase              runPhase
-	callInFlight       bool // a call is under way
-	attempts           int  // calls so far
-	unhealthyResponses int  // times the runner was sick
-	notBefore          time.Time
-	stopRequested      bool
-	pollAtLastCall     uint64 // number of the last look begun when its call came back
-	unanswered         bool   // that call brought no answer: the lists are read first
-	unansweredStarts   int    // starts without an answer: they may still be carried out
-	missedPolls        int
-	percent            int
-	firstPercent       int // when first seen
-	progressSeen       bool
-	percentChangedAt   time.Time // when percent last changed
-	startedAt          time.Time
-	checkpoint         string
-	declaredResult     string // the end that this daemon told of it; it holds for good
-	reporting          bool   // the verdict is on its way to the leader
+	assignment    rpc.Assignment
+	phase         runPhase
+	stopRequested bool
+
+	// Calls about it.
+	callInFlight       bool
+	attempts           int       // starts sent
+	unhealthyResponses int       // to starts, of an unhealthy runner
+	notBefore          time.Time // no call and no report before
+	pollAtLastCall     uint64    // number of the last poll sent when its call returned
+	unanswered         bool      // that call brought no answer: the lists are read first
+	unansweredStarts   int       // starts whose effect is unknown: they may still be carried out
+
+	// What the runner lists of it.
+	missedPolls      int // complete lists in a row that don't name it
+	percent          int
+	firstPercent     int // when first listed
+	progressSeen     bool
+	percentChangedAt time.Time
+	startedAt        time.Time
+	checkpoint       string // the newest listed
+
+	declaredResult string // reported by this daemon, without a completion; it is final
+	reporting      bool   // the declared result is being reported
 }
 
-// handleAssignment takes an order of the leader, if it is one of this fence.
+// handleAssignment takes an assignment of the leader, if it is of this fence.
 func (a *Agent) handleAssignment(assignment rpc.Assignment) {
 	session := a.session
 	if session == nil || session.id != assignment.Worker || session.fence != assignment.Fence {
@@ -52,9 +58,9 @@
 	}
 	key := runKey(assignment.Task, assignment.Run)
 	if done := session.completed[key]; done != nil {
-		// Why never started: the runner would turn it away, and that refusal
-		// could close the booking before the end does: a done task would run
-		// twice.
+		// It is never started again: the runner would refuse it, and the refusal
+		// could close the allocation before the completion does. A task that is
+		// done would then run twice.
 		a.reportAgain(session, done)
 		return
 	}
@@ -70,8 +76,9 @@
 	a.trace.Record(assignment.Task, mark, int64(assignment.Run), "")
 }
 
-// advanceRun brings one run further; it returns when to look at it again.
-func (a *Agent) advanceRun(session *runnerSession, key string, run *taskRun) time.Duration {
+// advanceRun does what is due for a run; it gives the time until it is to be
+// called again, or 0.
+func (a *Agent) advanceRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.callInFlight || run.declaredResult != "" && run.phase != runStopping {
 		return 0
 	}
@@ -79,52 +86,48 @@
 		return remaining
 	}
 	if run.unanswered && session.lastCompletePoll <= run.pollAtLastCall {
-		// Why first: it may be there, or over; the next look tells.
+		// The run may be there, or over: the next poll tells.
 		return 0
 	}
-	if handler := phaseHandlers[run.phase]; handler != nil {
-		return handler(a, session, run)
+	switch run.phase {
+	case runPending, runStarting:
+		return a.startRun(session, run)
+	case runRunning:
+		return a.stopIfRequested(session, run)
+	case runStopping:
+		return a.stopRun(session, run)
+	case runRefused:
+		return a.settleRefusal(session, run)
 	}
 	return 0
 }
 
-var phaseHandlers = map[runPhase]func(*Agent, *runnerSession, *taskRun) time.Duration{
-	runPending:  (*Agent).startRun,
-	runStarting: (*Agent).startRun,
-	runRunning:  (*Agent).stopIfRequested,
-	runStopping: (*Agent).stopRun,
-	runRefused:  (*Agent).settleRefusal,
-}
-
-// startRun starts a run, or starts it again, after the pre-order check.
+// startRun starts a run, if the conditions for that hold now. A start that brought
+// no answer is sent again under the same conditions.
 func (a *Agent) startRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.stopRequested {
 		if run.attempts == 0 {
-			a.declareResult(session, run, "refused")
+			a.declareResult(session, run, protocol.ResultRefused)
 			return 0
 		}
 		run.phase = runStopping
 		return a.stopRun(session, run)
 	}
-	// The pre-order check: eligibility, grant and lists as of now.
-	if session.drainingCommitted || a.leaves(session) {
+	if session.drainingCommitted || a.isLeaving(session) {
 		if run.attempts == 0 {
-			a.declareResult(session, run, "refused")
+			a.declareResult(session, run, protocol.ResultRefused)
 			return 0
 		}
 		run.phase = runRefused
 		return a.settleRefusal(session, run)
 	}
-	// Sent again, if the first was left without an answer, under the same
-	// conditions: an order of this fence, not stopped, within the grant.
-	nowMs := a.estimatedClockMs(session)
-	if session.leaseUntilMs < nowMs+300 {
-		return 50 * time.Millisecond
+	if session.leaseUntilMs < session.estimatedClockMs(a.now)+minStartLeaseMs {
+		return leaseWaitPause
 	}
 	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
 	}
-	untilMs := min(session.leaseUntilMs, nowMs+tuning.MaxRunLeaseAhead.Milliseconds())
+	untilMs := session.reachableLeaseMs(a.now)
 	session.longestUntilMs = max(session.longestUntilMs, untilMs)
 	run.phase = runStarting
 	run.attempts++
@@ -134,7 +137,8 @@
 	return 0
 }
 
-// callRunner makes one call about a run.
+// callRunner makes one call about a run and brings the response into the loop,
+// unless the session or the fence has changed meanwhile.
 func (a *Agent) callRunner(session *runnerSession, run *taskRun, path string, body any, onResponse func(*runnerSession, *taskRun, RunnerResponse)) {
 	run.callInFlight = true
 	a.callsInFlight++
@@ -146,16 +150,17 @@
 		a.post(func() {
 			run.callInFlight = false
 			a.callsInFlight--
-			a.noteResponse(session, response)
+			session.noteResponse(response, a.now)
 			if a.session != session || session.fence != fence {
 				return
 			}
-			a.noteClock(session, response.Run.ClockMs)
+			session.noteClock(response.Run.ClockMs, a.now)
 			run.pollAtLastCall = session.lastPoll
-			run.unanswered = response.StatusCode == 0 && !callPolicies[path].Retryable
-			if response.StatusCode == 421 {
-				// Why nothing told: the new life's beat ends the old one.
-				run.notBefore = a.now.Add(500 * time.Millisecond)
+			run.unanswered = !response.answered() && !callPolicies[path].Retryable
+			if response.StatusCode == http.StatusMisdirectedRequest {
+				// Nothing is reported: the heartbeat of the new incarnation ends
+				// the old one.
+				run.notBefore = a.now.Add(newIncarnationPause)
 				return
 			}
 			onResponse(session, run, response)
@@ -163,7 +168,7 @@
 	}()
 }
 
-// handleStartResponse takes the answer to a start.
+// handleStartResponse takes the response to a start.
 func (a *Agent) handleStartResponse(session *runnerSession, run *taskRun, response RunnerResponse) {
 	a.trace.Record(run.assignment.Task, "start answered", int64(response.StatusCode), response.Run.Reason)
 	if response.effectUnknown() {
@@ -173,38 +178,44 @@
 		return
 	}
 	switch response.StatusCode {
-	case 200:
+	case http.StatusOK:
 		run.phase, run.missedPolls = runRunning, 0
 		if run.startedAt.IsZero() {
 			run.startedAt, run.percentChangedAt = a.now, a.now
 		}
-	case 0:
-		run.notBefore = a.now.Add(min(time.Duration(run.attempts)*10*time.Millisecond, 300*time.Millisecond))
-	case 409:
-		_ = a.log.Log("level", "info", "event", "start.refused", "task", run.assignment.Task, "run", run.assignment.Run, "reason", response.Run.Reason)
-		switch response.Run.Reason {
-		case "fence":
-			a.registerRunner(session)
-		case "late":
-			run.notBefore = a.now.Add(20 * time.Millisecond)
-		case "old":
-			// Why as started: it is there or was; the lists will tell.
-			run.phase = runRunning
-		default:
-			run.phase = runRefused
-		}
-	case 400:
+	case 0: // no answer
+		run.notBefore = a.now.Add(min(time.Duration(run.attempts)*startRetryStep, startRetryMax))
+	case http.StatusConflict:
+		a.handleStartRefusal(session, run, response.Run.Reason)
+	case http.StatusBadRequest:
 		run.phase = runRefused
 	default:
-		// 429 and 503 from a sick runner, or what the pages don't name.
+		// 429 and 503 from an unhealthy runner, or a status that the protocol
+		// doesn't name.
 		run.unhealthyResponses++
-		run.notBefore = a.now.Add(time.Duration(run.unhealthyResponses) * 40 * time.Millisecond)
-		if run.unhealthyResponses >= 3 {
+		run.notBefore = a.now.Add(time.Duration(run.unhealthyResponses) * unhealthyStartStep)
+		if run.unhealthyResponses >= maxUnhealthyStarts {
 			run.phase = runRefused
 		}
 	}
 }
 
+// handleStartRefusal takes a runner's refusal to start a run.
+func (a *Agent) handleStartRefusal(session *runnerSession, run *taskRun, reason string) {
+	_ = a.log.Log("level", "info", "event", "run.start_refused", "task", run.assignment.Task, "run", run.assignment.Run, "reason", reason)
+	switch reason {
+	case protocol.ReasonFence:
+		a.registerRunner(session)
+	case protocol.ReasonLate:
+		run.notBefore = a.now.Add(lateStartPause)
+	case protocol.ReasonOld:
+		// It is there, or was: the lists will tell.
+		run.phase = runRunning
+	default:
+		run.phase = runRefused
+	}
+}
+
 // stopIfRequested stops a run that is to be stopped.
 func (a *Agent) stopIfRequested(session *runnerSession, run *taskRun) time.Duration {
 	if run.stopRequested {
@@ -214,31 +225,31 @@
 	return 0
 }
 
-// settleRefusal tells a refusal once no unanswered start can take effect.
+// settleRefusal declares a run refused once no unanswered start can take effect:
+// after one, the run is stopped first.
 func (a *Agent) settleRefusal(session *runnerSession, run *taskRun) time.Duration {
 	if run.unansweredStarts == 0 {
-		a.declareResult(session, run, "refused")
+		a.declareResult(session, run, protocol.ResultRefused)
 		return 0
 	}
 	run.phase = runStopping
 	return a.stopRun(session, run)
 }
 
-// stopRun stops a run; it is over once a later look doesn't list it.
+// stopRun sends a stop; the run is over once a later poll doesn't list it.
 func (a *Agent) stopRun(session *runnerSession, run *taskRun) time.Duration {
 	if a.callsInFlight >= tuning.MaxConcurrentRunnerRequests {
 		return 0
 	}
-	a.callRunner(session, run, pathStop, protocol.StopRequest{TaskID: run.assignment.Task, RunID: run.assignment.Run, Fence: session.fence}, func(session *runnerSession, run *taskRun, response RunnerResponse) {
+	body := protocol.StopRequest{TaskID: run.assignment.Task, RunID: run.assignment.Run, Fence: session.fence}
+	a.callRunner(session, run, pathStop, body, func(session *runnerSession, run *taskRun, response RunnerResponse) {
 		switch {
-		case response.StatusCode == 200:
-			run.phase = runStopped
-		case response.StatusCode == 409 && response.Run.Reason == "fence":
+		case response.refusedFor(protocol.ReasonFence):
 			a.registerRunner(session)
-		case response.StatusCode == 409:
+		case response.StatusCode == http.StatusOK || response.StatusCode == http.StatusConflict:
 			run.phase = runStopped
 		default:
-			run.notBefore = a.now.Add(30 * time.Millisecond)
+			run.notBefore = a.now.Add(stopRetryPause)
 		}
 	})
 	return 0
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -87,7 +87,7 @@
 
 // Run serves until ctx ends, and for up to half of the grace time after it, so
 // that requests under way are answered; daemon.ErrKilled ends it at once. What it
-// starts ends when it returns.
+// starts is told to end when it returns.
 func (s *Server) Run(ctx context.Context) error {
 	serveCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
