--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -25,6 +25,7 @@
 	}
 	session := r.sessions[renewal.Worker]
 	if session == nil || session.stream != stream || session.fence != renewal.Fence {
+		r.dropSessionsOfDeadWorkers()
 		session = &agentSession{stream: stream, fence: renewal.Fence, knownIndex: renewal.KnownIndex}
 		r.sessions[renewal.Worker] = session
 		r.sessionsUnsynced = true
@@ -56,6 +57,16 @@
 	}
 }
 
+// dropSessionsOfDeadWorkers forgets sessions whose runners were replaced: their agents
+// go on with a new incarnation, and often on the same stream.
+func (r *Replica) dropSessionsOfDeadWorkers() {
+	for workerID := range r.sessions {
+		if worker := r.state.Workers[workerID]; worker != nil && worker.Dead {
+			delete(r.sessions, workerID)
+		}
+	}
+}
+
 // resyncSessions has all sessions synced again, after this replica's state was
 // replaced as a whole.
 func (r *Replica) resyncSessions() {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -160,6 +160,7 @@
 	s.Demand = map[string]map[int64]float64{"route": {45: 46.5}}
 	s.Quotas = map[string]Quota{"tenant": {MilliCPU: 49, MemoryMB: 50, GPUs: 51, MilliShare: 52}}
 	s.JobTenants = map[string]JobTenant{"job": {Tenant: "tenant", BeyondShare: true}}
+	s.GoneWorkers = map[string]int64{"worker": 53}
 	s.Aggregators, s.CrashBackoffs = map[string]ZoneAggregator{"zone": {Zone: "zone", Revision: 47}}, map[string]CrashBackoff{"node": {Crashes: 1.5, UpdatedAt: 48}}
 
 	tables := reflect.ValueOf(*s)
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -35,6 +35,7 @@
 	frozen.CrashBackoffs = maps.Clone(s.CrashBackoffs)
 	frozen.Quotas = maps.Clone(s.Quotas)
 	frozen.JobTenants = maps.Clone(s.JobTenants)
+	frozen.GoneWorkers = maps.Clone(s.GoneWorkers)
 	workers, devices, allocations, jobs := copyRows(s.Workers), copyDevices(s.Devices), copyRows(s.Allocations), copyJobs(s.Jobs)
 	return &Snapshot{&frozen, []func(){
 		func() { frozen.Workers = workers.build() },
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -10,7 +10,7 @@
 // FormatVersion is the version of the state: of its tables, its commands and
 // what they do. It is raised with any change of these, so that the digests of
 // replicas that run different versions aren't compared.
-const FormatVersion = 4
+const FormatVersion = 5
 
 // Limits are figures of the operators' settings that commands need. They are
 // part of the state and come by a command, since the settings of two machines
@@ -52,6 +52,7 @@
 	Limits               Limits                           `cbor:"Limits"`
 	Quotas               map[string]Quota                 `cbor:"Quotas,omitempty"`  // by tenant, with those of earlier configurations
 	JobTenants           map[string]JobTenant             `cbor:"Tenants,omitempty"` // by job
+	GoneWorkers          map[string]int64                 `cbor:"Gone,omitempty"`    // when garbage collection first saw that a worker is gone, by ID
 	// DigestChain covers all entries from DigestChainFrom on, see digest.go. It
 	// hasn't begun while that is 0.
 	DigestChain     uint64 `cbor:"Chain"`
--- a/internal/tuning/state.go
+++ b/internal/tuning/state.go
@@ -9,6 +9,11 @@
 	// JobRetentionMargin is added to the setting status_s before a completed job
 	// is forgotten.
 	JobRetentionMargin = 60 * time.Second
+	// GoneWorkerRetention is how long the row of a worker is kept that is dead, or
+	// that announced its end and left. A late heartbeat of it is refused meanwhile;
+	// agents forget incarnations after IncarnationRetention, and heartbeats come
+	// seconds late at most.
+	GoneWorkerRetention = 10 * time.Minute
 	// RollupInterval is the time between two rebuilds of the usage rollups from
 	// the bookings.
 	RollupInterval = 5 * time.Minute
