--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -75,8 +75,8 @@
 	a.discovery = discovery.NewClient(discovery.Options{
 		Seeds:            env.Settings.SeedAddresses(),
 		PreferAggregator: true,
-		OnAssignment:     func(assignment rpc.Assignment) { a.events <- event{assignment: &assignment} },
-		OnConnected:      func() { go func() { a.events <- event{renew: true} }() },
+		OnAssignment:     func(assignment rpc.Assignment) { a.send(event{assignment: &assignment}) },
+		OnConnected:      func() { go a.send(event{renew: true}) },
 	})
 	a.callLeader = a.discovery.Call
 	return a
@@ -87,9 +87,12 @@
 
 // post has the loop call a function, such as one that takes the response to a
 // call; it does nothing once the agent ends.
-func (a *Agent) post(callback func()) {
+func (a *Agent) post(callback func()) { a.send(event{callback: callback}) }
+
+// send hands the loop an input; it does nothing once the agent ends.
+func (a *Agent) send(e event) {
 	select {
-	case a.events <- event{callback: callback}:
+	case a.events <- e:
 	case <-a.ctx.Done():
 	}
 }
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -49,6 +49,9 @@
 		if len(completions) > 0 {
 			session.reportsInFlight--
 		}
+		if response.Code != rpc.CodeOK {
+			session.reportCheckpointsAgain(checkpoints)
+		}
 		if response.Code == rpc.CodeConflict {
 			a.registerRunner(session)
 		}
@@ -67,6 +70,17 @@
 	})
 }
 
+// reportCheckpointsAgain has checkpoints reported with the next listing that names
+// them: their report had no response, or was refused. A run that was saved anew
+// meanwhile is left alone.
+func (s *runnerSession) reportCheckpointsAgain(checkpoints []protocol.RunProgress) {
+	for _, progress := range checkpoints {
+		if run := s.runs[runKey(progress.Task, progress.Run)]; run != nil && run.checkpoint == progress.Checkpoint {
+			run.checkpoint = ""
+		}
+	}
+}
+
 // noteCommitted records the prefix of completions that is committed. It is
 // the one that the response names, never the last one reported, since an earlier
 // report may have been lost.
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -1,12 +1,14 @@
 package agent
 
 import (
+	"context"
 	"net/http"
 	"time"
 
 	"tealpond/internal/protocol"
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
+	"tealpond/internal/tuning"
 )
 
 // handleHeartbeat handles a heartbeat; a new ID is a new incarnation of the
@@ -19,8 +21,13 @@
 		request.status <- http.StatusOK
 		return
 	}
-	if session == nil || session.id != request.id {
-		a.startSession(request)
+	if session == nil || session.superseded {
+		if session == nil || session.id != request.id {
+			a.startSession(request)
+			return
+		}
+	} else if session.id != request.id {
+		a.verifyIncarnation(request)
 		return
 	}
 	if request.heartbeat.Sequence < session.heartbeatSequence {
@@ -44,6 +51,29 @@
 	request.status <- http.StatusOK
 }
 
+// verifyIncarnation asks the runner whether it is the incarnation that a heartbeat
+// names, before a session for that one replaces the present session: the heartbeat may
+// be a late one of an incarnation that ended before this daemon was started, of which it
+// knows nothing. If the runner gives no answer, the heartbeat is believed.
+func (a *Agent) verifyIncarnation(request *heartbeatRequest) {
+	go func() {
+		ctx, cancel := context.WithTimeout(a.ctx, tuning.RunnerRequestTimeout)
+		response := a.runner.Call(ctx, request.id, pathKeepAlive, protocol.KeepAliveRequest{})
+		cancel()
+		a.post(func() {
+			switch session := a.session; {
+			case session.id == request.id:
+				a.handleHeartbeat(request)
+			case response.StatusCode == http.StatusMisdirectedRequest:
+				a.noteEnded(request.id)
+				request.status <- http.StatusOK
+			default:
+				a.startSession(request)
+			}
+		})
+	}()
+}
+
 // startSession begins a session for a new incarnation, in place of the present
 // one; its heartbeat is answered once it is registered.
 func (a *Agent) startSession(request *heartbeatRequest) {
--- a/internal/agent/reconcile_test.go
+++ b/internal/agent/reconcile_test.go
@@ -3,8 +3,10 @@
 import (
 	"testing"
 	"testing/synctest"
+	"time"
 
 	"tealpond/internal/protocol"
+	"tealpond/internal/state"
 )
 
 // TestRunThatIsNotListed: when a run that is in neither list counts as missed, and
@@ -91,3 +93,51 @@
 		})
 	}
 }
+
+// TestLostReportOfACheckpointIsRepeated: the report had no response, or was refused
+// because nobody led; the next listing brings the same checkpoint to the state. One that
+// is committed isn't reported twice.
+func TestLostReportOfACheckpointIsRepeated(t *testing.T) {
+	listing := listRunning("j.0.0.0")
+	listing.KeepAlive.Running[0][2] = "saved"
+	saved := func(f *fixture) string { return f.state.Jobs["j"].Instances[0].Steps[0].Tasks[0].Checkpoint }
+	poll := func(f *fixture) {
+		f.session.lastPoll++
+		f.agent.handleKeepAlive(f.session, protocol.KeepAliveRequest{}, f.session.lastPoll, listing)
+		f.settle()
+		time.Sleep(2 * reportTimeout)
+		f.settle()
+	}
+	for name, lose := range map[string]func(f *fixture) (restore func()){
+		"no response": func(f *fixture) func() {
+			f.dropReport = func(*state.ReportCompletions) bool { return true }
+			return func() { f.dropReport = nil }
+		},
+		"no leader": func(f *fixture) func() {
+			f.agent.callLeader = noLeader
+			return func() { f.agent.callLeader = f.callLeader }
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f, _ := newFixtureWithRunner(t)
+				f.assign(0)
+				restore := lose(f)
+				poll(f)
+				if saved(f) != "" {
+					t.Fatal("the report was not lost")
+				}
+				restore()
+				poll(f)
+				if saved(f) != "saved" {
+					t.Error("the checkpoint was not reported again")
+				}
+				reports := f.reports
+				poll(f)
+				if f.reports != reports {
+					t.Error("a committed checkpoint was reported again")
+				}
+			})
+		})
+	}
+}
--- a/internal/agent/runner_handlers.go
+++ b/internal/agent/runner_handlers.go
@@ -29,7 +29,7 @@
 // respond passes an event to the loop and answers with the resulting status, or with
 // 503 if there is none within heartbeatTimeout.
 func (a *Agent) respond(c echo.Context, e event, status chan int) error {
-	a.events <- e
+	a.send(e)
 	timer := time.NewTimer(heartbeatTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -44,7 +44,7 @@
 	progressSeen     bool
 	percentChangedAt time.Time
 	startedAt        time.Time
-	checkpoint       string // the newest listed
+	checkpoint       string // the newest that was reported, and not refused since
 
 	declaredResult string // reported by this daemon, without a completion; it is final
 	reporting      bool   // the declared result is being reported
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -46,6 +46,7 @@
 type Client struct {
 	options Options // Seeds as they were at first; see seeds
 	events  chan clientEvent
+	ended   chan struct{} // closed when the loop has ended
 
 	now             time.Time
 	stream          *transport.Stream // to the leader, or to the zone's aggregator
@@ -90,6 +91,7 @@
 		options:  options,
 		seeds:    options.Seeds,
 		events:   make(chan clientEvent, eventQueueLength),
+		ended:    make(chan struct{}),
 		pending:  map[uint64]*pendingRequest{},
 		backoffs: map[string]backoff{},
 	}
@@ -104,17 +106,30 @@
 }
 
 // SetSeeds replaces the addresses of the seeds. It is safe for concurrent use.
-func (c *Client) SetSeeds(seeds []string) { c.events <- clientEvent{seeds: seeds} }
+func (c *Client) SetSeeds(seeds []string) { c.post(clientEvent{seeds: seeds}) }
 
 // AddServer takes note of a server's address. It is safe for concurrent use.
-func (c *Client) AddServer(addr string) { c.events <- clientEvent{server: addr} }
+func (c *Client) AddServer(addr string) { c.post(clientEvent{server: addr}) }
 
-// KnownServers are the addresses of servers heard of lately. It is safe for
-// concurrent use, and waits for the loop.
+// KnownServers are the addresses of servers heard of lately; none once the loop has
+// ended. It is safe for concurrent use, and waits for the loop.
 func (c *Client) KnownServers() []string {
 	servers := make(chan []string, 1)
-	c.events <- clientEvent{knownServers: servers}
-	return <-servers
+	c.post(clientEvent{knownServers: servers})
+	select {
+	case known := <-servers:
+		return known
+	case <-c.ended:
+		return nil
+	}
+}
+
+// post hands the loop an event; it does nothing once the loop has ended.
+func (c *Client) post(event clientEvent) {
+	select {
+	case c.events <- event:
+	case <-c.ended:
+	}
 }
 
 // Introduce makes this server known to the seeds: a seed without a disk knows no
@@ -134,6 +149,7 @@
 
 // Run is the client's loop; it returns when ctx ends.
 func (c *Client) Run(ctx context.Context) {
+	defer close(c.ended)
 	c.disconnectedAt = time.Now()
 	daemon.Loop(ctx, c.events,
 		func(event clientEvent) { c.handle(ctx, event) },
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -288,3 +288,21 @@
 		})
 	}
 }
+
+// TestNobodyWaitsForAClientThatEnded: what is said to a client after its loop has ended,
+// more than its queue holds, blocks nobody.
+func TestNobodyWaitsForAClientThatEnded(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := discovery.NewClient(discovery.Options{})
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		client.Run(ctx)
+		for range 10_000 {
+			client.AddServer("10.0.0.1:1")
+			client.SetSeeds(nil)
+		}
+		if known := client.KnownServers(); known != nil {
+			t.Errorf("a client that ended knows %v", known)
+		}
+	})
+}
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -26,7 +26,9 @@
 // up to a bound, while the others could not do without this server's storage.
 func (r *Replica) Leave() {
 	done := make(chan struct{})
-	r.events <- loopEvent{leave: done}
+	if !r.send(loopEvent{leave: done}) {
+		return
+	}
 	select {
 	case <-done:
 	case <-time.After(r.leaveTimeout() + tuning.ShutdownWaitSlack):
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -65,6 +65,7 @@
 
 // Run is the event loop. It returns nil when ctx ends.
 func (r *Replica) Run(ctx context.Context) error {
+	defer close(r.ended)
 	go r.openStorage(ctx)
 	go r.runAnnouncer(ctx)
 	daemon.Loop(ctx, r.events,
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -60,6 +60,7 @@
 
 	// Other daemons.
 	events            chan loopEvent
+	ended             chan struct{} // closed when the loop has ended
 	leaderClient      *discovery.Client
 	seeds             atomic.Pointer[[]string]
 	bootstrap         bootstrap.Coordinator
@@ -143,7 +144,7 @@
 	r.settings, r.log, r.trace, r.debug, r.processID = env.Settings, env.Log, env.Trace, env.Debug, env.ProcessID
 	r.metrics = newLoopMetrics(env.Debug)
 	r.self = raft.Member{Node: env.Settings.NodeName, Addr: env.Settings.InternalAddress()}
-	r.events = make(chan loopEvent, eventQueueLength)
+	r.events, r.ended = make(chan loopEvent, eventQueueLength), make(chan struct{})
 	r.writeQueue = make(chan storage.WriteRequest, tuning.StorageQueueLength)
 	r.leaderClient = leaderClient
 	r.counts = newCounts(env.ProcessID, env.Settings.ShareWindow(tuning.DefaultShareWindow), time.Now())
@@ -219,11 +220,24 @@
 func (r *Replica) SetSeeds(addresses []string) { r.seeds.Store(&addresses) }
 
 // Deliver hands the loop an event of an accepted stream. It blocks while the
-// loop's queue is full.
-func (r *Replica) Deliver(event transport.Event) { r.events <- loopEvent{transport: &event} }
+// loop's queue is full, and does nothing once the loop has ended.
+func (r *Replica) Deliver(event transport.Event) { r.send(loopEvent{transport: &event}) }
 
 // HandleLocal hands the loop a request of this process; reply is called in the
-// loop and must not block.
+// loop and must not block. Once the loop has ended it is called here, with the
+// response that nobody leads.
 func (r *Replica) HandleLocal(request rpc.Request, reply func(rpc.Response)) {
-	r.events <- loopEvent{request: &localRequest{request: request, reply: reply}}
+	if !r.send(loopEvent{request: &localRequest{request: request, reply: reply}}) {
+		reply(rpc.Response{Code: rpc.CodeNoLeader})
+	}
+}
+
+// send hands the loop an event; false if the loop has ended.
+func (r *Replica) send(event loopEvent) bool {
+	select {
+	case r.events <- event:
+		return true
+	case <-r.ended:
+		return false
+	}
 }
--- a/internal/server/sessions_test.go
+++ b/internal/server/sessions_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"tealpond/internal/rpc"
+	"tealpond/internal/state"
 	"tealpond/internal/transport"
 )
 
@@ -24,3 +25,20 @@
 		t.Errorf("under the next fence: %+v", session)
 	}
 }
+
+// TestSessionsOfReplacedRunnersAreDropped: an agent goes on with each new incarnation of
+// its runner on the same stream; the session of the one before goes.
+func TestSessionsOfReplacedRunnersAreDropped(t *testing.T) {
+	replica := newReplica()
+	replica.state.Workers["old"] = &state.Worker{ID: "old", Dead: true}
+	replica.state.Workers["other"] = &state.Worker{ID: "other"}
+	stream := &transport.Stream{}
+	for _, worker := range []string{"old", "other", "not-applied-yet", "new"} {
+		replica.openSession(&rpc.LeaseRenewal{Worker: worker, Fence: 1}, stream)
+	}
+	for worker, kept := range map[string]bool{"old": false, "other": true, "not-applied-yet": true, "new": true} {
+		if replica.sessions[worker] != nil != kept {
+			t.Errorf("%s: kept %v", worker, !kept)
+		}
+	}
+}
