--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -23,6 +23,7 @@
 		}
 	}
 	_ = r.log.Log("level", "debug", "event", "job.ended", "job", job.ID, "route", job.Route, "priority", job.Priority, "state", job.Status(),
+		"tenant", job.Tenant(), "beyond_share", job.BeyondShare(), "created_ms", job.CreatedAt,
 		"took_ms", job.EndedAt-job.CreatedAt, "target_ms", job.TargetTurnaroundMs(), "steps", strings.TrimSpace(steps.String()))
 }
 
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -10,6 +10,7 @@
 	"os/exec"
 	"regexp"
 	"runtime"
+	"slices"
 	"sort"
 	"strings"
 	"sync"
@@ -37,78 +38,122 @@
 	os.Exit(runEachTest())
 }
 
-// splitTests names the tests whose subtests get a process each, with the subtests' names
-// at the first level.
+// splitTests names the tests whose subtests get processes of their own, with patterns of
+// the subtests' names at the first level. What none of them matches runs in one more
+// process, so that a subtest that is missing here still runs.
 var splitTests = map[string][]string{
-	"TestMoveAtEveryStep":  moveEvents,
-	"TestStormyDay":        {"1", "2", "3", "4", "5"},
-	"TestFarBehind":        {"1", "2"},
-	"TestLeaderIsolated":   isolations,
-	"TestFollowerIsolated": isolations,
+	"TestMoveAtEveryStep":             exactly(moveEvents...),
+	"TestLeaderIsolated":              exactly(isolations...),
+	"TestFollowerIsolated":            exactly(isolations...),
+	"TestStormyDay":                   seeds(5),
+	"TestFarBehind":                   seeds(2),
+	"TestHalvesOfSixServers":          seeds(6),
+	"TestLossesOfSixServersOneByOne":  seeds(3),
+	"TestCompletionsInTheDark":        seeds(4),
+	"TestOperatorsRace":               seeds(3),
+	"TestConnectionsReset":            seeds(4),
+	"TestCompletionsUnderLostLeaders": seeds(4),
+	"TestDisksLostInTheDark":          exactly("3 servers", "5 servers", "6 servers"),
+	"TestLossInMidChange":             {"^[a-l]", "^[m-z]"},
+	"TestFaultKinds":                  {"^[a-b]", "^[c-h]", "^[i-z]"},
+	"TestTroublesOfLargeFleets":       firstTroubles(),
+	"TestMoreTroublesOfLargeFleets":   firstTroubles(),
 }
 
-// testPatterns gives the patterns that select what each process runs, the longest first,
-// so that the whole ends soonest.
-func testPatterns() ([]string, error) {
+// exactly gives the pattern of each name.
+func exactly(names ...string) []string {
+	patterns := make([]string, len(names))
+	for i, name := range names {
+		patterns[i] = "^" + regexp.QuoteMeta(name) + "$"
+	}
+	return patterns
+}
+
+// seeds gives the patterns of the subtests of runScenarios.
+func seeds(count int) []string {
+	names := make([]string, count)
+	for i := range names {
+		names[i] = fmt.Sprint(i + 1)
+	}
+	return exactly(names...)
+}
+
+// firstTroubles gives the patterns of the pairs of troubles, by the first of each.
+func firstTroubles() []string {
+	patterns := make([]string, len(largeFleetTroubles))
+	for i, trouble := range largeFleetTroubles {
+		patterns[i] = "^" + regexp.QuoteMeta(trouble.name) + " and "
+	}
+	return patterns
+}
+
+// selection says which tests a process runs.
+type selection struct{ run, skip string }
+
+// selections gives what each process runs, the longest first, so that the whole ends
+// soonest.
+func selections() ([]selection, error) {
 	raw, err := exec.Command(os.Args[0], "-test.list", ".").Output()
 	if err != nil {
 		return nil, fmt.Errorf("the tests can't be listed: %w", err)
 	}
-	var patterns []string
+	var all []selection
 	split := 0
 	for _, name := range strings.Fields(string(raw)) {
 		if !strings.HasPrefix(name, "Test") {
 			continue
 		}
+		test := "^" + name + "$"
 		subtests := splitTests[name]
 		if len(subtests) == 0 {
-			patterns = append(patterns, "^"+name+"$")
+			all = append(all, selection{run: test})
 			continue
 		}
 		split++
 		for _, subtest := range subtests {
-			patterns = append(patterns, "^"+name+"$/^"+regexp.QuoteMeta(subtest)+"$")
+			all = append(all, selection{run: test + "/" + subtest})
 		}
+		all = append(all, selection{run: test, skip: test + "/" + strings.Join(subtests, "|"+test+"/")})
 	}
-	if len(patterns) == 0 {
+	if len(all) == 0 {
 		return nil, errors.New("no test was found")
 	}
 	if split != len(splitTests) {
 		return nil, errors.New("splitTests names a test that doesn't exist")
 	}
-	sort.SliceStable(patterns, func(a, b int) bool { return startRank(patterns[a]) > startRank(patterns[b]) })
-	return patterns, nil
+	sort.SliceStable(all, func(a, b int) bool { return startRank(all[a].run) > startRank(all[b].run) })
+	return all, nil
 }
 
 // runEachTest runs all tests and gives the exit code: 1 if one failed, or none ran.
 func runEachTest() int {
-	patterns, err := testPatterns()
+	all, err := selections()
 	if err != nil {
 		fmt.Println("FAIL:", err)
 		return 1
 	}
 	var mu sync.Mutex
 	failed := 0
-	slots := make(chan struct{}, max(runtime.NumCPU()/2, 1))
-	var all sync.WaitGroup
-	for _, pattern := range patterns {
+	slots := make(chan struct{}, runtime.NumCPU())
+	var children sync.WaitGroup
+	for _, selected := range all {
 		slots <- struct{}{}
-		all.Go(func() {
+		children.Go(func() {
 			defer func() { <-slots }()
-			out, took, err := runChild(pattern)
+			out, took, err := runChild(selected)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed++
-				fmt.Printf("--- FAIL: %s (%.1fs): %v\n%s\n", pattern, took.Seconds(), err, out)
+				fmt.Printf("--- FAIL: %s (%.1fs): %v\n%s\n", selected.run, took.Seconds(), err, out)
 			} else if testing.Verbose() {
-				fmt.Printf("--- PASS: %s (%.1fs)\n%s\n", pattern, took.Seconds(), out)
+				fmt.Printf("--- PASS: %s (%.1fs)\n%s\n", selected.run, took.Seconds(), out)
 			}
 		})
 	}
-	all.Wait()
+	children.Wait()
 	if failed > 0 {
-		fmt.Printf("FAIL: %d of %d\n", failed, len(patterns))
+		fmt.Printf("FAIL: %d of %d\n", failed, len(all))
 		return 1
 	}
 	fmt.Println("PASS")
@@ -117,7 +162,7 @@
 
 // startRank is higher for tests that take longer.
 func startRank(pattern string) int {
-	for i, name := range []string{"TestFarBehind", "TestMoveAtEveryStep", "TestCancelInMidMove", "TestPeak", "TestStormyDay"} {
+	for i, name := range []string{"TestSecondLoss", "TestMoveAtEveryStep", "TestClosingFaults", "TestUpgrade", "TestPeak", "TestStormyDay", "TestFarBehind", "TroublesOfLargeFleets", "InTheDark"} {
 		if strings.Contains(pattern, name) {
 			return i + 1
 		}
@@ -125,14 +170,17 @@
 	return 0
 }
 
-// skipPattern is the pattern of tests that the flag -skip leaves out.
-func skipPattern() string { return flag.Lookup("test.skip").Value.String() }
+// skipPattern is the pattern of what a process leaves out, also by the flag -skip.
+func (s selection) skipPattern() string {
+	patterns := []string{s.skip, flag.Lookup("test.skip").Value.String()}
+	return strings.Join(slices.DeleteFunc(patterns, func(pattern string) bool { return pattern == "" }), "|")
+}
 
-// runChild runs one test in a process of its own.
-func runChild(pattern string) ([]byte, time.Duration, error) {
+// runChild runs a part of the tests in a process of its own.
+func runChild(selected selection) ([]byte, time.Duration, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 8*time.Minute)
 	defer stop()
-	command := exec.CommandContext(ctx, os.Args[0], "-test.run", pattern, "-test.skip", skipPattern(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
+	command := exec.CommandContext(ctx, os.Args[0], "-test.run", selected.run, "-test.skip", selected.skipPattern(), "-test.v="+fmt.Sprint(testing.Verbose()), "-test.timeout=7m")
 	command.Env = append(os.Environ(), childEnvironment+"=1", "GOMAXPROCS=1")
 	var out bytes.Buffer
 	command.Stdout, command.Stderr = &out, &out
