--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -14,6 +14,7 @@
 
 	"tealpond/internal/clusterconfig"
 	"tealpond/internal/protocol"
+	"tealpond/internal/registry"
 	"tealpond/internal/tuning"
 )
 
@@ -55,7 +56,8 @@
 	// mayHaveRun: an attempt may have run, or may yet, so nothing can be promised.
 	mayHaveRun bool
 
-	runner   *runnerState
+	runner   *runnerState    // shared with other requests; read under the proxy's lock
+	listed   registry.Runner // the runner as it was listed when it was chosen
 	response *http.Response
 	took     time.Duration // until the head of the answer
 	refusal  refusal
@@ -194,7 +196,7 @@
 func (e *exchange) attempt() phase {
 	most := max(e.route.MaxAttempts, 1)
 	for {
-		if e.runner = e.proxy.pick(e.service, e.tried); e.runner == nil {
+		if e.runner, e.listed = e.proxy.pick(e.service, e.tried); e.runner == nil {
 			return e.giveUp()
 		}
 		e.tried = append(e.tried, e.runner)
@@ -233,10 +235,11 @@
 
 // send makes one attempt and waits for the head of the answer.
 func (e *exchange) send() outcome {
-	var written, sent atomic.Bool
+	var connected, written, sent atomic.Bool
 	var sentAt atomic.Int64 // ns since the attempt began
 	begunAt := time.Now()
 	trace := &httptrace.ClientTrace{
+		GotConn:      func(httptrace.GotConnInfo) { connected.Store(true) },
 		WroteHeaders: func() { written.Store(true) },
 		WroteRequest: func(httptrace.WroteRequestInfo) {
 			sentAt.Store(int64(time.Since(begunAt)))
@@ -257,6 +260,10 @@
 	switch {
 	case err != nil && e.ctx.Err() != nil:
 		e.proxy.end(e.runner, resultUnknown, took)
+		if !connected.Load() {
+			return outcomeNotRun
+		}
+		// Once there is a connection, the library may be writing to it right now.
 		return outcomeMayHaveRun
 	case err != nil:
 		e.proxy.end(e.runner, resultFailed, took)
@@ -294,8 +301,8 @@
 // all headers but those of the client's connection.
 func (e *exchange) outgoing(ctx context.Context) (*http.Request, error) {
 	path, query, _ := strings.Cut(e.request.RequestURI, "?")
-	target := &url.URL{Scheme: "http", Host: e.runner.Address, Opaque: path, RawQuery: query}
-	request, err := http.NewRequestWithContext(ctx, e.request.Method, "http://"+e.runner.Address+"/", nil)
+	target := &url.URL{Scheme: "http", Host: e.listed.Address, Opaque: path, RawQuery: query}
+	request, err := http.NewRequestWithContext(ctx, e.request.Method, "http://"+e.listed.Address+"/", nil)
 	if err != nil {
 		return nil, err
 	}
@@ -314,7 +321,7 @@
 	}
 	left := max(time.Until(e.until).Milliseconds(), 1)
 	request.Header.Set(protocol.HeaderTimeLeft, strconv.FormatInt(left, 10))
-	request.Header.Set(protocol.HeaderTargetRunner, e.runner.ID)
+	request.Header.Set(protocol.HeaderTargetRunner, e.listed.ID)
 	return request, nil
 }
 
@@ -332,7 +339,7 @@
 		header.Set("Content-Length", strconv.FormatInt(e.response.ContentLength, 10))
 	}
 	e.writer.WriteHeader(e.response.StatusCode)
-	if _, err := io.Copy(e.writer, e.response.Body); err != nil {
+	if err := e.copyBody(); err != nil {
 		how := resultFailed
 		if e.ctx.Err() != nil {
 			how = resultUnknown
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -182,15 +182,17 @@
 	return false
 }
 
-// pick chooses a runner and counts the attempt; nil if none is left.
-func (p *Proxy) pick(service string, tried []*runnerState) *runnerState {
+// pick chooses a runner and counts the attempt; nil if none is left. It also gives what
+// the list says of the runner now: a newer list may be taken over at any time.
+func (p *Proxy) pick(service string, tried []*runnerState) (*runnerState, registry.Runner) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	runner := p.balancer.pick(service, tried, time.Now())
-	if runner != nil {
-		p.balancer.begin(runner)
+	if runner == nil {
+		return nil, registry.Runner{}
 	}
-	return runner
+	p.balancer.begin(runner)
+	return runner, runner.Runner
 }
 
 // end takes note of how an attempt ended.
