--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -78,6 +78,9 @@
 		r.rollupsRebuiltAt = now
 	}
 	r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{RebuildRollups: rebuild}, nil)
+	if rebuild {
+		r.enqueueCommand(state.CommandForgetUnused, &state.ForgetUnused{}, nil)
+	}
 }
 
 // becomeLeader begins a term of leadership: nothing of an earlier one is kept.
--- a/internal/state/collect_garbage.go
+++ b/internal/state/collect_garbage.go
@@ -1,8 +1,7 @@
 package state
 
-// CollectGarbage removes what nothing refers to any more: jobs that ended long ago,
-// crash counts of nodes that have had none for long, workers that are gone, and what
-// earlier configurations left (see retention.go). Since each entry advances the clocks, it also makes periodic
+// CollectGarbage removes jobs that ended long ago and crash counts of nodes that
+// have had none for long. Since each entry advances the clocks, it also makes periodic
 // jobs fall due while nothing else happens.
 type CollectGarbage struct {
 	_              struct{} `cbor:",toarray"`
@@ -27,9 +26,6 @@
 		}
 	}
 	s.forgetOldCrashes()
-	s.forgetGoneWorkers()
-	s.forgetOldDemand()
-	s.forgetEarlierConfigurations()
 	if c.RebuildRollups {
 		s.RebuildRollups()
 	}
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -26,6 +26,7 @@
 	CommandCollectGarbage       = "sweep"
 	CommandConfirmDigest        = "agree"
 	CommandExpireLeases         = "lapse"
+	CommandForgetUnused         = "forget"
 	CommandLendCapacity         = "lend"
 	CommandOfferJob             = "offer"
 	CommandRegisterWorker       = "takeup"
@@ -52,6 +53,7 @@
 	CommandCollectGarbage:       func() Command { return &CollectGarbage{} },
 	CommandConfirmDigest:        func() Command { return &ConfirmDigest{} },
 	CommandExpireLeases:         func() Command { return &ExpireLeases{} },
+	CommandForgetUnused:         func() Command { return &ForgetUnused{} },
 	CommandLendCapacity:         func() Command { return &LendCapacity{} },
 	CommandOfferJob:             func() Command { return &OfferJob{} },
 	CommandRegisterWorker:       func() Command { return &RegisterWorker{} },
--- a/internal/state/retention.go
+++ b/internal/state/forget_unused.go
@@ -6,6 +6,21 @@
 	"tealpond/internal/tuning"
 )
 
+// ForgetUnused removes what nothing refers to any more: workers that are gone, rows of
+// earlier configurations, and records of demand that are too old. It is a command beside
+// CollectGarbage, which logs of earlier versions contain: what they do stays as it was.
+type ForgetUnused struct {
+	_ struct{} `cbor:",toarray"`
+}
+
+// Apply removes the rows. The outcome is always CodeOK.
+func (c *ForgetUnused) Apply(s *Store) Outcome {
+	s.forgetGoneWorkers()
+	s.forgetOldDemand()
+	s.forgetEarlierConfigurations()
+	return Outcome{Code: CodeOK}
+}
+
 // forgetGoneWorkers removes the rows of workers that have been gone for
 // tuning.GoneWorkerRetention: each restart of a runner leaves one. After that time a
 // late heartbeat can't bring the worker back, since its agent asks the runner which
--- a/internal/state/retention_test.go
+++ b/internal/state/forget_unused_test.go
@@ -41,7 +41,7 @@
 			drain(f)
 			expire(f)
 			f.now += 1000
-			f.apply(&CollectGarbage{})
+			f.apply(&ForgetUnused{})
 			f.addWorker("a", capacity)
 		}, 2 * retentionMs, true},
 	} {
@@ -50,9 +50,9 @@
 			f.addWorker("a", capacity)
 			c.prepare(f)
 			f.now += 1000
-			f.apply(&CollectGarbage{})
+			f.apply(&ForgetUnused{})
 			f.now += c.afterMs
-			f.apply(&CollectGarbage{})
+			f.apply(&ForgetUnused{})
 			checkInvariants(t, f.store)
 			if kept := f.store.Workers["a"] != nil; kept != c.kept {
 				t.Errorf("kept: %v", kept)
@@ -78,7 +78,7 @@
 	f.apply(&RegisterWorker{ID: "b", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: fence})
 	for range 2 {
 		f.now += retentionMs
-		f.apply(&CollectGarbage{})
+		f.apply(&ForgetUnused{})
 	}
 	if f.store.Workers["a"] != nil {
 		t.Fatal("the worker was not forgotten")
@@ -117,7 +117,7 @@
 	}
 	replace(2, 3, "dropped")
 	replace(3, 4, "present")
-	f.apply(&CollectGarbage{})
+	f.apply(&ForgetUnused{})
 	requireRows := func(name string, expected bool) {
 		t.Helper()
 		_, service := f.store.Services["s-"+name]
@@ -132,7 +132,7 @@
 	f.apply(&CancelJob{ID: "j"})
 	f.now += 2000
 	f.apply(&CollectGarbage{})
-	f.apply(&CollectGarbage{})
+	f.apply(&ForgetUnused{})
 	requireRows("held", false)
 	requireRows("present", true)
 }
@@ -167,7 +167,7 @@
 		return len(f.store.EncodeSnapshot())
 	}
 	playDay := func() {
-		for round := range roundsADay {
+		for range roundsADay {
 			node := (number * 7) % nodes
 			fence := f.store.Workers[workerID(node)].Fence
 			incarnation[node]++
@@ -184,7 +184,8 @@
 			}
 			for range 2 {
 				f.now += dayMs / roundsADay / 2
-				f.apply(&CollectGarbage{RebuildRollups: round%2 == 0})
+				f.apply(&CollectGarbage{RebuildRollups: true})
+				f.apply(&ForgetUnused{})
 			}
 		}
 	}
--- a/internal/state/generator_test.go
+++ b/internal/state/generator_test.go
@@ -289,6 +289,7 @@
 		return &state.StopRuns{Allocations: []uint64{g.allocation().ID, g.allocation().ID}, Reason: g.oneOf("pushed", "stuck")}
 	}},
 	state.CommandCollectGarbage: {2, func(g *generator) state.Command { return &state.CollectGarbage{RebuildRollups: g.Intn(2) == 0} }},
+	state.CommandForgetUnused:   {2, func(*generator) state.Command { return &state.ForgetUnused{} }},
 	state.CommandCancelJob:      {1, func(g *generator) state.Command { return &state.CancelJob{ID: g.jobID()} }},
 	state.CommandAppointAggregator: {1, func(g *generator) state.Command {
 		z := g.oneOf("z1", "z2")
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -42,6 +42,7 @@
 		{Name: "eligible/sick", Value: &SetEligibility{ID: "id", Unhealthy: true, LeavesInMs: 1}},
 		{Name: "ends", Value: &ReportCompletions{Worker: "worker", Fence: 1, Completions: []protocol.Completion{{Sequence: 2, Task: "task", Run: 3, Result: "how", Checkpoint: "saved"}},
 			Checkpoints: []protocol.RunProgress{{Task: "task", Run: 4, Checkpoint: "saved", Percent: 5}}, FromOldest: true}},
+		{Name: "forget", Value: &ForgetUnused{}},
 		{Name: "halt", Value: &StopRuns{Allocations: []uint64{1, 2}, Reason: "why"}},
 		{Name: "handin", Value: &SubmitJob{Host: "host", Path: "path", ID: "id", Job: job, DemandBucket: 1}},
 		{Name: "lapse", Value: &ExpireLeases{Workers: []FencedWorker{{ID: "id", Fence: 1}}}},
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -12,6 +12,7 @@
 
 	_ "tealpond/internal/scheduler" // replans within a command
 	"tealpond/internal/state"
+	"tealpond/internal/tuning"
 )
 
 var replicaSeeds = flag.Int("replica.seeds", 40, "sequences of commands that the replicas are compared over")
@@ -114,6 +115,9 @@
 	t.Helper()
 	t.generator.store = t.replicas[0].store
 	t.clock += int64(t.generator.Intn(40))
+	if t.generator.Intn(100) == 0 {
+		t.clock += tuning.GoneWorkerRetention.Milliseconds() // a quiet time, after which rows are forgotten
+	}
 	t.wall += int64(t.generator.Intn(60) - 10)
 	entry := t.generator.entry(t.clock, t.wall, commands)
 	first := t.replicas[0].store.ApplyEntry(t.replicas[0].store.AppliedIndex+1, entry)
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -52,7 +52,7 @@
 	Limits               Limits                           `cbor:"Limits"`
 	Quotas               map[string]Quota                 `cbor:"Quotas,omitempty"`  // by tenant, with those of earlier configurations
 	JobTenants           map[string]JobTenant             `cbor:"Tenants,omitempty"` // by job
-	GoneWorkers          map[string]int64                 `cbor:"Gone,omitempty"`    // when garbage collection first saw that a worker is gone, by ID
+	GoneWorkers          map[string]int64                 `cbor:"Gone,omitempty"`    // when ForgetUnused first saw that a worker is gone, by ID
 	// DigestChain covers all entries from DigestChainFrom on, see digest.go. It
 	// hasn't begun while that is 0.
 	DigestChain     uint64 `cbor:"Chain"`
