--- a/internal/state/job_progress.go
+++ b/internal/state/job_progress.go
@@ -167,20 +167,3 @@
 		}
 	}
 }
-
-// PendingWork is the work of all tasks that aren't done, by their estimates, in
-// thousandths of a core times ms.
-func (s *Store) PendingWork() int64 {
-	sum := int64(0)
-	for _, job := range s.openJobs {
-		for _, instance := range job.Instances {
-			if instance.Failed {
-				continue
-			}
-			for i := range instance.Steps {
-				sum += int64(instance.Steps[i].TasksLeft) * job.Steps[i].CPUUnits * max(job.Steps[i].EstimateMs, 1)
-			}
-		}
-	}
-	return sum
-}
--- /dev/null
+++ b/internal/state/quota_commands_test.go
@@ -0,0 +1,112 @@
+package state_test
+
+import (
+	"fmt"
+	"maps"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpond/internal/state"
+)
+
+// recountTenantUse sums up what tenants' runs hold, from the tables alone: TenantUse is
+// kept up by the commands, and rebuilt with the index.
+func recountTenantUse(s *state.Store) map[string]state.TenantUse {
+	uses := map[string]state.TenantUse{}
+	for _, allocation := range s.Allocations {
+		tenant := s.JobTenants[allocation.Job].Tenant
+		if tenant == "" {
+			continue
+		}
+		use := uses[tenant]
+		use.Runs++
+		use.MilliCPU += allocation.MilliCPU
+		use.MemoryMB += allocation.MemoryMB
+		use.GPUs += len(allocation.GPUs)
+		uses[tenant] = use
+	}
+	return uses
+}
+
+// quotaFault holds a tenant's use after a command against its limit: it may not grow
+// beyond that, but for a single run that is wider than the limit.
+func quotaFault(quota state.Quota, before, after state.TenantUse) string {
+	over := func(limit, used, was int64) bool { return limit > 0 && used > limit && used > was && after.Runs > 1 }
+	if over(quota.MilliCPU, after.MilliCPU, before.MilliCPU) || over(quota.MemoryMB, after.MemoryMB, before.MemoryMB) ||
+		over(int64(quota.GPUs), int64(after.GPUs), int64(before.GPUs)) {
+		return fmt.Sprintf("%+v is in use of %+v, %+v was before", after, quota, before)
+	}
+	return ""
+}
+
+// TestQuotasHoldUnderAllCommands applies all commands by lot, one at a time: leases that
+// expire, runners that crash and are registered again, moves, cancels, configurations that
+// drop a tenant or change its limit, and a reload from a snapshot now and then. What
+// tenants use is recounted after each, and none grows beyond its limit.
+func TestQuotasHoldUnderAllCommands(t *testing.T) {
+	commands, grown, bounded := map[string]int{}, 0, 0
+	for seed := range int64(*replicaSeeds) {
+		test := newReplicaTest(t, seed)
+		replica := test.replicas[0]
+		for entry := range 200 {
+			test.generator.store = replica.store
+			test.clock += int64(test.generator.Intn(40))
+			test.wall += int64(test.generator.Intn(60) - 10)
+			for _, single := range singleCommands(t, test.generator.entry(test.clock, test.wall, commands)) {
+				before, limits := recountTenantUse(replica.store), maps.Clone(replica.store.Quotas)
+				replica.store.ApplyEntry(replica.store.AppliedIndex+1, single)
+				after := recountTenantUse(replica.store)
+				for i := range tenantCount {
+					tenant := fmt.Sprint("tenant", i)
+					if kept := replica.store.TenantUse(tenant); kept != after[tenant] {
+						t.Fatalf("seed %d, entry %d: %s is kept up as %+v, its runs hold %+v", seed, entry, tenant, kept, after[tenant])
+					}
+					quota, limited := replica.store.Quotas[tenant]
+					if _, wasLimited := limits[tenant]; wasLimited && !limited && after[tenant].Runs > 0 {
+						t.Fatalf("seed %d, entry %d: the limit of %s was forgotten, its jobs go on", seed, entry, tenant)
+					}
+					if fault := quotaFault(quota, before[tenant], after[tenant]); fault != "" {
+						t.Fatalf("seed %d, entry %d: %s: %s", seed, entry, tenant, fault)
+					}
+					if after[tenant].Runs > before[tenant].Runs {
+						grown++
+					}
+					if quota.MilliCPU > 0 && after[tenant].MilliCPU > quota.MilliCPU/2 {
+						bounded++
+					}
+				}
+			}
+			if entry%20 == 19 {
+				replica.reload(t, replica.store.EncodeSnapshot())
+			}
+		}
+	}
+	t.Logf("%d commands added runs of tenants, %d times over half of a limit was in use", grown, bounded)
+	for _, name := range state.CommandNames() {
+		if commands[name] == 0 {
+			t.Errorf("%s never came by", name)
+		}
+	}
+	if grown < 100 || bounded < 100 {
+		t.Error("too little of it was about tenants")
+	}
+}
+
+// singleCommands gives an entry for each command of an entry.
+func singleCommands(t *testing.T, entry []byte) [][]byte {
+	t.Helper()
+	var batch state.Batch
+	if err := cbor.Unmarshal(entry, &batch); err != nil {
+		t.Fatal(err)
+	}
+	var entries [][]byte
+	for _, command := range batch.Commands {
+		raw, err := cbor.Marshal(state.Batch{Clock: batch.Clock, WallClock: batch.WallClock, Commands: []state.EncodedCommand{command}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		entries = append(entries, raw)
+	}
+	return entries
+}
