--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -133,3 +133,17 @@
 	}
 	return p.tenantPeaks[kind.Tenant][kind.Priority]
 }
+
+// usesMuchOfQuota tells whether a tenant uses over tuning.HeavyTenantFraction of one of
+// its quota's resources.
+func usesMuchOfQuota(store *state.Store, tenant string) bool {
+	quota, bounded := store.Quotas[tenant]
+	if !bounded {
+		return false
+	}
+	use := store.TenantUse(tenant)
+	heavy := func(limit, used int64) bool {
+		return limit > 0 && float64(used) > tuning.HeavyTenantFraction*float64(limit)
+	}
+	return heavy(quota.MilliCPU, use.MilliCPU) || heavy(quota.MemoryMB, use.MemoryMB) || heavy(int64(quota.GPUs), int64(use.GPUs))
+}
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -110,3 +110,40 @@
 		t.Errorf("%d of 6 urgent tasks found room under the quota", n)
 	}
 }
+
+// TestWorkOfHeavyTenantsComesLater: of jobs of one priority that can meet their targets,
+// those of a tenant that uses most of its quota come after others, though they have waited
+// longer; one that uses little comes by its deadline. Urgent work still goes first.
+func TestWorkOfHeavyTenantsComesLater(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		usedTasks int // of 10 that the quota allows
+		prefix    string
+		wantHeavy int // tasks of the tenant with the quota, of 4 for which there is room
+		wantOther int
+	}{
+		{"little is in use", 5, "/p/", 4, 0},
+		{"most is in use", 7, "/p/", 1, 3},
+		{"most is in use, and the other's work is less urgent", 7, "/q/", 3, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newTestCluster(t, 1)
+			c.configureTenants(10000)
+			p := &Planner{}
+			step := func(tasks int) protocol.Step {
+				return protocol.Step{TaskCount: tasks, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 300}
+			}
+			c.submitAs("t", false, "/p/", step(test.usedTasks))
+			c.planAndBind(p)
+			c.submitAs("u", false, "/p/", step(12-test.usedTasks))
+			c.planAndBind(p) // 12 of 16 cores are in use
+			heavy := c.submitAs("t", false, "/p/", step(min(4, 10-test.usedTasks)))
+			other := c.submitAs("u", false, test.prefix, step(3))
+			c.planAndBind(p)
+			if c.runsOf(heavy) != test.wantHeavy || c.runsOf(other) != test.wantOther {
+				t.Errorf("%d tasks of the tenant with the quota run and %d of the other, want %d and %d",
+					c.runsOf(heavy), c.runsOf(other), test.wantHeavy, test.wantOther)
+			}
+		})
+	}
+}
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -19,6 +19,8 @@
 	// latestStart is when the rest of the job must start to stay in its class, in
 	// ms of the state's clock.
 	latestStart int64
+	// heavyTenant: the tenant uses a large part of its quota already.
+	heavyTenant bool
 	// speculative requests are for copies of runs in trouble; none goes to one of
 	// excludedWorkers, where those run.
 	speculative     bool
@@ -99,6 +101,7 @@
 		target := job.TargetTurnaroundMs()
 		request.slackMs = instance.CreatedAt + target - store.Clock
 		request.class, request.latestStart = classifyDeadline(store.Clock, instance.CreatedAt, target, job.RemainingCriticalPathMs(instance))
+		request.heavyTenant = usesMuchOfQuota(store, job.Tenant())
 		requests = append(requests, request)
 		return true
 	})
@@ -117,6 +120,8 @@
 		return r.job.Priority < other.job.Priority
 	case r.class != other.class:
 		return r.class < other.class
+	case r.heavyTenant != other.heavyTenant:
+		return other.heavyTenant
 	case r.latestStart != other.latestStart:
 		return r.latestStart < other.latestStart
 	case r.job.Sequence != other.job.Sequence:
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -50,9 +50,13 @@
 			cpuByPriority[job.Priority] += allocation.MilliCPU
 		}
 	}
+	waiting := int64(0)
+	for _, work := range r.state.Backlog() {
+		waiting += work
+	}
 	_ = r.log.Log("level", "debug", "event", "capacity.measured", "workers", workers,
 		"cpu", totalCPU, "cpu_used", usedCPU, "mem", totalMemory, "mem_used", usedMemory,
-		"waiting", r.state.PendingWork()/milliCPUPerCore,
+		"waiting", waiting/milliCPUPerCore,
 		"p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
 }
 
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -7,7 +7,6 @@
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
 	"tealpond/internal/transport"
-	"tealpond/internal/tuning"
 )
 
 const msPerSecond = 1000
@@ -78,9 +77,12 @@
 	if !ok {
 		return
 	}
-	if r.state.Jobs[call.id] == nil && r.overloaded(call.route, request.BeyondShare) {
-		reply(responseOverloaded)
-		return
+	if r.state.Jobs[call.id] == nil {
+		if wait := r.backlogWait(call, request); wait > 0 {
+			reply(responseOverloaded(wait))
+			return
+		}
+		r.addToBacklog(call, &request.Job)
 	}
 	r.trace.Record(call.id, "ordered", int64(r.node.LastIndex()+1), call.route.Name)
 	submit := state.SubmitJob{Host: request.Host, Path: request.Path, ID: call.id, Job: request.Job, DemandBucket: r.demandBucket()}
@@ -109,25 +111,6 @@
 	}
 }
 
-// overloaded tells whether more work waits than the workers of a route's service
-// can finish in good time. What a tenant submits beyond its share is refused long
-// before that, so that a flood of one tenant has none of the others refused.
-func (r *Replica) overloaded(route *clusterconfig.Route, beyondShare bool) bool {
-	capacity, _ := r.state.SchedulableCapacity(route.TargetService)
-	if capacity.MilliCPU == 0 {
-		return false
-	}
-	if now := time.Now(); now.Sub(r.queuedWorkAt) >= tuning.HeartbeatInterval {
-		// Not computed for each call, since it walks all open jobs.
-		r.queuedWork, r.queuedWorkAt = r.state.PendingWork(), now
-	}
-	limit := tuning.MaxBacklogSecondsPerCore
-	if beyondShare {
-		limit = tuning.MaxBacklogBeyondShare
-	}
-	return float64(r.queuedWork)/float64(capacity.MilliCPU) > limit*msPerSecond
-}
-
 // handleCancelJob cancels a job.
 func (r *Replica) handleCancelJob(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
 	call, ok := r.admitForJob(request, reply)
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -76,10 +76,10 @@
 	commands      []state.EncodedCommand  // of the next entry
 	replies       []commandReply          // of the same commands
 	proposedAt    time.Time
-	statusWaiters map[string][]statusWaiter // by job ID
-	cancelWaiters map[string][]replyFunc    // by job ID
-	queuedWork    int64                     // core-ms that wait, as of queuedWorkAt
-	queuedWorkAt  time.Time
+	statusWaiters map[string][]statusWaiter  // by job ID
+	cancelWaiters map[string][]replyFunc     // by job ID
+	backlog       map[state.BacklogKey]int64 // as of backlogAt
+	backlogAt     time.Time
 	federation    *federation.Settings // nil while federation is off
 
 	// Agents that are connected to this replica, and their assignments.
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -1,6 +1,8 @@
 package server
 
 import (
+	"time"
+
 	"tealpond/internal/rpc"
 	"tealpond/internal/state"
 )
@@ -16,7 +18,6 @@
 	responseNoSuchRoute   = rpc.Response{Code: rpc.CodeNotFound, Text: "no such queue"}
 	responseNoSuchJob     = rpc.Response{Code: rpc.CodeGone, Text: "no such job"}
 	responseNotConfigured = rpc.Response{Code: rpc.CodeUnavailable, Text: "not configured yet", RetryAfterMs: 1000}
-	responseOverloaded    = rpc.Response{Code: rpc.CodeTooManyRequests, Text: "more work than can be finished", RetryAfterMs: 2000}
 	responseNotLeader     = rpc.Response{Code: rpc.CodeNotLeader}
 	// responseOutcomeUnknown: the command may or may not be in the log.
 	responseOutcomeUnknown = rpc.Response{Code: rpc.CodeLeadershipLost}
@@ -37,3 +38,8 @@
 		reply(rpc.Response{Code: rpc.Code(outcome.Code), Text: outcome.Text, Value: outcome.Value})
 	}
 }
+
+// responseOverloaded refuses a job that may come again after a wait.
+func responseOverloaded(wait time.Duration) rpc.Response {
+	return rpc.Response{Code: rpc.CodeTooManyRequests, Text: "more work than can be finished in time", RetryAfterMs: max(wait.Milliseconds(), 1)}
+}
--- a/internal/state/backlog.go
+++ b/internal/state/backlog.go
@@ -32,13 +32,28 @@
 func (j *Job) workLeft(instance *JobInstance) int64 {
 	left := int64(0)
 	for i := range instance.Steps {
-		if spec := &j.Steps[i]; !spec.LongRunning {
-			left += int64(instance.Steps[i].TasksLeft) * spec.CPUUnits * max(spec.EstimateMs, 1)
-		}
+		left += workOfTasks(&j.Steps[i], instance.Steps[i].TasksLeft)
 	}
 	return left
 }
 
+// workOfTasks is the work of so many tasks of a step.
+func workOfTasks(spec *protocol.Step, count int) int64 {
+	if spec.LongRunning {
+		return 0
+	}
+	return int64(count) * spec.CPUUnits * max(spec.EstimateMs, 1)
+}
+
+// WorkOf is the work of a job that is yet to be submitted, as Backlog counts it.
+func WorkOf(submitted *protocol.Job) int64 {
+	work := int64(0)
+	for i := range submitted.Steps {
+		work += workOfTasks(&submitted.Steps[i], submitted.Steps[i].TaskCount)
+	}
+	return work
+}
+
 // TargetTurnaroundMs is how long a job that is yet to be submitted may take on a route and
 // still meet the route's target.
 func TargetTurnaroundMs(route *clusterconfig.Route, submitted *protocol.Job) int64 {
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -19,13 +19,16 @@
 	// MaxCandidates is the number of feasible workers scored above
 	// FullScanMaxWorkers.
 	MaxCandidates = 24
-	// MaxBacklogSecondsPerCore is the work that may wait, in core-seconds for
-	// each core of capacity. Above it submitted jobs are refused, with a time to
-	// come back.
-	MaxBacklogSecondsPerCore = 60.0
-	// MaxBacklogBeyondShare is the same for jobs beyond their tenant's share: with so
-	// much waiting, everything is full.
-	MaxBacklogBeyondShare = 20.0
+	// MaxBacklogPerCore is the work that may wait for each core of capacity. Above it
+	// submitted jobs are refused, with a time to come back.
+	MaxBacklogPerCore = 60 * time.Second
+	// HeavyTenantFraction is the part of its quota above which a tenant's work comes
+	// after that of tenants that use less, at the same priority and deadline class.
+	HeavyTenantFraction = 0.6
+	// MinBacklogBeyondShare is the work for each core, or for each core of its tenant's
+	// quota, behind which a job beyond its tenant's share is accepted in any case: it is
+	// what runs and waits for a moment on a quiet day.
+	MinBacklogBeyondShare = 500 * time.Millisecond
 )
 
 // Room kept free for urgent work.
