--- a/internal/bootstrap/model_test.go
+++ b/internal/bootstrap/model_test.go
@@ -21,15 +21,15 @@
 
 // candidateNode is a candidate of the model, and a member once it may start.
 type candidateNode struct {
-	voter     raft.Member
-	nextAt    time.Time
-	turns     int
-	selector  SeedSelector
-	bound     []raft.Member
-	member    bool // started with bound
-	leftOut   bool // a cluster was formed without it
-	killedAt  time.Time
-	newcomer  bool // its disk is none of the first start
+	voter    raft.Member
+	nextAt   time.Time
+	turns    int
+	selector SeedSelector
+	bound    []raft.Member
+	member   bool // started with bound
+	leftOut  bool // a cluster was formed without it
+	killedAt time.Time
+	newcomer bool // its disk is none of the first start
 }
 
 // bootstrapModel is a first start of some candidates and three seeds.
--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -15,12 +15,13 @@
 type appointments struct {
 	heardSince    map[string]time.Time // by member ID: since when it has been heard without a gap
 	leavingUntil  map[string]time.Time // by member ID: it is leaving, and until when that is believed
+	releasedAt    map[string]time.Time // by member ID: when it was told that it may end
 	changePending map[string]bool      // by zone: a change is proposed and not yet applied
 	zonesListedAt time.Time
 }
 
 func newAppointments() appointments {
-	return appointments{heardSince: map[string]time.Time{}, leavingUntil: map[string]time.Time{}, changePending: map[string]bool{}}
+	return appointments{heardSince: map[string]time.Time{}, leavingUntil: map[string]time.Time{}, releasedAt: map[string]time.Time{}, changePending: map[string]bool{}}
 }
 
 // canAggregate tells whether a server may aggregate for a zone now, and notes since
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -139,5 +139,6 @@
 		reply(rpc.Response{Code: codeStillNeeded, Text: reason, RetryAfterMs: tuning.ShutdownPollInterval.Milliseconds()})
 		return
 	}
+	r.appointments.releasedAt[request.Disk] = now
 	reply(responseOK)
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -210,17 +210,33 @@
 			return "a candidate is about to take a place"
 		}
 	}
-	for _, voter := range r.node.Voters() {
-		if voter.ID == id || voter.ID == r.self.ID {
+	ending, voters := 0, r.node.Voters()
+	for _, voter := range voters {
+		switch {
+		case voter.ID == id:
 			continue
-		}
-		if r.node.SilentFor(voter.ID) > tuning.AggregatorSilenceTimeout || !r.node.CaughtUp(voter.ID) {
+		case voter.ID != r.self.ID && (r.node.SilentFor(voter.ID) > tuning.AggregatorSilenceTimeout || !r.node.CaughtUp(voter.ID)):
 			return "another voter is silent or lags"
+		case r.isReleased(voter.ID, time.Now()):
+			ending++
 		}
 	}
+	if staying := len(voters) - 1 - ending; ending > 0 && staying <= len(voters)/2 {
+		return "another voter is ending"
+	}
 	return ""
 }
 
+// isReleased tells whether a voter was told a moment ago that it may end, and may be
+// about to: it is heard until it does. The leader itself ends once it hands over.
+func (r *Replica) isReleased(id string, now time.Time) bool {
+	if id == r.self.ID {
+		return r.transferringLeadership && len(r.leaveWaiters) > 0
+	}
+	at, released := r.appointments.releasedAt[id]
+	return released && now.Sub(at) < tuning.ShutdownReleasePeriod
+}
+
 // logFaultyVoters logs voters that lost what they had acknowledged, once each.
 func (r *Replica) logFaultyVoters() {
 	faulty := strings.Join(r.node.FaultyPeers(), " ")
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/go-kit/log"
@@ -179,6 +180,42 @@
 	}
 }
 
+// TestVotersThatEndAtOnceWaitForEachOther: one that may end is still heard until it does.
+// Another one waits while too few would stay without both, and no longer than the first is
+// away; among five two may end together.
+func TestVotersThatEndAtOnceWaitForEachOther(t *testing.T) {
+	for _, test := range []struct {
+		name     string
+		voters   []string
+		released map[string]time.Duration // how long ago
+		leaderOn bool                     // the leader itself is handing over
+		want     string
+	}{
+		{"nobody else", []string{"a", "b", "c"}, nil, false, ""},
+		{"another of three", []string{"a", "b", "c"}, map[string]time.Duration{"c": 0}, false, "another voter is ending"},
+		{"it was asked before", []string{"a", "b", "c"}, map[string]time.Duration{"b": 0}, false, ""},
+		{"another that is back", []string{"a", "b", "c"}, map[string]time.Duration{"c": tuning.ShutdownReleasePeriod}, false, ""},
+		{"the leader of three", []string{"a", "b", "c"}, nil, true, "another voter is ending"},
+		{"another of five", []string{"a", "b", "c", "d", "e"}, map[string]time.Duration{"c": 0}, false, ""},
+		{"two others of five", []string{"a", "b", "c", "d", "e"}, map[string]time.Duration{"c": 0, "d": 0}, false, "another voter is ending"},
+		{"another of five and the leader", []string{"a", "b", "c", "d", "e"}, map[string]time.Duration{"c": 0}, true, "another voter is ending"},
+	} {
+		synctest.Test(t, func(t *testing.T) {
+			c := newClusterOf(t, test.voters...)
+			c.run(time.Second)
+			for id, ago := range test.released {
+				c.replica.appointments.releasedAt[id] = time.Now().Add(-ago)
+			}
+			if test.leaderOn {
+				c.replica.transferringLeadership, c.replica.leaveWaiters = true, []chan struct{}{make(chan struct{})}
+			}
+			if reason := c.replica.reasonToStay("b"); reason != test.want {
+				t.Errorf("%s: %q, want %q", test.name, reason, test.want)
+			}
+		})
+	}
+}
+
 // TestEvenNumberOfVotersDropsOne: an even set, as an older version formed it, loses the
 // voter that is silent, else the last one that does not lead; never one that may be
 // needed, and never one of the least number.
--- a/internal/tuning/shutdown.go
+++ b/internal/tuning/shutdown.go
@@ -18,6 +18,10 @@
 	// LeadershipTransferTimeout is how long a leader that ends waits for another
 	// one to take over.
 	LeadershipTransferTimeout = 300 * time.Millisecond
+	// ShutdownReleasePeriod is how long a voter that may end counts as gone, though it
+	// is still heard: it ends and is started again within a second or two. Another
+	// waits meanwhile if too few would stay, and ShutdownWaitFraction bounds that.
+	ShutdownReleasePeriod = 2 * time.Second
 	// ShutdownExclusionPeriod is how long a daemon that announced its end is
 	// appointed to nothing.
 	ShutdownExclusionPeriod = 5 * time.Second
