--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -157,7 +157,7 @@
 		e.until = time.Now().Add(limit)
 		e.ctx, e.cancel = context.WithDeadline(e.request.Context(), e.until)
 	}
-	e.service = e.route.ServiceFor(draw())
+	e.service = e.proxy.serviceFor(e.route)
 	e.body = newRequestBody(e.request)
 	e.proxy.countRequest(e.service)
 	return phaseAttempt
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"sync"
@@ -50,6 +49,7 @@
 	config *clusterconfig.Config
 	routes *clusterconfig.RouteTable
 	keys   *clusterconfig.KeyTable
+	splits map[string]*splitSequence // by route
 }
 
 // New builds a proxy; it serves once it has a configuration and a list of runners.
@@ -84,7 +84,7 @@
 
 // SetConfig puts a configuration in force, unless one as new is. It tells whether it did.
 func (p *Proxy) SetConfig(config *clusterconfig.Config) bool {
-	next := &routing{config: config, routes: clusterconfig.NewRouteTable(config), keys: clusterconfig.NewKeyTable(config)}
+	next := &routing{config: config, routes: clusterconfig.NewRouteTable(config), keys: clusterconfig.NewKeyTable(config), splits: splitSequences(config)}
 	for {
 		known := p.routing.Load()
 		if known != nil && known.config.Version >= config.Version {
@@ -222,6 +222,3 @@
 	defer p.mu.Unlock()
 	return p.budget.take(service, time.Now())
 }
-
-// draw gives a number between 0 and 1 for the choice of a part of a split route.
-func draw() float64 { return rand.Float64() }
