--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -23,10 +23,12 @@
 		return nil, err
 	}
 	s.gateway = gateway.New(gateway.Options{
-		Zone:     env.Settings.Zone,
-		Retries:  retryLimit(env.Settings.Bounds),
-		KeyTrust: keyTrust(env.Settings.Bounds),
-		Refresh:  s.refreshConfiguration,
+		Zone:       env.Settings.Zone,
+		Retries:    retryLimit(env.Settings.Bounds),
+		KeyTrust:   keyTrust(env.Settings.Bounds),
+		ProcessID:  env.ProcessID,
+		RateWindow: env.Settings.ShareWindow(tuning.DefaultShareWindow),
+		Refresh:    s.refreshConfiguration,
 	})
 	return s, nil
 }
@@ -54,11 +56,22 @@
 // it runs until ctx ends.
 func (s *Server) startGateway(ctx context.Context) {
 	go s.followRunners(ctx)
+	go s.exchangeRates(ctx, s.gateway.Rates())
 	if s.replica != nil && s.settings.Platform.Address != "" {
 		go s.readRunners(ctx, platform.NewClient(s.settings.Platform.Address, s.settings.Platform.RatePerS))
 	}
 }
 
+// exchangeRates exchanges counts of tenants' requests with the leader, from the first
+// request on that a rate holds for, until ctx ends.
+func (s *Server) exchangeRates(ctx context.Context, rates *gateway.TenantRates) {
+	select {
+	case <-rates.Urgent():
+		s.exchangeCounts(ctx, rpc.KindExchangeSums, rates)
+	case <-ctx.Done():
+	}
+}
+
 // fetchConfiguration puts the leader's configuration in force here.
 func (s *Server) fetchConfiguration(ctx context.Context) error {
 	response := s.Call(ctx, rpc.KindGetConfig, struct{}{})
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -177,7 +177,7 @@
 		s.startGateway(ctx)
 	} else {
 		go s.followLimits(ctx)
-		go s.exchangeCounts(ctx)
+		go s.exchangeCounts(ctx, rpc.KindExchangeCounts, s.shares)
 	}
 	return nil
 }
--- a/internal/api/shares.go
+++ b/internal/api/shares.go
@@ -55,9 +55,9 @@
 	return uint64(max(float64(milliShare)*tuning.CountAllowanceTime.Seconds()/milli, 2))
 }
 
-// nextRequest makes the next request to the leader; false if there is no need of one:
+// NextRequest makes the next request to the leader; false if there is no need of one:
 // nothing is new here, and the last one was made lately.
-func (s *tenantShares) nextRequest(now, lastAt time.Time) (counter.Request, bool) {
+func (s *tenantShares) NextRequest(now, lastAt time.Time) (counter.Request, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Expire(now)
@@ -67,7 +67,8 @@
 	return s.exchange.Request(now), true
 }
 
-func (s *tenantShares) handleResponse(response counter.Response, now time.Time) {
+// HandleResponse takes the leader's answer.
+func (s *tenantShares) HandleResponse(response counter.Response, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.exchange.HandleResponse(response, now)
@@ -114,28 +115,42 @@
 	return nil
 }
 
-// exchangeCounts exchanges counts with the leader, until ctx ends.
-func (s *Server) exchangeCounts(ctx context.Context) {
+// Urgent never gives a value: what is admitted ahead of the leader's knowledge is enough
+// for the time between two exchanges.
+func (s *tenantShares) Urgent() <-chan struct{} { return nil }
+
+// countExchanger is one side of exchanges of counts with the leader.
+type countExchanger interface {
+	NextRequest(now, lastAt time.Time) (request counter.Request, due bool)
+	HandleResponse(response counter.Response, now time.Time)
+	// Urgent gives a value when an exchange is wanted at once.
+	Urgent() <-chan struct{}
+}
+
+// exchangeCounts exchanges counts with the leader, by requests of a kind, until ctx ends.
+func (s *Server) exchangeCounts(ctx context.Context, kind string, counts countExchanger) {
 	ticker := time.NewTicker(tuning.CountExchangeInterval)
 	defer ticker.Stop()
 	lastAt := time.Time{}
 	for {
 		select {
 		case <-ticker.C:
+		case <-counts.Urgent():
+			pause(ctx, tuning.UrgentExchangeInterval-time.Since(lastAt))
 		case <-ctx.Done():
 			return
 		}
-		request, due := s.shares.nextRequest(time.Now(), lastAt)
+		request, due := counts.NextRequest(time.Now(), lastAt)
 		if !due {
 			continue
 		}
 		lastAt = time.Now()
 		callCtx, cancel := context.WithTimeout(ctx, tuning.CountExchangeTimeout)
-		response := s.Call(callCtx, rpc.KindExchangeCounts, request)
+		response := s.Call(callCtx, kind, request)
 		cancel()
-		var counts counter.Response
-		if response.Code == rpc.CodeOK && transport.Decode(response.Body, &counts) == nil {
-			s.shares.handleResponse(counts, time.Now())
+		var answer counter.Response
+		if response.Code == rpc.CodeOK && transport.Decode(response.Body, &answer) == nil {
+			counts.HandleResponse(answer, time.Now())
 		}
 	}
 }
--- a/internal/api/shares_test.go
+++ b/internal/api/shares_test.go
@@ -28,8 +28,8 @@
 		daemons := []*tenantShares{newTenantShares("d1", window, time.Now()), newTenantShares("d2", window, time.Now())}
 		exchange := func() {
 			for _, s := range daemons {
-				if request, due := s.nextRequest(time.Now(), time.Time{}); due {
-					s.handleResponse(hub.Answer(request, time.Now()), time.Now())
+				if request, due := s.NextRequest(time.Now(), time.Time{}); due {
+					s.HandleResponse(hub.Answer(request, time.Now()), time.Now())
 				}
 			}
 		}
--- a/internal/clusterconfig/tenants.go
+++ b/internal/clusterconfig/tenants.go
@@ -14,6 +14,10 @@
 	// Share is the number of jobs a second that the tenant is served once
 	// everything is full; 0: none was agreed.
 	Share float64 `json:"share"`
+	// RatePerS is the number of requests a second that the tenant may make at gateways,
+	// and Burst what it may make above that at once; a rate of 0: no limit.
+	RatePerS float64 `json:"ratePerS,omitempty"`
+	Burst    float64 `json:"burst,omitempty"`
 	// UpperLimit bounds what the tenant has running on all runners together.
 	UpperLimit UpperLimit `json:"upperLimit"`
 }
@@ -54,6 +58,12 @@
 		if tenant.Share < 0 {
 			report("share", "below 0")
 		}
+		if tenant.RatePerS < 0 {
+			report("ratePerS", "below 0")
+		}
+		if tenant.Burst < 0 {
+			report("burst", "below 0")
+		}
 		if limit := tenant.UpperLimit; limit.CPUUnits < 0 || limit.MemoryMB < 0 || limit.GPUs < 0 {
 			report("upperLimit", "below 0")
 		}
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -101,8 +101,19 @@
 
 // TestSumIsBounded: whatever messages are lost, late, repeated or reordered, whichever
 // processes die and start again, freeze, or have other clocks, the events admitted in
-// any window pass the limit by at most (n + 1) allowances.
+// any window pass the limit by at most (n + 1) allowances. So it is where the peer answers
+// with the sums of others' counts.
 func TestSumIsBounded(t *testing.T) {
+	for name, answer := range map[string]answerFunc{"entries": (*Set).Answer, "sums": (*Set).AnswerSums} {
+		t.Run(name, func(t *testing.T) { playBoundedSum(t, answer) })
+	}
+}
+
+// answerFunc is the peer's side of an exchange.
+type answerFunc func(peer *Set, request Request, now time.Time) Response
+
+func playBoundedSum(t *testing.T, answer answerFunc) {
+	t.Helper()
 	const processes, limit, allowance = 6, 40, 3
 	worst := 0
 	for seed := range int64(60) {
@@ -129,7 +140,7 @@
 				if random.Intn(3) == 0 && a.exchange.Admit("k", limit, allowance, local) {
 					admitted = append(admitted, now)
 				}
-				a.converse(random, peer, local, now)
+				a.converse(random, peer, answer, local, now)
 				switch random.Intn(4000) {
 				case 0:
 					all[i] = birth(now)
@@ -156,19 +167,19 @@
 
 // converse carries messages between a process and its peer, or loses, delays or
 // repeats them.
-func (a *admitter) converse(random *rand.Rand, peer *Set, local, now time.Time) {
+func (a *admitter) converse(random *rand.Rand, peer *Set, answer answerFunc, local, now time.Time) {
 	switch random.Intn(20) {
 	case 0, 1: // a new request; an answer to an earlier one is not taken any more
 		a.requests = append(a.requests, a.exchange.Request(local))
 		a.response = nil
 	case 2, 3: // the newest arrives, and is answered
 		if n := len(a.requests); n > 0 {
-			response := peer.Answer(a.requests[n-1], now)
+			response := answer(peer, a.requests[n-1], now)
 			a.response = &response
 		}
 	case 4: // an old one arrives late, or again
 		if n := len(a.requests); n > 0 {
-			peer.Answer(a.requests[random.Intn(n)], now)
+			answer(peer, a.requests[random.Intn(n)], now)
 		}
 	case 5, 6:
 		if a.response != nil {
--- a/internal/counter/exchange.go
+++ b/internal/counter/exchange.go
@@ -28,6 +28,10 @@
 // what is known of another process counts for nothing. Requests that bring no answer are
 // forgotten; the next one repeats what they told.
 type Exchange struct {
+	// ForgetsPeers is set where the peer answers with sums (Set.AnswerSums): those of an
+	// earlier process are forgotten when another answers.
+	ForgetsPeers bool
+
 	set   *Set
 	peer  string // the peer's process, as it last answered
 	known uint64 // the revision of the peer's set that is had
@@ -55,6 +59,9 @@
 	e.set.Merge(response.Entries, response.Process, now)
 	e.known = response.Revision
 	if response.Process != e.peer {
+		if e.ForgetsPeers {
+			e.set.Forget(e.peer)
+		}
 		e.peer, e.sent = response.Process, 0
 		return
 	}
@@ -67,6 +74,9 @@
 	e.sendingAhead = nil
 }
 
+// Ahead is how many events of a key were admitted that the peer hasn't acknowledged.
+func (e *Exchange) Ahead(key string) uint64 { return e.ahead[key] }
+
 // HasNews tells whether there is something that the peer hasn't acknowledged.
 func (e *Exchange) HasNews() bool { return e.set.Revision() > e.sent }
 
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -8,7 +8,7 @@
 	Process string   // that counted
 	Key     string
 	Slot    uint64 // number of the slot since the process started
-	AgeMs   int64  // since the slot began, when the entry was sent
+	AgeMs   int64  // since the slot began, when the entry was sent; negative if it begins later
 	Count   uint64
 }
 
@@ -101,7 +101,9 @@
 			continue
 		}
 		id := slotID{entry.Process, entry.Key, entry.Slot}
-		beganAt := now.Add(-time.Duration(max(entry.AgeMs, 0)) * time.Millisecond)
+		// Sums may stand in a slot that begins up to a width from now.
+		age := max(time.Duration(entry.AgeMs)*time.Millisecond, -s.width)
+		beganAt := now.Add(-age)
 		slot := s.slots[id]
 		if slot == nil {
 			if beganAt.Add(s.width + s.window).Before(now) {
@@ -120,15 +122,20 @@
 func (s *Set) Expire(now time.Time) {
 	for id, slot := range s.slots {
 		if s.expired(slot, now) {
-			delete(s.slots, id)
-			delete(s.byKey[id.key], id)
-			if len(s.byKey[id.key]) == 0 {
-				delete(s.byKey, id.key)
-			}
+			s.remove(id)
 		}
 	}
 }
 
+// remove drops a slot.
+func (s *Set) remove(id slotID) {
+	delete(s.slots, id)
+	delete(s.byKey[id.key], id)
+	if len(s.byKey[id.key]) == 0 {
+		delete(s.byKey, id.key)
+	}
+}
+
 // Len is the number of slots that are kept.
 func (s *Set) Len() int { return len(s.slots) }
 
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -152,6 +152,11 @@
 			return e.refuseWith(refused)
 		}
 	}
+	if limited := e.proxy.routing.Load().limited[e.tenant]; limited != nil {
+		if retryAfter, ok := e.proxy.rates.admit(e.ctx, limited); !ok {
+			return e.refuseWith(refusal{http.StatusTooManyRequests, "more requests than agreed", retryAfter})
+		}
+	}
 	if limit := time.Duration(e.route.TimeoutMs) * time.Millisecond; time.Until(e.until) > limit {
 		e.cancel()
 		e.until = time.Now().Add(limit)
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -21,6 +21,10 @@
 	// KeyTrust is for how long keys are trusted after the leader has confirmed that the
 	// configuration here is the newest; 0: for ever.
 	KeyTrust time.Duration
+	// ProcessID names this process among those that count requests of tenants, and
+	// RateWindow is the time over which their rates are held.
+	ProcessID  string
+	RateWindow time.Duration
 	// Refresh fetches the newest configuration and hands it to SetConfig if it is
 	// newer. An error means that the newest one isn't known.
 	Refresh func(context.Context) error
@@ -40,6 +44,8 @@
 	budget   *retryBudget
 	listed   bool // a list of runners is known
 
+	rates *TenantRates
+
 	ready     chan struct{} // closed once requests can be served
 	readyOnce sync.Once     // closes ready
 }
@@ -50,6 +56,8 @@
 	routes *clusterconfig.RouteTable
 	keys   *clusterconfig.KeyTable
 	splits map[string]*splitSequence // by route
+	// limited are the tenants with a rate, by name.
+	limited map[string]*clusterconfig.Tenant
 }
 
 // New builds a proxy; it serves once it has a configuration and a list of runners.
@@ -69,6 +77,7 @@
 		},
 		balancer: newBalancer(options.Zone),
 		budget:   newRetryBudget(options.Retries),
+		rates:    newTenantRates(options.ProcessID, options.RateWindow, time.Now()),
 		ready:    make(chan struct{}),
 	}
 }
@@ -82,9 +91,24 @@
 	connectionBufferBytes = 2 << 10
 )
 
+// tenantsWithRate lists the tenants of a configuration whose requests are limited.
+func tenantsWithRate(config *clusterconfig.Config) map[string]*clusterconfig.Tenant {
+	limited := map[string]*clusterconfig.Tenant{}
+	for _, tenant := range config.Tenants() {
+		if tenant.RatePerS > 0 {
+			limited[tenant.Name] = &tenant
+		}
+	}
+	return limited
+}
+
+// Rates is what tells whether tenants are within their rates; it wants to exchange counts
+// with the leader.
+func (p *Proxy) Rates() *TenantRates { return p.rates }
+
 // SetConfig puts a configuration in force, unless one as new is. It tells whether it did.
 func (p *Proxy) SetConfig(config *clusterconfig.Config) bool {
-	next := &routing{config: config, routes: clusterconfig.NewRouteTable(config), keys: clusterconfig.NewKeyTable(config), splits: splitSequences(config)}
+	next := &routing{config: config, routes: clusterconfig.NewRouteTable(config), keys: clusterconfig.NewKeyTable(config), splits: splitSequences(config), limited: tenantsWithRate(config)}
 	for {
 		known := p.routing.Load()
 		if known != nil && known.config.Version >= config.Version {
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -119,4 +119,6 @@
 	KindWatchRunners = "runners"
 	// KindExchangeCounts exchanges merged counts: counter.Request, counter.Response.
 	KindExchangeCounts = "counts"
+	// KindExchangeSums is KindExchangeCounts with the counts of all others summed up.
+	KindExchangeSums = "sums"
 )
--- a/internal/server/counts.go
+++ b/internal/server/counts.go
@@ -14,11 +14,15 @@
 )
 
 // newCounts makes the set of counts through which the daemons hear of each other's. It
-// is not part of the state: a new leader is told all of it again.
+// is not part of the state: a new leader is told all of it again. Its name differs from
+// that of the daemon in the same process, which exchanges its counts like any other.
 func newCounts(processID string, window time.Duration, now time.Time) *counter.Set {
-	return counter.NewSet(processID, window, tuning.CountSlotWidth, now)
+	return counter.NewSet(processID+leaderSuffix, window, tuning.CountSlotWidth, now)
 }
 
+// leaderSuffix tells a leader's set of counts from that of its daemon.
+const leaderSuffix = "-leader"
+
 // handleExchangeCounts merges a daemon's counts and says what it lacks.
 func (r *Replica) handleExchangeCounts(request *counter.Request, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
@@ -26,6 +30,13 @@
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.counts.Answer(*request, now))})
 }
 
+// handleExchangeSums merges a gateway's counts and tells it the sums of all others'.
+func (r *Replica) handleExchangeSums(request *counter.Request, _ *transport.Stream, reply replyFunc) {
+	now := time.Now()
+	r.counts.Expire(now)
+	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.counts.AnswerSums(*request, now))})
+}
+
 // handleGetTenants gives the tenants of the newest configuration, unless the caller has
 // them already.
 func (r *Replica) handleGetTenants(query *rpc.TenantQuery, _ *transport.Stream, reply replyFunc) {
--- a/internal/server/tenants_test.go
+++ b/internal/server/tenants_test.go
@@ -130,24 +130,30 @@
 	})
 }
 
-// TestCountsAreMergedThroughTheLeader: what one daemon has counted, another hears of.
+// TestCountsAreMergedThroughTheLeader: what one daemon has counted, another hears of, as
+// entries or as sums; also if it is the daemon in the leader's own process.
 func TestCountsAreMergedThroughTheLeader(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		h := newLeader(t)
-		now := time.Now()
-		first := counter.NewSet("d1", tuning.DefaultShareWindow, tuning.CountSlotWidth, now)
-		second := counter.NewSet("d2", tuning.DefaultShareWindow, tuning.CountSlotWidth, now)
-		first.Add("a", 3, now)
-		for _, set := range []*counter.Set{first, second} {
-			response := h.call(rpc.KindExchangeCounts, counter.NewExchange(set).Request(time.Now()))
-			var counts counter.Response
-			if err := transport.Decode(response.Body, &counts); response.Code != rpc.CodeOK || err != nil {
-				t.Fatalf("%+v, %v", response, err)
-			}
-			set.Merge(counts.Entries, counts.Process, time.Now())
+	const leadersProcess = "a" // of newHarness
+	for _, kind := range []string{rpc.KindExchangeCounts, rpc.KindExchangeSums} {
+		for _, counting := range []string{"d1", leadersProcess} {
+			synctest.Test(t, func(t *testing.T) {
+				h := newLeader(t)
+				now := time.Now()
+				first := counter.NewSet(counting, tuning.DefaultShareWindow, tuning.CountSlotWidth, now)
+				second := counter.NewSet("d2", tuning.DefaultShareWindow, tuning.CountSlotWidth, now)
+				first.Add("a", 3, now)
+				for _, set := range []*counter.Set{first, second} {
+					response := h.call(kind, counter.NewExchange(set).Request(time.Now()))
+					var counts counter.Response
+					if err := transport.Decode(response.Body, &counts); response.Code != rpc.CodeOK || err != nil {
+						t.Fatalf("%+v, %v", response, err)
+					}
+					set.Merge(counts.Entries, counts.Process, time.Now())
+				}
+				if sum := second.Sum("a", time.Now()); sum != 3 {
+					t.Errorf("%s: the other daemon knows of %d that %s counted, want 3", kind, sum, counting)
+				}
+			})
 		}
-		if sum := second.Sum("a", time.Now()); sum != 3 {
-			t.Errorf("the other daemon knows of %d, want 3", sum)
-		}
-	})
+	}
 }
--- a/internal/simulation/daemons.go
+++ b/internal/simulation/daemons.go
@@ -40,7 +40,7 @@
 // environment is what the process of a daemon hands to its role.
 func (c *Cluster) environment(n *node) daemon.Environment {
 	environment := daemon.Environment{Settings: c.nodeSettings(n), Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})),
-		ProcessID: fmt.Sprint(time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(traceRingLength)}
+		ProcessID: fmt.Sprint(n.name, "-", time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(traceRingLength)}
 	if n.server {
 		environment.FederationFile = c.federationFile
 	}
