--- a/internal/api/listeners.go
+++ b/internal/api/listeners.go
@@ -9,6 +9,7 @@
 	"github.com/labstack/echo/v4"
 
 	"tealpond/internal/gateway"
+	"tealpond/internal/settings"
 	"tealpond/internal/transport"
 	"tealpond/internal/tuning"
 )
@@ -25,6 +26,10 @@
 	operators.POST("/-/Config.Replace", s.serveConfigReplace)
 	operators.POST("/-/Config.Change", s.serveConfigChange)
 	operators.GET("/-/Config.Read", s.serveConfigRead)
+	if s.gateway != nil && s.settings.Discovery != settings.DiscoveryPlatform {
+		operators.POST("/-/Runners.Heartbeat/:id", s.serveRunnerHeartbeat)
+		operators.POST("/-/Runners.SignOff/:id", s.serveRunnerSignOff)
+	}
 	addresses := s.settings.ListenAddresses
 	var httpServers []*http.Server
 	for _, listener := range []struct {
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -40,6 +40,7 @@
 		{Name: "table", Value: &Table{Name: "name", Columns: []string{"column-a", "column-b"}, Rows: [][]any{{"cell", uint64(21)}}, Truncated: true}},
 		{Name: "tables", Value: &ClusterState{Node: "node", IsLeader: true, AppliedIndex: 22, Clock: 23, Tables: []Table{{Name: "name", Columns: []string{"column"}, Rows: [][]any{{"cell"}}}}}},
 		{Name: "client-call", Value: &JobRequest{Host: "host", Path: "path", Job: filledJob(), Key: "key", BeyondShare: true}},
+		{Name: "runner-announcement", Value: &RunnerAnnouncement{Runner: registry.Runner{ID: "runner"}, Sequence: 87, SignsOff: true}},
 		{Name: "runner-watch", Value: &RunnerWatch{Node: "node", Zone: "zone", Epoch: "epoch", Version: 82, ConfigVersion: 83, Observations: []registry.Observation{{ID: "runner", Answers: 84, LatencyMs: 85, Failures: 86}}}},
 		{Name: "runner-news", Value: &RunnerNews{DaemonIndex: 91, DaemonCount: 92, Config: []byte("text"), ConfigBase: 99, DaemonTotal: 100, Delta: registry.Delta{Epoch: "epoch", From: 93, Version: 94, Whole: true,
 			Runners: []registry.Runner{{ID: "runner", Service: "service", Address: "address", Zone: "zone", Slots: 95, Draining: true, ColdMs: 96,
@@ -73,6 +74,7 @@
 		{"request report-ends", KindReportCompletions}, {"request set-eligibility", KindSetEligibility}, {"request trace", KindTrace}, {"request tables", KindClusterState},
 		{"request members", KindListMembers}, {"request moves", KindFederationWork}, {"request command", KindPropose}, {"request peer", KindFederationCall},
 		{"request renew-leases", KindLeaseBatch}, {"request batch", KindBatch}, {"request leave", KindReleaseZones}, {"request limits", KindGetLimits},
+		{"request counts", KindExchangeCounts}, {"request sums", KindExchangeSums}, {"request announce-runner", KindAnnounceRunner},
 	} {
 		fmt.Fprintf(&text, "%s %v\n", entry.name, entry.value)
 	}
--- a/internal/rpc/messages.go
+++ b/internal/rpc/messages.go
@@ -87,6 +87,14 @@
 	BeyondShare bool
 }
 
+// RunnerAnnouncement is a heartbeat or a sign-off of a runner that no platform lists.
+type RunnerAnnouncement struct {
+	_        struct{}        `cbor:",toarray"`
+	Runner   registry.Runner // of a sign-off the ID alone
+	Sequence int64           // rises with each heartbeat of the runner
+	SignsOff bool
+}
+
 // RunnerWatch tells what a daemon knows of the list of runners and of the configuration.
 type RunnerWatch struct {
 	_             struct{} `cbor:",toarray"`
--- a/internal/rpc/request.go
+++ b/internal/rpc/request.go
@@ -119,6 +119,8 @@
 	KindWatchRunners = "runners"
 	// KindExchangeCounts exchanges merged counts: counter.Request, counter.Response.
 	KindExchangeCounts = "counts"
+	// KindAnnounceRunner tells the leader of a runner's heartbeat: RunnerAnnouncement.
+	KindAnnounceRunner = "announce"
 	// KindExchangeSums is KindExchangeCounts with the counts of all others summed up.
 	KindExchangeSums = "sums"
 )
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -102,8 +102,9 @@
 	appointments              appointments
 	membership                membershipTracker
 	planner                   scheduler.Planner
-	counts                    *counter.Set    // merged counts of all daemons, in memory
-	runnerTable               *registry.Table // the platform's list, while this leader reads it
+	counts                    *counter.Set      // merged counts of all daemons, in memory
+	runnerTable               *registry.Table   // the list of runners that daemons are told, while this server leads
+	announcedRunners          *announcedRunners // what runners tell of themselves, where no platform lists them
 	runnerWatchers            []runnerWatcher
 	configNews                configNews
 	positions                 map[string]daemonPosition // of daemons, by node
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -50,6 +50,7 @@
 		rpc.KindGetLimits:         (*Replica).handleGetLimits,
 		rpc.KindGetTenants:        decoded((*Replica).handleGetTenants),
 		rpc.KindExchangeCounts:    decoded((*Replica).handleExchangeCounts),
+		rpc.KindAnnounceRunner:    decoded((*Replica).handleAnnounceRunner),
 		rpc.KindExchangeSums:      decoded((*Replica).handleExchangeSums),
 		rpc.KindRegisterWorker:    decoded((*Replica).handleRegisterWorker),
 		rpc.KindRenewLease:        decoded((*Replica).handleRenewLease),
--- a/internal/server/runners.go
+++ b/internal/server/runners.go
@@ -24,12 +24,17 @@
 		reply(responseBadRequest) // only the leader itself reads the list
 		return
 	}
+	r.publishRunners(*list, time.Now())
+	reply(responseOK)
+}
+
+// publishRunners puts a whole list in the place of the one that daemons are told.
+func (r *Replica) publishRunners(list []registry.Runner, now time.Time) {
 	if r.runnerTable == nil {
-		r.runnerTable = registry.NewTable(r.processID + "/" + time.Now().Format(time.RFC3339Nano))
+		r.runnerTable = registry.NewTable(r.processID + "/" + now.Format(time.RFC3339Nano))
 	}
-	r.observations.Annotate(*list, time.Now())
-	r.runnerTable.Update(*list)
-	reply(responseOK)
+	r.observations.Annotate(list, now)
+	r.runnerTable.Update(list)
 }
 
 // handleWatchRunners tells a daemon what has changed in the list, or holds its question
@@ -110,8 +115,9 @@
 // over; it returns after how long the next one must be answered, 0 for none.
 func (r *Replica) replyToRunnerWatchers(now time.Time) time.Duration {
 	if !r.leading {
-		r.runnerTable, r.observations = nil, registry.NewObservations()
+		r.runnerTable, r.observations, r.announcedRunners = nil, registry.NewObservations(), nil
 	}
+	r.publishAnnouncedRunners(now)
 	wake := time.Duration(0)
 	kept := r.runnerWatchers[:0]
 	for _, watcher := range r.runnerWatchers {
--- /dev/null
+++ b/internal/simulation/announcer.go
@@ -0,0 +1,53 @@
+package simulation
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"tealpond/internal/protocol"
+)
+
+// drainTime is how long a runner goes on serving after its drain was acknowledged, or
+// after a sign-off without a drain.
+const drainTime = 2500 * time.Millisecond
+
+// announce sends the heartbeats of a runner that no list names, until it has ended: to the
+// daemons in turn, and to the next at once where one gives no acknowledgement.
+func (p *Platform) announce(ctx context.Context, id string) {
+	for sequence := int64(1); ; sequence++ {
+		p.mu.Lock()
+		runner, alive := p.listed[id]
+		p.mu.Unlock()
+		if !alive || ctx.Err() != nil {
+			return
+		}
+		heartbeat := protocol.Heartbeat{Service: runner.TargetService, Address: runner.Address, Zone: runner.Zone, Slots: runner.Slots, State: runner.State, Sequence: sequence}
+		if p.tell(ctx, "/-/Runners.Heartbeat/"+id, int(sequence), heartbeat) && runner.State == protocol.RunnerDraining {
+			time.Sleep(drainTime)
+			p.tell(ctx, "/-/Runners.SignOff/"+id, int(sequence), nil)
+			p.Crash(id, 0)
+			return
+		}
+		select {
+		case <-time.After(heartbeatInterval):
+		case <-ctx.Done():
+		}
+	}
+}
+
+// tell makes a runner's call at one daemon after another until it is acknowledged; false if
+// none does.
+func (p *Platform) tell(ctx context.Context, path string, first int, body any) bool {
+	nodes := p.cluster.nodeNames(gatewayRole)
+	for i := range nodes {
+		if ctx.Err() != nil {
+			return false
+		}
+		node := nodes[(first+i)%len(nodes)]
+		if code, _, _ := p.cluster.requestFrom(p.cluster.client, time.Second, http.MethodPost, p.cluster.nodeURL(node, controlPort, path), "", body, nil); code == http.StatusOK {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -87,6 +87,9 @@
 	// Gateway makes all servers and edges gateways, with a platform that lists their
 	// runners. There are no jobs.
 	Gateway bool
+	// Announced has the gateways' runners tell of themselves by heartbeats, instead of
+	// a platform that lists them.
+	Announced bool
 	// Debug makes daemons log at the debug level, which the fault Frozen needs.
 	Debug bool
 }
@@ -135,6 +138,7 @@
 	c.lastVersion.Store(1)
 	if spec.Gateway {
 		c.platform = NewPlatform(c)
+		c.platform.announces = spec.Announced
 	}
 	c.addNodes(spec)
 	c.client = &http.Client{Transport: &http.Transport{DialContext: c.Network.Host(c.hostIP(clientHost)).DialContext}}
--- a/internal/simulation/daemons.go
+++ b/internal/simulation/daemons.go
@@ -76,9 +76,12 @@
 	}
 	file.Serves = []string{edgeRole, "control"}
 	if n.role == gatewayRole {
-		file.Deployment, file.Discovery = settings.DeploymentAPI, settings.DiscoveryPlatform
+		file.Deployment, file.Discovery = settings.DeploymentAPI, "local"
+		if !c.platform.announces {
+			file.Discovery, file.Platform.Address = settings.DiscoveryPlatform, c.platform.Address
+		}
 		file.Contracts = []string{"base", "config", "retry"}
-		file.Platform.Address = c.platform.Address
+		file.Bounds.DrainMs = float64(drainTime.Milliseconds())
 		file.Bounds.RetryRatio, file.Bounds.RetryWindowS, file.Bounds.RetrySlack = 0.2, 10, 30
 	}
 	file.ListenAddresses.FrontHTTP, file.ListenAddresses.Readiness = address(n.ip, clientPort), address(n.ip, readinessPort)
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -43,8 +43,15 @@
 
 // gatewayDay runs a test on a ready cluster of gateways with four runners in two zones.
 func gatewayDay(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
+	t.Helper()
+	gatewayDayOf(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true}, test)
+}
+
+// gatewayDayOf is gatewayDay on a cluster of another kind.
+func gatewayDayOf(t *testing.T, spec ClusterSpec, test func(c *Cluster, load *gatewayLoad)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCluster(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true})
+		c := NewCluster(t, spec)
 		defer c.Shutdown()
 		defer c.platform.Close()
 		for i := range 4 {
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/leaving_test.go
@@ -8,9 +8,6 @@
 	"time"
 )
 
-// drainTime is how long a runner goes on serving after its sign-off.
-const drainTime = 2500 * time.Millisecond
-
 // SignOff has a runner sign off, by calls to its agent until one is acknowledged. It
 // returns the incarnation that leaves.
 func (c *Cluster) SignOff(name string) string {
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -24,6 +24,11 @@
 	runners int                     // that were ever started
 	runs    map[string]int          // of each attempt, over all runners
 	calls   int                     // to the list
+	// announces: there is no list, and the runners tell of themselves until stopAnnouncing.
+	announces      bool
+	announcing     context.Context
+	stopAnnouncing context.CancelFunc
+	announcers     sync.WaitGroup
 }
 
 // listedRunner is an entry of the platform's list.
@@ -50,6 +55,7 @@
 // NewPlatform starts a platform without runners.
 func NewPlatform(c *Cluster) *Platform {
 	p := &Platform{Address: address(c.hostIP(platformHost), platformPort), cluster: c, listed: map[string]listedRunner{}, runs: map[string]int{}}
+	p.announcing, p.stopAnnouncing = context.WithCancel(context.Background())
 	p.server = c.serveHTTP(p.Address, http.HandlerFunc(p.serveList))
 	return p
 }
@@ -96,6 +102,9 @@
 	runner.Address = address(p.cluster.hostIP(platformHost-p.runners), apiRunnerPort)
 	runner.server = p.cluster.serveHTTP(runner.Address, p.apiRunner(runner.ID))
 	p.listed[runner.ID] = runner
+	if p.announces {
+		p.announcers.Go(func() { p.announce(p.announcing, runner.ID) })
+	}
 	return runner.ID
 }
 
@@ -127,6 +136,9 @@
 	runner.State = "draining"
 	p.listed[id] = runner
 	p.mu.Unlock()
+	if p.announces {
+		return // it says so with its next heartbeat, and ends after its sign-off
+	}
 	time.AfterFunc(3*time.Second, func() { p.Crash(id, 0) })
 }
 
@@ -153,6 +165,8 @@
 
 // Close ends the platform and all runners that are listed.
 func (p *Platform) Close() {
+	p.stopAnnouncing()
+	p.announcers.Wait()
 	_ = p.server.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/tuning/gateway.go
+++ b/internal/tuning/gateway.go
@@ -98,6 +98,18 @@
 	// Operators owe nothing at daemons without a way to the core for 0.6 of it; the
 	// rest is for requests on their way and for clocks that differ.
 	KeyTrustShare = 0.8
+	// AnnouncedSilenceIntervals is how many intervals of heartbeats a runner that no
+	// platform lists may be silent before it is taken off the list.
+	AnnouncedSilenceIntervals = 3
+	// AnnouncedRunnersSlack is how much longer than one interval a new leader waits for
+	// heartbeats before it publishes a list: they come late and go to another daemon
+	// after a second.
+	AnnouncedRunnersSlack = 500 * time.Millisecond
+	// MinRunnerHeartbeatInterval is that interval where the settings name none.
+	MinRunnerHeartbeatInterval = 500 * time.Millisecond
+	// AnnouncementTimeout bounds the way of a heartbeat to the leader: the runner turns
+	// to another daemon after a second.
+	AnnouncementTimeout = 800 * time.Millisecond
 	// StartupWait is how long a request waits in a daemon that has no configuration or
 	// list of runners yet. After a restart of all daemons an election and the first
 	// reading of the list take half a second.
