--- a/internal/counter/exchange.go
+++ b/internal/counter/exchange.go
@@ -104,10 +104,15 @@
 
 // Answer is the peer's side: it merges a request and says what the sender lacks.
 func (s *Set) Answer(request Request, now time.Time) Response {
-	known := request.Known
+	known := s.take(request, now)
+	return Response{Process: s.process, Revision: s.revision, Entries: s.Since(known, request.Process, now)}
+}
+
+// take merges a request, and gives the revision up to which its sender knows this set.
+func (s *Set) take(request Request, now time.Time) uint64 {
+	s.Merge(request.Entries, request.Process, now)
 	if request.Peer != s.process {
-		known = 0
+		return 0
 	}
-	s.Merge(request.Entries, request.Process, now)
-	return Response{Process: s.process, Revision: s.revision, Entries: s.Since(known, request.Process, now)}
+	return request.Known
 }
--- a/internal/counter/sums.go
+++ b/internal/counter/sums.go
@@ -15,11 +15,7 @@
 // a lost or late answer does no harm; a peer must forget the sums of an earlier process
 // (Exchange.ForgetsPeers), since those of the next begin anew.
 func (s *Set) AnswerSums(request Request, now time.Time) Response {
-	known := request.Known
-	if request.Peer != s.process {
-		known = 0
-	}
-	s.Merge(request.Entries, request.Process, now)
+	known := s.take(request, now)
 	type sum struct{ count, changedAt uint64 }
 	sums := map[sumKey]sum{}
 	for id, slot := range s.slots {
--- a/internal/simulation/announced_test.go
+++ b/internal/simulation/announced_test.go
@@ -35,29 +35,7 @@
 // TestAnnouncedRunnersUnderTheNextLeader: daemons go on by the list that they have until the
 // next leader has heard of the runners, and a daemon that is cut off goes on by it too; all
 // runners are replaced meanwhile.
-func TestAnnouncedRunnersUnderTheNextLeader(t *testing.T) {
-	announcedDay(t, func(c *Cluster, load *gatewayLoad) {
-		leader := c.Leader()
-		others := c.nodesExcept(gatewayRole, leader)
-		begin := time.Now()
-		c.Kill(leader)
-		load.run(3*time.Second, others...)
-		load.wantServed("leader lost", begin, 1)
-		c.platform.StartRunner("svc", "z0")
-		c.platform.StartRunner("svc", "z1")
-		for _, old := range []string{"i-01", "i-02", "i-03", "i-04"} {
-			c.platform.Drain(old)
-		}
-		begin = time.Now()
-		load.run(6*time.Second, others...)
-		load.wantServed("all runners replaced under the next leader", begin, 1)
-		c.Start(leader)
-		begin = time.Now()
-		c.partitionFor(4*time.Second, "edge-6", c.Servers()...)
-		load.run(6*time.Second, "edge-6")
-		load.wantServed("cut off", begin, 1)
-	})
-}
+func TestAnnouncedRunnersUnderTheNextLeader(t *testing.T) { announcedDay(t, playLossOfTheLeader) }
 
 // TestAllGatewaysRestartedWithAnnouncedRunners: nobody has a list after it, until the
 // runners have told of themselves.
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -200,28 +200,30 @@
 
 // TestGatewayWithoutTheLeader: daemons go on by what they know while the leader is lost,
 // while the core is cut off from them, and a new one reads the list.
-func TestGatewayWithoutTheLeader(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, load *gatewayLoad) {
-		leader := c.Leader()
-		others := c.nodesExcept(gatewayRole, leader)
-		begin := time.Now()
-		c.Kill(leader)
-		load.run(3*time.Second, others...)
-		load.wantServed("leader lost", begin, 1)
-		c.platform.StartRunner("svc", "z0")
-		for _, old := range []string{"i-01", "i-02", "i-03", "i-04"} {
-			c.platform.Drain(old)
-		}
-		c.platform.StartRunner("svc", "z1")
-		begin = time.Now()
-		load.run(6*time.Second, others...)
-		load.wantServed("all runners replaced under the next leader", begin, 1)
-		c.Start(leader)
-		begin = time.Now()
-		c.partitionFor(4*time.Second, "edge-6", c.Servers()...)
-		load.run(6*time.Second, "edge-6")
-		load.wantServed("cut off", begin, 1)
-	})
+func TestGatewayWithoutTheLeader(t *testing.T) { gatewayDay(t, playLossOfTheLeader) }
+
+// playLossOfTheLeader kills the leader, has all runners replaced under the next one, and
+// cuts a daemon off; all that clients send is served.
+func playLossOfTheLeader(c *Cluster, load *gatewayLoad) {
+	leader := c.Leader()
+	others := c.nodesExcept(gatewayRole, leader)
+	begin := time.Now()
+	c.Kill(leader)
+	load.run(3*time.Second, others...)
+	load.wantServed("leader lost", begin, 1)
+	c.platform.StartRunner("svc", "z0")
+	for _, old := range []string{"i-01", "i-02", "i-03", "i-04"} {
+		c.platform.Drain(old)
+	}
+	c.platform.StartRunner("svc", "z1")
+	begin = time.Now()
+	load.run(6*time.Second, others...)
+	load.wantServed("all runners replaced under the next leader", begin, 1)
+	c.Start(leader)
+	begin = time.Now()
+	c.partitionFor(4*time.Second, "edge-6", c.Servers()...)
+	load.run(6*time.Second, "edge-6")
+	load.wantServed("cut off", begin, 1)
 }
 
 // TestGatewayFollowsConfigurations: each daemon serves new routes soon, and refuses what
