--- a/internal/server/backlog.go
+++ b/internal/server/backlog.go
@@ -26,7 +26,12 @@
 	if wait := r.backlogOf(call, allPriorities, anyTenant).over(capacity.MilliCPU) - tuning.MaxBacklogPerCore; wait > 0 {
 		return wait
 	}
-	target := time.Duration(state.TargetTurnaroundMs(call.route, &request.Job)) * time.Millisecond
+	quota := r.state.Quotas[call.tenant]
+	most := capacity.MilliCPU / widestPart
+	if quota.MilliCPU > 0 {
+		most = min(most, quota.MilliCPU)
+	}
+	target := time.Duration(state.TargetTurnaroundMs(call.route, &request.Job, most)) * time.Millisecond
 	if target == 0 || request.Job.PeriodicInstances > 0 {
 		return 0
 	}
@@ -34,12 +39,16 @@
 	if request.BeyondShare {
 		wait = r.backlogOf(call, call.route.Priority, anyTenant).over(capacity.MilliCPU)
 	}
-	if quota := r.state.Quotas[call.tenant]; quota.MilliCPU > 0 {
+	if quota.MilliCPU > 0 {
 		wait = max(wait, r.backlogOf(call, call.route.Priority, ownTenant).over(quota.MilliCPU))
 	}
 	return max(wait-max(target, tuning.MinBacklogBeyondShare), 0)
 }
 
+// widestPart is the part of all room, one in so many, above which the operators count a
+// step as run in waves.
+const widestPart = 4
+
 // measureBacklog sums up what waits, unless that was done a moment ago: it walks all open
 // jobs.
 func (r *Replica) measureBacklog(now time.Time) {
--- a/internal/state/backlog.go
+++ b/internal/state/backlog.go
@@ -1,6 +1,8 @@
 package state
 
 import (
+	"slices"
+
 	"tealpond/internal/clusterconfig"
 	"tealpond/internal/protocol"
 )
@@ -55,9 +57,17 @@
 }
 
 // TargetTurnaroundMs is how long a job that is yet to be submitted may take on a route and
-// still meet the route's target.
-func TargetTurnaroundMs(route *clusterconfig.Route, submitted *protocol.Job) int64 {
-	job := Job{Steps: submitted.Steps}
+// still meet the route's target, where so much CPU, in thousandths of a core, is the most
+// that may run of it at once: a wider step runs in waves.
+func TargetTurnaroundMs(route *clusterconfig.Route, submitted *protocol.Job, mostMilliCPU int64) int64 {
+	job := Job{Steps: slices.Clone(submitted.Steps)}
+	for i := range job.Steps {
+		spec := &job.Steps[i]
+		width := int64(spec.TaskCount) * spec.CPUUnits
+		if mostMilliCPU > 0 && width > mostMilliCPU {
+			spec.EstimateMs *= (width + mostMilliCPU - 1) / mostMilliCPU
+		}
+	}
 	job.followRoute(route)
 	return job.TargetTurnaroundMs()
 }
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -24,7 +24,7 @@
 	MaxBacklogPerCore = 60 * time.Second
 	// HeavyTenantFraction is the part of its quota above which a tenant's work comes
 	// after that of tenants that use less, at the same priority and deadline class.
-	HeavyTenantFraction = 0.6
+	HeavyTenantFraction = 0.85
 	// MinBacklogBeyondShare is the work for each core, or for each core of its tenant's
 	// quota, behind which a job beyond its tenant's share is accepted in any case: it is
 	// what runs and waits for a moment on a quiet day.
