--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -88,6 +88,7 @@
 		limitsStale:   make(chan struct{}, 1),
 		shares:        newTenantShares(env.ProcessID, env.Settings.ShareWindow(tuning.DefaultShareWindow), time.Now()),
 	}
+	s.shares.overrun, s.shares.slack = env.Settings.Bounds.QuotaOverrun, env.Settings.Bounds.QuotaSlack
 	s.callLeader = s.forward
 	s.leaderAddress = func() string { return "" }
 	selfAddress := ""
--- a/internal/api/shares.go
+++ b/internal/api/shares.go
@@ -19,6 +19,9 @@
 // safe for concurrent use.
 type tenantShares struct {
 	window time.Duration
+	// overrun and slack are the operators' tolerance: what passes a share by less in a
+	// window counts as within it, as tenants of a few jobs a second come in bursts.
+	overrun, slack float64
 
 	mu       sync.Mutex
 	counts   *counter.Set
@@ -41,7 +44,7 @@
 	if tenant == nil || tenant.MilliShare <= 0 {
 		return false
 	}
-	limit := uint64(max(float64(tenant.MilliShare)*s.window.Seconds()/milli, 1))
+	limit := uint64(max(float64(tenant.MilliShare)*s.window.Seconds()/milli*(1+s.overrun)+s.slack, 1))
 	return !s.exchange.Admit(tenant.Name, limit, shareAllowance(tenant.MilliShare), now)
 }
 
--- a/internal/api/shares_test.go
+++ b/internal/api/shares_test.go
@@ -65,6 +65,30 @@
 	})
 }
 
+// TestToleranceCountsAsWithinTheShare: what the operators let pass is not marked.
+func TestToleranceCountsAsWithinTheShare(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		s := newTenantShares("d", 5*time.Second, time.Now())
+		s.overrun, s.slack = 0.5, 7
+		s.replace([]rpc.TenantShare{shareOf("a", "key", 2000)}, "digest")
+		hub := counter.NewSet("hub", 5*time.Second, tuning.CountSlotWidth, time.Now())
+		within := 0
+		for range 60 {
+			if !s.admit("key", time.Now()) {
+				within++
+			}
+			for range 2 { // the first answer is of a peer that is new
+				if request, due := s.NextRequest(time.Now(), time.Time{}); due {
+					s.HandleResponse(hub.Answer(request, time.Now()), time.Now())
+				}
+			}
+		}
+		if want := 10*3/2 + 7; within != want {
+			t.Errorf("%d of 60 jobs are within a share of 10 with a tolerance, want %d", within, want)
+		}
+	})
+}
+
 // TestDaemonThatHearsNothingStopsAtItsAllowance.
 func TestDaemonThatHearsNothingStopsAtItsAllowance(t *testing.T) {
 	s := newTenantShares("d", 5*time.Second, time.Now())
--- a/internal/server/backlog.go
+++ b/internal/server/backlog.go
@@ -12,9 +12,10 @@
 // backlogWait is how long a job must wait before it may be submitted; 0 if it is accepted
 // now. It is refused
 //   - if far more work waits than the workers can finish in good time;
-//   - if it would miss its target behind its own tenant's work under that tenant's quota:
-//     accepted, it would only have the jobs behind it miss theirs too;
-//   - beyond its tenant's share, if it would miss its target behind the work of all.
+//   - beyond its tenant's share, if it would miss its target behind the work of all, or
+//     behind its own tenant's work under that tenant's quota;
+//   - within the share, for tuning.FloodMemory after that, if it would miss its target under
+//     the quota: accepted, it would only have the jobs behind it miss theirs too.
 //
 // So a flood of one tenant has none of the others refused, and leaves no queue behind.
 func (r *Replica) backlogWait(call jobCall, request *rpc.JobRequest) time.Duration {
@@ -35,6 +36,10 @@
 	if target == 0 || request.Job.PeriodicInstances > 0 {
 		return 0
 	}
+	now := time.Now()
+	if !request.BeyondShare && now.Sub(r.floodedAt[call.tenant]) > tuning.FloodMemory {
+		return 0
+	}
 	wait := time.Duration(0)
 	if request.BeyondShare {
 		wait = r.backlogOf(call, call.route.Priority, anyTenant).over(capacity.MilliCPU)
@@ -42,7 +47,24 @@
 	if quota.MilliCPU > 0 {
 		wait = max(wait, r.backlogOf(call, call.route.Priority, ownTenant).over(quota.MilliCPU))
 	}
-	return max(wait-max(target, tuning.MinBacklogBeyondShare), 0)
+	wait = max(wait-max(target, tuning.MinBacklogBeyondShare), 0)
+	if wait > 0 && request.BeyondShare {
+		r.noteFlood(call.tenant, now)
+	}
+	return wait
+}
+
+// noteFlood notes that a tenant submits more than its share and more than can be done.
+func (r *Replica) noteFlood(tenant string, now time.Time) {
+	if r.floodedAt == nil {
+		r.floodedAt = map[string]time.Time{}
+	}
+	for other, at := range r.floodedAt {
+		if now.Sub(at) > tuning.FloodMemory {
+			delete(r.floodedAt, other)
+		}
+	}
+	r.floodedAt[tenant] = now
 }
 
 // widestPart is the part of all room, one in so many, above which the operators count a
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -80,6 +80,7 @@
 	cancelWaiters map[string][]replyFunc     // by job ID
 	backlog       map[state.BacklogKey]int64 // as of backlogAt
 	backlogAt     time.Time
+	floodedAt     map[string]time.Time // by tenant, see noteFlood
 	federation    *federation.Settings // nil while federation is off
 
 	// Agents that are connected to this replica, and their assignments.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,6 +62,10 @@
 	RetrySlack float64 `toml:"retrySlack"`
 	// QuotaWindowS is the window in which rates of tenants are counted.
 	QuotaWindowS float64 `toml:"quotaWindowS"`
+	// QuotaOverrun is the part, and QuotaSlack the number of events, by which a window's
+	// sum may pass a rate.
+	QuotaOverrun float64 `toml:"quotaOverrun"`
+	QuotaSlack   float64 `toml:"quotaSlack"`
 	// RevokedKeysFail: no daemon may serve a key for longer than RevokeMs after it was
 	// taken away, in touch or not.
 	RevokedKeysFail bool  `toml:"revokedKeysFail"`
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -25,6 +25,9 @@
 	// HeavyTenantFraction is the part of its quota above which a tenant's work comes
 	// after that of tenants that use less, at the same priority and deadline class.
 	HeavyTenantFraction = 0.85
+	// FloodMemory is for how long after a refusal beyond its share a tenant's jobs
+	// within the share are refused as well where they would miss their targets.
+	FloodMemory = 3 * time.Second
 	// MinBacklogBeyondShare is the work for each core, or for each core of its tenant's
 	// quota, behind which a job beyond its tenant's share is accepted in any case: it is
 	// what runs and waits for a moment on a quiet day.
