--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -56,6 +56,7 @@
 	"TestDisksLostInTheDark":          exactly("3 servers", "5 servers", "6 servers"),
 	"TestLossInMidChange":             {"^[a-l]", "^[m-z]"},
 	"TestFaultKinds":                  {"^[a-b]", "^[c-h]", "^[i-z]"},
+	"TestKindsOfWorkUnderTroubles":    {"^a", "^[b-z]"},
 	"TestTroublesOfLargeFleets":       firstTroubles(),
 	"TestMoreTroublesOfLargeFleets":   firstTroubles(),
 }
