--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -103,6 +103,13 @@
 	return runners
 }
 
+// KeepHealth writes into a list the health that daemons were told of last.
+func (t *Table) KeepHealth(list []Runner) {
+	for i := range list {
+		list[i].Health = t.rows[list[i].ID].runner.Health
+	}
+}
+
 // Update takes over a list that was read to its end. It tells whether anything changed.
 func (t *Table) Update(list []Runner) bool {
 	next := t.version + 1
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -125,3 +125,26 @@
 	view.Apply(since(table, view))
 	requireSame(t, view, list[:1])
 }
+
+// TestKeptHealthIsNoChange: a list that is read without a new account of health tells
+// nobody anything, and one with a runner that drains only that.
+func TestKeptHealthIsNoChange(t *testing.T) {
+	table := NewTable("epoch")
+	list := func() []Runner { return []Runner{{ID: "a", Zone: "z"}, {ID: "b", Zone: "z"}} }
+	first := list()
+	first[0].Health = Health{LatencyMs: 7, FailedPct: 10}
+	table.Update(first)
+	again := list()
+	table.KeepHealth(again)
+	if table.Update(again) {
+		t.Error("the same list with the health kept is a change")
+	}
+	version := table.Version()
+	draining := list()
+	draining[1].Draining = true
+	table.KeepHealth(draining)
+	table.Update(draining)
+	if delta := table.Since("epoch", version, "z"); len(delta.Runners) != 1 || delta.Runners[0].ID != "b" {
+		t.Errorf("told %+v", delta.Runners)
+	}
+}
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -105,6 +105,7 @@
 	planner                   scheduler.Planner
 	counts                    *counter.Set      // merged counts of all daemons, in memory
 	runnerTable               *registry.Table   // the list of runners that daemons are told, while this server leads
+	healthToldAt              time.Time         // when daemons were last told of the runners' health
 	announcedRunners          *announcedRunners // what runners tell of themselves, where no platform lists them
 	runnerWatchers            []runnerWatcher
 	configNews                configNews
--- a/internal/server/runners.go
+++ b/internal/server/runners.go
@@ -33,10 +33,26 @@
 	if r.runnerTable == nil {
 		r.runnerTable = registry.NewTable(r.processID + "/" + now.Format(time.RFC3339Nano))
 	}
-	r.observations.Annotate(list, now)
+	if now.Sub(r.healthToldAt) >= r.healthInterval(list) {
+		r.healthToldAt = now
+		r.observations.Annotate(list, now)
+	} else {
+		r.runnerTable.KeepHealth(list)
+	}
 	r.runnerTable.Update(list)
 }
 
+// healthInterval is the least time between two accounts of the health of runners: each
+// tells every daemon of about all runners of its zone.
+func (r *Replica) healthInterval(list []registry.Runner) time.Duration {
+	zones := map[string]bool{}
+	for i := range list {
+		zones[list[i].Zone] = true
+	}
+	entries := len(r.positions) * len(list) / max(len(zones), 1)
+	return time.Duration(entries) * time.Second / tuning.HealthEntriesPerS
+}
+
 // handleWatchRunners tells a daemon what has changed in the list, or holds its question
 // for a moment.
 func (r *Replica) handleWatchRunners(watch *rpc.RunnerWatch, _ *transport.Stream, reply replyFunc) {
@@ -116,6 +132,7 @@
 func (r *Replica) replyToRunnerWatchers(now time.Time) time.Duration {
 	if !r.leading {
 		r.runnerTable, r.observations, r.announcedRunners = nil, registry.NewObservations(), nil
+		r.healthToldAt = time.Time{}
 	}
 	r.publishAnnouncedRunners(now)
 	wake := time.Duration(0)
--- a/internal/server/runners_test.go
+++ b/internal/server/runners_test.go
@@ -1,6 +1,7 @@
 package server
 
 import (
+	"fmt"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -79,3 +80,30 @@
 		}
 	})
 }
+
+// TestHealthIsToldLessOftenInLargeFleets: on fleets of a hundred daemons each reading of the
+// list tells of it; with three hundred and thousands of runners only one in many seconds.
+func TestHealthIsToldLessOftenInLargeFleets(t *testing.T) {
+	for _, test := range []struct {
+		daemons, runners, zones int
+		least, most             time.Duration
+	}{
+		{95, 330, 4, 0, 700 * time.Millisecond},
+		{76, 258, 5, 0, 700 * time.Millisecond},
+		{299, 2999, 5, 5 * time.Second, 20 * time.Second},
+		{1, 0, 0, 0, 0},
+	} {
+		replica := newReplica()
+		replica.positions = map[string]daemonPosition{}
+		for i := range test.daemons {
+			replica.positions[fmt.Sprint("d", i)] = daemonPosition{}
+		}
+		list := make([]registry.Runner, test.runners)
+		for i := range list {
+			list[i].Zone = fmt.Sprint("z", i%test.zones)
+		}
+		if interval := replica.healthInterval(list); interval < test.least || interval > test.most {
+			t.Errorf("%d daemons, %d runners: each %v", test.daemons, test.runners, interval)
+		}
+	}
+}
--- a/internal/tuning/gateway.go
+++ b/internal/tuning/gateway.go
@@ -98,6 +98,9 @@
 	// Operators owe nothing at daemons without a way to the core for 0.6 of it; the
 	// rest is for requests on their way and for clocks that differ.
 	KeyTrustShare = 0.8
+	// HealthEntriesPerS is how many entries of runners' health the leader tells all
+	// daemons together in a second: a tenth of its processor on the bench's machines.
+	HealthEntriesPerS = 15_000
 	// AnnouncedSilenceIntervals is how many intervals of heartbeats a runner that no
 	// platform lists may be silent before it is taken off the list.
 	AnnouncedSilenceIntervals = 3
