--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -8,13 +8,13 @@
 	"tealpond/internal/state"
 )
 
-// clusterSizes are numbers of workers.
+// clusterSizes are the worker counts of the benchmarked clusters.
 var clusterSizes = []int{50, 500, 4000}
 
-// runsPerWorker is the number of runs on each worker of a full cluster.
+// runsPerWorker is the mean number of runs per worker in a full cluster.
 const runsPerWorker = 14.5
 
-// benchmarkSizes runs a benchmark on full clusters of all sizes.
+// benchmarkSizes runs a benchmark on a full cluster of each size.
 func benchmarkSizes(b *testing.B, benchmark func(b *testing.B, c *testCluster, p *Planner)) {
 	for _, n := range clusterSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// BenchmarkPlanAndBind: a task completes and one of a new job is planned and bound; time
-// of one task.
+// BenchmarkPlanAndBind measures the time per task to plan and bind a job after as many other tasks
+// have completed.
 func BenchmarkPlanAndBind(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, c *testCluster, p *Planner) {
 		b.ResetTimer()
@@ -37,14 +37,14 @@
 			}
 			c.submit("/p/", protocol.Step{TaskCount: 22, CPUUnits: 800, MemoryMB: 900, EstimateMs: 40000})
 			if c.planAndBind(p) == 0 {
-				b.Fatal("nothing was placed")
+				b.Fatal("no task was placed")
 			}
 		}
 	})
 }
 
-// BenchmarkIdleRound: a plan when nothing is new.
-func BenchmarkIdleRound(b *testing.B) {
+// BenchmarkPlanNoChanges measures planning when nothing has changed since the last plan.
+func BenchmarkPlanNoChanges(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, c *testCluster, p *Planner) {
 		p.Plan(c.store)
 		b.ResetTimer()
@@ -54,7 +54,7 @@
 	})
 }
 
-// BenchmarkSnapshot: the whole state is encoded and read back.
+// BenchmarkSnapshot measures encoding, freezing and decoding a snapshot of the whole state.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range clusterSizes {
 		c := newTestCluster(b, n)
--- a/internal/scheduler/constants_test.go
+++ b/internal/scheduler/constants_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-// TestConstantRelations holds the constants to the relations on which the scheduler rests.
+// TestConstantRelations checks the relations between constants that the scheduler relies on. A waiting job
+// counts as lost while half of the capacity is free, so long tasks must be allowed to fill that half.
 func TestConstantRelations(t *testing.T) {
 	for name, holds := range map[string]bool{
-		"long tasks may fill the half at which a job is lost":  longTaskFreeFraction > 0.5,
-		"a learnt factor lies between its bounds at the start": minStragglerFactor < initialStragglerFactor && initialStragglerFactor < maxStragglerFactor,
+		"long tasks may exceed half of the capacity": longTaskFreeFraction > 0.5,
+		"initial straggler factor within its bounds": minStragglerFactor < initialStragglerFactor && initialStragglerFactor < maxStragglerFactor,
 	} {
 		if !holds {
-			t.Errorf("does not hold: %s", name)
+			t.Errorf("relation does not hold: %s", name)
 		}
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -10,12 +10,12 @@
 	"tealpond/internal/state"
 )
 
-// testConfiguration has an urgent route /p/ and a deferrable one /q/.
+// testConfiguration has a high-priority route /p/ and a low-priority route /q/.
 const testConfiguration = `{"configVersion":1,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":9,"stretch":1.5},{"name":"b","hostName":"h","pathPrefix":"/q/","kind":"writing","timeoutMs":1000,"targetMs":100,"priority":2,"targetService":"s","maxTries":9,"stretch":3}],"serviceList":[{"name":"s","guards":true}]}`
 
-// testCluster is a state with workers, seven on each rack. All that changes it are
-// commands, as in a cluster. Its methods call Helper only where they fail, since
-// benchmarks use them too.
+// testCluster is a replicated state with workers, seven on each rack. It is changed only by commands,
+// as in a real cluster. Its methods call Helper only on failure to stay cheap, since benchmarks use
+// them too.
 type testCluster struct {
 	tb          testing.TB
 	store       *state.Store
@@ -36,7 +36,7 @@
 
 func workerID(i int) string { return fmt.Sprintf("i-%06d", i) }
 
-// apply commits a command, 2 ms after the one before.
+// apply applies a command, 2 ms after the previous one.
 func (c *testCluster) apply(name string, command state.Command) state.Outcome {
 	c.clock += 2
 	raw, err := cbor.Marshal(state.Batch{Clock: c.clock, WallClock: c.clock, Commands: []state.EncodedCommand{state.EncodeCommand(name, command)}})
@@ -47,7 +47,7 @@
 	return c.store.ApplyEntry(c.store.AppliedIndex+1, raw)[0]
 }
 
-// advance lets time pass until the state's clock shows it.
+// advance moves the clock forward and applies a command, so that the state's clock follows.
 func (c *testCluster) advance(ms int64) {
 	c.clock += ms
 	c.apply(state.CommandCollectGarbage, &state.CollectGarbage{})
@@ -64,7 +64,7 @@
 	return id
 }
 
-// planAndBind applies the planner's plans and returns the number of placements.
+// planAndBind applies the planner's plans and returns the number of placements planned.
 func (c *testCluster) planAndBind(p *Planner) int {
 	plans := p.Plan(c.store)
 	if len(plans) > 0 {
@@ -77,10 +77,10 @@
 	return n
 }
 
-// complete reports a run as done.
+// complete reports a run as completed successfully.
 func (c *testCluster) complete(allocation *state.Allocation) { c.end(allocation, "done") }
 
-// end reports the end of a run.
+// end reports that a run ended with the given result.
 func (c *testCluster) end(allocation *state.Allocation, result string) {
 	worker := c.store.Workers[allocation.Worker]
 	c.completions[allocation.Worker]++
@@ -95,11 +95,11 @@
 	return nil
 }
 
-// fillWorkers starts as many runs a worker.
+// fillWorkers starts runs until there are runsEach per worker on average.
 func (c *testCluster) fillWorkers(p *Planner, runsEach float64) {
-	want := int(runsEach * float64(len(c.store.Workers)))
-	for len(c.store.Allocations) < want {
-		n := min(want-len(c.store.Allocations), maxTasksPerPlan)
+	target := int(runsEach * float64(len(c.store.Workers)))
+	for len(c.store.Allocations) < target {
+		n := min(target-len(c.store.Allocations), maxTasksPerPlan)
 		c.submit("/p/", protocol.Step{TaskCount: n, CPUUnits: 800, MemoryMB: 900, EstimateMs: 40000})
 		c.planAndBind(p)
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -7,20 +7,20 @@
 	"tealpond/internal/state"
 )
 
-// maxCandidates is the number of feasible workers scored above fullScanMaxWorkers.
+// maxCandidates is the maximum number of fitting workers that are scored for a task in a service with
+// more than fullScanMaxWorkers workers.
 const maxCandidates = 24
 
-// taskQuery asks for a worker for one task. The tasks of a step are alike, so one
-// query serves all of them.
+// taskQuery describes what a task requires of a worker. The tasks of a step are alike, so all of
+// them share one query.
 type taskQuery struct {
 	*placementRequest
 	spec     *protocol.Step
 	stepName string
-	rack     string // the only one allowed, if not empty
+	rack     string // the only rack allowed; empty if any is
 }
 
-// placeStep places as many tasks of a step as there is room for, and all or none of
-// a gang.
+// placeStep places as many tasks of a step as fit. Of a gang it places all tasks or none.
 func (s *snapshot) placeStep(request placementRequest) state.Plan {
 	spec := request.spec()
 	plan := state.Plan{Job: request.job.ID, Instance: request.instance.Number, Step: request.step, AllOrNothing: spec.Gang}
@@ -30,16 +30,16 @@
 			return plan
 		}
 	}
-	placements, undo := s.placeTasks(&request, "")
+	placements, release := s.placeTasks(&request, "")
 	if spec.Gang && len(placements) < len(request.tasks) {
-		undo()
+		release()
 		return state.Plan{}
 	}
 	plan.Placements = placements
 	return plan
 }
 
-// placeOnOneRack places all tasks of a gang on one rack, or none.
+// placeOnOneRack places all tasks of a gang on one rack, or returns nil.
 func (s *snapshot) placeOnOneRack(request *placementRequest) []state.Placement {
 	spec := request.spec()
 	racks, freeCPU := s.racks(request)
@@ -47,17 +47,17 @@
 		if freeCPU[rack] < spec.CPUUnits*int64(len(request.tasks)) {
 			continue
 		}
-		placements, undo := s.placeTasks(request, rack)
+		placements, release := s.placeTasks(request, rack)
 		if len(placements) == len(request.tasks) {
 			return placements
 		}
-		undo()
+		release()
 	}
 	return nil
 }
 
-// racks returns the racks to try for a step, that of its data first since tasks run
-// faster there, and the processor time free on each, in thousandths of a core.
+// racks returns the racks to try for a step and the free CPU of each, in thousandths of a core. The
+// rack that holds the step's data comes first, since tasks run faster there.
 func (s *snapshot) racks(request *placementRequest) (racks []string, freeCPU map[string]int64) {
 	spec := request.spec()
 	freeCPU, racks = map[string]int64{}, []string{}
@@ -82,20 +82,20 @@
 	return racks, freeCPU
 }
 
-// placeTasks places as many tasks as fit, on one rack if one is named, and gives
-// what takes the placements back. Tasks of a step are alike: the worker that is best
-// for one stays the best, as it gets fuller, until no more fit there.
+// placeTasks places as many tasks as fit, only on the given rack if it isn't empty. The returned
+// function releases the placements. Tasks of a step are alike and fuller workers score better, so the
+// worker with the lowest cost for one task is used until no more tasks fit on it.
 func (s *snapshot) placeTasks(request *placementRequest, rack string) ([]state.Placement, func()) {
 	query := &taskQuery{placementRequest: request, spec: request.spec(), stepName: request.stepName(), rack: rack}
 	var placements []state.Placement
-	var taken, candidates []*workerCapacity
+	var allocated, candidates []*workerCapacity
 	var best *workerCapacity
 	for _, placement := range request.tasks {
 		if best == nil || !s.fits(best, query) {
-			best = s.cheapest(candidates, query)
+			best = s.lowestCost(candidates, query)
 			if best == nil {
 				candidates = s.candidates(query)
-				best = s.cheapest(candidates, query)
+				best = s.lowestCost(candidates, query)
 			}
 		}
 		if best == nil {
@@ -104,20 +104,20 @@
 			}
 			break
 		}
-		best.take(query, 1)
+		best.allocate(query, 1)
 		placement.Worker, placement.WorkerVersion = best.worker.ID, best.worker.Version
 		placements = append(placements, placement)
-		taken = append(taken, best)
+		allocated = append(allocated, best)
 	}
 	return placements, func() {
-		for _, capacity := range taken {
-			capacity.take(query, -1)
+		for _, capacity := range allocated {
+			capacity.allocate(query, -1)
 		}
 	}
 }
 
-// take takes the room of n tasks, or gives it back if n is negative.
-func (c *workerCapacity) take(query *taskQuery, n int) {
+// allocate reserves the resources of n tasks, or releases them if n is negative.
+func (c *workerCapacity) allocate(query *taskQuery, n int) {
 	c.freeCPU -= int64(n) * query.spec.CPUUnits
 	c.freeMemory -= int64(n) * query.spec.MemoryMB
 	c.freeGPUs -= n * query.spec.GPUs
@@ -126,10 +126,10 @@
 	}
 }
 
-// candidates returns workers to choose from: all of them where a service has few;
-// else those on the named rack; else those near the step's data that fit; else up to
-// maxCandidates that fit, found by the rarest of the required labels or with
-// the fullest first.
+// candidates returns the workers to score: all workers of a service that has few. Otherwise it
+// returns only workers that fit: all on the query's rack if it names one, else all on the rack of the
+// step's data if there are any, else up to maxCandidates. These are searched among the workers with
+// the rarest of the required labels or, without required labels, from the fullest worker on.
 func (s *snapshot) candidates(query *taskQuery) []*workerCapacity {
 	service, spec := query.job.Service, query.spec
 	if all, ok := s.fullScan(service); ok {
@@ -153,7 +153,7 @@
 			add(worker)
 		}
 		if len(fitting) > 0 {
-			// Anywhere else the task takes longer.
+			// The task takes longer on any other rack.
 			return fitting
 		}
 	}
@@ -169,8 +169,7 @@
 	return fitting
 }
 
-// workersWithRarestLabel returns the workers that have that one of the labels which
-// the fewest workers have.
+// workersWithRarestLabel returns the workers with that label of labels which the fewest workers have.
 func (s *snapshot) workersWithRarestLabel(service string, labels []string) []*state.Worker {
 	rarest := s.store.WorkersWithLabel(service, labels[0])
 	for _, label := range labels[1:] {
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -1,9 +1,9 @@
 // Package scheduler decides which task goes to which worker.
 //
 // A Planner runs on the leader. It reads the replicated state and never changes
-// it: what it decides are plans (state.Plan), which take effect only when they
-// are committed and applied like any other command. The package starts no
-// goroutine and reads no clock; time is that of the state.
+// it. Its decisions are plans (state.Plan), which take effect only when they are
+// committed and applied like any other command. The package starts no goroutines
+// and reads no system clock; it uses the clock of the replicated state.
 package scheduler
 
 import (
@@ -11,34 +11,38 @@
 )
 
 const (
-	// maxTasksPerPlan is the number of tasks placed in one plan.
+	// maxTasksPerPlan is the number of placed tasks after which Plan considers no more steps.
 	maxTasksPerPlan = 600
-	// unplacedStepCost is what a step that finds no room counts towards maxTasksPerPlan, in tasks.
+	// unplacedStepCost is the number of tasks that a step which doesn't fit counts towards
+	// maxTasksPerPlan.
 	unplacedStepCost = 4
 )
 
-// A plan that lost a placement is planned again while it is applied, on each
-// replica; the state can't import the scheduler, so the function is set here.
+// A plan with a placement that can no longer be bound is replanned while it is
+// applied, on each replica. Package state can't import the scheduler, so the
+// function is registered here.
 func init() { state.Replan = replan }
 
-// Planner makes plans. Between them it remembers the urgent demand of the last
-// seconds, the pace of workers, and how far estimates are off. The zero value is
-// ready for use; a Planner is used by one goroutine at a time.
+// Planner makes plans. Between plans it keeps recent peaks of demand by priority,
+// the pace of workers, and how far estimates of run durations are off. The zero
+// value is ready for use. A Planner isn't safe for concurrent use.
 type Planner struct {
-	// UnresponsiveWorkers are the workers that the leader hasn't heard of lately. They
-	// get no tasks, and their runs get copies where that is allowed.
+	// UnresponsiveWorkers are the workers that the leader hasn't heard from recently.
+	// They get no tasks, and their runs get speculative copies where the step allows
+	// that.
 	UnresponsiveWorkers map[string]bool
-	// UnhealthyWorkers are the workers whose agents report trouble, or whose
-	// lease has expired. Their runs are checked for copies at once.
+	// UnhealthyWorkers are the workers whose agents report problems, or whose lease
+	// has expired. Their runs are checked at once for whether they need a speculative
+	// copy.
 	UnhealthyWorkers map[string]bool
-	// Slowdown is how many times as long as on the median worker tasks take, by
-	// worker; workers that are missing count as 1.
+	// Slowdown is the ratio of task durations on a worker to those on the median
+	// worker, by worker. Workers without an entry count as 1.
 	Slowdown map[string]float64
-	// EstimateRatio is how many times as long as estimated tasks take on the
-	// median worker; 0 if that isn't known.
+	// EstimateRatio is the ratio of actual to estimated task durations on the median
+	// worker; 0 if it is unknown.
 	EstimateRatio float64
-	// CheckpointIntervalMs is the most work, in milliseconds, that a run which
-	// saves its progress loses when it is stopped.
+	// CheckpointIntervalMs is the maximum work, in milliseconds, that a run with
+	// checkpoints loses when it is stopped.
 	CheckpointIntervalMs int64
 
 	demandPeaks      map[state.ServicePriority]*demandPeak
@@ -52,15 +56,15 @@
 	paces            map[string]paceEstimate // by worker
 }
 
-// Plan makes plans for the tasks that wait, the most urgent first, as far as
-// there is room and up to maxTasksPerPlan. Each plan holds tasks of one
-// step.
+// Plan makes plans for waiting tasks, the most urgent first, as far as there is
+// free capacity and up to about maxTasksPerPlan tasks. Each plan holds tasks of
+// one step.
 func (p *Planner) Plan(store *state.Store) []state.Plan {
-	p.forgetUnused(store)
+	p.pruneStale(store)
 	snap := newSnapshot(store, p)
 	requests := append(pendingRequests(store), p.speculativeRequests(store)...)
-	// This is reset even if nothing waits: what lacked room a round ago would
-	// otherwise go on preempting other runs.
+	// Reset this even if nothing waits. Otherwise the unmet demand of the previous
+	// plan would go on preempting other runs.
 	p.unmetDemand = map[state.ServicePriority]resources{}
 	if len(requests) == 0 {
 		return nil
@@ -88,8 +92,8 @@
 		}
 		plan := snap.placeStep(request)
 		placed := len(plan.Placements)
-		// What doesn't fit counts little, whatever its size: work that fits
-		// nowhere must not keep other work from being looked at.
+		// A step that doesn't fit has a low fixed cost whatever its size, so that
+		// unplaceable work can't use up the limit and block other work.
 		left -= max(placed, unplacedStepCost)
 		kind, spec := request.servicePriority(), request.spec()
 		if placed > 0 {
@@ -104,8 +108,8 @@
 	return plans
 }
 
-// limitToLoan drops tasks of a peer cluster's job that don't fit into the room
-// lent to that cluster. It returns false if none is left to place.
+// limitToLoan removes tasks of a peer cluster's job that exceed the capacity lent
+// to that cluster. It returns false if no task may be placed.
 func limitToLoan(store *state.Store, request *placementRequest) bool {
 	milliCPU, ok := store.LoanRemaining(request.job)
 	if !ok || len(request.tasks) == 0 {
@@ -122,8 +126,9 @@
 	return true
 }
 
-// replan plans a step again of which a placement can't be bound any more. It
-// looks at every worker, since each replica must come to the same plan.
+// replan makes a new plan for a step with a placement that can no longer be bound.
+// It considers every worker, since each replica must compute the same plan. It
+// returns false if it finds no placement.
 func replan(store *state.Store, plan state.Plan) (state.Plan, bool) {
 	job := store.Jobs[plan.Job]
 	if job == nil || plan.Instance >= len(job.Instances) {
--- a/internal/scheduler/planner_test.go
+++ b/internal/scheduler/planner_test.go
@@ -8,9 +8,10 @@
 	"tealpond/internal/protocol"
 )
 
-// TestAllThatFitsIsPlaced: above the number up to which each worker is looked
-// at, the index must miss no room; near data, on labels, apart, as gangs.
-func TestAllThatFitsIsPlaced(t *testing.T) {
+// TestAllFittingTasksArePlaced checks that no task waits while a worker has free capacity for it, with
+// data locality, required labels, limits per worker and gangs. Above fullScanMaxWorkers the planner
+// uses indexes instead of a full scan, which must not miss free capacity.
+func TestAllFittingTasksArePlaced(t *testing.T) {
 	for _, workers := range []int{30, fullScanMaxWorkers + 60} {
 		c := newTestCluster(t, workers)
 		p := &Planner{}
@@ -19,14 +20,15 @@
 			spec := randomStep(random)
 			id := c.submit("/p/", spec)
 			c.planAndBind(p)
-			free, waiting := c.roomFor(id, &spec), 0
+			free, waiting := c.freeSlots(id, &spec), 0
 			for _, task := range c.store.Jobs[id].Instances[0].Steps[0].Tasks {
 				if len(task.Allocations) == 0 {
 					waiting++
 				}
 			}
 			if waiting > 0 && free >= waiting && !spec.Gang || spec.Gang && waiting > 0 && free >= spec.TaskCount {
-				t.Fatalf("%d workers, job %d: %d of %d tasks wait beside room for %d (%+v)", workers, i, waiting, spec.TaskCount, free, spec)
+				t.Fatalf("%d workers, job %d: %d of %d tasks wait although %d fit (%+v)",
+					workers, i, waiting, spec.TaskCount, free, spec)
 			}
 			for len(c.store.Allocations) > workers*6 {
 				c.complete(c.anyAllocation())
@@ -35,7 +37,7 @@
 	}
 }
 
-// randomStep makes a step of a random size, some with a constraint.
+// randomStep returns a step of random size, in some cases with a placement constraint.
 func randomStep(random *rand.Rand) protocol.Step {
 	spec := protocol.Step{TaskCount: 1 + random.Intn(30), CPUUnits: int64(100 + random.Intn(6000)), MemoryMB: int64(100 + random.Intn(9000)), EstimateMs: 300}
 	switch random.Intn(6) {
@@ -51,8 +53,9 @@
 	return spec
 }
 
-// roomFor counts the tasks of a job's first step that all workers have room for.
-func (c *testCluster) roomFor(id string, spec *protocol.Step) int {
+// freeSlots returns the number of tasks of a job's first step that fit into the free capacity of all
+// workers.
+func (c *testCluster) freeSlots(id string, spec *protocol.Step) int {
 	free := 0
 	for _, worker := range c.store.Workers {
 		if !c.store.Feasible(c.store.Jobs[id], 0, worker) {
@@ -67,15 +70,15 @@
 	return free
 }
 
-// TestNearDataFirst: with room at the data's rack, all tasks go there.
-func TestNearDataFirst(t *testing.T) {
+// TestDataLocality checks that all tasks go to the rack of their data if they fit there.
+func TestDataLocality(t *testing.T) {
 	for _, workers := range []int{30, fullScanMaxWorkers + 60} {
 		c := newTestCluster(t, workers)
 		id := c.submit("/p/", protocol.Step{TaskCount: 20, CPUUnits: 1000, MemoryMB: 100, EstimateMs: 300, PreferredRack: "r2"})
 		c.planAndBind(&Planner{})
 		for _, a := range c.store.Allocations {
-			if r := c.store.Workers[a.Worker].Rack(); a.Job == id && r != "r2" {
-				t.Fatalf("%d workers: a task went to %s", workers, r)
+			if rack := c.store.Workers[a.Worker].Rack(); a.Job == id && rack != "r2" {
+				t.Fatalf("%d workers: task placed on rack %s, want r2", workers, rack)
 			}
 		}
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// longTaskThreshold is the estimate from which a task leaves room to more urgent ones.
+	// longTaskThreshold is the estimated duration from which a task counts as long: it leaves capacity
+	// to higher-priority work and may be preempted.
 	longTaskThreshold = 2 * time.Second
-	// maxPreemptionLoss is the most unsaved work, as time, that a run may lose by being preempted.
+	// maxPreemptionLoss is the maximum run time without a checkpoint that a run may lose by preemption.
 	maxPreemptionLoss = 1500 * time.Millisecond
-	// expectedReleaseFraction is the part of a priority's own room that becomes free by itself before
-	// a preempted run would free its room.
+	// expectedReleaseFraction is the fraction of the resources held by a priority's own runs that is
+	// expected to become free by completions before a preempted run would release its resources.
 	expectedReleaseFraction = 0.6
 )
 
-// victim is a run that may be preempted.
+// victim is an allocation that may be preempted.
 type victim struct {
 	allocation *state.Allocation
 	job        *state.Job
-	lostMs     int64 // the work that it would lose
+	lostMs     int64 // run time lost if it is preempted
 }
 
-// Preemptions returns the IDs of the allocations to stop so that more urgent work,
-// which found no room in the last plan, finds some: first those that lose least
-// unsaved work, and none that lose more than maxPreemptionLoss.
+// Preemptions returns the IDs of the allocations to stop to free capacity for
+// higher-priority work that didn't fit in the last plan. It chooses those that lose
+// the least work first, and none that lose more than maxPreemptionLoss.
 func (p *Planner) Preemptions(store *state.Store) []uint64 {
 	if len(p.unmetDemand) == 0 {
 		return nil
@@ -40,8 +41,8 @@
 	var preempted []uint64
 	for _, kind := range kinds {
 		need, held := p.unmetDemand[kind], p.heldResources[kind]
-		// The kind's own runs free a part of their room by themselves before a
-		// preempted run would.
+		// Some of this priority's own runs complete and release their resources
+		// before a preempted run would.
 		need.cpu -= expectedReleaseFraction * held.cpu
 		need.memory -= expectedReleaseFraction * held.memory
 		freed := stopping[kind.Service]
@@ -59,8 +60,9 @@
 	return preempted
 }
 
-// victims returns the runs that may be preempted, those that lose least first, and
-// what runs that are being stopped already will free, by service.
+// victims returns the allocations that may be preempted, those that lose least
+// first, and the resources that allocations already being stopped will release, by
+// service.
 func (p *Planner) victims(store *state.Store) ([]victim, map[string]resources) {
 	var victims []victim
 	stopping := map[string]resources{}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -7,9 +7,10 @@
 	"tealpond/internal/state"
 )
 
-// TestNoPreemptionForWorkThatNoLongerWaits: the unmet demand of an earlier
-// plan is forgotten once nothing waits.
-func TestNoPreemptionForWorkThatNoLongerWaits(t *testing.T) {
+// TestNoPreemptionForCanceledJob guards against preemption for a job that was
+// canceled: the unmet demand of a plan must be reset by the next one, even if
+// nothing waits.
+func TestNoPreemptionForCanceledJob(t *testing.T) {
 	c := newTestCluster(t, 2)
 	p := &Planner{}
 	c.submit("/q/", protocol.Step{TaskCount: 4, CPUUnits: 7900, MemoryMB: 100, EstimateMs: 4000})
@@ -17,7 +18,7 @@
 	id := c.submit("/p/", protocol.Step{TaskCount: 2, CPUUnits: 7900, MemoryMB: 100, EstimateMs: 300})
 	c.advance(100)
 	if c.planAndBind(p) != 0 || len(p.Preemptions(c.store)) == 0 {
-		t.Fatal("urgent work that waits preempts nothing")
+		t.Fatal("no run preempted for waiting high-priority work")
 	}
 	c.apply(state.CommandCancelJob, &state.CancelJob{ID: id})
 	c.planAndBind(p)
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -4,15 +4,15 @@
 	"tealpond/internal/state"
 )
 
-// heavyTenantFraction is the part of its quota above which a tenant's work comes after that of
-// tenants that use less, at the same priority and deadline class.
+// heavyTenantFraction is the fraction of its quota above which a tenant's work comes after that of
+// tenants that use less, within the same priority and deadline class.
 const heavyTenantFraction = 0.85
 
-// quotaTally is what tenants hold of their quotas while a plan is made: what is in use
-// and what the plan has placed so far.
+// quotaTally tracks the quota usage of tenants while a plan is made: the resources in use
+// and those of the tasks placed so far.
 type quotaTally struct {
 	store   *state.Store
-	planner *Planner // nil while a plan is applied: replicas know no planner
+	planner *Planner // nil while a plan is applied, since replicas have no planner
 	use     map[string]state.TenantUse
 }
 
@@ -20,7 +20,7 @@
 	return &quotaTally{store: store, planner: planner, use: map[string]state.TenantUse{}}
 }
 
-// useOf is what a tenant holds.
+// useOf returns a tenant's usage, including the tasks placed so far.
 func (t *quotaTally) useOf(tenant string) state.TenantUse {
 	if use, ok := t.use[tenant]; ok {
 		return use
@@ -28,8 +28,8 @@
 	return t.store.TenantUse(tenant)
 }
 
-// allowed is how many of a request's tasks may be placed by the quota of its tenant;
-// of a gang all or none.
+// allowed returns how many of a request's tasks may be placed under its tenant's quota; of
+// a gang all or none.
 func (t *quotaTally) allowed(request *placementRequest) int {
 	wanted := len(request.tasks)
 	quota, bounded := t.store.Quotas[request.job.Tenant()]
@@ -39,7 +39,7 @@
 	use := t.useOf(request.job.Tenant())
 	n := quota.TasksWithin(use, request.spec(), wanted)
 	if n > 0 && t.planner != nil && request.isLong() {
-		n = t.allowedBesideUrgent(request, quota, use, n)
+		n = t.allowedWithReserve(request, quota, use, n)
 	}
 	if n < wanted && request.isGang() {
 		return 0
@@ -47,15 +47,15 @@
 	return n
 }
 
-// allowedBesideUrgent is how many of n long tasks leave room under their tenant's quota
-// for the more urgent work that is foreseen of it. A job of which nothing runs isn't
-// held back for long.
-func (t *quotaTally) allowedBesideUrgent(request *placementRequest, quota state.Quota, use state.TenantUse, n int) int {
+// allowedWithReserve returns how many of n long tasks may be placed so that their tenant's
+// quota has room for its predicted higher-priority work. A job without a running task isn't
+// held back for longer than maxStarvationTime.
+func (t *quotaTally) allowedWithReserve(request *placementRequest, quota state.Quota, use state.TenantUse, n int) int {
 	reserved := t.planner.tenantReserve(t.store, request.job.Tenant(), request.job.Priority)
 	quota.MilliCPU = reducedLimit(quota.MilliCPU, reserved.cpu)
 	quota.MemoryMB = reducedLimit(quota.MemoryMB, reserved.memory)
 	reduced := quota.TasksWithin(use, request.spec(), n)
-	if reduced < n && idleTooLong(t.store, request) {
+	if reduced < n && isStarved(t.store, request) {
 		if request.isGang() {
 			return n
 		}
@@ -64,43 +64,45 @@
 	return reduced
 }
 
-// reducedLimit is a limit less what is reserved, but never so low that a job waits
-// while its tenant uses little; 0 stays no limit.
+// reducedLimit returns a limit less the reserved amount, but at least longTaskFreeFraction
+// of the limit, so that a job doesn't wait while its tenant uses little. A limit of 0, which
+// means none, stays 0.
 func reducedLimit(limit int64, reserved float64) int64 {
 	return max(limit-int64(reserved), int64(float64(limit)*longTaskFreeFraction))
 }
 
-// add notes that n tasks of a request were placed.
+// add records that n tasks of a request were placed.
 func (t *quotaTally) add(request *placementRequest, n int) {
 	if tenant := request.job.Tenant(); tenant != "" {
 		t.use[tenant] = t.useOf(tenant).Plus(request.spec(), n)
 	}
 }
 
-// limitToQuota drops the tasks of a request that don't fit under its tenant's quota. It
-// returns false if none is left to place.
+// limitToQuota removes the tasks of a request that exceed its tenant's quota. It returns
+// false if no task is left.
 func (t *quotaTally) limitToQuota(request *placementRequest) bool {
 	request.tasks = request.tasks[:t.allowed(request)]
 	return len(request.tasks) > 0
 }
 
-// tenantReserve is what a priority must leave under its tenant's quota to more urgent
-// work of the same tenant: how far that work's use is below its recent peak.
+// tenantReserve returns the part of a tenant's quota that a priority must leave to
+// higher-priority work of the same tenant: the difference between the recent peak and the
+// current use of that work.
 func (p *Planner) tenantReserve(store *state.Store, tenant string, priority int) resources {
 	sum := resources{}
 	for urgent, peak := range p.tenantPeaks[tenant] {
 		if urgent < priority {
 			use := store.TenantPriorityUse(state.TenantPriority{Tenant: tenant, Priority: urgent})
-			foreseen := peak.at(store.Clock)
-			sum.cpu += max(foreseen.cpu-float64(use.MilliCPU), 0)
-			sum.memory += max(foreseen.memory-float64(use.MemoryMB), 0)
+			predicted := peak.at(store.Clock)
+			sum.cpu += max(predicted.cpu-float64(use.MilliCPU), 0)
+			sum.memory += max(predicted.memory-float64(use.MemoryMB), 0)
 		}
 	}
 	return sum
 }
 
-// updateTenantPeaks raises the peaks of tenants to what their short tasks hold and
-// wait for.
+// updateTenantPeaks raises the demand peaks of tenants to the resources that their running
+// tasks use and their waiting short tasks request.
 func (p *Planner) updateTenantPeaks(store *state.Store, requests []placementRequest) {
 	demand := map[state.TenantPriority]resources{}
 	quotas := newQuotaTally(store, nil)
@@ -123,7 +125,7 @@
 	}
 }
 
-// tenantPeak returns the peak of a tenant's priority, a new one if there is none.
+// tenantPeak returns the demand peak of a tenant's priority, creating it if necessary.
 func (p *Planner) tenantPeak(kind state.TenantPriority, now int64) *demandPeak {
 	if p.tenantPeaks == nil {
 		p.tenantPeaks = map[string]map[int]*demandPeak{}
@@ -137,9 +139,9 @@
 	return p.tenantPeaks[kind.Tenant][kind.Priority]
 }
 
-// usesMuchOfQuota reports whether a tenant uses over heavyTenantFraction of one of
-// its quota's resources.
-func usesMuchOfQuota(store *state.Store, tenant string) bool {
+// isHeavyTenant reports whether a tenant uses more than heavyTenantFraction of its quota of
+// any resource.
+func isHeavyTenant(store *state.Store, tenant string) bool {
 	quota, bounded := store.Quotas[tenant]
 	if !bounded {
 		return false
--- a/internal/scheduler/quota_test.go
+++ b/internal/scheduler/quota_test.go
@@ -8,7 +8,7 @@
 	"tealpond/internal/state"
 )
 
-// configureTenants gives the cluster two tenants with the same limit.
+// configureTenants configures two tenants, t and u, with the same CPU limit.
 func (c *testCluster) configureTenants(milliCPU int64) {
 	c.tb.Helper()
 	raw := fmt.Sprintf(`{"configVersion":2,"tenantList":[{"name":"t","apiKeys":["kt"],"upperLimit":{"cpuUnits":%d}},{"name":"u","apiKeys":["ku"],"upperLimit":{"cpuUnits":%d}}],`,
@@ -18,7 +18,7 @@
 	}
 }
 
-// submitAs submits a job of a tenant and returns its ID.
+// submitAs submits a job as a tenant and returns its ID.
 func (c *testCluster) submitAs(tenant string, beyondShare bool, prefix string, steps ...protocol.Step) string {
 	c.tb.Helper()
 	c.submitted++
@@ -31,9 +31,9 @@
 	return id
 }
 
-// TestPlansKeepToQuotas: a plan has as many tasks of a tenant as its quota allows, over
-// all its jobs, and other tenants go on.
-func TestPlansKeepToQuotas(t *testing.T) {
+// TestPlansRespectQuotas checks that a plan places no more tasks of a tenant than its quota
+// allows over all its jobs, and that other tenants aren't held back.
+func TestPlansRespectQuotas(t *testing.T) {
 	c := newTestCluster(t, 10)
 	c.configureTenants(5000)
 	p := &Planner{}
@@ -44,18 +44,18 @@
 	waiting := c.submitAs("t", false, "/p/", gang)
 	c.planAndBind(p)
 	if n := c.runsOf(first) + c.runsOf(second); n != 5 {
-		t.Errorf("%d tasks run under a quota of 5", n)
+		t.Errorf("%d tasks run, want 5 as the quota allows", n)
 	}
 	if c.runsOf(other) != 4 || c.runsOf(waiting) != 0 {
-		t.Errorf("%d tasks of the other tenant run, %d of the gang, want 4 and 0", c.runsOf(other), c.runsOf(waiting))
+		t.Errorf("%d tasks of the other tenant and %d of the gang run, want 4 and 0", c.runsOf(other), c.runsOf(waiting))
 	}
 	c.complete(c.anyAllocationOf("t"))
 	if c.planAndBind(p) != 1 {
-		t.Error("nothing is placed when a run has ended")
+		t.Error("not exactly one task placed after a run ended")
 	}
 }
 
-// anyAllocationOf returns a run of a tenant.
+// anyAllocationOf returns one allocation of a tenant, or nil.
 func (c *testCluster) anyAllocationOf(tenant string) *state.Allocation {
 	for _, allocation := range c.store.Allocations {
 		if c.store.Jobs[allocation.Job].Tenant() == tenant {
@@ -65,9 +65,9 @@
 	return nil
 }
 
-// TestJobsBeyondTheShareComeLast: whatever their priority, behind those of tenants
-// within theirs; they preempt nothing.
-func TestJobsBeyondTheShareComeLast(t *testing.T) {
+// TestJobsBeyondShareComeLast checks that jobs beyond their tenant's share come after all jobs
+// within a share, whatever their priority, and that they preempt no runs.
+func TestJobsBeyondShareComeLast(t *testing.T) {
 	c := newTestCluster(t, 1)
 	c.configureTenants(0)
 	p := &Planner{}
@@ -76,17 +76,17 @@
 	within := c.submitAs("u", false, "/q/", step)
 	c.planAndBind(p)
 	if c.runsOf(within) != 16 || c.runsOf(beyond) != 0 {
-		t.Errorf("%d tasks within the share run and %d beyond it", c.runsOf(within), c.runsOf(beyond))
+		t.Errorf("%d tasks within the share and %d beyond it run, want 16 and 0", c.runsOf(within), c.runsOf(beyond))
 	}
 	c.advance(preemptionDelay.Milliseconds() + 1)
 	c.planAndBind(p)
 	if preempted := p.Preemptions(c.store); len(preempted) != 0 {
-		t.Errorf("%d runs within their tenant's share make way for work beyond another's", len(preempted))
+		t.Errorf("%d runs within their tenant's share are preempted for work beyond another tenant's share", len(preempted))
 	}
 }
 
-// TestLongTasksLeaveQuotaToUrgentWork: as much as the tenant's urgent work held lately,
-// but not so much that a job stands still.
+// TestLongTasksLeaveQuotaToUrgentWork checks that long tasks leave as much of the quota free
+// as the tenant's high-priority work used recently, and that they still run beside it.
 func TestLongTasksLeaveQuotaToUrgentWork(t *testing.T) {
 	c := newTestCluster(t, 10)
 	c.configureTenants(20000)
@@ -101,29 +101,30 @@
 	slow := c.submitAs("t", false, "/q/", long)
 	c.planAndBind(p)
 	if n := c.runsOf(slow); n < 14 || n > 15 {
-		t.Errorf("%d long tasks run beside 6 that are foreseen, of a quota of 20", n)
+		t.Errorf("%d long tasks run, want 14 or 15 of a quota of 20 with 6 urgent ones predicted", n)
 	}
 	second := c.submitAs("t", false, "/p/", urgent)
 	c.planAndBind(p)
 	if n := c.runsOf(second); n < 5 {
-		t.Errorf("%d of 6 urgent tasks found room under the quota", n)
+		t.Errorf("%d of 6 urgent tasks run under the quota, want at least 5", n)
 	}
 }
 
-// TestWorkOfHeavyTenantsComesLater: of jobs of one priority that can meet their targets,
-// those of a tenant that uses most of its quota come after others, though they have waited
-// longer; one that uses little comes by its deadline. Urgent work still goes first.
-func TestWorkOfHeavyTenantsComesLater(t *testing.T) {
+// TestHeavyTenantsComeLater checks the order of jobs that can meet their targets. Within a
+// priority, those of a tenant that uses most of its quota come after others, even if they have
+// waited longer; those of a tenant that uses little are ordered by deadline. Higher priorities
+// come first.
+func TestHeavyTenantsComeLater(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		usedTasks int // of 10 that the quota allows
 		prefix    string
-		wantHeavy int // tasks of the tenant with the quota, of 4 for which there is room
-		wantOther int
+		wantHeavy int // tasks of the tenant with that usage that run, of 4 that fit
+		wantOther int // tasks of the other tenant that run
 	}{
-		{"little is in use", 6, "/p/", 4, 0},
-		{"most is in use", 9, "/p/", 1, 3},
-		{"most is in use, and the other's work is less urgent", 9, "/q/", 1, 3},
+		{"low usage", 6, "/p/", 4, 0},
+		{"high usage", 9, "/p/", 1, 3},
+		{"high usage, other tenant has lower priority", 9, "/q/", 1, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newTestCluster(t, 1)
@@ -140,7 +141,7 @@
 			other := c.submitAs("u", false, test.prefix, step(3))
 			c.planAndBind(p)
 			if c.runsOf(heavy) != test.wantHeavy || c.runsOf(other) != test.wantOther {
-				t.Errorf("%d tasks of the tenant with the quota run and %d of the other, want %d and %d",
+				t.Errorf("%d tasks of tenant t and %d of tenant u run, want %d and %d",
 					c.runsOf(heavy), c.runsOf(other), test.wantHeavy, test.wantOther)
 			}
 		})
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -8,10 +8,10 @@
 	"tealpond/internal/state"
 )
 
-// preemptionDelay is how long urgent work waits before it preempts other runs.
+// preemptionDelay is how long work waits for free capacity before it may preempt other runs.
 const preemptionDelay = 60 * time.Millisecond
 
-// placementRequest is one step that has tasks to place.
+// placementRequest is a step with tasks to place.
 type placementRequest struct {
 	job      *state.Job
 	instance *state.JobInstance
@@ -19,13 +19,13 @@
 	tasks    []state.Placement
 	slackMs  int64 // from now to the target
 	class    deadlineClass
-	// latestStart is when the rest of the job must start to stay in its class, in
-	// ms of the state's clock.
+	// latestStart is when the rest of the job must start at the latest to stay in its
+	// class, in ms of the state's clock.
 	latestStart int64
-	// heavyTenant: the tenant uses a large part of its quota already.
+	// heavyTenant is set if the tenant already uses a large part of its quota.
 	heavyTenant bool
-	// speculative requests are for copies of runs in trouble; none goes to one of
-	// excludedWorkers, where those run.
+	// speculative requests are for copies of stragglers. No copy is placed on one of
+	// excludedWorkers, where the original runs are.
 	speculative     bool
 	excludedWorkers map[string]bool
 }
@@ -34,7 +34,7 @@
 
 func (r *placementRequest) isGang() bool { return r.job.IsGang(r.step) }
 
-// isLong reports whether the tasks take so long that they leave room to more urgent ones.
+// isLong reports whether the tasks are estimated to take at least longTaskThreshold.
 func (r *placementRequest) isLong() bool {
 	return r.spec().EstimateMs >= longTaskThreshold.Milliseconds()
 }
@@ -43,13 +43,13 @@
 	return state.ServicePriority{Service: r.job.Service, Priority: r.job.Priority}
 }
 
-// stepName is a name for the step, the same for all its tasks.
+// stepName identifies the step: it is the name of the step's first task.
 func (r *placementRequest) stepName() string {
 	return state.TaskName(r.job.ID, r.instance.Number, r.step, 0)
 }
 
-// mayPreempt reports whether tasks that find no room may preempt less urgent runs:
-// they still gain by it, and have waited long enough for room to come free.
+// mayPreempt reports whether tasks that don't fit may preempt lower-priority runs: they
+// can still gain by an earlier start, and have waited for free capacity long enough.
 func (r *placementRequest) mayPreempt(now int64) bool {
 	return r.class < tooLate && !r.speculative && !r.job.BeyondShare() && now-r.instance.Steps[r.step].ReadyAt >= preemptionDelay.Milliseconds()
 }
@@ -60,11 +60,11 @@
 const (
 	onTime  deadlineClass = iota // it can meet its target
 	late                         // it can still count as late
-	tooLate                      // it gains nothing by being sooner
+	tooLate                      // an earlier start gains nothing
 )
 
-// lateFactor is how many times its target a job may take to still count as late,
-// by the operators' rules.
+// lateFactor is the multiple of its target up to which a job's turnaround still counts
+// as late, by the operators' rules.
 const lateFactor = 3
 
 // classifyDeadline returns a job's class and the latest start that keeps it in that
@@ -80,8 +80,8 @@
 	return tooLate, submittedAt
 }
 
-// pendingRequests lists the steps whose tasks wait, the most urgent first. It looks
-// only at steps that changed in a way that may let something wait.
+// pendingRequests returns the steps with waiting tasks, the most urgent first. It
+// examines only steps that the state lists as placeable.
 func pendingRequests(store *state.Store) []placementRequest {
 	var requests []placementRequest
 	store.EachPlaceableStep(func(job *state.Job, instance *state.JobInstance, step int) bool {
@@ -104,7 +104,7 @@
 		target := job.TargetTurnaroundMs()
 		request.slackMs = instance.CreatedAt + target - store.Clock
 		request.class, request.latestStart = classifyDeadline(store.Clock, instance.CreatedAt, target, job.RemainingCriticalPathMs(instance))
-		request.heavyTenant = usesMuchOfQuota(store, job.Tenant())
+		request.heavyTenant = isHeavyTenant(store, job.Tenant())
 		requests = append(requests, request)
 		return true
 	})
@@ -112,9 +112,10 @@
 	return requests
 }
 
-// moreUrgent orders requests. Those of tenants within their shares come first,
-// whatever their priority. Within a priority, jobs that can meet their target come
-// first: one that is late already gains nothing by being sooner.
+// moreUrgent reports whether a request comes before another. Requests of tenants within
+// their shares come first, whatever their priority. Within a priority, jobs that can
+// still meet their target come first, since a job that is already late gains nothing
+// from an earlier start.
 func (r *placementRequest) moreUrgent(other *placementRequest) bool {
 	switch {
 	case r.job.BeyondShare() != other.job.BeyondShare():
@@ -135,7 +136,7 @@
 	return r.step < other.step
 }
 
-// waitingTasks are the tasks of a step that neither run nor are done.
+// waitingTasks returns the tasks of a step that neither run nor are done.
 func waitingTasks(stepState *state.StepState) []state.Placement {
 	var waiting []state.Placement
 	for i := range stepState.Tasks {
@@ -146,7 +147,8 @@
 	return waiting
 }
 
-// waitingGang are all tasks of a gang, or none while one of them still holds room.
+// waitingGang returns all tasks of a gang, or none while one of them still has an
+// allocation.
 func waitingGang(stepState *state.StepState) []state.Placement {
 	var waiting []state.Placement
 	for i := range stepState.Tasks {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	// demandPeakDecay is the time constant with which a peak of urgent demand is forgotten.
+	// demandPeakDecay is the time constant of the exponential decay of a demand peak.
 	demandPeakDecay = 15 * time.Second
-	// maxIdleTime is how long a job of which nothing runs is held back for foreseen urgent work;
-	// operators count it as lost after 3 s beside room for it.
-	maxIdleTime = 1500 * time.Millisecond
-	// minLongTaskFraction is the part of the capacity that long tasks may use whatever urgent demand
-	// is foreseen, so that they never starve.
+	// maxStarvationTime is how long a job without a running task may be held back for predicted
+	// higher-priority work. By the operators' rules it counts as lost if it waits for 3 s while there is
+	// free capacity for it.
+	maxStarvationTime = 1500 * time.Millisecond
+	// minLongTaskFraction is the fraction of the capacity that long tasks may use whatever demand of
+	// higher priority is predicted, so that they never starve.
 	minLongTaskFraction = 0.1
-	// minLateLongTaskFraction is the part of the capacity that long tasks may use that would otherwise
-	// miss their target.
+	// minLateLongTaskFraction replaces minLongTaskFraction for long tasks of jobs that are about to miss
+	// their target.
 	minLateLongTaskFraction = 0.25
-	// longTaskFreeFraction is the part of the capacity up to which long tasks may always fill it; from
-	// half on a waiting job counts as lost.
+	// longTaskFreeFraction is the fraction of the capacity up to which long tasks may always fill it,
+	// together with other work. A job that waits while half of the capacity is free counts as lost.
 	longTaskFreeFraction = 0.6
 )
 
-// resources is an amount of processor time, in thousandths of a core, and of
-// memory, in MB.
+// resources is an amount of CPU, in thousandths of a core, and of memory, in MB.
 type resources struct{ cpu, memory float64 }
 
-// add adds n tasks of one size.
+// add returns the sum with n tasks of the given size.
 func (r resources) add(milliCPU, memoryMB int64, n int) resources {
 	return resources{r.cpu + float64(milliCPU)*float64(n), r.memory + float64(memoryMB)*float64(n)}
 }
 
-// demandPeak is the highest demand of one priority, decaying as it ages.
+// demandPeak is the highest recent demand of one priority, with an exponential decay.
 type demandPeak struct {
 	resources
-	updatedAt int64
+	updatedAt int64 // ms of the state's clock
 }
 
-// at is the peak as it has decayed by now.
+// at returns the peak, decayed until now.
 func (p *demandPeak) at(now int64) resources {
 	decay := math.Exp(-float64(now-p.updatedAt) / float64(demandPeakDecay.Milliseconds()))
 	return resources{p.cpu * decay, p.memory * decay}
 }
 
-// raise lets the peak decay and raises it to a demand.
+// raise decays the peak until now and raises it to the demand if that is higher.
 func (p *demandPeak) raise(demand resources, now int64) {
 	decayed := p.at(now)
 	p.updatedAt = now
 	p.cpu, p.memory = max(decayed.cpu, demand.cpu), max(decayed.memory, demand.memory)
 }
 
-// currentDemand returns what each priority of a service holds, and that together
-// with what waits, as far as the quotas of tenants allow it to run.
+// currentDemand returns, for each priority of a service, the resources held by its
+// runs, and these plus the requests of waiting tasks that the tenants' quotas allow.
 func currentDemand(store *state.Store, requests []placementRequest) (held, demand map[state.ServicePriority]resources) {
 	held, demand = map[state.ServicePriority]resources{}, map[state.ServicePriority]resources{}
 	for kind, usage := range store.UsedByServicePriority() {
@@ -64,7 +64,7 @@
 	for i := range requests {
 		request := &requests[i]
 		if request.job.BeyondShare() {
-			continue // no room is kept for it
+			continue // no capacity is reserved for it
 		}
 		spec, kind, n := request.spec(), request.servicePriority(), quotas.allowed(request)
 		demand[kind] = demand[kind].add(spec.CPUUnits, spec.MemoryMB, n)
@@ -73,7 +73,7 @@
 	return held, demand
 }
 
-// updatePeaks lets the peaks decay and raises them to the current demand.
+// updatePeaks decays the demand peaks and raises them to the current demand.
 func (p *Planner) updatePeaks(now int64, demand map[state.ServicePriority]resources) {
 	if p.demandPeaks == nil {
 		p.demandPeaks = map[state.ServicePriority]*demandPeak{}
@@ -88,9 +88,9 @@
 	}
 }
 
-// reservedForMoreUrgent is what a priority must leave to more urgent ones of its
-// service: the sum of their peaks.
-func (p *Planner) reservedForMoreUrgent(service string, priority int) resources {
+// reservedForHigherPriorities returns the resources that a priority must leave to
+// higher priorities of its service: the sum of their demand peaks.
+func (p *Planner) reservedForHigherPriorities(service string, priority int) resources {
 	sum := resources{}
 	for kind, peak := range p.demandPeaks {
 		if kind.Service == service && kind.Priority < priority {
@@ -101,8 +101,8 @@
 	return sum
 }
 
-// limitLongTasks drops the tasks of a long step that don't fit under its limit. It
-// returns false if the step must wait as a whole.
+// limitLongTasks removes the tasks of a long step that exceed the limit for long
+// tasks. It returns false if the whole step must wait.
 func (p *Planner) limitLongTasks(store *state.Store, request *placementRequest, held map[state.ServicePriority]resources) bool {
 	limit, ok := p.longTaskLimit(store, request, held)
 	if !ok {
@@ -116,7 +116,7 @@
 	if spec.MemoryMB > 0 {
 		n = min(n, int((limit.memory-used.memory)/float64(spec.MemoryMB)))
 	}
-	if idleTooLong(store, request) {
+	if isStarved(store, request) {
 		if request.isGang() {
 			return true
 		}
@@ -134,13 +134,13 @@
 	return true
 }
 
-// idleTooLong reports whether nothing of a job runs although its step has been ready for
-// maxIdleTime. However much urgent demand is foreseen, such a job gets one task
-// under way where there is room: by the operators' rules it must not stand still beside
-// room for it, however full the service is.
-func idleTooLong(store *state.Store, request *placementRequest) bool {
+// isStarved reports whether no task of a job runs and its step has been ready, without a
+// new allocation, for maxStarvationTime. Such a job gets at least one task placed if it
+// fits, however much higher-priority demand is predicted: by the operators' rules a job
+// must not wait while there is free capacity for it, however full the service is.
+func isStarved(store *state.Store, request *placementRequest) bool {
 	stepState := &request.instance.Steps[request.step]
-	if store.Clock-max(stepState.ReadyAt, stepState.LastAllocatedAt) < maxIdleTime.Milliseconds() {
+	if store.Clock-max(stepState.ReadyAt, stepState.LastAllocatedAt) < maxStarvationTime.Milliseconds() {
 		return false
 	}
 	for _, instance := range request.job.Instances {
@@ -155,15 +155,15 @@
 	return true
 }
 
-// longTaskLimit is what the long tasks of a request's priority may hold together,
-// or false if there is no limit: long tasks that can wait leave room for the urgent
-// demand foreseen.
+// longTaskLimit returns the total resources that a long request's priority may hold,
+// or false if there is no limit. Long tasks are limited to leave capacity for the
+// predicted demand of higher priorities.
 func (p *Planner) longTaskLimit(store *state.Store, request *placementRequest, held map[state.ServicePriority]resources) (resources, bool) {
 	if !request.isLong() {
 		return resources{}, false
 	}
 	kind := request.servicePriority()
-	reserved := p.reservedForMoreUrgent(kind.Service, kind.Priority)
+	reserved := p.reservedForHigherPriorities(kind.Service, kind.Priority)
 	if reserved.cpu == 0 {
 		return resources{}, false
 	}
@@ -174,8 +174,8 @@
 		minFraction = minLateLongTaskFraction
 	}
 	limit := resources{max(total.cpu-reserved.cpu, total.cpu*minFraction), max(total.memory-reserved.memory, total.memory*minFraction)}
-	// Whatever is foreseen, a job must not wait beside workers that are mostly
-	// free: it would count as lost.
+	// Whatever demand is predicted, a job must not wait while the workers are mostly
+	// free, since it would count as lost.
 	var others resources
 	for heldKind, usage := range held {
 		if heldKind.Service == kind.Service && heldKind.Priority != kind.Priority {
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -7,11 +7,11 @@
 	"tealpond/internal/state"
 )
 
-// TestIdleJobGetsATaskDespiteForeseenDemand: long tasks of a low priority are held back
-// while much urgent work is foreseen, but no job of theirs stands still for longer than
-// maxIdleTime beside room for it; its other tasks, and those of jobs that run
-// already, wait on.
-func TestIdleJobGetsATaskDespiteForeseenDemand(t *testing.T) {
+// TestStarvedJobGetsTaskDespitePredictedDemand checks that long low-priority tasks are held back
+// while much high-priority demand is predicted, but that a job without a running task gets one after
+// maxStarvationTime if there is free capacity for it. Its other tasks, and those of jobs that already
+// run, go on waiting.
+func TestStarvedJobGetsTaskDespitePredictedDemand(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		c := newTestCluster(t, 10)
 		p := &Planner{}
@@ -19,43 +19,43 @@
 		c.planAndBind(p)
 		total, _ := c.store.SchedulableCapacity("s")
 		urgent := state.ServicePriority{Service: "s", Priority: 0}
-		foresee := func() {
+		predictPeak := func() {
 			p.demandPeaks[urgent] = &demandPeak{resources{float64(total.MilliCPU), float64(total.MemoryMB)}, c.store.Clock}
 			p.heldResources = nil
 		}
-		// What is in use keeps the long tasks at their limit.
+		// Short tasks fill capacity, so that the long tasks are at their limit.
 		for i := 0; i < 10; i++ {
 			c.submit("/p/", protocol.Step{TaskCount: 10, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 900})
 			c.planAndBind(p)
 		}
-		foresee()
-		idle := c.submit("/q/", protocol.Step{TaskCount: 5, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 5000, Gang: gang})
+		predictPeak()
+		starved := c.submit("/q/", protocol.Step{TaskCount: 5, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 5000, Gang: gang})
 		c.planAndBind(p)
-		if n := c.runsOf(idle); n != 0 {
-			t.Fatalf("gang %v: %d tasks are placed at once, although urgent demand is foreseen", gang, n)
+		if n := c.runsOf(starved); n != 0 {
+			t.Fatalf("gang %v: %d tasks run at once despite the predicted demand, want 0", gang, n)
 		}
-		c.advance(maxIdleTime.Milliseconds())
-		foresee()
+		c.advance(maxStarvationTime.Milliseconds())
+		predictPeak()
 		c.planAndBind(p)
 		want := 1
 		if gang {
 			want = 5
 		}
-		if n := c.runsOf(idle); n != want {
-			t.Errorf("gang %v: %d tasks run after %v, want %d", gang, n, maxIdleTime, want)
+		if n := c.runsOf(starved); n != want {
+			t.Errorf("gang %v: %d tasks run after %v, want %d", gang, n, maxStarvationTime, want)
 		}
 		if n := c.runsOf(running); n != 20 {
-			t.Errorf("gang %v: %d tasks of the other job run", gang, n)
+			t.Errorf("gang %v: %d tasks of the running job run, want 20", gang, n)
 		}
-		foresee()
+		predictPeak()
 		c.planAndBind(p)
-		if n := c.runsOf(idle); n != want {
-			t.Errorf("gang %v: %d tasks run a plan later", gang, n)
+		if n := c.runsOf(starved); n != want {
+			t.Errorf("gang %v: %d tasks run after the next plan, want no more than before", gang, n)
 		}
 	}
 }
 
-// runsOf counts the runs of a job.
+// runsOf returns the number of allocations of a job.
 func (c *testCluster) runsOf(id string) int {
 	n := 0
 	for _, allocation := range c.store.Allocations {
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -4,19 +4,19 @@
 	"math"
 )
 
-// slowWorkerFactor is the slowdown from which tasks that would miss their target on a worker pass
-// it over.
+// slowWorkerFactor is the slowdown from which a worker is skipped for tasks that would miss their
+// target on it.
 const slowWorkerFactor = 2.0
 
-// minNoticeableSlowdown is the slowdown up to which a worker counts as usual:
-// estimates are rough, and small differences are noise.
+// minNoticeableSlowdown is the slowdown up to which a worker is scored as normal, since
+// estimates are rough and small differences are noise.
 const minNoticeableSlowdown = 1.5
 
-// slowdownCost is the weight of a task's expected time against how full a worker
-// gets, which is at most 1.
+// slowdownCost is the weight of the expected slowdown of a task relative to the free
+// fraction of the worker, which is at most 1.
 const slowdownCost = 10
 
-// fits reports whether one task fits on a worker now.
+// fits reports whether one task may be placed on a worker now.
 func (s *snapshot) fits(capacity *workerCapacity, query *taskQuery) bool {
 	worker, spec := capacity.worker, query.spec
 	switch {
@@ -34,24 +34,24 @@
 	return !s.tooSlow(capacity, query)
 }
 
-// cheapest returns the candidate of the lowest cost on which a task fits, or nil.
-func (s *snapshot) cheapest(candidates []*workerCapacity, query *taskQuery) *workerCapacity {
+// lowestCost returns the candidate with the lowest cost on which a task fits, or nil.
+func (s *snapshot) lowestCost(candidates []*workerCapacity, query *taskQuery) *workerCapacity {
 	var best *workerCapacity
-	lowest := math.Inf(1)
+	bestCost := math.Inf(1)
 	for _, capacity := range candidates {
 		if !s.fits(capacity, query) {
 			continue
 		}
-		if cost := s.cost(capacity, query); cost < lowest {
-			best, lowest = capacity, cost
+		if cost := s.cost(capacity, query); cost < bestCost {
+			best, bestCost = capacity, cost
 		}
 	}
 	return best
 }
 
-// cost weighs the time that a task is likely to take on a worker, and then how much
-// room stays free there: the fullest worker comes first, so that large gaps are kept
-// for large tasks.
+// cost returns the cost of placing a task on a worker. It depends mainly on the expected
+// duration there and then on the capacity that stays free: the fullest worker is
+// preferred (best fit), so that large gaps are kept for large tasks.
 func (s *snapshot) cost(capacity *workerCapacity, query *taskQuery) float64 {
 	worker, spec := capacity.worker, query.spec
 	slowdown := s.slowdown(capacity)
@@ -63,7 +63,8 @@
 	return slowdown*slowdownCost + (cpu+memory)/2
 }
 
-// slowdown is how many times as long as usual tasks take on a worker.
+// slowdown returns the ratio of task durations on a worker to the usual ones, or 1 if it
+// isn't above minNoticeableSlowdown.
 func (s *snapshot) slowdown(capacity *workerCapacity) float64 {
 	if s.planner == nil {
 		return 1
@@ -74,8 +75,9 @@
 	return 1
 }
 
-// tooSlow reports whether a task should pass over a slow worker: it can meet its
-// target elsewhere, a little later, but not there. Copies always pass it over.
+// tooSlow reports whether a slow worker should be skipped for a task, because the task
+// can meet its target on another worker but not on this one. Speculative copies always
+// skip slow workers.
 func (s *snapshot) tooSlow(capacity *workerCapacity, query *taskQuery) bool {
 	factor := s.slowdown(capacity)
 	if factor < slowWorkerFactor || s.planner == nil {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -6,44 +6,45 @@
 	"tealpond/internal/state"
 )
 
-// fullScanMaxWorkers is the number of workers of a service up to which all of them are scored for
-// each step.
+// fullScanMaxWorkers is the maximum number of workers of a service with which all of them are scored
+// for each step.
 const fullScanMaxWorkers = 96
 
-// snapshot is the room on the workers that a plan has left. Workers are added when
-// the plan first looks at them, since it looks at all only where a service has few.
+// snapshot tracks the free capacity of workers while a plan is made. Workers are added
+// when they are first examined, since all of them are examined only where a service has
+// few.
 type snapshot struct {
 	store       *state.Store
-	planner     *Planner // nil while a plan is applied: replicas know no planner
+	planner     *Planner // nil while a plan is applied, since replicas have no planner
 	capacities  map[string]*workerCapacity
 	byService   map[string][]*workerCapacity // see fullScan
-	exhaustive  bool
-	unplaceable map[string][]state.Resources // sizes that fit on no worker of a service
+	exhaustive  bool                         // scan all workers however many there are
+	unplaceable map[string][]state.Resources // by service, task sizes that fit on no worker
 }
 
-// workerCapacity is the room left on one worker.
+// workerCapacity is the free capacity of one worker.
 type workerCapacity struct {
 	worker     *state.Worker
-	excluded   bool // it gets nothing new at the moment
+	excluded   bool // it gets no new tasks at the moment
 	freeCPU    int64
 	freeMemory int64
 	freeGPUs   int
-	colocated  map[string]int // tasks of a step there, by the step's name
+	colocated  map[string]int // number of tasks on the worker, by step name
 }
 
 func newSnapshot(store *state.Store, planner *Planner) *snapshot {
 	return &snapshot{store: store, planner: planner, capacities: map[string]*workerCapacity{}, byService: map[string][]*workerCapacity{}, unplaceable: map[string][]state.Resources{}}
 }
 
-// newExhaustiveSnapshot makes a snapshot that looks at every worker, in the order of
-// their IDs. It finds the same on each replica.
+// newExhaustiveSnapshot returns a snapshot that scans all workers, in the order of their
+// IDs, so that each replica computes the same result.
 func newExhaustiveSnapshot(store *state.Store) *snapshot {
 	snap := newSnapshot(store, nil)
 	snap.exhaustive = true
 	return snap
 }
 
-// capacityOf returns a worker's room, reading it from the state the first time.
+// capacityOf returns a worker's free capacity, which it reads from the state on first use.
 func (s *snapshot) capacityOf(worker *state.Worker) *workerCapacity {
 	if capacity := s.capacities[worker.ID]; capacity != nil {
 		return capacity
@@ -61,8 +62,8 @@
 	return capacity
 }
 
-// fullScan returns all workers of a service, by ID, or false if there are more than
-// fullScanMaxWorkers and the snapshot isn't exhaustive.
+// fullScan returns all schedulable workers of a service in the order of their IDs, or false
+// if there are more than fullScanMaxWorkers and the snapshot isn't exhaustive.
 func (s *snapshot) fullScan(service string) ([]*workerCapacity, bool) {
 	if _, n := s.store.SchedulableCapacity(service); n > fullScanMaxWorkers && !s.exhaustive {
 		return nil, false
@@ -80,8 +81,9 @@
 	return s.byService[service], true
 }
 
-// knownUnplaceable reports whether a step surely fits nowhere: one that is no larger
-// did not, and planning only takes room.
+// knownUnplaceable reports whether a step is known to fit on no worker, because a step of
+// at most its size didn't fit earlier in this plan, and placements only reduce the free
+// capacity.
 func (s *snapshot) knownUnplaceable(request *placementRequest) bool {
 	spec := request.spec()
 	for _, size := range s.unplaceable[request.job.Service] {
@@ -92,8 +94,8 @@
 	return false
 }
 
-// recordUnplaceable notes the size of a step that fits nowhere, if that is for its
-// size alone. Steps that can be on time don't count, since they pass over slow
+// recordUnplaceable records the size of a step that fits on no worker, if only its size can
+// be the reason. Steps that can meet their target are left out, since they skip slow
 // workers.
 func (s *snapshot) recordUnplaceable(request *placementRequest) {
 	spec := request.spec()
@@ -102,8 +104,8 @@
 	}
 }
 
-// colocatedTasks counts the tasks of a step on a worker, those placed by this plan
-// included.
+// colocatedTasks returns the number of tasks of a step on a worker, including those placed
+// by this plan.
 func (s *snapshot) colocatedTasks(capacity *workerCapacity, request *placementRequest, stepName string) int {
 	if capacity.colocated == nil {
 		capacity.colocated = map[string]int{}
--- a/internal/scheduler/straggler_queue.go
+++ b/internal/scheduler/straggler_queue.go
@@ -8,16 +8,16 @@
 	"tealpond/internal/state"
 )
 
-// minStragglerAge is the least age of a run that gets a copy.
+// minStragglerAge is the minimum age of a run for it to count as overdue.
 const minStragglerAge = 250 * time.Millisecond
 
-// stragglerQueue holds the runs that may get a copy, ordered by the time of their
-// next check, so that a plan looks only at those that are due.
+// stragglerQueue holds the runs that may get a speculative copy, ordered by the time of
+// their next check, so that a plan examines only those that are due.
 type stragglerQueue struct {
-	checks          checkHeap
-	nextCheck       map[uint64]int64 // by allocation; other entries of checks are void
-	troubledWorkers map[string]bool  // as of the last plan
-	initialized     bool             // the runs that stood when this planner began are in
+	checks         checkHeap
+	nextCheck      map[uint64]int64 // by allocation ID; checks at other times are obsolete
+	suspectWorkers map[string]bool  // as of the last plan
+	initialized    bool             // runs older than this planner have been added
 }
 
 // scheduledCheck is the time of a run's next check, in ms of the state's clock.
@@ -48,7 +48,7 @@
 	return last
 }
 
-// enqueueNew adds the runs allocated since the last plan that may get copies.
+// enqueueNew adds the runs allocated since the last plan that may get speculative copies.
 func (q *stragglerQueue) enqueueNew(store *state.Store) {
 	if q.nextCheck == nil {
 		q.nextCheck = map[uint64]int64{}
@@ -81,18 +81,18 @@
 	heap.Push(&q.checks, scheduledCheck{checkAt, allocationID})
 }
 
-// takeDue removes the runs whose check is due and returns their IDs in order,
-// together with the runs on workers that got into trouble since the last plan:
-// these need no wait.
-func (q *stragglerQueue) takeDue(store *state.Store, troubledWorkers map[string]bool) []uint64 {
+// takeDue removes the checks that are due and returns the IDs of their runs in order,
+// together with those of the runs on workers that became suspect since the last plan,
+// which are checked at once.
+func (q *stragglerQueue) takeDue(store *state.Store, suspectWorkers map[string]bool) []uint64 {
 	var ids []uint64
 	for len(q.checks) > 0 && q.checks[0].checkAt <= store.Clock {
 		if check := heap.Pop(&q.checks).(scheduledCheck); q.nextCheck[check.allocationID] == check.checkAt {
 			ids = append(ids, check.allocationID)
 		}
 	}
-	for worker := range troubledWorkers {
-		if q.troubledWorkers[worker] {
+	for worker := range suspectWorkers {
+		if q.suspectWorkers[worker] {
 			continue
 		}
 		for _, allocation := range store.AllocationsOn(worker) {
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	q.troubledWorkers = troubledWorkers
+	q.suspectWorkers = suspectWorkers
 	slices.Sort(ids)
 	return slices.Compact(ids)
 }
--- a/internal/scheduler/stragglers.go
+++ b/internal/scheduler/stragglers.go
@@ -8,46 +8,44 @@
 )
 
 const (
-	// healthyWorkerDelayFactor is how many times as late a run on a healthy worker must be before it
-	// gets a copy.
+	// healthyWorkerDelayFactor multiplies the straggler factor of runs on healthy workers.
 	healthyWorkerDelayFactor = 3.0
-	// minStragglerFactor is how many times its usual duration a run may take before it gets a copy,
-	// where its step allows that.
+	// minStragglerFactor is the lower bound of a route's straggler factor. A straggler factor is the
+	// ratio to its usual duration from which a run gets a speculative copy, if its step allows that.
 	minStragglerFactor = 2.0
-	// initialStragglerFactor is the straggler factor of a route of which nothing was learnt, while
-	// only a rough estimate of the duration is known.
+	// initialStragglerFactor is the straggler factor of a route without completed runs. It applies
+	// to durations for which only a rough estimate is known.
 	initialStragglerFactor = 4.0
-	// maxStragglerFactor is the upper bound of a route's learnt factor.
+	// maxStragglerFactor is the upper bound of a route's straggler factor.
 	maxStragglerFactor = 12.0
-	// stragglerFraction is the part of a route's runs that are above its learnt straggler factor.
+	// stragglerFraction is the fraction of a route's runs that exceed its learned straggler factor.
 	stragglerFraction = 0.03
-	// StragglerCheckInterval is the least time between two checks of a run that isn't about to be
-	// late.
+	// StragglerCheckInterval is the minimum time between two checks of a run that isn't about to become
+	// overdue.
 	StragglerCheckInterval = 80 * time.Millisecond
-	// minStragglerCheckInterval is the least time between two checks of a run that is about to be
-	// late.
+	// minStragglerCheckInterval is the minimum time between two checks of a run that is about to become
+	// overdue.
 	minStragglerCheckInterval = 10 * time.Millisecond
 )
 
-// minEstimateRatio bounds Planner.EstimateRatio from below where it corrects
-// estimates; it also stands in while that ratio isn't known.
+// minEstimateRatio is the lower bound of Planner.EstimateRatio where that corrects
+// estimates. It is also the default while the ratio is unknown.
 const minEstimateRatio = 0.5
 
-// speculativeRequests asks for copies of runs in trouble, where their steps allow
-// that: the worker is silent or unhealthy, or the run takes much longer than usual.
-// A task has at most one copy.
+// speculativeRequests returns requests for copies of stragglers whose steps allow
+// speculative execution. A task has at most one copy.
 func (p *Planner) speculativeRequests(store *state.Store) []placementRequest {
 	p.stragglers.enqueueNew(store)
-	troubled := map[string]bool{}
+	suspect := map[string]bool{}
 	for worker := range p.UnresponsiveWorkers {
-		troubled[worker] = true
+		suspect[worker] = true
 	}
 	for worker := range p.UnhealthyWorkers {
-		troubled[worker] = true
+		suspect[worker] = true
 	}
 	var requests []placementRequest
 	indexByStep := map[string]int{}
-	for _, id := range p.stragglers.takeDue(store, troubled) {
+	for _, id := range p.stragglers.takeDue(store, suspect) {
 		allocation := store.Allocations[id]
 		if allocation == nil {
 			delete(p.stragglers.nextCheck, id)
@@ -77,14 +75,15 @@
 	return requests
 }
 
-// isStraggler reports whether a run is in trouble on its worker or much longer under
-// way than usual, and when to check it again.
+// isStraggler reports whether a run is lost or overdue, and when to check it again. A run
+// is lost if its worker is gone, unresponsive or unschedulable without draining, or if it
+// is being stopped. It is overdue if it takes much longer than usual.
 func (p *Planner) isStraggler(store *state.Store, allocation *state.Allocation, job *state.Job) (bool, int64) {
 	expectedMs, factor := p.expectedDuration(store, allocation, job)
-	switch p.judgePace(allocation.Worker, store.Clock) {
+	switch p.classifyPace(allocation.Worker, store.Clock) {
 	case paceHealthy:
-		// Runs take their usual time there, so this is a long task and no slow
-		// worker; a copy would take as long.
+		// Runs on this worker take their usual time, so the task itself is long. A
+		// copy would take as long.
 		factor *= healthyWorkerDelayFactor
 	case paceSlow:
 		factor = min(factor, minStragglerFactor)
@@ -98,8 +97,8 @@
 	return lost || overdue, store.Clock + checkPause(ageMs, factor*expectedMs)
 }
 
-// expectedDuration is how long a run should take on its worker, in ms, and by which
-// factor it may exceed that.
+// expectedDuration returns the expected duration of a run, in ms, and the straggler
+// factor that applies to it.
 func (p *Planner) expectedDuration(store *state.Store, allocation *state.Allocation, job *state.Job) (ms, factor float64) {
 	spec := &job.Steps[allocation.Step]
 	ms, factor = float64(spec.EstimateMs)*max(p.EstimateRatio, minEstimateRatio), p.stragglerFactor(job.Route)
@@ -113,9 +112,9 @@
 	return ms, factor
 }
 
-// checkPause is the time to a run's next check, in ms. A run that has been under
-// way for long needs no check each moment, and one that is about to be overdue
-// needs it just then.
+// checkPause returns the time until a run's next check, in ms. The longer a run has
+// been running, the less often it is checked, but a check is due when it becomes
+// overdue.
 func checkPause(ageMs, overdueMs float64) int64 {
 	pause := max(StragglerCheckInterval.Milliseconds(), int64(ageMs)/8)
 	if left := int64(overdueMs-ageMs) + 1; left > 0 {
@@ -124,9 +123,9 @@
 	return pause
 }
 
-// RecordCompletion learns from a run that completed successfully at endedAt, in ms
-// of the state's clock: the pace of its worker, how much tasks of a step differ, and
-// how rough the estimates of its route are.
+// RecordCompletion updates the statistics with a run that completed successfully at
+// endedAt, in ms of the state's clock: the pace of its worker and, for its route, how
+// much tasks of a step differ and how rough the estimates are.
 func (p *Planner) RecordCompletion(store *state.Store, allocation *state.Allocation, endedAt int64) {
 	job := store.Jobs[allocation.Job]
 	if job == nil {
@@ -139,27 +138,27 @@
 	}
 	expectedMs := float64(spec.EstimateMs) * max(p.EstimateRatio, minEstimateRatio)
 	tookMs := float64(endedAt - allocation.AllocatedAt)
-	localMs := tookMs // as it would have been near its data
+	localMs := tookMs // as if it had run near its data
 	if worker := store.Workers[allocation.Worker]; worker != nil && worker.RemoteFrom(spec.PreferredRack) {
 		expectedMs *= store.RemoteFactor()
 		localMs /= store.RemoteFactor()
 	}
 	stepState := &job.Instances[allocation.Instance].Steps[allocation.Step]
 	logRatio, compared := p.recordPace(allocation, stepState, job.Route, localMs, endedAt)
-	if compared && p.judgePace(allocation.Worker, endedAt) != paceSlow {
-		// Runs on a slow worker say nothing of the tasks.
-		p.siblingFactors = learnFactor(p.siblingFactors, job.Route, p.siblingFactor(job.Route), math.Exp(logRatio))
+	if compared && p.classifyPace(allocation.Worker, endedAt) != paceSlow {
+		// Runs on a slow worker say nothing about the differences between tasks.
+		p.siblingFactors = updateFactor(p.siblingFactors, job.Route, p.siblingFactor(job.Route), math.Exp(logRatio))
 	}
-	p.stragglerFactors = learnFactor(p.stragglerFactors, job.Route, p.stragglerFactor(job.Route), tookMs/expectedMs)
+	p.stragglerFactors = updateFactor(p.stragglerFactors, job.Route, p.stragglerFactor(job.Route), tookMs/expectedMs)
 }
 
-// learnFactor follows the factor that stragglerFraction of a route's runs
-// exceed: up by a small part where a run exceeded it, and down where not.
-func learnFactor(factors map[string]float64, route string, factor, ratio float64) map[string]float64 {
+// updateFactor tracks the factor that stragglerFraction of a route's runs exceed. It
+// raises the factor slightly if a run exceeded it, and otherwise lowers it by less.
+func updateFactor(factors map[string]float64, route string, factor, ratio float64) map[string]float64 {
 	if ratio > factor {
-		factor *= 1 + stragglerLearningRate
+		factor *= 1 + learningRate
 	} else {
-		factor *= 1 - stragglerLearningRate*stragglerFraction
+		factor *= 1 - learningRate*stragglerFraction
 	}
 	if factors == nil {
 		factors = map[string]float64{}
@@ -168,7 +167,8 @@
 	return factors
 }
 
-// stragglerFactor is how many times as long as estimated a run of a route may take.
+// stragglerFactor returns the ratio to its estimated duration from which a run of a route
+// is overdue.
 func (p *Planner) stragglerFactor(route string) float64 {
 	if factor := p.stragglerFactors[route]; factor > 0 {
 		return factor
@@ -176,8 +176,8 @@
 	return initialStragglerFactor
 }
 
-// siblingFactor is how many times as long as the other runs of its step a run of a
-// route may take.
+// siblingFactor returns the ratio to the mean duration of the completed runs of its step
+// from which a run of a route is overdue.
 func (p *Planner) siblingFactor(route string) float64 {
 	if factor := p.siblingFactors[route]; factor > 0 {
 		return factor
--- a/internal/scheduler/stragglers_test.go
+++ b/internal/scheduler/stragglers_test.go
@@ -6,45 +6,47 @@
 	"tealpond/internal/protocol"
 )
 
-// TestRunOnASilentWorkerGetsACopy: a run on a worker that falls silent gets a copy
-// elsewhere at once, one that is merely young gets none.
-func TestRunOnASilentWorkerGetsACopy(t *testing.T) {
+// TestRunOnUnresponsiveWorkerGetsCopy checks that a run on a worker that becomes unresponsive gets a
+// speculative copy on another worker at once. A young run on a responsive worker gets one only when it
+// is overdue.
+func TestRunOnUnresponsiveWorkerGetsCopy(t *testing.T) {
 	c := newTestCluster(t, 4)
 	p := &Planner{}
 	c.submit("/p/", protocol.Step{TaskCount: 2, CPUUnits: 9000, MemoryMB: 100, EstimateMs: 400, Speculative: true})
 	c.planAndBind(p)
 	if n := c.planAndBind(p); n != 0 {
-		t.Fatalf("%d copies of young runs", n)
+		t.Fatalf("%d copies of young runs, want 0", n)
 	}
 	a := c.anyAllocation()
 	p.UnresponsiveWorkers = map[string]bool{a.Worker: true}
 	if n := c.planAndBind(p); n != 1 {
-		t.Fatalf("%d copies of a run on a silent worker", n)
+		t.Fatalf("%d copies of a run on an unresponsive worker, want 1", n)
 	}
 	for _, b := range c.store.Allocations {
 		if b.Copy == 1 && b.Worker == a.Worker {
-			t.Error("the copy went to the silent worker")
+			t.Error("copy placed on the unresponsive worker")
 		}
 	}
 	if n := c.planAndBind(p); n != 0 {
-		t.Errorf("%d copies more", n)
+		t.Errorf("%d more copies in the next plan, want 0", n)
 	}
 	c.advance(5000)
 	c.planAndBind(p)
-	long := 0
+	copies := 0
 	for _, b := range c.store.Allocations {
 		if b.Copy == 1 {
-			long++
+			copies++
 		}
 	}
-	if long != 2 {
-		t.Errorf("%d copies of runs twelve times as long as estimated, want 2", long)
+	if copies != 2 {
+		t.Errorf("%d copies of runs that took twelve times their estimate, want 2", copies)
 	}
 }
 
-// TestLongRunOnAHealthyWorkerGetsNoCopy: tasks of a step may differ by ten times,
-// and a copy of a long one takes as long.
-func TestLongRunOnAHealthyWorkerGetsNoCopy(t *testing.T) {
+// TestLongRunOnHealthyWorkerGetsNoCopy checks that a long run gets no speculative copy on a worker
+// that is known to be healthy: tasks of a step may differ by a factor of ten, and a copy of a long one
+// takes as long.
+func TestLongRunOnHealthyWorkerGetsNoCopy(t *testing.T) {
 	for _, healthy := range []bool{true, false} {
 		c := newTestCluster(t, 4)
 		p := &Planner{}
@@ -60,20 +62,19 @@
 		}
 		c.advance(600)
 		for i := range 4 {
-			if x := workerID(i); healthy || x != long.Worker {
-				p.paces[x] = paceEstimate{weight: 5, updatedAt: c.clock}
+			if worker := workerID(i); healthy || worker != long.Worker {
+				p.paces[worker] = paceEstimate{weight: 5, updatedAt: c.clock}
 			}
 		}
 		if n := c.planAndBind(p); (n == 0) != healthy {
-			t.Errorf("worker known to be healthy: %v, copies %d", healthy, n)
+			t.Errorf("worker known to be healthy: %v, got %d copies", healthy, n)
 		}
 	}
 }
 
-// TestStragglerFactorFollowsRoughEstimates: a route whose runs often take six times as
-// long as estimated gets no copies at four times; one that is estimated well keeps its
-// factor low.
-func TestStragglerFactorFollowsRoughEstimates(t *testing.T) {
+// TestStragglerFactorFollowsEstimates checks that the factor rises above 5 for a route of which one
+// run in ten takes six times its estimate, and falls below 3 for a route with accurate estimates.
+func TestStragglerFactorFollowsEstimates(t *testing.T) {
 	c := newTestCluster(t, 4)
 	p := &Planner{}
 	for i := range 600 {
@@ -88,13 +89,13 @@
 			c.complete(a)
 		}
 	}
-	if rough, good := p.stragglerFactor("a"), p.stragglerFactor("b"); rough < 5 || good > 3 {
-		t.Errorf("factors %.1f and %.1f, want above 5 and under 3", rough, good)
+	if rough, accurate := p.stragglerFactor("a"), p.stragglerFactor("b"); rough < 5 || accurate > 3 {
+		t.Errorf("straggler factors %.1f and %.1f, want at least 5 and at most 3", rough, accurate)
 	}
 }
 
-// TestCheckPause: a young run is checked often, an old one by an eighth of its age,
-// and each at the moment from which it is overdue.
+// TestCheckPause checks that a young run is checked at the shortest interval, an old one after an
+// eighth of its age, and each when it becomes overdue.
 func TestCheckPause(t *testing.T) {
 	interval := StragglerCheckInterval.Milliseconds()
 	for name, c := range map[string]struct {
@@ -104,9 +105,9 @@
 		"young":                  {0, 10000, interval},
 		"old":                    {8000, 100000, 1000},
 		"overdue soon":           {8000, 8499, 500},
-		"overdue in a moment":    {8000, 8001, minStragglerCheckInterval.Milliseconds()},
+		"overdue within 1 ms":    {8000, 8001, minStragglerCheckInterval.Milliseconds()},
 		"overdue for some time":  {8000, 4000, 1000},
-		"young, overdue already": {10, 1, interval},
+		"young, already overdue": {10, 1, interval},
 	} {
 		if got := checkPause(c.ageMs, c.overdueMs); got != c.want {
 			t.Errorf("%s: %d ms, want %d", name, got, c.want)
