--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,59 +1,63 @@
-// Package forecast tells from a record of demand when a cluster will be crowded.
+// Package forecast predicts from a cluster's demand history when the cluster will be
+// overloaded.
 //
-// It is pure: a record goes in, a prediction with its spread comes out. It keeps
-// nothing and acts on nothing; package federation does. How it compares with simpler
-// methods is measured by its tests and stands in docs/forecast.md.
+// Its functions are pure: they compute a prediction and its spread from a history, and
+// keep no state. Package federation stores the history and acts on the predictions. The
+// tests compare the method with simpler ones; docs/forecast.md has the results.
 package forecast
 
 import "math"
 
-// History is demand by bucket of time, in any one unit; buckets count from a fixed
+// History is demand by time bucket, in any unit. Buckets are numbered from a fixed
 // start.
 type History map[int64]float64
 
 // Prediction is the predicted demand of one bucket, in the unit of the History.
 type Prediction struct {
 	Mean   float64
-	Spread float64 // the standard deviation of the days that it rests on, at least a twentieth of the mean
-	Days   int     // how many days it rests on
+	Spread float64 // standard deviation over the days used, at least a twentieth of the mean
+	Days   int     // number of days used
 }
 
-// DayShape says how buckets form days.
+// DayShape describes the division of time into days and buckets.
 type DayShape struct {
 	BucketsPerDay int64
-	MinDays       int // days of record without which there is no forecast
+	MinDays       int // minimum days of history for a prediction
 }
 
-// dayWeights are the weights of the days before, the newest first.
+// dayWeights are the weights of previous days, the most recent first.
 var dayWeights = []float64{0.4, 0.25, 0.15, 0.1, 0.06, 0.04}
 
-// Weights of the buckets around a time of day; the middle one is that of the bucket
+// Weights of the buckets around a time of day. The middle weight is that of the bucket
 // itself.
 var (
-	bucketAlone   = []float64{1}
-	withNeighbour = []float64{1, 2, 1}
+	singleBucketWeights = []float64{1}
+	neighborhoodWeights = []float64{1, 2, 1}
 )
 
 const (
-	// recentBuckets is how many buckets tell how today compares with other days.
+	// recentBuckets is the number of buckets over which today is compared with previous days.
 	recentBuckets = 8
-	// minScale and maxScale bound the ratio of today to other days.
+	// minScale and maxScale bound the ratio of today's demand to that of previous days.
 	minScale, maxScale = 0.25, 4
-	// scaleShare is the part of that ratio, in its exponent, that is believed at
-	// once; it falls by a factor e in scaleDecayBuckets.
-	scaleShare        = 0.8
-	scaleDecayBuckets = 12
-	// minRelativeSpread is the least spread as a part of the mean.
+	// initialScaleExponent is the exponent that damps this ratio for a prediction of the
+	// current bucket. The exponent falls by a factor of e for each scaleDecayBuckets ahead.
+	initialScaleExponent = 0.8
+	scaleDecayBuckets    = 12
+	// minRelativeSpread is the minimum spread as a fraction of the mean.
 	minRelativeSpread = 0.05
-	// cautionSpreads is how many spreads are taken off a prediction before it
-	// counts as crowded, so that nothing is moved on a weak one.
-	cautionSpreads = 0.5
+	// overloadMarginSpreads is the number of spreads subtracted from a predicted mean before it
+	// is compared with the overload limit, so that no work is moved on an uncertain prediction.
+	overloadMarginSpreads = 0.5
 )
 
-// typicalDemand is what earlier days showed around the time of day of a bucket, by
-// what was known at now. Neighbouring buckets count by their weights, since a rush
-// begins a little sooner or later each day.
-func typicalDemand(history History, bucket, now int64, shape DayShape, neighbourWeights []float64) (mean, spread float64, days int) {
+// typicalDemand returns the weighted mean and the standard deviation of the demand of
+// previous days around a bucket's time of day, and the number of days used. It uses only
+// buckets up to now. Neighboring buckets are included with their weights, since a daily
+// peak begins a little earlier or later each day.
+func typicalDemand(
+	history History, bucket, now int64, shape DayShape, bucketWeights []float64,
+) (mean, spread float64, days int) {
 	weightedSum, totalWeight := 0.0, 0.0
 	var dayMeans []float64
 	for day, weight := range dayWeights {
@@ -61,19 +65,19 @@
 		for base > now {
 			base -= shape.BucketsPerDay
 		}
-		value, neighbourWeight := 0.0, 0.0
-		for offset, factor := range neighbourWeights {
-			neighbour := base + int64(offset-len(neighbourWeights)/2)
-			if demand, ok := history[neighbour]; ok && neighbour <= now {
+		value, usedWeight := 0.0, 0.0
+		for offset, factor := range bucketWeights {
+			neighbor := base + int64(offset-len(bucketWeights)/2)
+			if demand, ok := history[neighbor]; ok && neighbor <= now {
 				value += demand * factor
-				neighbourWeight += factor
+				usedWeight += factor
 			}
 		}
-		if neighbourWeight == 0 {
+		if usedWeight == 0 {
 			continue
 		}
-		dayMeans = append(dayMeans, value/neighbourWeight)
-		weightedSum += weight * value / neighbourWeight
+		dayMeans = append(dayMeans, value/usedWeight)
+		weightedSum += weight * value / usedWeight
 		totalWeight += weight
 	}
 	if totalWeight == 0 {
@@ -86,10 +90,10 @@
 	return mean, math.Sqrt(spread / float64(len(dayMeans))), len(dayMeans)
 }
 
-// Predict returns the demand some buckets ahead of now. With too little history there
-// is no prediction, and the second value is false.
+// Predict predicts the demand in the bucket that is ahead buckets after now. It returns
+// false if the history has too few days.
 func Predict(history History, now, ahead int64, shape DayShape) (Prediction, bool) {
-	mean, spread, days := typicalDemand(history, now+ahead, now, shape, withNeighbour)
+	mean, spread, days := typicalDemand(history, now+ahead, now, shape, neighborhoodWeights)
 	if days < max(shape.MinDays, 1) {
 		return Prediction{Days: days}, false
 	}
@@ -97,9 +101,9 @@
 	return Prediction{Mean: mean * scale, Spread: max(spread*scale, minRelativeSpread*mean*scale), Days: days}, true
 }
 
-// todayScale is by how much today is likely to differ from other days, some buckets
-// ahead of now: the ratio of late, damped since part of what is unusual now will have
-// passed by then.
+// todayScale returns the expected ratio of today's demand to that of previous days, ahead
+// buckets after now. It is the ratio over the recent buckets, damped because part of the
+// current deviation will have passed by then.
 func todayScale(history History, now, ahead int64, shape DayShape) float64 {
 	actual, expected := 0.0, 0.0
 	for bucket := now - recentBuckets + 1; bucket <= now; bucket++ {
@@ -115,16 +119,17 @@
 	if expected <= 0 || actual <= 0 {
 		return 1
 	}
-	return math.Pow(min(max(actual/expected, minScale), maxScale), math.Exp(-float64(ahead)/scaleDecayBuckets)*scaleShare)
+	return math.Pow(min(max(actual/expected, minScale), maxScale),
+		math.Exp(-float64(ahead)/scaleDecayBuckets)*initialScaleExponent)
 }
 
-// nearestTypical is the typical demand of a bucket or of one of its two neighbours,
-// each by itself, that is nearest to the actual demand; false if none is known. With
-// the bucket alone, a rush that comes a bucket later than yesterday's would make
-// today seem so calm that it is not believed at all.
+// nearestTypical returns the typical demand nearest to the actual demand, among those of
+// the bucket and of each of its two neighbors; false if none is known. If it used the
+// bucket alone, a daily peak that comes one bucket later than yesterday's would make
+// today's demand look so low that the peak isn't predicted at all.
 func nearestTypical(history History, bucket int64, demand float64, shape DayShape) (nearest float64, found bool) {
 	for offset := int64(-1); offset <= 1; offset++ {
-		typical, _, days := typicalDemand(history, bucket+offset, bucket-1, shape, bucketAlone)
+		typical, _, days := typicalDemand(history, bucket+offset, bucket-1, shape, singleBucketWeights)
 		if days > 0 && (!found || math.Abs(typical-demand) < math.Abs(nearest-demand)) {
 			nearest, found = typical, true
 		}
@@ -132,20 +137,22 @@
 	return nearest, found
 }
 
-// FirstCrowded returns the first bucket within the horizon, counted from now, whose
-// demand is predicted above a limit with some certainty; false if there is none.
+// FirstCrowded returns the first bucket within the horizon that is predicted to be
+// overloaded, as a number of buckets after now: the mean exceeds the limit by more than
+// overloadMarginSpreads spreads. It returns false if there is none.
 func FirstCrowded(history History, now, horizon int64, limit float64, shape DayShape) (int64, Prediction, bool) {
 	for ahead := int64(1); ahead <= horizon; ahead++ {
 		prediction, ok := Predict(history, now, ahead, shape)
-		if ok && prediction.Mean-cautionSpreads*prediction.Spread > limit {
+		if ok && prediction.Mean-overloadMarginSpreads*prediction.Spread > limit {
 			return ahead, prediction, true
 		}
 	}
 	return 0, Prediction{}, false
 }
 
-// FreeCapacity is the part of the capacity that stays free through the horizon, by
-// the mean and the spread of each prediction; false if that isn't known.
+// FreeCapacity returns the capacity that is predicted to stay free through the horizon:
+// the minimum, over the current bucket and those up to the horizon, of the capacity less
+// the predicted mean and spread, and at least 0. It returns false if a bucket has no prediction.
 func FreeCapacity(history History, now, horizon int64, capacity float64, shape DayShape) (float64, bool) {
 	free := capacity
 	for ahead := int64(0); ahead <= horizon; ahead++ {
