--- a/internal/counter/exchange.go
+++ b/internal/counter/exchange.go
@@ -5,111 +5,115 @@
 	"time"
 )
 
-// Request is one side of an exchange: what the sender has that the peer lacks, and up
-// to where it knows the peer's set.
+// Request carries the entries that the peer may lack, and the revision up to which the
+// sender has the peer's set.
 type Request struct {
 	_       struct{} `cbor:",toarray"`
-	Process string   // of the sender
-	Peer    string   // the process that Known is about; empty at first
-	Known   uint64   // the revision of the peer's set that the sender has
+	Process string   // ID of the sender
+	Peer    string   // process whose revision Known is; empty in the first request
+	Known   uint64   // revision of the peer's set up to which the sender has it
 	Entries []Entry
 }
 
-// Response is the other side: what the peer has that the sender lacks.
+// Response carries the entries of the peer that the sender of the request lacks.
 type Response struct {
 	_        struct{} `cbor:",toarray"`
-	Process  string   // of the peer
-	Revision uint64   // of its set; the sender has it whole up to there
+	Process  string   // ID of the peer
+	Revision uint64   // revision of the peer's set up to which the sender now has it
 	Entries  []Entry
 }
 
-// Exchange is one process's record of its exchanges with a peer, and decides by it
-// whether more events are within a limit. Either side may be started again at any time:
-// what is known of another process counts for nothing. Requests that bring no answer are
-// forgotten; the next one repeats what they told.
+// Exchange tracks the state of a process's exchanges with a peer, and decides whether
+// more events are within a limit. Either side may restart at any time; what was
+// acknowledged by an earlier process of the peer is discarded then. Requests without a
+// response are dropped; the next request repeats their entries.
 type Exchange struct {
-	// ForgetsPeers is set where the peer answers with sums (Set.AnswerSums): those of an
-	// earlier process are forgotten when another answers.
+	// ForgetsPeers must be set if the peer answers with sums (Set.AnswerSums). The sums
+	// of an earlier process of the peer are then removed when a new process answers.
 	ForgetsPeers bool
 
-	set   *Set
-	peer  string // the peer's process, as it last answered
-	known uint64 // the revision of the peer's set that is had
-	sent  uint64 // the own revision that the peer has acknowledged
+	set           *Set
+	peer          string // process ID in the peer's last response
+	peerRevision  uint64 // revision of the peer's set up to which this process has it
+	ackedRevision uint64 // revision of the own set that the peer has acknowledged
 
-	ahead map[string]uint64 // admitted and not yet acknowledged, by key
+	unacknowledged map[string]uint64 // events admitted and not yet acknowledged, by key
 
-	// Of the request that is under way.
-	sending      uint64            // the own revision
-	sendingAhead map[string]uint64 // what of ahead it tells
+	// State of the last request.
+	pendingRevision uint64            // revision of the own set
+	pendingEvents   map[string]uint64 // the unacknowledged events that it reports, by key
 }
 
-// NewExchange begins the exchanges of a set with a peer that isn't known yet.
-func NewExchange(set *Set) *Exchange { return &Exchange{set: set, ahead: map[string]uint64{}} }
+// NewExchange returns an Exchange of a set with a peer that hasn't answered yet.
+func NewExchange(set *Set) *Exchange { return &Exchange{set: set, unacknowledged: map[string]uint64{}} }
 
-// Request makes the next request to the peer.
+// Request returns the next request to the peer.
 func (e *Exchange) Request(now time.Time) Request {
-	e.sending, e.sendingAhead = e.set.Revision(), maps.Clone(e.ahead)
-	return Request{Process: e.set.process, Peer: e.peer, Known: e.known, Entries: e.set.Since(e.sent, e.peer, now)}
+	e.pendingRevision, e.pendingEvents = e.set.Revision(), maps.Clone(e.unacknowledged)
+	return Request{Process: e.set.process, Peer: e.peer, Known: e.peerRevision,
+		Entries: e.set.Since(e.ackedRevision, e.peer, now)}
 }
 
-// HandleResponse merges the peer's answer to the last request. If the peer is another
-// process than before, all is told again, since the request was made for the earlier one.
+// HandleResponse merges the peer's response to the last request. If the peer is another
+// process than before, the next request sends all entries again, since the last one was
+// based on what the earlier process had acknowledged.
 func (e *Exchange) HandleResponse(response Response, now time.Time) {
 	e.set.Merge(response.Entries, response.Process, now)
-	e.known = response.Revision
+	e.peerRevision = response.Revision
 	if response.Process != e.peer {
 		if e.ForgetsPeers {
-			e.set.Forget(e.peer)
+			e.set.RemoveProcess(e.peer)
 		}
-		e.peer, e.sent = response.Process, 0
+		e.peer, e.ackedRevision = response.Process, 0
 		return
 	}
-	e.sent = e.sending
-	for key, told := range e.sendingAhead {
-		if e.ahead[key] -= told; e.ahead[key] == 0 {
-			delete(e.ahead, key)
+	e.ackedRevision = e.pendingRevision
+	for key, acknowledged := range e.pendingEvents {
+		if e.unacknowledged[key] -= acknowledged; e.unacknowledged[key] == 0 {
+			delete(e.unacknowledged, key)
 		}
 	}
-	e.sendingAhead = nil
+	e.pendingEvents = nil
 }
 
-// Ahead is how many events of a key were admitted that the peer hasn't acknowledged.
-func (e *Exchange) Ahead(key string) uint64 { return e.ahead[key] }
+// Ahead returns the number of admitted events of a key that the peer hasn't acknowledged.
+func (e *Exchange) Ahead(key string) uint64 { return e.unacknowledged[key] }
 
-// HasChanges reports whether there is something that the peer hasn't acknowledged.
-func (e *Exchange) HasChanges() bool { return e.set.Revision() > e.sent }
+// HasChanges reports whether the set has changes that the peer hasn't acknowledged.
+func (e *Exchange) HasChanges() bool { return e.set.Revision() > e.ackedRevision }
 
-// Admit counts an event of a key if it is within a limit that holds over the window for
-// all processes together: the sum of all that is known is below the limit, and this
-// process has admitted fewer than allowance events that its peer hasn't acknowledged.
+// Admit counts an event of a key and returns true if it is within a limit on the events of
+// all processes in the window: the sum of all known counts is below the limit, and this
+// process has fewer than allowance admitted events that its peer hasn't acknowledged.
 //
-// With n processes that exchange with one peer, the sum never passes the limit by more
-// than (n + 1) x allowance, whatever is lost, late or repeated. What the peer doesn't
-// know of a process is at most its allowance. Let the peer's sum reach the limit: it is
-// passed by at most one message's worth, an allowance. From then on each process admits
-// events only until it has used up its allowance or hears of that sum, and an answer
-// that was given before counts from when its request was sent; so each adds at most one
-// allowance more. Counts last longer at others than at their own process, never
-// shorter, so the window takes nothing away too early. A process that hears nothing
-// stops at its allowance.
+// With n processes that exchange with one peer, the sum never exceeds the limit by more
+// than (n + 1) x allowance, whatever messages are lost, delayed or repeated. The peer
+// lacks at most an allowance of events of each process. When the peer's sum reaches the
+// limit, it exceeds it by at most the events of one message, an allowance. From then on
+// each process admits events only until it has used up its allowance or has received that
+// sum. A response sent before acknowledges only the events up to its request. So each
+// process adds at most one more allowance. Counts last at least as long at other
+// processes as at the one that counted them, so they never leave the window too early. A
+// process that receives no responses stops at its allowance.
 func (e *Exchange) Admit(key string, limit, allowance uint64, now time.Time) bool {
-	if e.ahead[key] >= allowance || e.set.Sum(key, now) >= limit {
+	if e.unacknowledged[key] >= allowance || e.set.Sum(key, now) >= limit {
 		return false
 	}
-	e.ahead[key]++
+	e.unacknowledged[key]++
 	e.set.Add(key, 1, now)
 	return true
 }
 
-// Answer is the peer's side: it merges a request and says what the sender lacks.
+// Answer handles a request at the peer: it merges the entries and returns those that the
+// sender lacks.
 func (s *Set) Answer(request Request, now time.Time) Response {
-	known := s.take(request, now)
+	known := s.mergeRequest(request, now)
 	return Response{Process: s.process, Revision: s.revision, Entries: s.Since(known, request.Process, now)}
 }
 
-// take merges a request, and gives the revision up to which its sender knows this set.
-func (s *Set) take(request Request, now time.Time) uint64 {
+// mergeRequest merges the entries of a request and returns the revision up to which the
+// sender has this set; 0 if the request was based on another process's set.
+func (s *Set) mergeRequest(request Request, now time.Time) uint64 {
 	s.Merge(request.Entries, request.Process, now)
 	if request.Peer != s.process {
 		return 0
--- a/internal/counter/set.go
+++ b/internal/counter/set.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// DefaultWindow is the window in which a tenant's jobs are held against its share, where the
-	// settings name none.
+	// DefaultWindow is the window over which a tenant's jobs are counted against its share, if the
+	// settings specify none.
 	DefaultWindow = 5 * time.Second
-	// SlotWidth is the width of the slots in which events are counted: a window is at most so much
-	// longer than it should be.
+	// SlotWidth is the width of the time slots in which events are counted. An event counts for at
+	// most this much longer than the window.
 	SlotWidth = 500 * time.Millisecond
-	// ExchangeInterval is the time between two exchanges of a daemon that has counted something.
+	// ExchangeInterval is the time between two exchanges of a daemon that has counted events.
 	ExchangeInterval = 500 * time.Millisecond
-	// UrgentExchangeInterval is the least time between two exchanges.
+	// UrgentExchangeInterval is the minimum time between two exchanges.
 	UrgentExchangeInterval = 50 * time.Millisecond
 )
 
-// Entry is one process's count of one key in one slot of time, as it is exchanged.
+// Entry is a process's count of a key in a time slot, as sent in messages.
 type Entry struct {
 	_       struct{} `cbor:",toarray"`
-	Process string   // that counted
+	Process string   // ID of the process that counted
 	Key     string
-	Slot    uint64 // number of the slot since the process started
-	AgeMs   int64  // since the slot began, when the entry was sent; negative if it begins later
+	Slot    uint64 // slot number, from the start of the process
+	AgeMs   int64  // age of the slot's start when the entry was sent; negative if it starts later
 	Count   uint64
 }
 
-// slotID names a slot of a process's count of a key.
+// slotID identifies a process's count of a key in a time slot.
 type slotID struct {
 	process string
 	key     string
 	slot    uint64
 }
 
-// slotCount is what is known of one slot.
+// slotCount is the count of one slot.
 type slotCount struct {
 	count     uint64
-	beganAt   time.Time // by this process's clock; never earlier than it truly was
-	changedAt uint64    // the revision of the set
-	from      string    // the process that told it
+	startTime time.Time // start of the slot by this process's clock; never earlier than the true start
+	changedAt uint64    // revision of the set at the last change
+	source    string    // process from which the count was received
 }
 
-// Set is all counts that a process knows, its own and those of others. It is used by
-// one goroutine at a time.
+// Set holds the counts that a process has, its own and those of other processes. It isn't
+// safe for concurrent use.
 type Set struct {
 	process  string
 	window   time.Duration
@@ -52,8 +52,8 @@
 	byKey    map[string]map[slotID]*slotCount
 }
 
-// NewSet makes a set for a process, known by an ID that no other process ever has.
-// Counts are kept for a window, which slides by the width of a slot.
+// NewSet returns an empty set for a process, whose ID must be unique among all processes,
+// past ones included. Counts are kept for a window, which slides by the width of a slot.
 func NewSet(process string, window, width time.Duration, now time.Time) *Set {
 	return &Set{
 		process: process,
@@ -74,11 +74,12 @@
 		slot = s.insert(id, s.started.Add(time.Duration(number)*s.width), s.process)
 	}
 	slot.count += n
-	s.touch(slot)
+	s.markChanged(slot)
 }
 
-// Sum is how many events of a key all processes have counted within the last window,
-// as far as is known here. A slot counts whole until all of it is past.
+// Sum returns the number of events of a key that all processes have counted within the
+// window, as far as this set has their counts. A slot counts in full until all of it has
+// left the window.
 func (s *Set) Sum(key string, now time.Time) uint64 {
 	sum := uint64(0)
 	for _, slot := range s.byKey[key] {
@@ -89,49 +90,50 @@
 	return sum
 }
 
-// Revision grows with each change of the set.
+// Revision returns the revision of the set, which increases with each change.
 func (s *Set) Revision() uint64 { return s.revision }
 
-// Since lists what has changed after a revision, without what the peer told itself.
+// Since returns the entries that changed after a revision, except those received from the
+// peer.
 func (s *Set) Since(revision uint64, peer string, now time.Time) []Entry {
 	var entries []Entry
 	for id, slot := range s.slots {
-		if slot.changedAt > revision && slot.from != peer && !s.expired(slot, now) {
+		if slot.changedAt > revision && slot.source != peer && !s.expired(slot, now) {
 			entries = append(entries, Entry{
 				Process: id.process, Key: id.key, Slot: id.slot,
-				AgeMs: max(now.Sub(slot.beganAt).Milliseconds(), 0), Count: slot.count,
+				AgeMs: max(now.Sub(slot.startTime).Milliseconds(), 0), Count: slot.count,
 			})
 		}
 	}
 	return entries
 }
 
-// Merge takes over what a peer knows: of two counts of a slot the larger one. What it
-// says of this process itself is left out.
+// Merge merges the entries of a peer: the larger of two counts of a slot is kept. Entries
+// of this process itself are ignored.
 func (s *Set) Merge(entries []Entry, peer string, now time.Time) {
 	for _, entry := range entries {
 		if entry.Process == s.process {
 			continue
 		}
 		id := slotID{entry.Process, entry.Key, entry.Slot}
-		// Sums may stand in a slot that begins up to a width from now.
+		// Slots of sums may start up to one slot width in the future.
 		age := max(time.Duration(entry.AgeMs)*time.Millisecond, -s.width)
-		beganAt := now.Add(-age)
+		startTime := now.Add(-age)
 		slot := s.slots[id]
 		if slot == nil {
-			if beganAt.Add(s.width + s.window).Before(now) {
-				continue // its window has passed
+			if startTime.Add(s.width + s.window).Before(now) {
+				continue // it has left the window
 			}
-			slot = s.insert(id, beganAt, peer)
+			slot = s.insert(id, startTime, peer)
 		}
 		if entry.Count > slot.count {
-			slot.count, slot.from = entry.Count, peer
-			s.touch(slot)
+			slot.count, slot.source = entry.Count, peer
+			s.markChanged(slot)
 		}
 	}
 }
 
-// Expire forgets the slots whose window has passed.
+// Expire removes the slots that have left the window.
 func (s *Set) Expire(now time.Time) {
 	for id, slot := range s.slots {
 		if s.expired(slot, now) {
@@ -140,7 +142,6 @@
 	}
 }
 
-// remove drops a slot.
 func (s *Set) remove(id slotID) {
 	delete(s.slots, id)
 	delete(s.byKey[id.key], id)
@@ -149,15 +150,15 @@
 	}
 }
 
-// Len is the number of slots that are kept.
+// Len returns the number of slots in the set.
 func (s *Set) Len() int { return len(s.slots) }
 
 func (s *Set) expired(slot *slotCount, now time.Time) bool {
-	return !slot.beganAt.Add(s.width + s.window).After(now)
+	return !slot.startTime.Add(s.width + s.window).After(now)
 }
 
-func (s *Set) insert(id slotID, beganAt time.Time, from string) *slotCount {
-	slot := &slotCount{beganAt: beganAt, from: from}
+func (s *Set) insert(id slotID, startTime time.Time, source string) *slotCount {
+	slot := &slotCount{startTime: startTime, source: source}
 	s.slots[id] = slot
 	if s.byKey[id.key] == nil {
 		s.byKey[id.key] = map[slotID]*slotCount{}
@@ -166,7 +167,7 @@
 	return slot
 }
 
-func (s *Set) touch(slot *slotCount) {
+func (s *Set) markChanged(slot *slotCount) {
 	s.revision++
 	slot.changedAt = s.revision
 }
--- a/internal/counter/sums_test.go
+++ b/internal/counter/sums_test.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// TestSumsAreAsTheEntries: what a process knows by sums is never less than by entries, and
-// no more than what ended up to a slot ago; and one entry a key and slot tells it.
-func TestSumsAreAsTheEntries(t *testing.T) {
-	const others = 40
+// TestSumsMatchEntries compares a process that receives sums with one that receives entries. The
+// sum of a key must never be less by sums than by entries, and two slots later no more than it is
+// now by entries. A response with sums must have at most one entry per key and slot.
+func TestSumsMatchEntries(t *testing.T) {
+	const processes = 40
 	peer, now := newTestSet("peer"), testStart
 	var sets []*Set
 	var exchanges []*Exchange
-	for i := range others {
+	for i := range processes {
 		set := NewSet(fmt.Sprint("p", i), testWindow, testWidth, testStart.Add(-time.Duration(i*37)*time.Millisecond))
 		sets, exchanges = append(sets, set), append(exchanges, NewExchange(set))
 	}
@@ -32,11 +33,11 @@
 		entryExchange.HandleResponse(peer.Answer(entryExchange.Request(now), now), now)
 		for _, key := range []string{"k0", "k1"} {
 			if exact := byEntries.Sum(key, now); bySums.Sum(key, now) < exact || bySums.Sum(key, now.Add(2*testWidth)) > exact {
-				t.Fatalf("step %d, %s: %d by sums, %d by entries", step, key, bySums.Sum(key, now), exact)
+				t.Fatalf("step %d, key %s: sum %d by sums, %d by entries", step, key, bySums.Sum(key, now), exact)
 			}
 		}
-		if most := 2 * 4; len(sums.Entries) > most {
-			t.Fatalf("step %d: %d entries for two keys", step, len(sums.Entries))
+		if maxEntries := 2 * 4; len(sums.Entries) > maxEntries {
+			t.Fatalf("step %d: %d entries for two keys, want at most 8", step, len(sums.Entries))
 		}
 		peer.Expire(now)
 		bySums.Expire(now)
@@ -44,8 +45,8 @@
 	}
 }
 
-// TestOwnCountsComeBackInNoSum: what a process told itself is not told to it.
-func TestOwnCountsComeBackInNoSum(t *testing.T) {
+// TestSumsExcludeOwnCounts checks that the sums sent to a process don't include its own counts.
+func TestSumsExcludeOwnCounts(t *testing.T) {
 	peer, set := newTestSet("peer"), newTestSet("a")
 	exchange := NewExchange(set)
 	set.Add("k", 3, testStart)
@@ -53,21 +54,21 @@
 		exchange.HandleResponse(peer.AnswerSums(exchange.Request(testStart), testStart), testStart)
 	}
 	if sum := set.Sum("k", testStart); sum != 3 {
-		t.Errorf("%d events are known, 3 were counted", sum)
+		t.Errorf("sum %d, want 3", sum)
 	}
 }
 
-// TestSumsOfAnEarlierPeerAreForgotten: the next peer is told all again, and its sums must
-// not come on top of the former's.
-func TestSumsOfAnEarlierPeerAreForgotten(t *testing.T) {
+// TestSumsOfPreviousPeerAreRemoved guards against counting events twice: a new peer receives all
+// entries again, so its sums must replace those of the previous peer.
+func TestSumsOfPreviousPeerAreRemoved(t *testing.T) {
 	first, second := newTestSet("first"), newTestSet("second")
 	a, b := newTestSet("a"), newTestSet("b")
-	toPeer := func(set *Set) *Exchange {
+	newExchange := func(set *Set) *Exchange {
 		exchange := NewExchange(set)
 		exchange.ForgetsPeers = true
 		return exchange
 	}
-	exchangeA, exchangeB := toPeer(a), toPeer(b)
+	exchangeA, exchangeB := newExchange(a), newExchange(b)
 	b.Add("k", 5, testStart)
 	for _, peer := range []*Set{first, second} {
 		for range 2 {
@@ -76,12 +77,13 @@
 			}
 		}
 		if sum := a.Sum("k", testStart); sum != 5 {
-			t.Errorf("with the peer %s %d events are known, 5 were counted", peer.process, sum)
+			t.Errorf("peer %s: sum %d, want 5", peer.process, sum)
 		}
 	}
 }
 
-// TestFreeAt: a key is free again when enough of its slots are past.
+// TestFreeAt checks that the sum of a key falls below a limit when enough of its slots have left the
+// window.
 func TestFreeAt(t *testing.T) {
 	set := newTestSet("a")
 	set.Add("k", 4, testStart)
