--- a/internal/registry/announcements.go
+++ b/internal/registry/announcements.go
@@ -2,37 +2,44 @@
 
 import "time"
 
-// Announcements are the runners that tell of themselves by heartbeats, where no platform
-// lists them. It is pure: times come with each call. The zero value is not ready for use.
+// Announcements is the list of runners that register themselves by heartbeats, for deployments
+// whose platform doesn't list them. It reads no clock: each call carries the time. Use
+// NewAnnouncements; the zero value is not usable.
 type Announcements struct {
-	silence time.Duration // after which a runner is taken to be gone
-	runners map[string]*announcedRunner
-	// left are the runners that are gone, and when they were last heard: a heartbeat
-	// that comes late brings none of them back.
-	left map[string]time.Time
+	heartbeatTimeout time.Duration // a runner without a heartbeat for longer is dropped
+	runners          map[string]*announcedRunner
+	// departed maps the ID of each runner that signed off and is no longer listed to the time when
+	// that was recorded. A heartbeat that arrives late doesn't add such a runner again.
+	departed map[string]time.Time
 }
 
-// announcedRunner is what a runner last told.
+// announcedRunner is the last known state of a runner.
 type announcedRunner struct {
 	runner      Runner
 	sequence    int64
 	lastContact time.Time
-	// leavesAt is when a runner that has signed off is gone at the latest; zero: it hasn't.
-	leavesAt time.Time
+	// departsBy is when a runner that has signed off is dropped at the latest; zero if it has not
+	// signed off.
+	departsBy time.Time
 }
 
-// leftRetention is how many silences long a runner that is gone is remembered.
-const leftRetention = 20
+// departedRetentionFactor is for how many heartbeat timeouts a departed runner is remembered.
+const departedRetentionFactor = 20
 
-// NewAnnouncements makes an empty list. A runner that isn't heard for the silence is gone.
-func NewAnnouncements(silence time.Duration) *Announcements {
-	return &Announcements{silence: silence, runners: map[string]*announcedRunner{}, left: map[string]time.Time{}}
+// NewAnnouncements returns an empty list that drops a runner after heartbeatTimeout without a
+// heartbeat.
+func NewAnnouncements(heartbeatTimeout time.Duration) *Announcements {
+	return &Announcements{
+		heartbeatTimeout: heartbeatTimeout,
+		runners:          map[string]*announcedRunner{},
+		departed:         map[string]time.Time{},
+	}
 }
 
 // Heartbeat records a heartbeat, numbered by the runner, and reports whether the list
-// has changed. One that comes after a newer one changes nothing, and none ends a drain.
+// has changed. One that arrives after a newer one only counts as contact, and none ends a drain.
 func (a *Announcements) Heartbeat(runner Runner, sequence int64, now time.Time) (changed bool) {
-	if _, gone := a.left[runner.ID]; gone {
+	if _, hasDeparted := a.departed[runner.ID]; hasDeparted {
 		return false
 	}
 	known := a.runners[runner.ID]
@@ -52,45 +59,45 @@
 	return changed
 }
 
-// SignOff records that a runner leaves, and goes on for a while at most; it tells
+// SignOff marks a runner as draining, to be dropped after gracePeriod at the latest, and reports
 // whether the list has changed.
-func (a *Announcements) SignOff(id string, goesOn time.Duration, now time.Time) (changed bool) {
+func (a *Announcements) SignOff(id string, gracePeriod time.Duration, now time.Time) (changed bool) {
 	known := a.runners[id]
 	if known == nil {
-		// Its heartbeats may be on their way.
-		a.left[id] = now
+		// Its heartbeats may still arrive.
+		a.departed[id] = now
 		return false
 	}
-	if known.leavesAt.IsZero() {
-		known.leavesAt = now.Add(goesOn)
+	if known.departsBy.IsZero() {
+		known.departsBy = now.Add(gracePeriod)
 	}
 	changed = !known.runner.Draining
 	known.runner.Draining = true
 	return changed
 }
 
-// Expire drops runners that were silent for too long or have left, and reports whether the
-// list has changed.
+// Expire drops the runners whose heartbeats have timed out or whose grace period is over, and
+// reports whether the list has changed.
 func (a *Announcements) Expire(now time.Time) (changed bool) {
 	for id, known := range a.runners {
-		hasLeft := !known.leavesAt.IsZero() && !now.Before(known.leavesAt)
-		if silent := now.Sub(known.lastContact) > a.silence; silent || hasLeft {
+		hasDeparted := !known.departsBy.IsZero() && !now.Before(known.departsBy)
+		if timedOut := now.Sub(known.lastContact) > a.heartbeatTimeout; timedOut || hasDeparted {
 			delete(a.runners, id)
 			changed = true
-			if hasLeft {
-				a.left[id] = now
+			if hasDeparted {
+				a.departed[id] = now
 			}
 		}
 	}
-	for id, at := range a.left {
-		if now.Sub(at) > leftRetention*a.silence {
-			delete(a.left, id)
+	for id, at := range a.departed {
+		if now.Sub(at) > departedRetentionFactor*a.heartbeatTimeout {
+			delete(a.departed, id)
 		}
 	}
 	return changed
 }
 
-// Runners lists the runners, by their IDs.
+// Runners returns the runners, sorted by ID.
 func (a *Announcements) Runners() []Runner {
 	runners := make([]Runner, 0, len(a.runners))
 	for _, known := range a.runners {
--- a/internal/registry/observation.go
+++ b/internal/registry/observation.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// Observation is what one daemon's requests tell of a runner since it last reported. It
-// says what was seen, and never what is to be done.
+// Observation summarizes the requests that one daemon sent to a runner since its last report. It
+// holds measurements only, no decisions.
 type Observation struct {
 	_         struct{} `cbor:",toarray"`
 	ID        string   // of the runner
-	Answers   int64    // answered in order
-	LatencyMs int64    // of these together
-	Failures  int64    // answers that were none, or failed
+	Answers   int64    // requests that succeeded
+	LatencyMs int64    // the sum over Answers
+	Failures  int64    // requests that failed or got no answer
 }
 
-// Health is what all daemons' requests together tell of a runner lately. It is rounded, so
-// that small changes need not be told.
+// Health is the recent health of a runner, from the requests of all daemons. It is rounded, so
+// that small changes need not be sent to the daemons.
 type Health struct {
 	_         struct{} `cbor:",toarray"`
-	LatencyMs int64    // typical; 0: not known
-	FailedPct int64    // of its requests, in percent
+	LatencyMs int64    // moving average; 0 if unknown
+	FailedPct int64    // share of failed requests, in percent
 }
 
-// healthEstimate is a runner's health before it is rounded.
+// healthEstimate is the health of a runner before rounding.
 type healthEstimate struct {
-	latencyMs  float64
-	failedPart float64
-	seen       float64 // requests, the older ones counting less
+	latencyMs    float64
+	failureRate  float64
+	requestCount float64
 }
 
-// Constants of the estimates.
+// Constants of the health estimates.
 const (
-	// sampleWeight is the weight of one more request against all that was seen before.
+	// sampleWeight is the weight of one more request relative to all earlier ones.
 	sampleWeight = 0.08
-	// failureMemory is the time in which a runner of which nothing is seen is forgiven
-	// most of its failures.
-	failureMemory = 4 * time.Second
-	// latencyStep is the ratio between two latencies that are told apart.
-	latencyStep = 1.2
-	// failedStepPct is the step between two parts of failures that are told apart.
-	failedStepPct = 10
+	// failureDecayTime is the time constant with which the failure rate of a runner without
+	// requests decays.
+	failureDecayTime = 4 * time.Second
+	// latencyStepRatio is the ratio between two neighbouring rounded latencies.
+	latencyStepRatio = 1.2
+	// failureStepPercent is the difference between two neighbouring rounded failure rates.
+	failureStepPercent = 10
 )
 
-// Observations merges what daemons report, by runner. A repeated report counts twice,
-// which does little harm: it is an average.
+// Observations merges the reports of the daemons, by runner. A report that arrives twice counts
+// twice, which does little harm to a moving average.
 type Observations struct {
 	estimates map[string]*healthEstimate
 	decayedAt time.Time
 }
 
-// NewObservations makes an empty collection.
+// NewObservations returns an empty collection.
 func NewObservations() *Observations {
 	return &Observations{estimates: map[string]*healthEstimate{}}
 }
 
-// Add takes in one daemon's report.
+// Add merges the report of one daemon. Entries without requests or with negative numbers are
+// skipped.
 func (o *Observations) Add(reports []Observation) {
 	for _, report := range reports {
 		total := report.Answers + report.Failures
@@ -72,10 +73,10 @@
 }
 
 func (e *healthEstimate) add(report Observation, total float64) {
-	e.seen += total
-	// The first requests count more, so that the average is soon there.
-	weight := max(1-math.Pow(1-sampleWeight, total), min(total/e.seen, 1))
-	e.failedPart += weight * (float64(report.Failures)/total - e.failedPart)
+	e.requestCount += total
+	// The first requests weigh more, so that the average converges soon.
+	weight := max(1-math.Pow(1-sampleWeight, total), min(total/e.requestCount, 1))
+	e.failureRate += weight * (float64(report.Failures)/total - e.failureRate)
 	if report.Answers > 0 {
 		mean := float64(report.LatencyMs) / float64(report.Answers)
 		if e.latencyMs == 0 {
@@ -86,18 +87,18 @@
 	}
 }
 
-// Annotate writes into a list what is known of its runners, and forgets all others. Failures
-// are forgiven with time, so that a runner that nobody uses any more is tried again.
+// Annotate sets the health of the runners in a list, and forgets all other runners. Failure rates
+// decay with time, so that a runner that gets no more requests is tried again.
 func (o *Observations) Annotate(list []Runner, now time.Time) {
 	decay := 1.0
 	if !o.decayedAt.IsZero() {
-		decay = math.Exp(-max(now.Sub(o.decayedAt).Seconds(), 0) / failureMemory.Seconds())
+		decay = math.Exp(-max(now.Sub(o.decayedAt).Seconds(), 0) / failureDecayTime.Seconds())
 	}
 	o.decayedAt = now
 	kept := map[string]*healthEstimate{}
 	for i := range list {
 		if estimate := o.estimates[list[i].ID]; estimate != nil {
-			estimate.failedPart *= decay
+			estimate.failureRate *= decay
 			kept[list[i].ID] = estimate
 			list[i].Health = estimate.rounded()
 		}
@@ -105,12 +106,13 @@
 	o.estimates = kept
 }
 
-// rounded is the estimate in the steps in which it is told.
+// rounded returns the estimate as it is sent to the daemons, with latency and failure rate rounded
+// to steps.
 func (e *healthEstimate) rounded() Health {
-	health := Health{FailedPct: int64(e.failedPart*100) / failedStepPct * failedStepPct}
+	health := Health{FailedPct: int64(e.failureRate*100) / failureStepPercent * failureStepPercent}
 	if e.latencyMs > 0 {
-		step := math.Round(math.Log(max(e.latencyMs, 1)) / math.Log(latencyStep))
-		health.LatencyMs = int64(math.Round(math.Pow(latencyStep, step)))
+		step := math.Round(math.Log(max(e.latencyMs, 1)) / math.Log(latencyStepRatio))
+		health.LatencyMs = int64(math.Round(math.Pow(latencyStepRatio, step)))
 	}
 	return health
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,8 @@
-// Package registry holds the list of runners that the platform keeps, and what has
-// changed in it, so that daemons are told changes only.
+// Package registry holds the list of runners and its recent changes, so that daemons are sent
+// changes only.
 //
-// A Table is kept by the one daemon that reads the platform's list; a View is any other
-// daemon's copy. Both are pure: they read no clock and no network.
+// The one daemon that reads the platform's list keeps a Table; any other daemon has a copy of it,
+// a View. Neither reads a clock or the network.
 package registry
 
 import (
@@ -12,90 +12,90 @@
 	"strings"
 )
 
-// Runner is one runner as the platform lists it.
+// Runner is one runner, as the platform lists it.
 type Runner struct {
 	_        struct{} `cbor:",toarray"`
-	ID       string   // of this life of the runner
+	ID       string   // of this incarnation of the runner
 	Service  string
 	Address  string // HOST:PORT
 	Zone     string
-	Slots    int   // requests that it works on at once
-	Draining bool  // it is about to leave and takes nothing new
-	ColdMs   int64 // for how long it was still slow when it was first listed
+	Slots    int   // requests that it serves concurrently
+	Draining bool  // it is about to leave and gets no new requests
+	ColdMs   int64 // remaining warm-up time, in ms, when it was first listed
 	Health   Health
 }
 
-// sameState reports whether nothing that matters has changed. How long a runner is still
-// slow is told once.
+// sameState reports whether two runners are equal but for ColdMs, which is sent only with the
+// first listing.
 func (r Runner) sameState(other Runner) bool {
 	r.ColdMs = other.ColdMs
 	return r == other
 }
 
-// SameState reports whether nothing that matters differs between two lists in one order.
+// SameState reports whether two lists, in the same order, are equal but for ColdMs.
 func SameState(a, b []Runner) bool { return slices.EqualFunc(a, b, Runner.sameState) }
 
-// Delta is what changed in a table after a version.
+// Delta holds the changes of a table after a version.
 type Delta struct {
 	_       struct{} `cbor:",toarray"`
-	Epoch   string   // of the table; versions of another epoch mean nothing
-	From    uint64   // the version that it follows, unless it is whole
+	Epoch   string   // of the table; versions of different epochs can't be compared
+	From    uint64   // the version that the changes apply to, unless Whole is set
 	Version uint64
-	Whole   bool // Runners are all that there are
+	Whole   bool // Runners is the full list
 	Runners []Runner
 	Removed []string // IDs
-	// Healths are those of runners of which nothing else has changed.
+	// Healths holds the health of the runners of which nothing else has changed.
 	Healths []RunnerHealth
-	// FromDigest is the digest of the list that it follows, where that is a copy of
-	// another epoch; 0: it follows From.
+	// FromDigest is the digest of the list that the changes apply to if that list is of another
+	// epoch; 0 if they apply to version From.
 	FromDigest uint64
 }
 
-// RunnerHealth is what daemons are told of a runner whose health alone has changed.
+// RunnerHealth is the update for a runner of which only the health has changed.
 type RunnerHealth struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
 	Health Health
 }
 
-// sameButHealth reports whether nothing has changed but what requests tell.
-func (r Runner) sameButHealth(other Runner) bool {
+// sameExceptHealth reports whether two runners are equal but for their health and ColdMs.
+func (r Runner) sameExceptHealth(other Runner) bool {
 	r.Health = other.Health
 	return r.sameState(other)
 }
 
-// row is a runner and the version in which it last changed, also apart from its health.
+// row is a runner with the versions in which it last changed.
 type row struct {
-	runner    Runner
-	changedAt uint64
-	stateAt   uint64
+	runner         Runner
+	changedVersion uint64 // of the last change of any kind
+	stateVersion   uint64 // of the last change other than of its health
 }
 
-// changedFor is the version in which the runner changed in a way that matters to daemons of
-// a zone: the health of runners of other zones doesn't, since they are hardly used.
-func (r row) changedFor(zone string) uint64 {
+// changedVersionFor returns the version of the runner's last change that daemons of a zone need.
+// They don't need the health of runners in other zones, since they hardly use those.
+func (r row) changedVersionFor(zone string) uint64 {
 	if r.runner.Zone == zone {
-		return r.changedAt
+		return r.changedVersion
 	}
-	return r.stateAt
+	return r.stateVersion
 }
 
-// Table is the list as it was last read, with versions.
+// Table is the versioned list of runners, as it was last read.
 type Table struct {
 	epoch   string
 	version uint64
 	rows    map[string]row
 	removed map[string]uint64 // the version of the removal, by ID
-	// forgotten is the version up to which removals are no longer known.
-	forgotten uint64
-	// digests are those of the scopes: of each zone's runners, and of all.
-	digests map[string]uint64
-	// versions are the first ones that had a digest, by scope and digest.
-	versions map[scopedDigest]uint64
+	// removalsKnownFrom is the oldest version from which all later removals are known.
+	removalsKnownFrom uint64
+	// digestByScope holds the digest of the runners of each zone, and of all runners.
+	digestByScope map[string]uint64
+	// versionByDigest holds the first version of a scope's list that had a digest.
+	versionByDigest map[scopedDigest]uint64
 }
 
-// AllZones is the scope of a list of all runners. Any other scope is the name of a zone:
-// daemons mostly need its runners alone.
+// AllZones is the scope of the list of all runners. Any other scope is the name of a zone: most
+// daemons need the runners of their own zone only.
 const AllZones = ""
 
 // scopedDigest is the digest of the list of a scope.
@@ -104,36 +104,43 @@
 	digest uint64
 }
 
-// maxRemovals is how many removals are remembered. A daemon that lacks more is told the
-// whole list.
-const maxRemovals = 256
+// maxRetainedRemovals bounds the removals that are kept. A daemon that has missed more is sent the
+// full list.
+const maxRetainedRemovals = 256
 
-// NewTable makes an empty table. No two tables have the same epoch.
+// NewTable returns an empty table. Each table must have an epoch of its own.
 func NewTable(epoch string) *Table {
-	return &Table{epoch: epoch, rows: map[string]row{}, removed: map[string]uint64{}, digests: map[string]uint64{}, versions: map[scopedDigest]uint64{}}
+	return &Table{
+		epoch:           epoch,
+		rows:            map[string]row{},
+		removed:         map[string]uint64{},
+		digestByScope:   map[string]uint64{},
+		versionByDigest: map[scopedDigest]uint64{},
+	}
 }
 
-// Version grows with each change.
+// Version returns the current version, which grows with each change.
 func (t *Table) Version() uint64 { return t.version }
 
-// IsAt reports whether a position is the present one of a scope.
+// IsAt reports whether an epoch and a version are the current ones of a scope.
 func (t *Table) IsAt(epoch string, version uint64, scope string) bool {
 	return epoch == t.epochOf(scope) && version == t.version
 }
 
-// epochOf is the epoch of the list of a scope: versions of two scopes can't be compared.
+// epochOf returns the epoch of the list of a scope. It differs between scopes, since versions of
+// two scopes can't be compared.
 func (t *Table) epochOf(scope string) string { return t.epoch + "/" + scope }
 
-// addDigest adds a runner to the digests of its scopes, or takes it off if sign is -1.
+// addDigest adds a runner to the digests of its scopes, or subtracts it if sign is -1.
 func (t *Table) addDigest(runner Runner, sign int64) {
 	digest := uint64(sign) * runner.digest()
-	t.digests[runner.Zone] += digest
+	t.digestByScope[runner.Zone] += digest
 	if runner.Zone != AllZones {
-		t.digests[AllZones] += digest
+		t.digestByScope[AllZones] += digest
 	}
 }
 
-// Runners lists the runners by their IDs.
+// Runners returns the runners, sorted by ID.
 func (t *Table) Runners() []Runner {
 	runners := make([]Runner, 0, len(t.rows))
 	for _, row := range t.rows {
@@ -143,14 +150,15 @@
 	return runners
 }
 
-// KeepHealth writes into a list the health that daemons were told last.
+// KeepHealth sets the health of the runners in a list to that in the table, which the daemons were
+// sent last.
 func (t *Table) KeepHealth(list []Runner) {
 	for i := range list {
 		list[i].Health = t.rows[list[i].ID].runner.Health
 	}
 }
 
-// Update takes over a list that was read to its end. It reports whether anything changed.
+// Update replaces the content of the table by a complete list, and reports whether anything changed.
 func (t *Table) Update(list []Runner) bool {
 	next := t.version + 1
 	listed := map[string]bool{}
@@ -161,15 +169,15 @@
 		if ok && known.runner.sameState(runner) {
 			continue
 		}
-		stateAt := next
-		if ok && known.runner.sameButHealth(runner) {
-			stateAt = known.stateAt
+		stateVersion := next
+		if ok && known.runner.sameExceptHealth(runner) {
+			stateVersion = known.stateVersion
 		}
 		if ok {
 			t.addDigest(known.runner, -1)
 		}
 		t.addDigest(runner, 1)
-		t.rows[runner.ID] = row{runner, next, stateAt}
+		t.rows[runner.ID] = row{runner, next, stateVersion}
 		delete(t.removed, runner.ID)
 		changed = true
 	}
@@ -184,49 +192,49 @@
 	if changed || t.version == 0 {
 		t.version = next
 	}
-	if len(t.removed) > maxRemovals {
-		t.removed, t.forgotten = map[string]uint64{}, t.version
+	if len(t.removed) > maxRetainedRemovals {
+		t.removed, t.removalsKnownFrom = map[string]uint64{}, t.version
 	}
-	t.rememberDigests()
+	t.recordDigests()
 	return changed
 }
 
-// maxDigests is how many digests of earlier versions are remembered.
-const maxDigests = 256
+// maxRetainedDigests bounds the digests of earlier versions that are kept.
+const maxRetainedDigests = 256
 
-// rememberDigests records the first version that has the present digest of a scope.
-func (t *Table) rememberDigests() {
-	if len(t.versions) >= maxDigests {
-		clear(t.versions)
+// recordDigests records the current version for each scope's digest, unless an earlier version had
+// the same digest.
+func (t *Table) recordDigests() {
+	if len(t.versionByDigest) >= maxRetainedDigests {
+		clear(t.versionByDigest)
 	}
-	for scope, digest := range t.digests {
-		if _, known := t.versions[scopedDigest{scope, digest}]; !known {
-			t.versions[scopedDigest{scope, digest}] = t.version
+	for scope, digest := range t.digestByScope {
+		if _, known := t.versionByDigest[scopedDigest{scope, digest}]; !known {
+			t.versionByDigest[scopedDigest{scope, digest}] = t.version
 		}
 	}
 }
 
-// Position is what a daemon has of a list: a version of an epoch, and its digest.
+// Position identifies a daemon's copy of a list: its epoch, its version and its digest.
 type Position struct {
 	Epoch   string
 	Version uint64
 	Digest  uint64
 }
 
-// Since returns what changed in the list of a scope for daemons of a zone after a position. A
-// copy that another leader's table made is known by its digest, which says nothing of the
-// runners' health: that is told as it changes. A position that isn't known here gets the
-// whole list.
+// Since returns the changes in the list of a scope after a position, for daemons of a zone. A copy
+// of another leader's table is recognized by its digest. The digest doesn't cover the health of
+// the runners, which is sent when it changes. An unknown position gets the full list.
 func (t *Table) Since(position Position, zone, scope string) Delta {
 	version := position.Version
 	delta := Delta{Epoch: t.epochOf(scope), From: version, Version: t.version}
 	if position.Epoch != delta.Epoch {
 		var known bool
-		version, known = t.versions[scopedDigest{scope, position.Digest}]
+		version, known = t.versionByDigest[scopedDigest{scope, position.Digest}]
 		delta.From, delta.FromDigest = version, position.Digest
 		delta.Whole = !known || position.Digest == 0
 	}
-	if delta.Whole = delta.Whole || version > t.version || version < t.forgotten; delta.Whole {
+	if delta.Whole = delta.Whole || version > t.version || version < t.removalsKnownFrom; delta.Whole {
 		delta.FromDigest = 0
 	}
 	for _, r := range t.rows {
@@ -234,9 +242,9 @@
 			continue
 		}
 		switch {
-		case delta.Whole || r.stateAt > version:
+		case delta.Whole || r.stateVersion > version:
 			delta.Runners = append(delta.Runners, r.runner)
-		case r.changedFor(zone) > version:
+		case r.changedVersionFor(zone) > version:
 			delta.Healths = append(delta.Healths, RunnerHealth{ID: r.runner.ID, Health: r.runner.Health})
 		}
 	}
@@ -252,11 +260,12 @@
 	return delta
 }
 
-// digest is a sum over what matters of a runner, but for its health; the sum of those of
-// all runners is the digest of a list.
+// digest returns a hash of the runner's fields other than ColdMs and Health. The digest of a list
+// is the sum of the digests of its runners.
 func (r Runner) digest() uint64 {
 	hash := fnv.New64a()
-	_, _ = fmt.Fprintf(hash, "%q %q %q %q %d %t", r.ID, r.Service, r.Address, r.Zone, r.Slots, r.Draining) // it never fails
+	// Writing to a hash never fails.
+	_, _ = fmt.Fprintf(hash, "%q %q %q %q %d %t", r.ID, r.Service, r.Address, r.Zone, r.Slots, r.Draining)
 	return hash.Sum64()
 }
 
@@ -268,20 +277,20 @@
 	runners map[string]Runner
 }
 
-// NewView makes an empty copy.
+// NewView returns an empty copy.
 func NewView() *View { return &View{runners: map[string]Runner{}} }
 
-// Position is what the copy is of.
+// Position returns the position of the copy.
 func (v *View) Position() Position { return Position{v.epoch, v.version, v.digest} }
 
-// Apply takes over a delta; one of an older version changes nothing. It reports whether
-// the copy is another one now.
+// Apply applies a delta and reports whether it did. A delta of an older version, or one made for
+// another copy, is ignored.
 func (v *View) Apply(delta Delta) bool {
 	if delta.Epoch == v.epoch && delta.Version <= v.version {
 		return false
 	}
-	if !delta.Whole && !delta.follows(v) {
-		return false // it was made for another copy
+	if !delta.Whole && !delta.appliesTo(v) {
+		return false // the delta was made for another copy
 	}
 	if delta.Whole {
 		v.runners, v.digest = map[string]Runner{}, 0
@@ -291,10 +300,10 @@
 		v.runners[runner.ID] = runner
 		v.digest += runner.digest()
 	}
-	for _, told := range delta.Healths {
-		if runner, ok := v.runners[told.ID]; ok {
-			runner.Health = told.Health
-			v.runners[told.ID] = runner
+	for _, changed := range delta.Healths {
+		if runner, ok := v.runners[changed.ID]; ok {
+			runner.Health = changed.Health
+			v.runners[changed.ID] = runner
 		}
 	}
 	for _, id := range delta.Removed {
@@ -304,15 +313,15 @@
 	return true
 }
 
-// follows reports whether a delta that isn't whole can be applied to a copy.
-func (d Delta) follows(v *View) bool {
+// appliesTo reports whether a partial delta can be applied to a copy.
+func (d Delta) appliesTo(v *View) bool {
 	if d.FromDigest != 0 {
 		return d.FromDigest == v.digest && d.Epoch != v.epoch
 	}
 	return d.Epoch == v.epoch && d.From <= v.version
 }
 
-// remove drops a runner, if it is there.
+// remove removes a runner, if the copy has it.
 func (v *View) remove(id string) {
 	if runner, ok := v.runners[id]; ok {
 		v.digest -= runner.digest()
@@ -320,7 +329,7 @@
 	}
 }
 
-// Runners lists the runners by their IDs.
+// Runners returns the runners, sorted by ID.
 func (v *View) Runners() []Runner {
 	runners := make([]Runner, 0, len(v.runners))
 	for _, runner := range v.runners {
