--- a/internal/federation/offers.go
+++ b/internal/federation/offers.go
@@ -10,17 +10,16 @@
 )
 
 const (
-	// maxWaitingJobs is how many jobs may wait for others to leave the room that a
-	// peer has lent.
+	// maxWaitingJobs is how many offered jobs may wait for others to free the capacity that a peer
+	// has lent.
 	maxWaitingJobs = 8
-	// loanRetriesPerBucket is how many loan requests a peer that refuses gets in a
-	// bucket of time.
+	// loanRetriesPerBucket is how many loan requests are sent per time bucket while they are refused.
 	loanRetriesPerBucket = 4
-	// loanMarginDivisor is the part of a loan's time, one tenth, that is left unused.
+	// loanMarginDivisor sets the part of a loan's duration, one tenth, that is left unused.
 	loanMarginDivisor = 10
 )
 
-// offerJobs offers jobs to peers, the least urgent first, while a crowd is foreseen.
+// offerJobs offers jobs to peers, the least urgent first, while an overload is forecast.
 func (o *Offloader) offerJobs(ctx context.Context, work PendingWork) {
 	if len(work.Candidates) == 0 || !o.settings.Crowded(work) || time.Now().Before(o.backoffUntil) {
 		return
@@ -29,33 +28,35 @@
 	offered := 0
 	for _, candidate := range work.Candidates {
 		route := o.route(candidate.Route)
-		// A job is offered once, so that it does not go back and forth.
+		// A job is offered once only, so that it isn't transferred back and forth.
 		if route == nil || candidate.Offers > 0 || offered >= o.settings.MaxOffers {
 			continue
 		}
-		lent, ok := o.borrow(ctx, work, route.Peer, candidate.MilliCPU)
+		peerLoan, ok := o.borrow(ctx, work, route.Peer, candidate.MilliCPU)
 		if !ok {
 			return
 		}
-		lent.remainingMilliCPU -= candidate.MilliCPU
-		o.loans[route.Peer] = lent
+		peerLoan.remainingMilliCPU -= candidate.MilliCPU
+		o.loans[route.Peer] = peerLoan
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		outcome, ok := o.local.Propose(callCtx, state.CommandOfferJob, &state.OfferJob{Job: candidate.JobID, Peer: route.Peer})
+		outcome, ok := o.local.Propose(callCtx, state.CommandOfferJob,
+			&state.OfferJob{Job: candidate.JobID, Peer: route.Peer})
 		cancel()
 		if ok && outcome.Code == state.CodeOK {
 			offered++
-			_ = o.log.Log("level", "info", "event", "transfer.offered", "job", candidate.JobID, "peer", route.Peer, "offer", outcome.Value)
+			_ = o.log.Log("level", "info", "event", "transfer.offered", "job", candidate.JobID,
+				"peer", route.Peer, "offer", outcome.Value)
 		}
 	}
 }
 
-// borrow returns the loan of a peer, a new one unless some room of the last is left;
-// false if there is none.
+// borrow returns the current loan of a peer, or requests a new one if that has expired; false if
+// no more jobs fit into the current one, or the peer refused.
 func (o *Offloader) borrow(ctx context.Context, work PendingWork, peer string, milliCPU int64) (loan, bool) {
-	lent := o.loans[peer]
-	if time.Now().Before(lent.expiresAt) {
-		// More jobs are offered than fit at a time: they run one after another.
-		return lent, lent.remainingMilliCPU > -maxWaitingJobs*max(milliCPU, 1)
+	peerLoan := o.loans[peer]
+	if time.Now().Before(peerLoan.expiresAt) {
+		// More jobs may be offered than fit at the same time: they run one after another.
+		return peerLoan, peerLoan.remainingMilliCPU > -maxWaitingJobs*max(milliCPU, 1)
 	}
 	id := fmt.Sprintf("%s/%s/%d", o.settings.Name, work.Epoch, work.Index)
 	response, ok := o.call(ctx, peer, Call{
@@ -69,15 +70,19 @@
 		_ = o.log.Log("level", "info", "event", "loan.refused", "peer", peer, "status", response.Status)
 		return loan{}, false
 	}
-	// It ends sooner here, since offers must arrive while it is still valid.
+	// The loan expires earlier here than at the peer, since offers must arrive there while it is valid.
 	duration := seconds(o.settings.LoanS)
-	lent = loan{id: id, remainingMilliCPU: response.MilliCPU, expiresAt: time.Now().Add(duration - duration/loanMarginDivisor)}
-	o.loans[peer] = lent
+	peerLoan = loan{
+		id:                id,
+		remainingMilliCPU: response.MilliCPU,
+		expiresAt:         time.Now().Add(duration - duration/loanMarginDivisor),
+	}
+	o.loans[peer] = peerLoan
 	_ = o.log.Log("level", "info", "event", "loan.received", "peer", peer, "milli_cpu", response.MilliCPU, "loan", id)
-	return lent, true
+	return peerLoan, true
 }
 
-// route finds a route that may move by its name in this cluster; nil if it may not.
+// route returns the federated route with a local name; nil if that route isn't federated.
 func (o *Offloader) route(local string) *Route {
 	for i := range o.settings.Routes {
 		if o.settings.Routes[i].LocalRoute == local {
--- a/internal/federation/offloader.go
+++ b/internal/federation/offloader.go
@@ -12,39 +12,37 @@
 	"tealpond/internal/transport"
 )
 
-// callTimeout bounds each call of a peer and each command of the own cluster.
+// callTimeout bounds each call to a peer and each request to the local cluster.
 const callTimeout = 2 * time.Second
 
-// LocalCluster is the Offloader's own cluster, reached within this process.
+// LocalCluster is the cluster of the Offloader, accessed within this process.
 type LocalCluster interface {
-	// FederationWork shows what there is to do; nothing on a server that doesn't
-	// lead.
+	// FederationWork returns the pending work; it is empty on a server that isn't the leader.
 	FederationWork(ctx context.Context) PendingWork
-	// Propose puts a command into the log, by the name that it is registered
-	// under, and waits for its outcome; false if it is unknown whether it was
-	// committed.
+	// Propose proposes a command, by its registered name, to the log and waits for its outcome;
+	// false if it is unknown whether it was committed.
 	Propose(ctx context.Context, name string, command state.Command) (state.Outcome, bool)
 }
 
-// Offloader settles transfers and offers jobs to peers. One runs on each server, and
-// only that of the leader acts. Its fields belong to its loop (Run).
+// Offloader offers jobs to peers and resolves open transfers. One runs on each server, but only
+// the leader's acts. Its fields are used by the goroutine of Run only.
 type Offloader struct {
 	settings     Settings
 	log          log.Logger
 	local        LocalCluster
 	peers        map[string]*discovery.Client // by name
-	loans        map[string]loan              // by the peer's name
-	backoffUntil time.Time                    // nothing is offered before
+	loans        map[string]loan              // by peer name
+	backoffUntil time.Time                    // no jobs are offered before
 }
 
-// loan is room that a peer has lent.
+// loan is capacity that a peer has lent.
 type loan struct {
 	id                string
-	remainingMilliCPU int64 // below 0 once more jobs were offered than fit at a time
+	remainingMilliCPU int64 // below 0 once more jobs were offered than fit at the same time
 	expiresAt         time.Time
 }
 
-// New builds an Offloader; it acts once Run is called.
+// New returns an Offloader; it acts once Run is called.
 func New(config Settings, logger log.Logger, local LocalCluster) *Offloader {
 	offloader := &Offloader{
 		settings: config,
@@ -59,7 +57,7 @@
 	return offloader
 }
 
-// Run acts every Settings.IntervalMs until ctx ends.
+// Run reconciles every Settings.IntervalMs until ctx is done.
 func (o *Offloader) Run(ctx context.Context) {
 	for _, client := range o.peers {
 		go client.Run(ctx)
@@ -76,7 +74,7 @@
 	}
 }
 
-// reconcile does once what there is to do.
+// reconcile resolves the open transfers and offers jobs once, if this server is the leader.
 func (o *Offloader) reconcile(ctx context.Context) {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	work := o.local.FederationWork(callCtx)
@@ -84,13 +82,13 @@
 	if !work.IsLeader {
 		return
 	}
-	for _, open := range work.OpenTransfers {
-		o.settle(ctx, open)
+	for _, transfer := range work.OpenTransfers {
+		o.resolve(ctx, transfer)
 	}
 	o.offerJobs(ctx, work)
 }
 
-// call sends a call to a peer's leader; false if there is no answer.
+// call sends a signed call to a peer's leader; false if there is no valid answer.
 func (o *Offloader) call(ctx context.Context, peer string, request Call) (Response, bool) {
 	config, client := o.settings.findPeer(peer), o.peers[peer]
 	if config == nil {
@@ -107,49 +105,50 @@
 	return response, true
 }
 
-// settlingCall is the call that moves a transfer on, under the loan of its peer.
-func settlingCall(open OpenTransfer, lent loan, now time.Time) Call {
-	call := Call{JobID: open.JobID, OfferID: open.OfferID}
+// nextCall returns the call that advances a transfer, given the loan of its peer.
+func nextCall(transfer OpenTransfer, peerLoan loan, now time.Time) Call {
+	call := Call{JobID: transfer.JobID, OfferID: transfer.OfferID}
 	switch {
-	case open.Finished:
+	case transfer.Finished:
 		call.Kind = CallRelease
-	case open.CancelRequested || open.State == state.TransferAccepted:
-		// To void an offer also asks for the job's state, since it leaves a job
-		// that was accepted as it is.
-		call.Kind, call.Cancel = CallWithdrawOffer, open.CancelRequested
-	case now.Before(lent.expiresAt):
-		call.Kind, call.Route, call.Loan, call.Job = CallOffer, open.Route, lent.id, open.Job
+	case transfer.CancelRequested || transfer.State == state.TransferAccepted:
+		// A withdrawal leaves an accepted job as it is, unless it also cancels the job, and returns
+		// the job's state.
+		call.Kind, call.Cancel = CallWithdrawOffer, transfer.CancelRequested
+	case now.Before(peerLoan.expiresAt):
+		call.Kind, call.Route, call.Loan, call.Job = CallOffer, transfer.Route, peerLoan.id, transfer.Job
 	default:
-		// The offer is taken back, since no room is lent any more.
+		// The offer is withdrawn, since the loan has expired.
 		call.Kind = CallWithdrawOffer
 	}
 	return call
 }
 
-// settle moves one transfer on: the peer's committed state decides its outcome.
-func (o *Offloader) settle(ctx context.Context, open OpenTransfer) {
-	request := settlingCall(open, o.loans[open.Peer], time.Now())
-	response, ok := o.call(ctx, open.Peer, request)
+// resolve advances one transfer: the peer's committed state decides its outcome.
+func (o *Offloader) resolve(ctx context.Context, transfer OpenTransfer) {
+	request := nextCall(transfer, o.loans[transfer.Peer], time.Now())
+	response, ok := o.call(ctx, transfer.Peer, request)
 	if !ok || response.Status == "" {
 		return
 	}
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	settle := &state.ResolveTransfer{
-		Job:     open.JobID,
-		OfferID: open.OfferID,
-		Peer:    open.Peer,
+	resolve := &state.ResolveTransfer{
+		Job:     transfer.JobID,
+		OfferID: transfer.OfferID,
+		Peer:    transfer.Peer,
 		Epoch:   response.Epoch,
 		Index:   response.Index,
 		Answer:  response.Status,
 	}
-	outcome, ok := o.local.Propose(callCtx, state.CommandResolveTransfer, settle)
+	outcome, ok := o.local.Propose(callCtx, state.CommandResolveTransfer, resolve)
 	if ok && outcome.Code == state.CodeConflict {
-		_ = o.log.Log("level", "error", "event", "transfer.answer_rejected", "job", open.JobID, "peer", open.Peer, "reason", outcome.Text)
+		_ = o.log.Log("level", "error", "event", "transfer.answer_rejected", "job", transfer.JobID,
+			"peer", transfer.Peer, "reason", outcome.Text)
 		return
 	}
-	if ok && (open.State != state.TransferAccepted || response.Status != state.AnswerAccepted) {
-		_ = o.log.Log("level", "info", "event", "transfer.settled", "job", open.JobID, "peer", open.Peer,
-			"offer", open.OfferID, "status", response.Status)
+	if ok && (transfer.State != state.TransferAccepted || response.Status != state.AnswerAccepted) {
+		_ = o.log.Log("level", "info", "event", "transfer.settled", "job", transfer.JobID, "peer", transfer.Peer,
+			"offer", transfer.OfferID, "status", response.Status)
 	}
 }
--- a/internal/federation/settings_test.go
+++ b/internal/federation/settings_test.go
@@ -8,7 +8,7 @@
 	"tealpond/internal/settings"
 )
 
-// validFile is in order.
+// validFile is a settings file without errors.
 const validFile = `name = "a"
 [[peers]]
 name = "b"
@@ -20,8 +20,9 @@
 there = "y"
 `
 
-// TestFaultsNameTheField: each fault names its field and the file, and is typed.
-func TestFaultsNameTheField(t *testing.T) {
+// TestSettingsErrorsNameTheField checks that each error names the field and the file, and is a
+// *settings.FieldError.
+func TestSettingsErrorsNameTheField(t *testing.T) {
 	if _, err := Parse("f", []byte(validFile)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/federation/signature.go
+++ b/internal/federation/signature.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/transport"
 )
 
-// Reasons for which a call is refused.
+// Reasons for rejecting a call. Their texts are sent to the caller.
 var (
 	ErrUnreadable  = errors.New("unreadable")
 	ErrUnknownPeer = errors.New("unknown peer")
@@ -17,7 +17,7 @@
 	ErrNotForUs    = errors.New("not meant for us")
 )
 
-// signedCall is a call with the proof that a peer made it.
+// signedCall is an encoded call with the MAC that proves its sender.
 type signedCall struct {
 	_    struct{} `cbor:",toarray"`
 	From string
@@ -28,18 +28,18 @@
 // computeMAC returns the HMAC-SHA256 of a body.
 func computeMAC(key string, body []byte) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
-	mac.Write(body) // a hash returns no error
+	mac.Write(body) // never fails
 	return mac.Sum(nil)
 }
 
-// Sign encodes a call and signs it with the key that both clusters share.
+// Sign encodes a call and signs it with the key shared by both clusters.
 func Sign(key string, call Call) []byte {
 	body := transport.Encode(call)
 	return transport.Encode(signedCall{From: call.From, Body: body, MAC: computeMAC(key, body)})
 }
 
-// Verify decodes a signed call and checks that a peer made it, for this cluster. The
-// error is one of ErrUnreadable, ErrUnknownPeer, ErrForged and ErrNotForUs.
+// Verify decodes a signed call and checks that it comes from a peer and is addressed to this
+// cluster. The error wraps one of ErrUnreadable, ErrUnknownPeer, ErrForged and ErrNotForUs.
 func (s *Settings) Verify(raw []byte) (Call, error) {
 	var signed signedCall
 	if transport.Decode(raw, &signed) != nil {
--- a/internal/federation/signature_test.go
+++ b/internal/federation/signature_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// TestOnlyCallsOfAPeerForUsAreAccepted: whoever lacks the key of a peer can't call in
-// its name, and a peer's call to another cluster is of no use here.
-func TestOnlyCallsOfAPeerForUsAreAccepted(t *testing.T) {
+// TestVerifyAcceptsOnlyCallsOfPeersToThisCluster checks that a call is rejected if its sender lacks
+// the peer's key, is unknown or addressed another cluster, or if it can't be decoded.
+func TestVerifyAcceptsOnlyCallsOfPeersToThisCluster(t *testing.T) {
 	file, err := Parse("f", []byte(validFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	call := Call{From: "b", To: "a", Kind: CallOffer, JobID: "j"}
 	if got, err := file.Verify(Sign("0123456789abcdef", call)); err != nil || got.JobID != "j" {
-		t.Fatalf("a good call: %v", err)
+		t.Fatalf("a valid call: %v", err)
 	}
 	for _, test := range []struct {
 		text string
--- a/internal/federation/work.go
+++ b/internal/federation/work.go
@@ -2,44 +2,43 @@
 
 import "tealpond/internal/protocol"
 
-// PendingWork is what there is to do for an Offloader, as the state of the leader of
-// its own cluster shows it.
+// PendingWork is the input of an Offloader, taken from the state of its own cluster's leader.
 type PendingWork struct {
 	_        struct{} `cbor:",toarray"`
-	IsLeader bool     // false on a server that doesn't lead, where the rest is empty
-	Epoch    string   // the name of the cluster's log
-	Index    uint64   // the index of the log that the rest follows
-	WallMs   int64    // time of day, ms since 1970
-	// OpenTransfers are transfers that the peer must settle.
+	IsLeader bool     // false on any other server, where the rest is empty
+	Epoch    string   // name of the cluster's log
+	Index    uint64   // log index that the rest is based on
+	WallMs   int64    // wall-clock time, ms since 1970
+	// OpenTransfers are the transfers that are to be resolved with the peer.
 	OpenTransfers []OpenTransfer
-	// Candidates are the jobs that may move: of routes that may, and not begun.
+	// Candidates are the jobs that may be transferred: those of federated routes that have not started.
 	Candidates []Candidate
-	// Demand is that of the service's routes in core-ms by bucket of time, and
-	// CapacityMilliCPU the room of its workers.
+	// Demand is the demand of the service's routes, in core-ms by time bucket. CapacityMilliCPU is
+	// the capacity of its workers.
 	Demand           map[int64]float64
 	CapacityMilliCPU int64
 }
 
-// OpenTransfer is a transfer of a job to a peer that is not over.
+// OpenTransfer is an unresolved transfer of a job to a peer.
 type OpenTransfer struct {
 	_               struct{} `cbor:",toarray"`
 	JobID           string
 	Peer            string
-	OfferID         int64 // each offer of a job has its own
+	OfferID         int64 // unique among the offers of a job
 	State           byte  // one of the constants state.Transfer...
 	CancelRequested bool
-	Finished        bool   // its end is committed here, and the peer may forget it
+	Finished        bool   // its result is committed here, and the peer may forget the job
 	Route           string // at the peer
-	Loan            string // the loan that it was offered under
+	Loan            string // ID of the loan under which it was offered
 	Job             protocol.Job
 }
 
-// Candidate is a job that may move.
+// Candidate is a job that may be transferred.
 type Candidate struct {
 	_        struct{} `cbor:",toarray"`
 	JobID    string
 	Route    string // in this cluster
 	Priority int
-	MilliCPU int64 // what its largest task needs
-	Offers   int   // how often it was offered
+	MilliCPU int64 // needed by its largest task
+	Offers   int   // number of times it was offered
 }
