--- a/internal/coordination/key.go
+++ b/internal/coordination/key.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// putMemory is for how long the outcome of a put is remembered by its value, so that a repeated or
-	// delayed copy gets the same answer.
-	putMemory = 2 * time.Minute
-	// keyHistoryMargin is added to the history for which a watch may resume, for the way of an answer.
+	// putOutcomeRetention is how long the outcome of a put is kept, under its key and value, so that a
+	// repeated or delayed copy gets the same answer.
+	putOutcomeRetention = 2 * time.Minute
+	// keyHistoryMargin is added to the history from which a watch may resume, for the time that an
+	// answer needs to arrive.
 	keyHistoryMargin = 2 * time.Second
-	// MaxRows bounds the locks, the counters, the keys and the remembered puts, each, for the memory
-	// that they take.
+	// MaxRows bounds the number of rows of each table, to limit memory: locks, counters, groups, and
+	// per group the keys, the history and the outcomes of puts.
 	MaxRows = 100_000
 )
 
-// Group is the keys with a common prefix, which share one rising count of revisions: each
-// put that succeeds gets the next one.
+// Group holds the keys with a common prefix. They share one sequence of revisions: each successful
+// put gets the next one.
 type Group struct {
 	_        struct{} `cbor:",toarray"`
 	Revision int64
 	Keys     map[string]KeyValue
-	// History is the puts of the revisions from Compacted + 1 to Revision, in order.
+	// History holds the puts with the revisions from Compacted + 1 to Revision, in order.
 	History   []Event
 	Compacted int64
-	// Outcomes remembers what puts were answered, by putID.
+	// Outcomes holds the outcomes of recent puts, by putID.
 	Outcomes map[string]PutOutcome
 }
 
-// KeyValue is what a key holds.
+// KeyValue is the value of a key and the revision in which it was set.
 type KeyValue struct {
 	_        struct{} `cbor:",toarray"`
 	Value    string
 	Revision int64
 }
 
-// Event is a put that succeeded.
+// Event is a successful put.
 type Event struct {
 	_        struct{} `cbor:",toarray"`
 	Name     string
@@ -49,35 +50,35 @@
 	At       int64 // the state's clock, in ms
 }
 
-// PutOutcome is what a put was answered.
+// PutOutcome is the outcome of a put, as its caller was told.
 type PutOutcome struct {
 	_        struct{} `cbor:",toarray"`
-	Revision int64    // that it got, or, if it was refused, that of the key
+	Revision int64    // of the put, or of the key if the put was refused
 	Refused  bool
 	At       int64 // the state's clock, in ms
 }
 
-// Put sets a key if the key is at a revision.
+// Put sets a key if the key is at the expected revision.
 type Put struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Value string
-	// Expected is the revision that the key must have, 0 if it must not exist.
+	// Expected is the revision that the key must have; 0 if the key must not exist.
 	Expected int64
-	// HistoryMs is for how long the put is kept for watches.
+	// HistoryMs is how long the put is kept for watches.
 	HistoryMs int64
 }
 
-// RevisionError is the refusal of a put whose key is at another revision.
+// RevisionError reports that a put was refused, since its key is not at the expected revision.
 type RevisionError struct {
-	Revision int64 // of the key; 0: it doesn't exist
+	Revision int64 // of the key; 0 if it doesn't exist
 }
 
-// Error names the revision.
+// Error returns a message that names the revision.
 func (e *RevisionError) Error() string { return fmt.Sprintf("the key is at revision %d", e.Revision) }
 
-// GroupOf is the name of a key's group: all up to its first dot, which is included; a key
-// without a dot is alone in its group.
+// GroupOf returns the name of a key's group: the part up to and including the first dot. A key
+// without a dot is the only one of its group.
 func GroupOf(key string) string {
 	if dot := strings.IndexByte(key, '.'); dot >= 0 {
 		return key[:dot+1]
@@ -85,14 +86,14 @@
 	return key
 }
 
-// Put sets a key and gives its new revision; the error is a *RevisionError, or ErrFull if the
-// put was not decided before and there is no room for it. A put that comes
-// again, with the same value, has no further effect and gets the answer of the first time:
-// of two copies of one put only one is ever decided, whichever comes first. A refusal is
-// remembered too, since the caller was told that the put will never happen, and a copy of
-// it may come when it would succeed.
+// Put sets a key and returns its new revision. The error is a *RevisionError, or ErrFull if the put
+// has no recorded outcome and does not fit.
+//
+// A repeated put with the same value has no further effect and gets the first answer: of two copies
+// of a put, only the one that arrives first is decided. Refusals are recorded too: the caller was
+// told that the put will never happen, and a copy of it may arrive when it would succeed.
 func (t *Tables) Put(put Put, clock int64) (revision int64, err error) {
-	group, err := t.groupFor(GroupOf(put.Key))
+	group, err := t.getOrCreateGroup(GroupOf(put.Key))
 	if err != nil {
 		return 0, err
 	}
@@ -101,14 +102,14 @@
 	if outcome, ok := group.Outcomes[id]; ok {
 		return outcome.result()
 	}
-	present := group.Keys[put.Key]
-	if present.Revision > 0 && present.Value == put.Value {
-		return present.Revision, nil // its outcome is forgotten, and still to be seen
+	current := group.Keys[put.Key]
+	if current.Revision > 0 && current.Value == put.Value {
+		return current.Revision, nil // the outcome has expired, but the value is still there
 	}
-	if group.lacksRoomFor(put.Key, clock, put.HistoryMs) {
+	if group.isFullFor(put.Key, clock, put.HistoryMs) {
 		return 0, ErrFull
 	}
-	outcome := PutOutcome{Revision: present.Revision, Refused: present.Revision != put.Expected, At: clock}
+	outcome := PutOutcome{Revision: current.Revision, Refused: current.Revision != put.Expected, At: clock}
 	if !outcome.Refused {
 		outcome.Revision = group.add(put, clock)
 		group.compact(clock, put.HistoryMs)
@@ -117,12 +118,13 @@
 	return outcome.result()
 }
 
-// groupFor returns a group, a new one if there is none of the name; the error is ErrFull.
-func (t *Tables) groupFor(name string) (*Group, error) {
+// getOrCreateGroup returns the group with a name, which it creates if there is none; the error is
+// ErrFull.
+func (t *Tables) getOrCreateGroup(name string) (*Group, error) {
 	if group := t.Groups[name]; group != nil {
 		return group, nil
 	}
-	if lacksRoom(t.Groups) {
+	if isFull(t.Groups) {
 		return nil, ErrFull
 	}
 	group := newGroup()
@@ -130,21 +132,21 @@
 	return group, nil
 }
 
-// lacksRoomFor reports whether one more put of a key does not fit into the group. What need
-// not be kept any more makes room first.
-func (g *Group) lacksRoomFor(key string, clock, historyMs int64) bool {
+// isFullFor reports whether one more put of a key does not fit into the group. It compacts a full
+// history first.
+func (g *Group) isFullFor(key string, clock, historyMs int64) bool {
 	if len(g.History) >= MaxRows {
 		g.compact(clock, historyMs)
 	}
 	newKey := g.Keys[key].Revision == 0
-	return newKey && lacksRoom(g.Keys) || lacksRoom(g.Outcomes) || len(g.History) >= MaxRows
+	return newKey && isFull(g.Keys) || isFull(g.Outcomes) || len(g.History) >= MaxRows
 }
 
-// putID names a put by the key and the value, which callers choose to be unique. No key
-// contains the byte between them.
+// putID identifies a put by its key and its value, which callers choose to be unique. Keys don't
+// contain the separator byte.
 func putID(key, value string) string { return key + "\x00" + value }
 
-// result is the outcome as Put returns it.
+// result returns the outcome as the results of Put.
 func (o PutOutcome) result() (int64, error) {
 	if o.Refused {
 		return 0, &RevisionError{o.Revision}
@@ -152,7 +154,7 @@
 	return o.Revision, nil
 }
 
-// Read returns what a key holds; false if it doesn't exist. Tables that are nil hold nothing.
+// Read returns the value of a key; false if it doesn't exist. Nil tables are empty.
 func (t *Tables) Read(key string) (KeyValue, bool) {
 	if t == nil || t.Groups[GroupOf(key)] == nil {
 		return KeyValue{}, false
@@ -165,7 +167,7 @@
 	return &Group{Keys: map[string]KeyValue{}, Outcomes: map[string]PutOutcome{}}
 }
 
-// add carries out a put.
+// add applies a put and returns its revision.
 func (g *Group) add(put Put, clock int64) int64 {
 	g.Revision++
 	g.Keys[put.Key] = KeyValue{Value: put.Value, Revision: g.Revision}
@@ -173,46 +175,46 @@
 	return g.Revision
 }
 
-// compact drops the oldest puts of the history. A watch that was given a revision may
-// resume from it for historyMs: the puts above it are no older, and the state's clock lags
-// behind the true time if anything.
+// compact drops the oldest puts of the history. A watch may resume from a revision for historyMs
+// after it got it: the puts above that revision are no older, and the state's clock may only lag
+// behind the true time.
 func (g *Group) compact(clock, historyMs int64) {
-	kept := expiryOfHistory(historyMs)
-	old := 0
-	for old < len(g.History) && clock-g.History[old].At > kept {
-		old++
+	retentionMs := historyRetentionMs(historyMs)
+	expired := 0
+	for expired < len(g.History) && clock-g.History[expired].At > retentionMs {
+		expired++
 	}
-	if old == 0 {
+	if expired == 0 {
 		return
 	}
-	g.Compacted = g.History[old-1].Revision
-	g.History = g.History[old:]
+	g.Compacted = g.History[expired-1].Revision
+	g.History = g.History[expired:]
 }
 
-// expiryOfHistory is the age from which a put is no longer kept.
-func expiryOfHistory(historyMs int64) int64 {
+// historyRetentionMs returns the age, in ms, up to which a put is kept in the history.
+func historyRetentionMs(historyMs int64) int64 {
 	return int64(float64(historyMs)*timing.LeaseClockDriftFactor) + keyHistoryMargin.Milliseconds()
 }
 
-// forgetOutcomes drops what is remembered of puts for long enough.
-func (g *Group) forgetOutcomes(clock int64) {
+// expireOutcomes drops the outcomes older than putOutcomeRetention.
+func (g *Group) expireOutcomes(clock int64) {
 	maps.DeleteFunc(g.Outcomes, func(_ string, outcome PutOutcome) bool {
-		return clock-outcome.At > putMemory.Milliseconds()
+		return clock-outcome.At > putOutcomeRetention.Milliseconds()
 	})
 }
 
-// clone copies the group. The history is shared: it is appended to, and cut at the front,
-// but never changed in place.
+// clone returns a copy of the group. The history is shared: it is appended to and cut at the front,
+// but its elements never change.
 func (g *Group) clone() *Group {
 	clone := *g
 	clone.Keys, clone.Outcomes = maps.Clone(g.Keys), maps.Clone(g.Outcomes)
 	return &clone
 }
 
-// restore makes a group that was decoded usable, or panics.
+// restore makes a decoded group usable. It panics if the group is inconsistent.
 func (g *Group) restore(name string) {
 	if g == nil {
-		panic("coordination: no group " + name)
+		panic("coordination: no data for group " + name)
 	}
 	if g.Keys == nil {
 		g.Keys = map[string]KeyValue{}
@@ -221,6 +223,6 @@
 		g.Outcomes = map[string]PutOutcome{}
 	}
 	if g.Compacted+int64(len(g.History)) != g.Revision {
-		panic("coordination: the history of group " + name + " has gaps")
+		panic("coordination: history of group " + name + " has gaps")
 	}
 }
--- a/internal/coordination/key_test.go
+++ b/internal/coordination/key_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-const history = 20_000 // ms
+const testHistoryMs = 20_000 // ms
 
-// put sets a key and gives the revision, and whether the put was refused.
+// put sets a key and returns the revision, and whether the put was refused.
 func (t *Tables) put(key, value string, expected, clock int64) (revision int64, refused bool) {
-	revision, err := t.Put(Put{Key: key, Value: value, Expected: expected, HistoryMs: history}, clock)
+	revision, err := t.Put(Put{Key: key, Value: value, Expected: expected, HistoryMs: testHistoryMs}, clock)
 	var mismatch *RevisionError
 	if errors.As(err, &mismatch) {
 		return mismatch.Revision, true
@@ -19,9 +19,9 @@
 	return revision, false
 }
 
-// TestPutsCompareAndSet: all keys of a group share one count, a put succeeds at the
-// expected revision alone, and a refusal names that of the key.
-func TestPutsCompareAndSet(t *testing.T) {
+// TestPutComparesRevisions checks that the keys of a group share one sequence of revisions, that a
+// put succeeds only at the expected revision, and that a refusal names the revision of the key.
+func TestPutComparesRevisions(t *testing.T) {
 	tables := New()
 	for i, test := range []struct {
 		key, value string
@@ -39,7 +39,8 @@
 		{"alone", "8", 0, 1, false},
 		{"g.a", "9", 3, 4, false},
 	} {
-		if revision, refused := tables.put(test.key, test.value, test.expected, int64(i)); revision != test.revision || refused != test.refused {
+		if revision, refused := tables.put(test.key, test.value, test.expected, int64(i)); revision != test.revision ||
+			refused != test.refused {
 			t.Errorf("%+v: revision %d, refused %v", test, revision, refused)
 		}
 	}
@@ -47,51 +48,52 @@
 		t.Errorf("%+v", value)
 	}
 	if _, ok := tables.Read("g.c"); ok {
-		t.Error("a refused put is shown")
+		t.Error("a refused put is visible")
 	}
 }
 
-// TestPutSentAgainGetsItsFirstAnswer: also once the key has moved on, and also a refusal,
-// over copies of the tables and for as long as puts are remembered.
-func TestPutSentAgainGetsItsFirstAnswer(t *testing.T) {
+// TestRepeatedPutGetsItsFirstOutcome checks that a repeated put gets its first outcome, whether
+// success or refusal, also after later puts of the key, in clones of the tables and until outcomes
+// expire.
+func TestRepeatedPutGetsItsFirstOutcome(t *testing.T) {
 	tables := New()
 	tables.put("g.a", "first", 0, 0)
 	tables.put("g.a", "refused", 5, 1)
 	tables.put("g.a", "second", 1, 2)
-	last := putMemory.Milliseconds()
+	last := putOutcomeRetention.Milliseconds()
 	for _, clock := range []int64{3, last} {
 		tables = tables.Clone()
 		tables.Forget(clock)
 		if revision, refused := tables.put("g.a", "first", 0, clock); revision != 1 || refused {
-			t.Errorf("the first put again: revision %d, refused %v", revision, refused)
+			t.Errorf("the first put, repeated: revision %d, refused %v", revision, refused)
 		}
-		// It would succeed by now, and was called off.
+		// The put would succeed now, but it was refused before.
 		if revision, refused := tables.put("g.a", "refused", 2, clock); revision != 1 || !refused {
-			t.Errorf("a refused put again: revision %d, refused %v", revision, refused)
+			t.Errorf("a refused put, repeated: revision %d, refused %v", revision, refused)
 		}
 	}
 	tables.Forget(last + 3)
 	if len(tables.Groups["g."].Outcomes) != 0 {
-		t.Error("outcomes are remembered for good")
+		t.Error("outcomes do not expire")
 	}
 	if revision, refused := tables.put("g.a", "second", 1, last+4); revision != 2 || refused {
-		t.Errorf("the present value's put again: revision %d, refused %v", revision, refused)
+		t.Errorf("the put of the current value, repeated: revision %d, refused %v", revision, refused)
 	}
 }
 
-// TestWatchesSkipNothing: from any revision whose later puts are kept, a watch is told all
-// of them, in order; from an older one that they are gone.
-func TestWatchesSkipNothing(t *testing.T) {
+// TestWatchSkipsNoEvents checks that a watch gets all later puts, in order, if it starts from a
+// revision whose later puts are all kept, and ErrCompacted if it starts from an older one.
+func TestWatchSkipsNoEvents(t *testing.T) {
 	tables := New()
 	if update, err := tables.Since("g.", 0); err != nil || update.Revision != 0 || len(update.Events) != 0 {
-		t.Errorf("of an empty group: %+v, %v", update, err)
+		t.Errorf("watch of an empty group: %+v, %v", update, err)
 	}
 	for i := range int64(100) {
 		tables.put(fmt.Sprint("g.", i%7), fmt.Sprint(i), tables.revisionOf(fmt.Sprint("g.", i%7)), i*500)
 	}
 	group := tables.Groups["g."]
 	oldest := group.History[0]
-	if age := 99*500 - oldest.At; age < history || age > 2*history || oldest.Revision != group.Compacted+1 {
+	if age := 99*500 - oldest.At; age < testHistoryMs || age > 2*testHistoryMs || oldest.Revision != group.Compacted+1 {
 		t.Errorf("the oldest put kept is %d ms old, of revision %d after %d", age, oldest.Revision, group.Compacted)
 	}
 	for after := int64(0); after <= 100; after++ {
@@ -116,37 +118,38 @@
 	}
 	tables.Forget(1_000_000)
 	if update, err := tables.Since("g.", 100); err != nil || update.Revision != 100 {
-		t.Errorf("the newest revision can't be resumed from: %+v, %v", update, err)
+		t.Errorf("can't resume from the newest revision: %+v, %v", update, err)
 	}
 }
 
-// revisionOf is the revision of a key, 0 if it doesn't exist.
+// revisionOf returns the revision of a key; 0 if it doesn't exist.
 func (t *Tables) revisionOf(key string) int64 {
 	value, _ := t.Read(key)
 	return value.Revision
 }
 
-// TestAnswersOfWatchesAreBounded: the next one goes on where the last one ended.
-func TestAnswersOfWatchesAreBounded(t *testing.T) {
+// TestWatchResultIsBounded checks that a watch result has at most maxWatchEvents events, and that
+// the next one continues where it ended.
+func TestWatchResultIsBounded(t *testing.T) {
 	tables := New()
 	for i := range int64(2*maxWatchEvents + 10) {
 		tables.put("g.a", fmt.Sprint(i), i, i)
 	}
-	told, after := 0, int64(1)
+	eventCount, after := 0, int64(1)
 	for range 3 {
 		update, err := tables.Since("g.", after)
 		if err != nil || len(update.Events) > maxWatchEvents || update.Events[0].Revision != after+1 {
 			t.Fatalf("after %d: %d events, %v", after, len(update.Events), err)
 		}
-		told, after = told+len(update.Events), update.Revision
+		eventCount, after = eventCount+len(update.Events), update.Revision
 	}
-	if told != 2*maxWatchEvents+9 {
-		t.Errorf("%d events", told)
+	if eventCount != 2*maxWatchEvents+9 {
+		t.Errorf("%d events", eventCount)
 	}
 }
 
-// TestCopiesAreIndependent: what is done to the tables changes no copy, and the other way.
-func TestCopiesAreIndependent(t *testing.T) {
+// TestCloneIsIndependent checks that changes to tables don't change their clone, and the reverse.
+func TestCloneIsIndependent(t *testing.T) {
 	tables := New()
 	tables.put("g.a", "1", 0, 0)
 	if _, err := tables.NextNumber("n"); err != nil {
@@ -160,10 +163,11 @@
 		t.Fatal(err)
 	}
 	tables.Release(Release{Name: "l", Holder: "a", Fence: 1})
-	if update, _ := copied.Since("g.", 0); len(update.Events) != 1 || copied.revisionOf("g.a") != 1 || copied.revisionOf("h.a") != 0 || copied.Counters["n"] != 1 || len(copied.Locks) != 1 {
-		t.Errorf("the copy became %+v", copied)
+	if update, _ := copied.Since("g.", 0); len(update.Events) != 1 || copied.revisionOf("g.a") != 1 ||
+		copied.revisionOf("h.a") != 0 || copied.Counters["n"] != 1 || len(copied.Locks) != 1 {
+		t.Errorf("the clone was changed to %+v", copied)
 	}
 	if n, err := copied.NextNumber("n"); n != 2 || err != nil {
-		t.Errorf("the copy's next number is %d, %v", n, err)
+		t.Errorf("the clone's next number is %d, %v", n, err)
 	}
 }
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// lockExpiryMargin is added to a lock's hold, beside timing.LeaseClockDriftFactor, before another
-	// caller may get the lock: stamps are rounded to ms.
+	// lockExpiryMargin is added to the hold time of a lock, besides timing.LeaseClockDriftFactor, before
+	// another caller may get the lock, since timestamps are rounded to ms.
 	lockExpiryMargin = 20 * time.Millisecond
-	// maxLockHold is the longest hold of a lock; a caller that asks for more gets this.
+	// maxLockHold is the longest hold time of a lock; a caller that asks for more gets this.
 	maxLockHold = time.Hour
 )
 
-// ErrHeld is the refusal of a lock that another holds, or may still believe to hold.
+// ErrHeld is returned if another caller holds the lock, or may still assume that it does.
 var ErrHeld = errors.New("another holds the lock")
 
-// ErrLost is the refusal of a caller that no longer holds the lock under its fence.
+// ErrLost is returned if the caller no longer holds the lock under its fence.
 var ErrLost = errors.New("the lock was lost")
 
-// Lock is a lock that is held.
+// Lock is the row of a lock that is held.
 type Lock struct {
 	_          struct{} `cbor:",toarray"`
 	Holder     string
-	Fence      int64 // fencing token, of the newest acquisition: above those of all before it, of any lock
-	FirstFence int64 // of the acquisition with which the hold began
+	Fence      int64 // fencing token of the newest acquisition; higher than all earlier ones, of any lock
+	FirstFence int64 // fencing token of the acquisition with which the hold began
 	ExpiresAt  int64 // by the state's clock, in ms
-	AcquiredAt int64 // likewise
+	AcquiredAt int64 // by the state's clock, in ms
 }
 
-// Acquire asks for a lock. One who holds the lock gets more time and a new fence.
+// Acquire requests a lock. A caller that holds it already gets more time and a new fence.
 type Acquire struct {
 	_      struct{} `cbor:",toarray"`
 	Name   string
@@ -40,7 +40,7 @@
 	HoldMs int64
 }
 
-// Renew asks for more time under a fence.
+// Renew requests more time for a lock held under a fence.
 type Renew struct {
 	_      struct{} `cbor:",toarray"`
 	Name   string
@@ -49,7 +49,7 @@
 	HoldMs int64
 }
 
-// Release gives a lock back.
+// Release releases a lock held under a fence.
 type Release struct {
 	_      struct{} `cbor:",toarray"`
 	Name   string
@@ -57,23 +57,22 @@
 	Fence  int64
 }
 
-// expired reports whether no caller can count itself holder any more.
+// expired reports whether the caller can no longer regard itself as the holder.
 //
-// A caller counts its hold from before it sent the call. The state's clock at the entry
-// that granted it is later than that, and never runs ahead of the true time between two
-// entries (server, clock.go); the caller's own clock may run slow by
-// timing.LeaseClockDriftFactor. So at ExpiresAt, by any later entry's clock, the caller's
-// hold is over.
+// A caller measures its hold time from before it sent the call. The state's clock at the entry
+// that granted the lock is later than that, and between two entries it never runs ahead of the true
+// time (server, clock.go). The caller's own clock may be slow by timing.LeaseClockDriftFactor. So
+// the caller's hold has ended once the clock of any later entry has reached ExpiresAt.
 func (l Lock) expired(clock int64) bool { return clock >= l.ExpiresAt }
 
-// expiry is when a hold that is granted now has surely ended for its holder.
+// expiry returns the time by which a hold granted now has ended for its holder, on any clock.
 func expiry(clock, holdMs int64) int64 {
 	holdMs = min(max(holdMs, 0), maxLockHold.Milliseconds())
 	return clock + int64(math.Ceil(float64(holdMs)*timing.LeaseClockDriftFactor)) + lockExpiryMargin.Milliseconds()
 }
 
-// HeldByOther reports whether an acquisition would be refused. Tables that are nil hold
-// nothing.
+// HeldByOther reports whether another caller holds the lock, so that an acquisition would be
+// refused. Nil tables are empty.
 func (t *Tables) HeldByOther(request Acquire, clock int64) bool {
 	if t == nil {
 		return false
@@ -82,20 +81,20 @@
 	return ok && lock.Holder != request.Holder && !lock.expired(clock)
 }
 
-// Acquire returns a lock to a caller, under a new fence; the error is ErrHeld, or ErrFull if the
-// lock is not held and there is no room for one more.
+// Acquire grants a lock to a caller and returns its new fence. The error is ErrHeld, or ErrFull if
+// the lock has no row and the table is full.
 //
-// The fence is new for a caller who holds the lock already, too. Let a caller release a
-// lock, hear nothing, and acquire it again; the release may still be on its way, and under
-// the same fence would end the hold that the caller has by now. The price is paid by an
-// acquisition that comes twice: the caller knows the fence of one of them, renews under it,
-// but may not release under it, and the lock is free when its time is over.
+// A caller that already holds the lock gets a new fence too. Assume that a caller releases a lock,
+// gets no answer and acquires the lock again: the release may arrive late, and under the same fence
+// it would end the new hold. The cost falls on an acquisition that arrives twice: the caller may
+// know the fence of the first copy only. It can renew under that fence but not release under it, and
+// then the lock is free only once it expires.
 func (t *Tables) Acquire(request Acquire, clock int64) (fence int64, err error) {
 	if t.HeldByOther(request, clock) {
 		return 0, ErrHeld
 	}
 	lock, ok := t.Locks[request.Name]
-	if !ok && lacksRoom(t.Locks) {
+	if !ok && isFull(t.Locks) {
 		return 0, ErrFull
 	}
 	t.LastFence++
@@ -103,15 +102,14 @@
 		lock = Lock{Holder: request.Holder, FirstFence: t.LastFence, AcquiredAt: clock}
 	}
 	lock.Fence = t.LastFence
-	// A late call never shortens what a newer one was given.
+	// A late call must not shorten the hold that a newer call was granted.
 	lock.ExpiresAt = max(lock.ExpiresAt, expiry(clock, request.HoldMs))
 	t.Locks[request.Name] = lock
 	return lock.Fence, nil
 }
 
-// Holds reports whether a caller holds a lock under a fence: that of any acquisition of the
-// present hold, since of two copies of one either may be the one that the caller knows.
-// Tables that are nil hold nothing.
+// Holds reports whether a caller holds a lock under a fence. Any fence of the current hold counts,
+// since the caller may know that of either copy of a repeated acquisition. Nil tables are empty.
 func (t *Tables) Holds(name, holder string, fence, clock int64) bool {
 	if t == nil {
 		return false
@@ -120,8 +118,8 @@
 	return ok && lock.Holder == holder && lock.FirstFence <= fence && fence <= lock.Fence && !lock.expired(clock)
 }
 
-// Renew gives the holder more time; the error is ErrLost. A hold that is over isn't
-// revived: its caller has given it up, and a late renewal would block the lock for all.
+// Renew extends the hold of a caller; the error is ErrLost. An expired hold isn't renewed: its
+// caller has given it up, and a late renewal would block the lock for all others.
 func (t *Tables) Renew(request Renew, clock int64) error {
 	if !t.Holds(request.Name, request.Holder, request.Fence, clock) {
 		return ErrLost
@@ -132,7 +130,7 @@
 	return nil
 }
 
-// Release ends a hold, if its newest acquisition has that fence.
+// Release ends a hold if the fence is that of its newest acquisition.
 func (t *Tables) Release(request Release) {
 	if lock, ok := t.Locks[request.Name]; ok && lock.Holder == request.Holder && lock.Fence == request.Fence {
 		delete(t.Locks, request.Name)
--- a/internal/coordination/tables.go
+++ b/internal/coordination/tables.go
@@ -5,21 +5,21 @@
 	"maps"
 )
 
-// ErrFull is the refusal of a name, or of a put, for which there is no room. Nothing was done,
-// and a copy of the same call that comes later may be carried out.
+// ErrFull is returned if a table has no space for another row. Nothing was changed, and a later copy
+// of the same call may succeed.
 var ErrFull = errors.New("too many names are in use")
 
-// Tables is everything that applications have put here. It is part of the replicated
-// state and of its snapshots, under the names of the tags.
+// Tables holds the locks, counters and keys of all applications. It is part of the replicated state
+// and of its snapshots, where its fields have the names given in the tags.
 type Tables struct {
-	// LastFence is the newest fence that was given out, of all locks together: a fence
-	// rises also over the end of a lock's row.
+	// LastFence is the newest fence granted for any lock. It is common to all locks, so that the
+	// fences of a lock keep rising after its row was dropped.
 	LastFence int64             `cbor:"Fence"`
 	Locks     map[string]Lock   `cbor:"Locks"`
-	Counters  map[string]int64  `cbor:"Counters"` // the newest number given, by name
-	Groups    map[string]*Group `cbor:"Groups"`   // of keys, by their common prefix
-	// HistoryMs is for how long puts are kept for watches, by the leader that took the
-	// newest put.
+	Counters  map[string]int64  `cbor:"Counters"` // newest number returned, by name
+	Groups    map[string]*Group `cbor:"Groups"`   // groups of keys, by their common prefix
+	// HistoryMs is how long puts are kept for watches, as set by the leader that received the newest
+	// put.
 	HistoryMs int64 `cbor:"History"`
 }
 
@@ -28,7 +28,7 @@
 	return &Tables{Locks: map[string]Lock{}, Counters: map[string]int64{}, Groups: map[string]*Group{}}
 }
 
-// Clone copies the tables. What it shares with them is never changed in place.
+// Clone returns a copy of the tables. Data shared with the copy is never modified in place.
 func (t *Tables) Clone() *Tables {
 	if t == nil {
 		return nil
@@ -41,7 +41,7 @@
 	return &clone
 }
 
-// Restore makes tables that were decoded usable. It panics if they contradict themselves.
+// Restore makes decoded tables usable. It panics if they are inconsistent.
 func (t *Tables) Restore() {
 	if t.Locks == nil {
 		t.Locks = map[string]Lock{}
@@ -57,8 +57,8 @@
 	}
 }
 
-// Forget drops what no caller can ask for any more at a time: locks whose hold is over,
-// puts that are older than the history of watches, outcomes older than their memory.
+// Forget drops what no caller needs any more: expired locks, puts older than the history for
+// watches, and outcomes of puts past their retention time.
 func (t *Tables) Forget(clock int64) {
 	for name, lock := range t.Locks {
 		if lock.expired(clock) {
@@ -67,21 +67,21 @@
 	}
 	for _, group := range t.Groups {
 		group.compact(clock, t.HistoryMs)
-		group.forgetOutcomes(clock)
+		group.expireOutcomes(clock)
 	}
 }
 
-// NextNumber returns a number above all that were given under the name before; the error is
+// NextNumber returns a number greater than all that it returned for the name before; the error is
 // ErrFull.
 func (t *Tables) NextNumber(name string) (int64, error) {
-	if t.Counters[name] == 0 && lacksRoom(t.Counters) {
+	if t.Counters[name] == 0 && isFull(t.Counters) {
 		return 0, ErrFull
 	}
 	t.Counters[name]++
 	return t.Counters[name], nil
 }
 
-// lacksRoom reports whether a table has as many rows as it may.
-func lacksRoom[K comparable, V any](rows map[K]V) bool {
+// isFull reports whether a table has reached MaxRows.
+func isFull[K comparable, V any](rows map[K]V) bool {
 	return len(rows) >= MaxRows
 }
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -4,22 +4,21 @@
 	"errors"
 )
 
-// maxWatchEvents is the number of events in one answer of a watch.
+// maxWatchEvents is the maximum number of events in one answer to a watch.
 const maxWatchEvents = 500
 
-// ErrCompacted is the refusal of a watch whose later puts are no longer kept.
+// ErrCompacted is returned to a watch if some puts after its revision are no longer kept.
 var ErrCompacted = errors.New("the history from that revision on is no longer kept")
 
-// WatchResult is the answer to a watch: all puts of a group above the revision that the caller
-// has, up to Revision.
+// WatchResult is the answer to a watch: all puts of a group after the caller's revision, up to
+// Revision.
 type WatchResult struct {
 	_        struct{} `cbor:",toarray"`
 	Events   []Event
 	Revision int64
 }
 
-// Revision is the newest revision of a group; 0 if nothing was ever put there. Tables that
-// are nil hold nothing.
+// Revision returns the newest revision of a group; 0 if it has had no put. Nil tables are empty.
 func (t *Tables) Revision(group string) int64 {
 	if t == nil || t.Groups[group] == nil {
 		return 0
@@ -27,8 +26,8 @@
 	return t.Groups[group].Revision
 }
 
-// Since returns the puts of a group after a revision, the oldest maxWatchEvents of
-// them; the error is ErrCompacted.
+// Since returns the puts of a group after a revision, at most the oldest maxWatchEvents of them;
+// the error is ErrCompacted.
 func (t *Tables) Since(group string, after int64) (WatchResult, error) {
 	revision := t.Revision(group)
 	if revision <= after {
