--- a/internal/timing/leases.go
+++ b/internal/timing/leases.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// MaxLeaseDuration is the longest lease that an agent asks for; a shorter maxHoldMs in the
+	// MaxLeaseDuration is the longest lease that an agent requests; a shorter maxHoldMs in the
 	// settings takes precedence.
 	MaxLeaseDuration = 3500 * time.Millisecond
 	// LeaseRenewInterval is the time between two lease renewals of an agent.
 	LeaseRenewInterval = 400 * time.Millisecond
-	// LeaseClockDriftFactor is how much slower a clock may run than the others: by 2%.
+	// LeaseClockDriftFactor allows for clocks that run up to 2% slower than others.
 	LeaseClockDriftFactor = 1.02
-	// LeaseExpiryMargin is added before the leader regards a silent worker's leases as expired, for
-	// killing runs and rounding.
+	// LeaseExpiryMargin is how much longer the leader waits before it regards the leases of a silent
+	// worker as expired. It covers the time to kill runs, and rounding.
 	LeaseExpiryMargin = 250 * time.Millisecond
-	// MaxRunLeaseAhead is how far ahead the untilMs sent to a runner may lie; the restart of an agent
-	// must fit in.
+	// MaxRunLeaseAhead is how far in the future the untilMs sent to a runner may be; the restart of an
+	// agent must fit into it.
 	MaxRunLeaseAhead = 2200 * time.Millisecond
-	// WorkerSilenceTimeout is the silence of an agent after which its worker gets no new tasks; two
-	// renewals were lost by then.
+	// WorkerSilenceTimeout is the time without contact to an agent after which its worker gets no new
+	// tasks; two renewals were lost by then.
 	WorkerSilenceTimeout = 900 * time.Millisecond
 )
--- a/internal/timing/membership.go
+++ b/internal/timing/membership.go
@@ -3,15 +3,16 @@
 import "time"
 
 const (
-	// MembershipLeaseDuration is how long a daemon's membership lasts without a renewal.
+	// MembershipLeaseDuration is how long the membership of a daemon lasts without renewal.
 	MembershipLeaseDuration = 15 * time.Second
 	// MembershipRenewInterval is the time between two renewals of the membership of a daemon that
 	// serves clients.
 	MembershipRenewInterval = 1500 * time.Millisecond
-	// AgentMembershipRenewInterval is the time between two renewals of an agent's membership; the
-	// leader also hears of agents by their lease renewals.
+	// AgentMembershipRenewInterval is the time between two renewals of an agent's membership. It is
+	// longer, since lease renewals also show the leader that an agent is alive.
 	AgentMembershipRenewInterval = 5 * time.Second
-	// LeaderContactTimeout is how long ago a daemon that reports itself as ready may have heard the
-	// leader; a renewal and an election during the next fit in.
+	// LeaderContactTimeout is the maximum age of the last contact with the leader at which a daemon
+	// still reports itself as ready. A renewal interval, and an election during the next renewal, fit
+	// into it.
 	LeaderContactTimeout = 3 * time.Second
 )
