--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,7 +1,7 @@
-// Package clock gives a group of replicas one monotonic and one wall clock, from machines whose
-// times of day drift and jump.
+// Package clock provides a group of replicas with one monotonic clock and one wall clock, although
+// the system clocks of their machines drift and jump.
 //
-// A leader stamps both on the entries of the log; followers learn them from the entries that they
-// apply, so that one that becomes leader goes on where the leader before it was. The package is
-// pure: it reads no clock itself.
+// The leader stamps both clocks on the entries of the log. Followers learn them from the entries
+// that they apply, so that a new leader continues from where the previous one was. The package
+// reads no clock itself: each call carries the time.
 package clock
--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -5,48 +5,50 @@
 	"time"
 )
 
-// neverSeen is the offset of a clock of which no entry is known.
-const neverSeen = time.Duration(math.MinInt64 / 2)
+// unknownOffset is the offset of a clock before any entry was observed.
+const unknownOffset = time.Duration(math.MinInt64 / 2)
 
-// Monotonic is the clock that a leader stamps on entries. It never runs backwards when the leader
-// changes: it goes on from the newest stamp in the log, or from where this replica, as a follower,
-// saw the leader's clock, which takes the time between two leaders into account. It is never ahead
-// of the time that has passed since any entry was stamped.
+// Monotonic is the monotonic clock that a leader stamps on entries. It never runs backwards when
+// the leader changes. A new leader continues from the newest stamp in the log or, if that is later,
+// from the previous leader's clock as it observed it as a follower, which accounts for the time
+// between the two leaders. The clock never advances by more than the time that has passed since any
+// entry was stamped.
 type Monotonic struct {
-	origin   time.Time     // of seen
-	seen     time.Duration // the leader's clock at origin, as a follower saw it
-	seenTerm uint64        // of the entry by which seen is known
-	base     int64         // the clock when this replica's term began, in ms
-	since    time.Time     // when that was
+	origin       time.Time     // reference time of observed
+	observed     time.Duration // the leader's clock at origin, as observed by this follower
+	observedTerm uint64        // term of the entry from which observed was computed
+	base         int64         // the clock, in ms, when this replica's term as leader began
+	baseAt       time.Time     // when that term began
 }
 
-// NewMonotonic returns a clock that begins to learn at a moment.
-func NewMonotonic(now time.Time) Monotonic { return Monotonic{origin: now, seen: neverSeen} }
+// NewMonotonic returns a clock that observes entries from now on.
+func NewMonotonic(now time.Time) Monotonic { return Monotonic{origin: now, observed: unknownOffset} }
 
-// Learn records the stamp, in ms, of the newest entry that was applied, and its term. Before any
-// entry the stamp is 0 and the clock doesn't run yet: replicas start at different moments, and
-// each would take its own for the zero of the group's clock.
+// Learn records the stamp, in ms, of the newest applied entry, and its term. Before any entry the
+// stamp is 0 and the clock doesn't run yet: replicas start at different times, and each would take
+// its own start for the zero of the group's clock.
 //
-// Within a term the earliest reading for the time that has passed since counts: others were
-// applied late. A leader of a later term may have started behind, from the newest entry of its
-// log; then its clock is the group's, and what was seen of the one before would be ahead of it:
-// a lock that the later one granted would be over too soon.
+// Within a term the largest offset counts, since smaller ones come from entries that were applied
+// late. The leader of a later term may have started from the newest entry of its log, behind the
+// clock of the previous leader. Its clock then is the clock of the group. An offset observed under
+// the previous leader would be ahead of it, and a lock granted in the later term would expire too
+// early.
 func (m *Monotonic) Learn(now time.Time, term uint64, stamp int64) {
 	if stamp <= 0 {
 		return
 	}
-	seen := time.Duration(stamp)*time.Millisecond - now.Sub(m.origin)
-	if term == m.seenTerm {
-		seen = max(seen, m.seen)
+	observed := time.Duration(stamp)*time.Millisecond - now.Sub(m.origin)
+	if term == m.observedTerm {
+		observed = max(observed, m.observed)
 	}
-	m.seen, m.seenTerm = seen, term
+	m.observed, m.observedTerm = observed, term
 }
 
-// BeginTerm begins a term of leadership; newest is the newest stamp in the log, in ms.
+// BeginTerm starts the clock for a term as leader; newest is the newest stamp in the log, in ms.
 func (m *Monotonic) BeginTerm(now time.Time, newest int64) {
-	seen := m.seen + now.Sub(m.origin)
-	m.base, m.since = max(newest, seen.Milliseconds()), now
+	observed := m.observed + now.Sub(m.origin)
+	m.base, m.baseAt = max(newest, observed.Milliseconds()), now
 }
 
-// Read returns a leader's clock, in ms.
-func (m *Monotonic) Read(now time.Time) int64 { return m.base + now.Sub(m.since).Milliseconds() }
+// Read returns the clock of a leader, in ms.
+func (m *Monotonic) Read(now time.Time) int64 { return m.base + now.Sub(m.baseAt).Milliseconds() }
--- a/internal/clock/monotonic_test.go
+++ b/internal/clock/monotonic_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestLowerMedian: of two in the middle the lower one, so that no run starts too early.
+// TestLowerMedian checks that the median is the lower of two middle values, so that no run starts
+// too early.
 func TestLowerMedian(t *testing.T) {
 	for _, test := range []struct {
 		times []time.Duration
@@ -23,9 +24,9 @@
 	}
 }
 
-// TestStateClockGoesOnOverElections: a new leader's clock takes in the time since the
-// last entry of the one before it, and is never ahead of it.
-func TestStateClockGoesOnOverElections(t *testing.T) {
+// TestMonotonicContinuesAfterElection checks that a new leader's clock includes the time since the
+// last entry of the previous leader, and is never ahead of that leader's clock.
+func TestMonotonicContinuesAfterElection(t *testing.T) {
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	clock := NewMonotonic(start)
@@ -33,28 +34,29 @@
 	clock.Learn(at(13), 1, 50_100) // applied 2.9 s late
 	clock.BeginTerm(at(15), 50_100)
 	if got := clock.Read(at(16)); got != 56_000 {
-		t.Errorf("6 s after an entry of 50 s the clock shows %d ms", got)
+		t.Errorf("6 s after an entry stamped 50 s the clock is at %d ms", got)
 	}
-	// The start of a replica without any entry isn't the zero of the cluster's clock.
+	// Without any entry, the start of a replica doesn't count as the zero of the cluster's clock.
 	clock = NewMonotonic(start)
 	clock.Learn(at(1), 1, 0)
 	clock.Learn(at(5), 1, 3_000)
 	clock.BeginTerm(at(5), 3_000)
 	if got := clock.Read(at(5)); got != 3_000 {
-		t.Errorf("at an entry of 3 s the clock shows %d ms", got)
+		t.Errorf("at an entry stamped 3 s the clock is at %d ms", got)
 	}
-	// Without any entry seen while it was up it goes on from the newest in the log.
+	// A replica that has observed no entry since its start continues from the newest stamp in the log.
 	clock = NewMonotonic(start)
 	clock.BeginTerm(at(100), 20_000)
 	if got := clock.Read(at(101)); got != 21_000 {
-		t.Errorf("1 s after a start at an entry of 20 s the clock shows %d ms", got)
+		t.Errorf("1 s after a start from an entry stamped 20 s the clock is at %d ms", got)
 	}
 }
 
-// TestStateClockIsNotAheadOfALaterTerm: a leader that started behind, from the newest entry of its
-// log, stamps entries; a follower that had seen the clock of the one before it goes on from the
-// later one's. Its clock was ahead by the difference once, and locks were given to a second holder.
-func TestStateClockIsNotAheadOfALaterTerm(t *testing.T) {
+// TestMonotonicIsNotAheadOfALaterTerm checks that a follower continues from the clock of the newest
+// term. The leader of that term may have started behind the previous leader's clock, from the newest
+// entry of its log. A follower that kept the offset it had observed under the previous leader was
+// ahead by the difference after its own election, and locks were granted to a second holder.
+func TestMonotonicIsNotAheadOfALaterTerm(t *testing.T) {
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	clock := NewMonotonic(start)
@@ -63,6 +65,6 @@
 	clock.Learn(at(12.5), 2, 50_400) // applied 0.4 s late
 	clock.BeginTerm(at(13), 50_400)
 	if got := clock.Read(at(14)); got != 52_300 {
-		t.Errorf("2 s after an entry of 50.3 s the clock shows %d ms", got)
+		t.Errorf("2 s after an entry stamped 50.3 s the clock is at %d ms", got)
 	}
 }
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -6,119 +6,119 @@
 )
 
 const (
-	// stepTolerance is by how much a time of day may be off the estimate and still count as
-	// drift; it is above the error of a reading over the network.
+	// stepTolerance is the largest difference between the members' time of day and the cluster's wall
+	// clock that counts as drift; it is above the error of a reading over the network.
 	stepTolerance = 100 * time.Millisecond
-	// stepHold is how long the members' readings must be off the cluster's wall clock, without a
-	// break and to the same side, before they are taken over.
-	stepHold = 10 * time.Second
-	// window is for how long a follower uses a reading of the leader's clock.
-	window = 5 * time.Second
+	// stepConfirmTime is how long the members' time of day must differ from the cluster's wall clock,
+	// without interruption and in the same direction, before it is adopted.
+	stepConfirmTime = 10 * time.Second
+	// learnWindow is the length of the windows of learnedOffset. A follower uses an observed offset of
+	// the leader's clock for one to two windows.
+	learnWindow = 5 * time.Second
 )
 
-// Wall is the wall clock of a group of replicas, as a process knows it on its own monotonic
-// clock. Followers learn it from the entries that they apply, so that one that becomes
-// leader goes on where the leader before it was. A leader holds it against the members'
-// times of day: small differences are slewed away, larger ones are taken over only once
-// they have lasted for stepHold, and without any entry before, at once.
+// Wall is the wall clock of a group of replicas, kept as an offset to the process's own monotonic
+// clock. Followers learn it from the entries that they apply, so that a new leader continues from
+// where the previous one was. A leader compares it with the median of the members' times of day.
+// Small differences are removed by slewing. Larger ones are adopted only once they have lasted for
+// stepConfirmTime. Without any earlier entry, the median is adopted at once.
 type Wall struct {
-	origin  time.Time     // of the offsets
-	offset  time.Duration // of a leader: time since 1970 at the origin
-	known   bool          // offset is that of the present term
-	readAt  time.Time
-	learned learnedOffset
+	origin    time.Time     // reference time of the offsets
+	offset    time.Duration // of a leader: time since 1970 at the origin
+	hasOffset bool          // offset was set in the current term
+	readAt    time.Time     // time of the leader's last reading
+	learned   learnedOffset
 
-	// Since when the members' times of day were off by more than the tolerance, all to
-	// one side; zero if they are not.
-	offSince time.Time
-	ahead    bool
+	// divergedSince is since when the members' time of day has differed from the clock by more than
+	// stepTolerance in one direction; zero if it doesn't. ahead tells that it is ahead of the clock.
+	divergedSince time.Time
+	ahead         bool
 }
 
-// Step is what a reading of the members' times of day did to the cluster's clock.
+// Step is the effect of a reading of the members' times of day on the cluster's clock.
 type Step struct {
-	OffBy   time.Duration // the median of the members less the cluster's clock
-	Began   bool          // they went apart now
-	Adopted bool          // the difference was taken over
+	OffBy   time.Duration // median of the members minus the cluster's clock
+	Began   bool          // a difference above the tolerance began with this reading
+	Adopted bool          // the members' time was adopted
 }
 
-// NewWall returns a clock that begins to learn at a moment.
+// NewWall returns a clock that observes entries from now on.
 func NewWall(now time.Time) Wall { return Wall{origin: now} }
 
-// Learn records the wall clock of an entry that is applied now. An entry is applied
-// after it was stamped, so the largest offset of late is the truest.
+// Learn records the wall clock of an entry that is applied now. Entries are applied after they were
+// stamped, so the largest recent offset is the most accurate.
 func (w *Wall) Learn(now time.Time, wall time.Duration) {
 	w.learned.add(now, wall-now.Sub(w.origin))
 }
 
-// BeginTerm forgets what was known as leader of an earlier term.
+// BeginTerm discards the offset of an earlier term as leader.
 func (w *Wall) BeginTerm() {
-	w.known, w.offSince = false, time.Time{}
+	w.hasOffset, w.divergedSince = false, time.Time{}
 }
 
-// Read returns a leader's wall clock, given the members' times of day, its own included.
+// Read returns the wall clock of a leader; members are the members' times of day, its own included.
 func (w *Wall) Read(now time.Time, members []time.Duration) (time.Duration, Step) {
 	elapsed := now.Sub(w.origin)
 	target := lowerMedian(members) - elapsed
-	if !w.known {
+	if !w.hasOffset {
 		offset, ok := w.learned.latest()
 		if !ok {
 			offset = target
 		}
-		w.offset, w.known, w.readAt = offset, true, now
+		w.offset, w.hasOffset, w.readAt = offset, true, now
 	}
 	step := w.follow(now, target)
 	w.readAt = now
 	return w.offset + elapsed, step
 }
 
-// follow holds the offset against that of the members.
+// follow compares the offset with that of the members, and adjusts it.
 func (w *Wall) follow(now time.Time, target time.Duration) Step {
-	off := target - w.offset
-	if off <= stepTolerance && off >= -stepTolerance {
-		w.offSince = time.Time{}
+	offBy := target - w.offset
+	if offBy <= stepTolerance && offBy >= -stepTolerance {
+		w.divergedSince = time.Time{}
 		w.offset = slew(w.offset, target, now.Sub(w.readAt))
-		return Step{OffBy: off}
+		return Step{OffBy: offBy}
 	}
-	step := Step{OffBy: off}
-	if w.offSince.IsZero() || w.ahead != (off > 0) {
-		w.offSince, w.ahead, step.Began = now, off > 0, true
+	step := Step{OffBy: offBy}
+	if w.divergedSince.IsZero() || w.ahead != (offBy > 0) {
+		w.divergedSince, w.ahead, step.Began = now, offBy > 0, true
 	}
-	if now.Sub(w.offSince) >= stepHold {
-		w.offset, w.offSince, step.Adopted = target, time.Time{}, true
+	if now.Sub(w.divergedSince) >= stepConfirmTime {
+		w.offset, w.divergedSince, step.Adopted = target, time.Time{}, true
 	}
 	return step
 }
 
-// learnedOffset is the largest of the offsets of the last one to two windows.
+// learnedOffset is the largest of the offsets observed in the last one to two windows.
 type learnedOffset struct {
-	windowAt         time.Time
-	present, earlier time.Duration
-	windows          int // that have an offset: 0, 1, or 2 for both
+	windowStart       time.Time
+	current, previous time.Duration
+	windowCount       int // windows that have an offset: 0, 1 (current) or 2
 }
 
 // add records an offset.
 func (l *learnedOffset) add(now time.Time, offset time.Duration) {
 	switch {
-	case l.windows == 0:
-		l.windowAt, l.present, l.windows = now, offset, 1
-	case now.Sub(l.windowAt) >= window:
-		l.windowAt, l.earlier, l.present, l.windows = now, l.present, offset, 2
+	case l.windowCount == 0:
+		l.windowStart, l.current, l.windowCount = now, offset, 1
+	case now.Sub(l.windowStart) >= learnWindow:
+		l.windowStart, l.previous, l.current, l.windowCount = now, l.current, offset, 2
 	default:
-		l.present = max(l.present, offset)
+		l.current = max(l.current, offset)
 	}
 }
 
-// latest returns the largest offset; false if there was none.
+// latest returns the largest offset; false if none was recorded.
 func (l *learnedOffset) latest() (time.Duration, bool) {
-	if l.windows == 2 {
-		return max(l.present, l.earlier), true
+	if l.windowCount == 2 {
+		return max(l.current, l.previous), true
 	}
-	return l.present, l.windows > 0
+	return l.current, l.windowCount > 0
 }
 
-// lowerMedian is the median of some times, the lower of two in the middle, since a
-// periodic job may start late but not early. It sorts its argument, which must not be
-// empty.
+// lowerMedian returns the median of the times, or the lower of two middle ones, since a periodic
+// job may start late but not early. It sorts its argument, which must not be empty.
 func lowerMedian(times []time.Duration) time.Duration {
 	slices.Sort(times)
 	return times[(len(times)-1)/2]
