--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -9,8 +9,9 @@
 	"tealpond/internal/transport"
 )
 
-// TestFrameBytes holds the frames between servers against the golden bytes.
-func TestFrameBytes(t *testing.T) {
+// TestFrameEncodingMatchesGoldenFile compares the encoded frames between servers with the golden
+// files.
+func TestFrameEncodingMatchesGoldenFile(t *testing.T) {
 	codec := golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
 	message := raft.Message{Kind: raft.MsgSnapshot, From: "from", To: "to", Term: 1, Index: 2, LogTerm: 3, Commit: 4, Entries: []raft.Entry{}, SendStamp: 5, WallClock: 6,
 		Snapshot: &raft.Snapshot{Index: 7, Term: 8, Voters: []raft.Member{{Node: "node", ID: "disk", Addr: "address"}}, Data: []byte{},
@@ -23,5 +24,5 @@
 			Quality: linkQuality{Latency: 43, Transfer: 44}}},
 	})
 	golden.Text(t, "kinds.txt", fmt.Sprintf("frame digest %d\nframe snapshot-part %d\nframe snapshot-part-received %d\nframe link-probe %d\ncode stay %d\n",
-		frameDigest, frameSnapshotChunk, frameSnapshotAck, frameLinkProbe, codeStillNeeded))
+		frameDigest, frameSnapshotChunk, frameSnapshotAck, frameLinkProbe, codeReleaseDeferred))
 }
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -10,44 +10,46 @@
 )
 
 const (
-	// shutdownWaitSlack is added to the wait for the other servers, where the event loop itself may be
-	// late.
+	// shutdownWaitSlack is added to the wait for the other servers, because the event loop itself
+	// may be late.
 	shutdownWaitSlack = 200 * time.Millisecond
-	// shutdownPollInterval is the time between two requests for permission to end.
+	// shutdownPollInterval is the interval between two requests for permission to shut down.
 	shutdownPollInterval = 50 * time.Millisecond
-	// shutdownRenewInterval is the time between two messages of a server that may end and still
-	// answers requests.
+	// shutdownRenewInterval is the interval at which a server that may shut down, and still handles
+	// requests, repeats its announcement.
 	shutdownRenewInterval = 250 * time.Millisecond
-	// leadershipTransferTimeout is how long a leader that ends waits for another one to take over.
+	// leadershipTransferTimeout is how long a leader that shuts down waits for another server to
+	// take over.
 	leadershipTransferTimeout = 300 * time.Millisecond
-	// shutdownExclusionPeriod is how long a daemon that announced its end is appointed to nothing.
+	// shutdownExclusionPeriod is how long a daemon that announced its shutdown is excluded from
+	// appointments.
 	shutdownExclusionPeriod = 5 * time.Second
 )
 
-// departure is the end of this process, once it was asked for.
+// departure is the progress of a requested shutdown of this process.
 type departure struct {
 	waiters          []chan struct{}
-	deadline         time.Time // zero: the process stays
-	transferDeadline time.Time // of the transfer of leadership under way
+	deadline         time.Time // zero if no shutdown was requested
+	transferDeadline time.Time // of the leadership transfer in progress
 	transferring     bool
-	requested        bool // the leader is being asked whether this server may end
+	releaseRequested bool // the leader has been asked to release this server
 }
 
 const (
-	// codeStillNeeded answers rpc.KindReleaseZones where the others can't do without
-	// the server yet, which asks again after Response.RetryAfterMs.
-	codeStillNeeded = 425
-	// leavePollInterval is how often a leaving server looks whether it may end.
+	// codeReleaseDeferred is the response to rpc.KindReleaseZones while the cluster still needs the
+	// server, which repeats the request after Response.RetryAfterMs.
+	codeReleaseDeferred = 425
+	// leavePollInterval is the interval at which a leaving server checks whether it may exit.
 	leavePollInterval = 20 * time.Millisecond
 )
 
-// leaveTimeout is the longest that a server waits before it ends.
+// leaveTimeout returns the longest time that a server waits before it exits.
 func (r *Replica) leaveTimeout() time.Duration {
 	return max(leadershipTransferTimeout, time.Duration(timing.ShutdownWaitFraction*float64(r.settings.Grace())))
 }
 
-// Leave hands over leadership or aggregation before the process ends, and waits,
-// up to a bound, while the others could not do without this server's storage.
+// Leave transfers leadership or aggregation before the process exits. It waits, up to leaveTimeout,
+// while the cluster still needs this server's storage.
 func (r *Replica) Leave() {
 	done := make(chan struct{})
 	if !r.send(loopEvent{leave: done}) {
@@ -59,8 +61,8 @@
 	}
 }
 
-// beginLeave begins to leave; done is closed once the process may end. Until it does, this
-// server goes on as a replica, and the leader knows that it ends.
+// beginLeave starts leaving the cluster; done is closed once the process may exit. Until then this
+// server remains a replica, and the leader knows that it is shutting down.
 func (r *Replica) beginLeave(ctx context.Context, done chan struct{}) {
 	r.departure.waiters = append(r.departure.waiters, done)
 	if len(r.departure.waiters) > 1 {
@@ -75,10 +77,10 @@
 	}
 }
 
-// requestLeave has this server's zones given to their standbys, and asks the leader
-// until it may end.
+// requestLeave asks the leader to hand over this server's zones to their standbys, and repeats the
+// request until the leader releases the server.
 func (r *Replica) requestLeave(ctx context.Context) {
-	r.departure.requested = true
+	r.departure.releaseRequested = true
 	r.aggregator.FailAll(responseNotLeader)
 	if !r.node.IsVoter(r.self.ID) && !r.isAppointed(r.self.ID) {
 		r.finishLeaving()
@@ -92,9 +94,9 @@
 	}()
 }
 
-// release asks the leader whether this server may end; it returns after how long to ask
-// again, 0 if it may.
-func (r *Replica) release(ctx context.Context) time.Duration {
+// requestRelease asks the leader whether this server may exit. It returns the delay until the next
+// request, or 0 if the server may exit.
+func (r *Replica) requestRelease(ctx context.Context) time.Duration {
 	response := r.leaderClient.Call(ctx, rpc.KindReleaseZones, &rpc.ZoneRelease{Disk: r.self.ID})
 	if response.Code == rpc.CodeOK {
 		return 0
@@ -102,12 +104,12 @@
 	return max(shutdownPollInterval, time.Duration(response.RetryAfterMs)*time.Millisecond)
 }
 
-// awaitRelease asks the leader until this server may end, or its time is over.
+// awaitRelease repeats the request until the leader releases this server or the deadline passes.
 func (r *Replica) awaitRelease(ctx context.Context, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	for ctx.Err() == nil {
-		wait := r.release(ctx)
+		wait := r.requestRelease(ctx)
 		if wait == 0 {
 			return
 		}
@@ -118,8 +120,9 @@
 	}
 }
 
-// renewRelease tells the leader again and again that this server ends, until it has: its
-// requests may take much of the grace time, and another leader may know nothing of it.
+// renewRelease keeps announcing to the leader that this server is shutting down, until it exits:
+// its open requests may take much of the grace period, and a new leader may not know of the
+// shutdown.
 func (r *Replica) renewRelease(ctx context.Context) {
 	ticker := time.NewTicker(shutdownRenewInterval)
 	defer ticker.Stop()
@@ -130,12 +133,12 @@
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, shutdownReleasePeriod)
-		r.release(callCtx)
+		r.requestRelease(callCtx)
 		cancel()
 	}
 }
 
-// finishLeaving lets the process end.
+// finishLeaving allows the process to exit.
 func (r *Replica) finishLeaving() {
 	for _, done := range r.departure.waiters {
 		close(done)
@@ -143,8 +146,8 @@
 	r.departure.waiters = nil
 }
 
-// continueLeave takes the next step of leaving; it returns after how long the next
-// one is due, 0 if this server isn't leaving.
+// continueLeave advances the shutdown. It returns the delay until its next step, or 0 if this
+// server is not leaving.
 func (r *Replica) continueLeave(ctx context.Context, now time.Time) time.Duration {
 	if r.departure.deadline.IsZero() || r.node == nil {
 		return 0
@@ -155,17 +158,17 @@
 	switch {
 	case r.node.IsLeader():
 		r.transferLeadership(now)
-	case !r.departure.requested:
-		// Another leads, by a transfer or without one, and is to know that this server
-		// ends: two that do at the same moment wait for each other.
+	case !r.departure.releaseRequested:
+		// Another server is leader, after a transfer or an election, and must learn that this
+		// server is shutting down: two servers that shut down at the same time wait for each other.
 		r.requestLeave(ctx)
 	}
 	return leavePollInterval
 }
 
-// transferLeadership transfers leadership once the others can do without this
-// server, or when there is just enough time left for it. Until then it goes on
-// leading, and may itself put a candidate in its place.
+// transferLeadership transfers leadership once the cluster can do without this server, or when just
+// enough time is left for the transfer. Until then this server stays leader, and may itself have a
+// candidate take its place as a voter.
 func (r *Replica) transferLeadership(now time.Time) {
 	if len(r.node.Voters()) == 1 {
 		r.finishLeaving()
@@ -178,8 +181,8 @@
 		}
 		return
 	}
-	noTimeLeft := r.departure.deadline.Sub(now) <= leadershipTransferTimeout
-	if !noTimeLeft && r.node.LeaderReady() && r.reasonToStay(r.self.ID) != "" {
+	deadlineNear := r.departure.deadline.Sub(now) <= leadershipTransferTimeout
+	if !deadlineNear && r.node.LeaderReady() && r.shutdownBlocker(r.self.ID) != "" {
 		return
 	}
 	if r.node.TransferLeadership() == nil {
@@ -188,21 +191,21 @@
 	}
 }
 
-// handleReleaseZones takes the zones from a server that leaves; their standbys take
-// over, and a waiting candidate may become a voter in its place. The answer is
-// codeStillNeeded until the others can do without the server.
+// handleReleaseZones reassigns the zones of a server that leaves. Their standbys take over, and a
+// waiting candidate may replace the server as a voter. The response is codeReleaseDeferred until
+// the cluster can do without the server.
 func (r *Replica) handleReleaseZones(request *rpc.ZoneRelease, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
 	r.appointments.leavingUntil[request.Disk] = now.Add(shutdownExclusionPeriod)
 	r.appointAggregators(now)
-	reason := r.reasonToStay(request.Disk)
+	reason := r.shutdownBlocker(request.Disk)
 	for zone, aggregator := range r.state.Aggregators {
 		if aggregator.Member == request.Disk && r.appointments.changePending[zone] {
 			reason = "its zones are being given to others"
 		}
 	}
 	if reason != "" {
-		reply(rpc.Response{Code: codeStillNeeded, Text: reason, RetryAfterMs: shutdownPollInterval.Milliseconds()})
+		reply(rpc.Response{Code: codeReleaseDeferred, Text: reason, RetryAfterMs: shutdownPollInterval.Milliseconds()})
 		return
 	}
 	r.appointments.releasedAt[request.Disk] = now
--- a/internal/server/leave_test.go
+++ b/internal/server/leave_test.go
@@ -9,14 +9,15 @@
 	"tealpond/internal/state"
 )
 
-// TestLeavingServerIsReleasedOnceTheOthersAreWell: while another voter lags the leader
-// has it wait; then it may end, and its zones are given to another.
-func TestLeavingServerIsReleasedOnceTheOthersAreWell(t *testing.T) {
+// TestLeavingServerIsReleasedOnceOtherVotersAreHealthy checks that the leader defers the release of
+// a server while another voter lags. After that it releases the server and gives its zones to
+// another one.
+func TestLeavingServerIsReleasedOnceOtherVotersAreHealthy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		(&state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: "z", Member: "b"}}).Apply(h.replica.state)
-		if response := h.call(rpc.KindReleaseZones, rpc.ZoneRelease{Disk: "b"}); response.Code != codeStillNeeded || response.RetryAfterMs != shutdownPollInterval.Milliseconds() || response.Text == "" {
-			t.Errorf("while c is silent: %+v", response)
+		if response := h.call(rpc.KindReleaseZones, rpc.ZoneRelease{Disk: "b"}); response.Code != codeReleaseDeferred || response.RetryAfterMs != shutdownPollInterval.Milliseconds() || response.Text == "" {
+			t.Errorf("response while c is silent: %+v", response)
 		}
 		released := false
 		for i := 0; i < 100 && !released; i++ {
@@ -28,29 +29,30 @@
 			t.Errorf("released %v, leaving until %v", released, h.replica.appointments.leavingUntil)
 		}
 		if aggregator := h.replica.state.Aggregators["z"]; aggregator.Member == "b" {
-			t.Errorf("its zone is still its own: %+v", aggregator)
+			t.Errorf("zone is still assigned to the leaving server: %+v", aggregator)
 		}
 	})
 }
 
-// TestLeaveWithoutANodeEndsAtOnce: a server that belongs to no cluster holds nothing that
-// others need.
-func TestLeaveWithoutANodeEndsAtOnce(t *testing.T) {
+// TestLeaveWithoutNodeFinishesImmediately checks that a server that belongs to no cluster does not
+// delay its exit: it holds nothing that others need.
+func TestLeaveWithoutNodeFinishesImmediately(t *testing.T) {
 	replica := newReplica()
 	done := make(chan struct{})
 	replica.beginLeave(t.Context(), done)
 	select {
 	case <-done:
 	default:
-		t.Error("it waits")
+		t.Error("leave did not finish immediately")
 	}
 	if len(replica.departure.waiters) != 0 {
-		t.Errorf("%d wait", len(replica.departure.waiters))
+		t.Errorf("%d waiters left", len(replica.departure.waiters))
 	}
 }
 
-// TestLeavingLeaderTransfersLeadership: once the others can do without it, or shortly
-// before its time is over; the process ends when another leads.
+// TestLeavingLeaderTransfersLeadership checks that a leader that leaves transfers leadership once
+// the cluster can do without it, or shortly before its deadline. The process may exit once another
+// server leads or the transfer has timed out.
 func TestLeavingLeaderTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -59,21 +61,21 @@
 		h.replica.beginLeave(t.Context(), done)
 		h.turn()
 		if h.replica.departure.transferring {
-			t.Fatal("it hands over while another voter is silent")
+			t.Fatal("leadership transferred while another voter is silent")
 		}
 		for i := 0; i < 100 && !h.replica.departure.transferring; i++ {
 			h.acknowledge("c")
 			h.turn()
 		}
 		if !h.replica.departure.transferring {
-			t.Fatal("it does not hand over")
+			t.Fatal("leadership not transferred")
 		}
 		time.Sleep(leadershipTransferTimeout + time.Millisecond)
 		h.endTurn()
 		select {
 		case <-done:
 		default:
-			t.Error("it waits after its time")
+			t.Error("leave did not finish after the transfer timeout")
 		}
 	})
 }
--- a/internal/server/link_trial.go
+++ b/internal/server/link_trial.go
@@ -9,67 +9,70 @@
 )
 
 const (
-	// linkProbeShare is the time within which a leader sends as many bytes as the probes of a
-	// comparison have; minLinkPadding and maxLinkPadding bound the padding of each, in bytes.
-	linkProbeShare = 100 * time.Millisecond
-	minLinkPadding = 1 << 10
-	maxLinkPadding = 32 << 10
-	// minLatencyGain and minTransferRatio tell how much better the link of another voter must be for a
-	// handover.
+	// linkProbeSendTime is the time in which the leader normally sends as many bytes as the
+	// transfer probes of a measurement contain. minLinkPadding and maxLinkPadding limit the padding
+	// of one probe, in bytes.
+	linkProbeSendTime = 100 * time.Millisecond
+	minLinkPadding    = 1 << 10
+	maxLinkPadding    = 32 << 10
+	// minLatencyGain and minTransferRatio are how much better another voter's link must be for a
+	// leadership transfer.
 	minLatencyGain   = 20 * time.Millisecond
 	minTransferRatio = 4
-	// byteRateInterval is the time over which the rate of sent bytes is taken.
+	// byteRateInterval is the interval over which the rate of sent bytes is measured.
 	byteRateInterval = time.Second
 )
 
-// A leader whose link carries less than it has to send is answered late by all. Late answers alone
-// don't tell that from slow disks, long ways or links that are narrow everywhere, where another
-// leader is heard no sooner. So a leader that is answered late has each voter measure its own link
-// to a quorum by the same probes, and transfers the leadership only to one whose link is clearly better.
+// All voters respond late to a leader whose link is too narrow for what it has to send. Late
+// responses alone do not tell this from slow disks, long distances or links that are narrow
+// everywhere, where another leader would get its responses no sooner. A leader with late responses
+// therefore has each voter measure its own link to a quorum with the same probes. It transfers
+// leadership only to a voter whose link is clearly better.
 
 // frameLinkProbe carries a linkProbe between replicas.
 const frameLinkProbe = byte(68)
 
-// probeKind tells what a linkProbe asks or answers. The numbers are sent.
+// probeKind is the kind of a linkProbe. Its values are part of the wire format.
 type probeKind byte
 
 // Kinds of link probes, in the order of a measurement.
 const (
 	probeMeasure  probeKind = iota // the leader asks a voter to measure its link
-	probeLatency                   // a small probe; it is answered at once
-	probeTransfer                  // one with padding; it is answered at once
-	probeAnswer                    // the answer to either
-	probeReport                    // a voter tells the leader what it has measured
+	probeLatency                   // a small probe, answered at once
+	probeTransfer                  // a probe with padding, answered at once
+	probeAnswer                    // the answer to a latency or transfer probe
+	probeReport                    // a voter reports its measurement to the leader
 )
 
 // linkProbe is a message of a measurement.
 type linkProbe struct {
 	_    struct{} `cbor:",toarray"`
-	From string   // a disk's ID
+	From string   // the ID of a member's disk
 	To   string
 	Kind probeKind
-	// Answered is the kind of the probe that a probeAnswer answers.
+	// Answered is the kind of the probe that a probeAnswer responds to.
 	Answered probeKind
-	// Trial names the measurement: when its leader began it, in ns on that leader's clock.
+	// Trial identifies the measurement by its start time, in ns on the leader's clock.
 	Trial int64
-	// PaddingBytes is the length of the padding of transfer probes.
+	// PaddingBytes is the length of the padding of each transfer probe.
 	PaddingBytes int
 	Padding      []byte
-	Quality      linkQuality // in a report
+	Quality      linkQuality // set in a report
 }
 
-// linkQuality is what a replica has measured of its link to a quorum.
+// linkQuality is the result of a replica's measurement of its link to a quorum.
 type linkQuality struct {
 	_ struct{} `cbor:",toarray"`
-	// Latency is the round trip of a small probe, Transfer how much longer one with padding
-	// takes while one is sent to each voter.
+	// Latency is the round-trip time of a small probe. Transfer is how much longer a probe with
+	// padding takes while one is sent to each voter.
 	Latency, Transfer time.Duration
 }
 
-// isClearlyBetter reports whether a link would serve a leader better than another one does.
-func (q linkQuality) isClearlyBetter(than linkQuality) bool {
-	return than.Latency >= 2*q.Latency+minLatencyGain &&
-		than.Transfer >= minTransferRatio*q.Transfer
+// isClearlyBetter reports whether a leader would be clearly better served by this link than by the
+// other one.
+func (q linkQuality) isClearlyBetter(other linkQuality) bool {
+	return other.Latency >= 2*q.Latency+minLatencyGain &&
+		other.Transfer >= minTransferRatio*q.Transfer
 }
 
 // linkMeasurement is a replica's measurement of its own link.
@@ -77,20 +80,20 @@
 	trial        int64
 	leader       string
 	paddingBytes int
-	kind         probeKind // of the probes that are on their way; probeReport: it is complete
+	kind         probeKind // of the probes in flight; probeReport if complete
 	sentAt       time.Time
-	answered     map[string]time.Duration // by voter, of the probes that are on their way
+	answered     map[string]time.Duration // by voter, for the probes in flight
 	quality      linkQuality
 }
 
-// linkTrial is a leader's comparison of all voters' links.
+// linkTrial is a leader's comparison of the links of all voters.
 type linkTrial struct {
-	id      int64 // 0: none is under way
+	id      int64 // 0 if none is running
 	endedAt time.Time
 	reports map[string]linkQuality // by voter
 }
 
-// startLinkTrial has all voters measure their links, this replica too.
+// startLinkTrial has all voters, including this replica, measure their links.
 func (r *Replica) startLinkTrial(ctx context.Context, now time.Time) {
 	trial := &r.linkTrial
 	trial.id, trial.reports = now.UnixNano(), map[string]linkQuality{}
@@ -103,24 +106,24 @@
 	r.measureLink(ctx, linkProbe{From: r.self.ID, Trial: trial.id, PaddingBytes: padding}, now)
 }
 
-// linkPadding is the length of the padding with which a probe to each voter is as much as this
-// leader sends them in linkProbeShare.
+// linkPadding returns the padding length with which one probe to each voter amounts to the bytes
+// that this leader sends in linkProbeSendTime.
 func (r *Replica) linkPadding() int {
-	sent := r.sentBytes.perSecond * linkProbeShare.Seconds()
+	sent := r.sentBytes.perSecond * linkProbeSendTime.Seconds()
 	perVoter := int(sent) / max(1, len(r.node.Voters())-1)
 	return min(max(perVoter, minLinkPadding), maxLinkPadding)
 }
 
-// measureLink begins to measure this replica's link, by order of the leader.
-func (r *Replica) measureLink(ctx context.Context, order linkProbe, now time.Time) {
+// measureLink starts a measurement of this replica's link, as requested by the leader.
+func (r *Replica) measureLink(ctx context.Context, request linkProbe, now time.Time) {
 	r.linkMeasurement = linkMeasurement{
-		trial: order.Trial, leader: order.From,
-		paddingBytes: min(max(order.PaddingBytes, 0), maxLinkPadding),
+		trial: request.Trial, leader: request.From,
+		paddingBytes: min(max(request.PaddingBytes, 0), maxLinkPadding),
 	}
 	r.sendProbes(ctx, probeLatency, now)
 }
 
-// sendProbes sends a probe of a kind to each other voter.
+// sendProbes sends a probe of the given kind to each other voter.
 func (r *Replica) sendProbes(ctx context.Context, kind probeKind, now time.Time) {
 	measurement := &r.linkMeasurement
 	measurement.kind, measurement.sentAt, measurement.answered = kind, now, map[string]time.Duration{}
@@ -142,7 +145,7 @@
 	r.sendFrame(ctx, probe.To, transport.Frame{Kind: frameLinkProbe, Body: transport.Encode(probe)})
 }
 
-// handleLinkProbe takes a message of a measurement.
+// handleLinkProbe handles a message of a measurement.
 func (r *Replica) handleLinkProbe(ctx context.Context, body []byte, stream *transport.Stream) {
 	var probe linkProbe
 	if transport.Decode(body, &probe) != nil || probe.To != r.self.ID || r.node == nil || !r.node.IsVoter(probe.From) {
@@ -166,7 +169,7 @@
 	}
 }
 
-// handleProbeAnswer goes on with the measurement once a quorum has answered.
+// handleProbeAnswer records an answer, and advances the measurement once a quorum has answered.
 func (r *Replica) handleProbeAnswer(ctx context.Context, answer linkProbe, now time.Time) {
 	measurement := &r.linkMeasurement
 	if answer.Trial != measurement.trial || answer.Answered != measurement.kind {
@@ -192,9 +195,9 @@
 	}
 }
 
-// ownQuality is what is known by now of this replica's link: the time that probes have been on
-// their way counts, so that a leader needn't wait for its own ones to arrive.
-func (m *linkMeasurement) ownQuality(now time.Time) linkQuality {
+// currentQuality returns what is known so far of this replica's link. The time for which probes
+// have been in flight counts, so that a leader need not wait for the answers to its own probes.
+func (m *linkMeasurement) currentQuality(now time.Time) linkQuality {
 	quality := m.quality
 	switch m.kind {
 	case probeLatency:
@@ -205,10 +208,10 @@
 	return quality
 }
 
-// betterVoter is the voter with the best link of those that have reported and whose links are
-// clearly better than this leader's own; empty if there is none.
-func (r *Replica) betterVoter(now time.Time) string {
-	own, best := r.linkMeasurement.ownQuality(now), ""
+// voterWithBetterLink returns the ID of the voter with the best link among those that have reported
+// a clearly better link than this leader's own, or "" if there is none.
+func (r *Replica) voterWithBetterLink(now time.Time) string {
+	own, best := r.linkMeasurement.currentQuality(now), ""
 	for _, voter := range r.node.Voters() {
 		quality, reported := r.linkTrial.reports[voter.ID]
 		if !reported || !quality.isClearlyBetter(own) {
@@ -221,19 +224,18 @@
 	return best
 }
 
-// byteRate is the number of bytes a second over the last byteRateInterval.
+// byteRate measures bytes per second over intervals of byteRateInterval.
 type byteRate struct {
 	perSecond float64
-	bytes     int // since started
-	started   time.Time
+	bytes     int // since startedAt
+	startedAt time.Time
 }
 
-// add counts bytes.
 func (b *byteRate) add(bytes int) { b.bytes += bytes }
 
-// update takes the rate anew once byteRateInterval is over.
+// update recomputes the rate once byteRateInterval has passed.
 func (b *byteRate) update(now time.Time) {
-	if elapsed := now.Sub(b.started); elapsed >= byteRateInterval {
-		b.perSecond, b.bytes, b.started = float64(b.bytes)/elapsed.Seconds(), 0, now
+	if elapsed := now.Sub(b.startedAt); elapsed >= byteRateInterval {
+		b.perSecond, b.bytes, b.startedAt = float64(b.bytes)/elapsed.Seconds(), 0, now
 	}
 }
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// aggregatorSilenceTimeout is the silence of an aggregator's daemon after which its zone gets
-	// another one.
+	// aggregatorSilenceTimeout is the time without contact after which an aggregator is replaced in
+	// its zone.
 	aggregatorSilenceTimeout = 600 * time.Millisecond
-	// voterReplacementTimeout is the silence of a voter after which a candidate that has caught up may
-	// take its place; it is above a restart and below catchUpS.
+	// voterReplacementTimeout is the time without contact after which a caught-up candidate may
+	// replace a voter. It is longer than a restart and below catchUpS.
 	voterReplacementTimeout = 2500 * time.Millisecond
-	// candidateContactTimeout is the longest silence of a candidate that may still take a voter's
-	// place: a dozen heartbeats.
+	// candidateContactTimeout is the longest time without contact at which a candidate may still
+	// replace a voter: a dozen heartbeats.
 	candidateContactTimeout = time.Second
-	// candidateExpiry is the silence after which a candidate is forgotten; it is above any pause
-	// between its announcements.
+	// candidateExpiry is the time without contact after which a candidate is removed. It is longer
+	// than any pause between its announcements.
 	candidateExpiry = 10 * time.Second
 )
 
-// handleJoin registers a candidate: a server that wants to become a voter. Until it
-// is one it gets the log as a learner (see reconcileVoters).
+// handleJoin registers a candidate: a server that wants to become a voter. Until it is one, it
+// receives the log as a learner (see reconcileVoters).
 func (r *Replica) handleJoin(candidate *raft.Member, _ *transport.Stream, reply replyFunc) {
 	if candidate.ID == "" {
 		reply(responseBadRequest)
@@ -41,13 +41,13 @@
 	reply(responseOK)
 }
 
-// membershipTracker is what only a leader knows of the candidates for a voter's place.
+// membershipTracker holds what only the leader knows about candidates and faulty voters.
 type membershipTracker struct {
 	candidates   map[string]raft.Member // by member ID
-	loggedFaulty string                 // the voters last logged as faulty
+	loggedFaulty string                 // the faulty voters that were logged last
 }
 
-// candidatesByID are all candidates that asked this leader for a place.
+// candidatesByID returns all candidates that have announced themselves to this leader.
 func (r *Replica) candidatesByID() map[string]raft.Member {
 	if r.membership.candidates == nil {
 		r.membership.candidates = map[string]raft.Member{}
@@ -55,8 +55,8 @@
 	return r.membership.candidates
 }
 
-// liveCandidates are the servers that want to become voters, in the order of their
-// IDs; one that fell silent is forgotten, and announces itself when it is back.
+// liveCandidates returns the candidates with recent contact, ordered by ID. One without contact for
+// candidateExpiry is removed, and announces itself again when it is back.
 func (r *Replica) liveCandidates() []raft.Member {
 	var live []raft.Member
 	for id, candidate := range r.candidatesByID() {
@@ -75,22 +75,23 @@
 	return live
 }
 
-// canTakePlace reports whether a candidate may become a voter now: it has caught up, so
-// that commits need not wait for it, and was heard lately.
+// canTakePlace reports whether a candidate may become a voter now: it has caught up, so that
+// commits need not wait for it, and there was recent contact with it.
 func (r *Replica) canTakePlace(candidate raft.Member) bool {
 	return r.node.CaughtUp(candidate.ID) && r.node.TimeSinceContact(candidate.ID) <= candidateContactTimeout
 }
 
-// reconcileVoters puts a caught-up candidate in the place of a voter that is gone,
-// in one change: the voter goes out as the candidate comes in, and a majority of
-// both sets agrees, so that there is never one voter less.
+// reconcileVoters adds a caught-up candidate as a voter, or replaces a failed or leaving voter by
+// it. A replacement is a single configuration change that removes the old voter and adds the
+// candidate. It needs a majority of both the old and the new set, so the number of voters never
+// drops in between. A surplus voter is removed first, see removeSurplusVoter.
 func (r *Replica) reconcileVoters(now time.Time) {
 	r.logFaultyVoters()
 	if r.node.ConfChangePending() {
 		return
 	}
 	voters := r.node.Voters()
-	if r.dropSurplusVoter(voters, now) {
+	if r.removeSurplusVoter(voters, now) {
 		return
 	}
 	for _, candidate := range r.liveCandidates() {
@@ -99,31 +100,31 @@
 		}
 		if len(voters) < r.bootstrap.MinVoters {
 			_ = r.log.Log("level", "info", "event", "voter.addition_proposed", "node", candidate.Node, "disk", candidate.ID)
-			_ = r.node.ProposeConfChange(append(slices.Clone(voters), candidate)) // else it is proposed again
+			_ = r.node.ProposeConfChange(append(slices.Clone(voters), candidate)) // on an error it is proposed again
 			return
 		}
 		i, reason := r.voterToReplace(voters, candidate, now)
 		if reason == "" {
 			continue
 		}
-		old := voters[i]
-		_ = r.log.Log("level", "info", "event", "voter.replacement_proposed", "node", old.Node, "disk", old.ID, "reason", reason,
+		replaced := voters[i]
+		_ = r.log.Log("level", "info", "event", "voter.replacement_proposed", "node", replaced.Node, "disk", replaced.ID, "reason", reason,
 			"new_node", candidate.Node, "new_disk", candidate.ID)
-		// The configuration no longer names the old voter, which must learn of the
-		// change if it is still up, so its address is kept.
-		r.peers.addresses[old.ID] = old.Addr
+		// The new configuration does not contain the old voter. Its address is kept because it must
+		// learn of the change if it is still running.
+		r.peers.addresses[replaced.ID] = replaced.Addr
 		next := slices.Clone(voters)
 		next[i] = candidate
-		_ = r.node.ProposeConfChange(next) // else it is proposed again
+		_ = r.node.ProposeConfChange(next) // on an error it is proposed again
 		return
 	}
 }
 
-// dropSurplusVoter proposes to remove one of an even number of voters, unless it is
-// needed: cut into two halves, an even set has no majority on either side, and it
-// bears no more losses than the odd one below it. It returns false if there is none
-// to remove. The removed server joins again as a learner.
-func (r *Replica) dropSurplusVoter(voters []raft.Member, now time.Time) bool {
+// removeSurplusVoter proposes to remove one of an even number of voters, unless it is needed. An even
+// set that is partitioned into two halves has no majority on either side, and it tolerates no more
+// failures than the odd set with one voter less. It returns false if it proposed no removal. The
+// removed server rejoins as a learner.
+func (r *Replica) removeSurplusVoter(voters []raft.Member, now time.Time) bool {
 	if len(voters)%2 != 0 || len(voters) <= r.bootstrap.MinVoters {
 		return false
 	}
@@ -131,78 +132,78 @@
 	if surplus < 0 {
 		return false
 	}
-	dropped := voters[surplus]
+	removed := voters[surplus]
 	if r.node.ProposeConfChange(slices.Delete(slices.Clone(voters), surplus, surplus+1)) != nil {
 		return false
 	}
-	// It must learn of the change, and its address is known by the voters alone.
-	r.peers.addresses[dropped.ID] = dropped.Addr
-	_ = r.log.Log("level", "info", "event", "voter.removal_proposed", "node", dropped.Node, "disk", dropped.ID, "voters", len(voters))
+	// The removed voter must learn of the change, and only the voters know its address.
+	r.peers.addresses[removed.ID] = removed.Addr
+	_ = r.log.Log("level", "info", "event", "voter.removal_proposed", "node", removed.Node, "disk", removed.ID, "voters", len(voters))
 	return true
 }
 
-// surplusVoter is the index of the voter to remove from an even set: the one that is
-// silent, faulty or leaving; else the last one besides the leader, if all others have
-// caught up. It is negative if none can go now.
+// surplusVoter returns the index of the voter to remove from an even set: the only one that is
+// silent, lagging or leaving, or else the last one other than the leader if all others have caught
+// up. It returns a negative index if none can be removed now.
 func (r *Replica) surplusVoter(voters []raft.Member, now time.Time) int {
-	last, unwell := -1, -1
+	last, unhealthy := -1, -1
 	for i, voter := range voters {
 		if voter.ID == r.self.ID {
 			continue
 		}
 		last = i
 		if !r.node.CaughtUp(voter.ID) || r.node.TimeSinceContact(voter.ID) > aggregatorSilenceTimeout || r.isLeaving(voter.ID, now) {
-			if unwell >= 0 {
-				// With two that are unwell a smaller set may lack a majority.
+			if unhealthy >= 0 {
+				// With two unhealthy voters, a smaller set may lack a majority.
 				return -1
 			}
-			unwell = i
+			unhealthy = i
 		}
 	}
-	if unwell >= 0 {
-		if r.node.TimeSinceContact(voters[unwell].ID) <= voterReplacementTimeout {
+	if unhealthy >= 0 {
+		if r.node.TimeSinceContact(voters[unhealthy].ID) <= voterReplacementTimeout {
 			return -1
 		}
-		return unwell
+		return unhealthy
 	}
 	return last
 }
 
-// voterToReplace finds the voter whose place a candidate may take, and the reason,
-// which is empty if there is none: an earlier identity of the same node before all
-// others, then one that lost what it had acknowledged, one that said that it leaves,
-// or the one that has been silent for longest. A voter that is merely frozen keeps
-// its place for a time.
+// voterToReplace returns the index of the voter that a candidate may replace, and the reason, which
+// is empty if there is none. The order of preference is: an earlier identity of the candidate's
+// node, a voter that lost acknowledged entries, a voter that announced that it leaves, and the
+// voter with the longest time without contact. A voter without contact keeps its place for
+// voterReplacementTimeout, since it may only be frozen for a moment.
 func (r *Replica) voterToReplace(voters []raft.Member, candidate raft.Member, now time.Time) (int, string) {
 	faulty := r.node.FaultyPeers()
 	for _, rule := range []struct {
 		reason  string
 		applies func(voter raft.Member) bool
 	}{
-		{"its node came back with another disk", func(voter raft.Member) bool { return voter.Node == candidate.Node && voter.ID != r.self.ID }},
-		{"it lost what it had acknowledged", func(voter raft.Member) bool { return slices.Contains(faulty, voter.ID) }},
-		{"it leaves", func(voter raft.Member) bool { return r.isLeaving(voter.ID, now) }},
+		{"its node rejoined with another disk", func(voter raft.Member) bool { return voter.Node == candidate.Node && voter.ID != r.self.ID }},
+		{"it lost entries that it had acknowledged", func(voter raft.Member) bool { return slices.Contains(faulty, voter.ID) }},
+		{"it is leaving", func(voter raft.Member) bool { return r.isLeaving(voter.ID, now) }},
 	} {
 		if i := slices.IndexFunc(voters, rule.applies); i >= 0 {
 			return i, rule.reason
 		}
 	}
-	longest := -1
+	longestSilent := -1
 	for i, voter := range voters {
 		if voter.ID == r.self.ID || r.node.TimeSinceContact(voter.ID) <= voterReplacementTimeout {
 			continue
 		}
-		if longest < 0 || r.node.TimeSinceContact(voter.ID) > r.node.TimeSinceContact(voters[longest].ID) {
-			longest = i
+		if longestSilent < 0 || r.node.TimeSinceContact(voter.ID) > r.node.TimeSinceContact(voters[longestSilent].ID) {
+			longestSilent = i
 		}
 	}
-	if longest < 0 {
+	if longestSilent < 0 {
 		return 0, ""
 	}
-	return longest, "it is silent"
+	return longestSilent, "it is silent"
 }
 
-// isLeaving reports whether a voter said that it leaves.
+// isLeaving reports whether a voter has announced that it leaves.
 func (r *Replica) isLeaving(id string, now time.Time) bool {
 	if id == r.self.ID {
 		return len(r.departure.waiters) > 0
@@ -210,9 +211,9 @@
 	return now.Before(r.appointments.leavingUntil[id])
 }
 
-// reasonToStay tells why the others can't do without a voter yet; empty if they can.
-// For as long as they can't, a server that leaves waits, if it may.
-func (r *Replica) reasonToStay(id string) string {
+// shutdownBlocker returns the reason why the cluster cannot do without a voter yet, or "" if it
+// can. Until then a server that leaves delays its shutdown, up to its deadline.
+func (r *Replica) shutdownBlocker(id string) string {
 	switch {
 	case r.node.ConfChangePending():
 		return "a change of the voters is under way"
@@ -226,26 +227,27 @@
 			return "a candidate is about to take a place"
 		}
 	}
-	ending, voters := 0, r.node.Voters()
+	stopping, voters := 0, r.node.Voters()
 	for _, voter := range voters {
 		switch {
 		case voter.ID == id:
 			continue
 		case voter.ID != r.self.ID && (r.node.TimeSinceContact(voter.ID) > aggregatorSilenceTimeout || !r.node.CaughtUp(voter.ID)):
 			return "another voter is silent or lags"
-		case r.isReleased(voter.ID, time.Now()):
-			ending++
+		case r.recentlyReleased(voter.ID, time.Now()):
+			stopping++
 		}
 	}
-	if staying := len(voters) - 1 - ending; ending > 0 && staying <= len(voters)/2 {
+	if remaining := len(voters) - 1 - stopping; stopping > 0 && remaining <= len(voters)/2 {
 		return "another voter is ending"
 	}
 	return ""
 }
 
-// isReleased reports whether a voter was allowed to end a moment ago, and may be
-// about to: it is heard until it does. The leader itself ends once it transfers the leadership.
-func (r *Replica) isReleased(id string, now time.Time) bool {
+// recentlyReleased reports whether a voter was recently released, that is, permitted to shut down.
+// It may be about to exit, although it still has contact with the leader. The leader itself exits
+// once it has transferred leadership.
+func (r *Replica) recentlyReleased(id string, now time.Time) bool {
 	if id == r.self.ID {
 		return r.departure.transferring
 	}
@@ -253,12 +255,12 @@
 	return released && now.Sub(at) < shutdownReleasePeriod
 }
 
-// logFaultyVoters logs voters that lost what they had acknowledged, once each.
+// logFaultyVoters logs the voters that lost acknowledged entries, whenever their set changes.
 func (r *Replica) logFaultyVoters() {
 	faulty := strings.Join(r.node.FaultyPeers(), " ")
 	if faulty != r.membership.loggedFaulty && faulty != "" {
 		_ = r.log.Log("level", "error", "event", "voters.lost_entries", "disks", faulty,
-			"reason", "entries that these disks had acknowledged are not on them; they count no more until they are replaced")
+			"reason", "entries that these disks had acknowledged are missing; the disks do not count as voters until they are replaced")
 	}
 	r.membership.loggedFaulty = faulty
 }
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -15,8 +15,8 @@
 	"tealpond/internal/timing"
 )
 
-// cluster is a replica that leads as "a", with other members on a network and a
-// clock of the test's own.
+// cluster is a replica that is leader as "a", with other members on a simulated network and with a
+// simulated clock.
 type cluster struct {
 	t       *testing.T
 	replica *Replica
@@ -25,7 +25,7 @@
 	down    map[string]bool
 }
 
-// testVoter is a member whose address is its ID.
+// testVoter returns a member whose address is its ID.
 func testVoter(node, id string) raft.Member { return raft.Member{Node: node, ID: id, Addr: id} }
 
 func newCluster(t *testing.T) *cluster {
@@ -33,7 +33,7 @@
 	return newClusterOf(t, "a", "b", "c")
 }
 
-// newClusterOf makes a cluster of voters, the first of which is "a".
+// newClusterOf returns a cluster of the named voters, the first of which is "a".
 func newClusterOf(t *testing.T, names ...string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, now: time.Unix(1000, 0), nodes: map[string]*raft.Node{}, down: map[string]bool{}}
@@ -51,12 +51,12 @@
 	c.replica.node.Tick(c.now)
 	c.run(time.Second)
 	if !c.replica.node.LeaderReady() {
-		t.Fatal("a does not lead")
+		t.Fatal("a was not elected leader")
 	}
 	return c
 }
 
-// start starts the node of a member.
+// start starts the Raft node of a member.
 func (c *cluster) start(id string, snapshot raft.Snapshot) {
 	node := raft.New(id, raft.HardState{Term: 1}, snapshot, nil, c.now, raftConfig(), int64(id[0]))
 	node.SetSnapshotSource(func() *raft.Snapshot {
@@ -67,8 +67,7 @@
 	c.nodes[id] = node
 }
 
-// run plays some time; of those that are up, only a looks at its clock, so that
-// it leads on.
+// run advances the time. Of the members that are up only "a" is ticked, so that it stays leader.
 func (c *cluster) run(duration time.Duration) {
 	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(10 * time.Millisecond) {
 		c.replica.node.Tick(c.now)
@@ -81,7 +80,7 @@
 	}
 }
 
-// deliver sends what a node has ready; false if that is nothing.
+// deliver delivers a node's output. It returns false if there was none.
 func (c *cluster) deliver(node *raft.Node) bool {
 	output := node.Ready()
 	if output.IsEmpty() {
@@ -99,13 +98,14 @@
 	return true
 }
 
-// addCandidate starts a member with an empty storage, "d", that asks for a place.
+// addCandidate starts a member "d" with an empty storage that asks to become a voter.
 func (c *cluster) addCandidate(node string) {
 	c.start("d", raft.Snapshot{})
 	c.replica.candidatesByID()["d"] = testVoter(node, "d")
 }
 
-// voterIDs shows the voters and, during a change, those before it.
+// voterIDs formats the IDs of the voters and, during a configuration change, those of the outgoing
+// voters.
 func (c *cluster) voterIDs() string {
 	voters, old := c.replica.node.VoterSets()
 	var names []string
@@ -115,8 +115,8 @@
 	return fmt.Sprint(names)
 }
 
-// reconcileTwice returns the candidate time to catch up, and shows the voters right
-// after the proposal (with those before it) and once the change is over.
+// reconcileTwice gives the candidate time to catch up. It returns the voters right after the
+// proposal, including the outgoing ones, and those after the change has completed.
 func (c *cluster) reconcileTwice() (during, after string) {
 	c.replica.reconcileVoters(c.now)
 	c.run(time.Second)
@@ -133,40 +133,40 @@
 		fault       func(c *cluster)
 		during, end string
 	}{
-		{"nobody is gone", "node-d", func(c *cluster) {}, "[a b c]", "[a b c]"},
-		{"c is frozen for a moment", "node-d", func(c *cluster) { c.down["c"] = true }, "[a b c]", "[a b c]"},
-		{"c is silent", "node-d", func(c *cluster) { c.down["c"] = true; c.run(voterReplacementTimeout) }, "[a b d a b c]", "[a b d]"},
-		{"b came back with another identity", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
-		{"its own old identity first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
-		{"c said that it leaves", "node-d", func(c *cluster) { c.replica.appointments.leavingUntil["c"] = c.now.Add(shutdownExclusionPeriod) }, "[a b d a b c]", "[a b d]"},
+		{"all voters are healthy", "node-d", func(c *cluster) {}, "[a b c]", "[a b c]"},
+		{"c is silent for a moment", "node-d", func(c *cluster) { c.down["c"] = true }, "[a b c]", "[a b c]"},
+		{"c is silent for long", "node-d", func(c *cluster) { c.down["c"] = true; c.run(voterReplacementTimeout) }, "[a b d a b c]", "[a b d]"},
+		{"b rejoined with another identity", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
+		{"its own earlier identity is replaced first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
+		{"c announced that it leaves", "node-d", func(c *cluster) { c.replica.appointments.leavingUntil["c"] = c.now.Add(shutdownExclusionPeriod) }, "[a b d a b c]", "[a b d]"},
 		{"the leader leaves", "node-d", func(c *cluster) { c.replica.departure.waiters = []chan struct{}{nil} }, "[d b c a b c]", "[d b c]"},
 	} {
 		c := newCluster(t)
 		c.addCandidate(test.node)
 		test.fault(c)
 		if during, end := c.reconcileTwice(); during != test.during || end != test.end {
-			t.Errorf("%s: voters %s, then %s", test.name, during, end)
+			t.Errorf("%s: voters %s during the change, %s after it", test.name, during, end)
 		}
 	}
 }
 
-func TestLeavingVoterStaysWhileOthersAreNotHealthy(t *testing.T) {
+func TestLeavingVoterWaitsWhileOthersAreUnhealthy(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		fault func(c *cluster)
 		want  string
 	}{
-		{"all are well", func(c *cluster) {}, ""},
-		{"a candidate catches up", func(c *cluster) { c.addCandidate("node-d"); c.replica.reconcileVoters(c.now) }, "a candidate is about to take a place"},
+		{"all are healthy", func(c *cluster) {}, ""},
+		{"a candidate is catching up", func(c *cluster) { c.addCandidate("node-d"); c.replica.reconcileVoters(c.now) }, "a candidate is about to take a place"},
 		{"the other voter is silent", func(c *cluster) { c.down["c"] = true; c.run(timing.ElectionTimeout + aggregatorSilenceTimeout) }, "another voter is silent or lags"},
-		{"a change is under way", func(c *cluster) {
+		{"a change is in progress", func(c *cluster) {
 			c.addCandidate("node-c")
 			c.down["c"] = true
 			c.replica.reconcileVoters(c.now)
 			c.run(time.Second)
 			c.replica.reconcileVoters(c.now)
 		}, "a change of the voters is under way"},
-		{"it was replaced", func(c *cluster) {
+		{"it has been replaced", func(c *cluster) {
 			c.addCandidate("node-d")
 			c.replica.appointments.leavingUntil["b"] = c.now.Add(time.Hour)
 			c.reconcileTwice()
@@ -174,27 +174,27 @@
 	} {
 		c := newCluster(t)
 		test.fault(c)
-		if reason := c.replica.reasonToStay("b"); reason != test.want {
-			t.Errorf("%s: %q", test.name, reason)
+		if reason := c.replica.shutdownBlocker("b"); reason != test.want {
+			t.Errorf("%s: reason %q", test.name, reason)
 		}
 	}
 }
 
-// TestVotersThatEndAtOnceWaitForEachOther: one that may end is still heard until it does.
-// Another one waits while too few would stay without both, and no longer than the first is
-// away; among five two may end together.
-func TestVotersThatEndAtOnceWaitForEachOther(t *testing.T) {
+// TestSimultaneousShutdownsWaitForEachOther checks shutdowns at the same time. A voter that was
+// released stays reachable until it exits. A second one must wait if both together would leave too
+// few voters, but no longer than the first one is away. Of five voters, two may shut down together.
+func TestSimultaneousShutdownsWaitForEachOther(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		voters   []string
-		released map[string]time.Duration // how long ago
-		leaderOn bool                     // the leader itself is transferring the leadership
-		want     string
+		name               string
+		voters             []string
+		released           map[string]time.Duration // time since the release
+		leaderTransferring bool                     // the leader itself is transferring leadership
+		want               string
 	}{
-		{"nobody else", []string{"a", "b", "c"}, nil, false, ""},
+		{"no other voter", []string{"a", "b", "c"}, nil, false, ""},
 		{"another of three", []string{"a", "b", "c"}, map[string]time.Duration{"c": 0}, false, "another voter is ending"},
-		{"it was asked before", []string{"a", "b", "c"}, map[string]time.Duration{"b": 0}, false, ""},
-		{"another that is back", []string{"a", "b", "c"}, map[string]time.Duration{"c": shutdownReleasePeriod}, false, ""},
+		{"the voter itself was released before", []string{"a", "b", "c"}, map[string]time.Duration{"b": 0}, false, ""},
+		{"another that is back by now", []string{"a", "b", "c"}, map[string]time.Duration{"c": shutdownReleasePeriod}, false, ""},
 		{"the leader of three", []string{"a", "b", "c"}, nil, true, "another voter is ending"},
 		{"another of five", []string{"a", "b", "c", "d", "e"}, map[string]time.Duration{"c": 0}, false, ""},
 		{"two others of five", []string{"a", "b", "c", "d", "e"}, map[string]time.Duration{"c": 0, "d": 0}, false, "another voter is ending"},
@@ -206,32 +206,32 @@
 			for id, ago := range test.released {
 				c.replica.appointments.releasedAt[id] = time.Now().Add(-ago)
 			}
-			if test.leaderOn {
+			if test.leaderTransferring {
 				c.replica.departure.transferring, c.replica.departure.waiters = true, []chan struct{}{make(chan struct{})}
 			}
-			if reason := c.replica.reasonToStay("b"); reason != test.want {
-				t.Errorf("%s: %q, want %q", test.name, reason, test.want)
+			if reason := c.replica.shutdownBlocker("b"); reason != test.want {
+				t.Errorf("%s: reason %q, want %q", test.name, reason, test.want)
 			}
 		})
 	}
 }
 
-// TestEvenNumberOfVotersDropsOne: an even set, as an older version formed it, loses the
-// voter that is silent, else the last one that does not lead; never one that may be
-// needed, and never one of the least number.
-func TestEvenNumberOfVotersDropsOne(t *testing.T) {
-	long := voterReplacementTimeout + time.Second
+// TestSurplusVoterIsRemovedFromEvenSet checks that an even set of voters, as formed by an older
+// version, loses the voter that is silent, or else the last one that is not the leader. No voter is
+// removed that may be needed, or that would leave fewer than the minimum.
+func TestSurplusVoterIsRemovedFromEvenSet(t *testing.T) {
+	pastReplacementTimeout := voterReplacementTimeout + time.Second
 	for _, test := range []struct {
 		name  string
 		size  int
 		fault func(c *cluster)
 		want  string
 	}{
-		{"all are well", 4, func(c *cluster) {}, "[a b c]"},
-		{"one is silent", 4, func(c *cluster) { c.down["b"] = true; c.run(long) }, "[a c d]"},
+		{"all are healthy", 4, func(c *cluster) {}, "[a b c]"},
+		{"one is silent", 4, func(c *cluster) { c.down["b"] = true; c.run(pastReplacementTimeout) }, "[a c d]"},
 		{"one is silent for a moment", 4, func(c *cluster) { c.down["b"] = true; c.run(aggregatorSilenceTimeout + timing.ElectionTimeout) }, "[a b c d]"},
-		{"an odd number", 3, func(c *cluster) { c.down["b"] = true; c.run(long) }, "[a b c]"},
-		{"two of six are silent", 6, func(c *cluster) { c.down["b"], c.down["c"] = true, true; c.run(long) }, "[a b c d e f]"},
+		{"an odd number", 3, func(c *cluster) { c.down["b"] = true; c.run(pastReplacementTimeout) }, "[a b c]"},
+		{"two of six are silent", 6, func(c *cluster) { c.down["b"], c.down["c"] = true, true; c.run(pastReplacementTimeout) }, "[a b c d e f]"},
 	} {
 		c := newClusterOf(t, []string{"a", "b", "c", "d", "e", "f"}[:test.size]...)
 		test.fault(c)
@@ -245,14 +245,14 @@
 	c.replica.bootstrap.MinVoters = 5
 	c.replica.reconcileVoters(c.now)
 	if got := c.voterIDs(); got != "[a b c d]" {
-		t.Errorf("fewer than the least number: %s", got)
+		t.Errorf("voters removed below the minimum number: %s", got)
 	}
 }
 
-// TestLearnerStandsIn: the server that is left out of an even number follows as a
-// learner and takes the place of the first voter that is lost; the one that comes back
-// follows in its turn.
-func TestLearnerStandsIn(t *testing.T) {
+// TestLearnerReplacesLostVoter checks that the server left out of an even number of servers follows
+// as a learner and replaces the first voter that is lost. A lost server that comes back becomes a
+// learner and can replace the next one.
+func TestLearnerReplacesLostVoter(t *testing.T) {
 	c := newCluster(t)
 	c.addCandidate("node-d")
 	c.replica.reconcileVoters(c.now)
@@ -274,39 +274,39 @@
 	c.replica.reconcileVoters(c.now)
 	c.run(time.Second)
 	if c.voterIDs() != "[a d b]" {
-		t.Errorf("after a second loss: voters %s", c.voterIDs())
+		t.Errorf("voters after a second loss: %s", c.voterIDs())
 	}
 }
 
-// TestNewLeaderWaitsForALearnerThatAggregates: it knows the learners only once they
-// have announced themselves, and does not take their zones from them before.
-func TestNewLeaderWaitsForALearnerThatAggregates(t *testing.T) {
+// TestNewLeaderWaitsForAggregatingLearner checks that a new leader does not reassign the zones of
+// learners before they have announced themselves: only then does it know them.
+func TestNewLeaderWaitsForAggregatingLearner(t *testing.T) {
 	c := newCluster(t)
 	c.replica.leadingSince = c.now
-	served := state.ZoneAggregator{Zone: "z", Member: "d"}
+	servedByLearner := state.ZoneAggregator{Zone: "z", Member: "d"}
 	for _, test := range []struct {
 		name    string
 		current state.ZoneAggregator
 		after   time.Duration
 		want    bool
 	}{
-		{"a learner, not announced yet", served, 0, true},
-		{"a learner that does not announce itself", served, learnerAnnounceTimeout, false},
+		{"a learner that has not announced itself yet", servedByLearner, 0, true},
+		{"a learner that does not announce itself", servedByLearner, learnerAnnounceTimeout, false},
 		{"a voter", state.ZoneAggregator{Zone: "z", Member: "b"}, 0, false},
 		{"none", state.ZoneAggregator{Zone: "z"}, 0, false},
 	} {
 		if got := c.replica.awaitsLearner(test.current, c.now.Add(test.after)); got != test.want {
-			t.Errorf("%s: waits %v", test.name, got)
+			t.Errorf("%s: leader waits: %v", test.name, got)
 		}
 	}
 	c.addCandidate("node-d")
-	if c.replica.awaitsLearner(served, c.now) {
-		t.Error("it waits for a learner that is there")
+	if c.replica.awaitsLearner(servedByLearner, c.now) {
+		t.Error("leader waits for a learner that has announced itself")
 	}
 }
 
-// TestLearnerAggregatesWhereAppointed: a learner takes agents' requests for the leader
-// only where it was appointed, and hands its zones over before it ends.
+// TestLearnerAggregatesWhereAppointed checks that a learner accepts agents' requests for the leader
+// only if it was appointed for a zone.
 func TestLearnerAggregatesWhereAppointed(t *testing.T) {
 	c := newCluster(t)
 	c.replica.self = testVoter("node-d", "d")
@@ -319,9 +319,9 @@
 	}
 }
 
-// TestExpiredMembershipsAreForgotten: a leader that nobody asks for its members keeps
-// no daemon that is gone permanently, and no longer counts it for its zone.
-func TestExpiredMembershipsAreForgotten(t *testing.T) {
+// TestExpiredMembershipsAreRemoved checks that a leader removes daemons that are gone permanently,
+// even if no request for the member list comes in, and no longer counts them for their zones.
+func TestExpiredMembershipsAreRemoved(t *testing.T) {
 	c := newCluster(t)
 	for i := range 100 {
 		node := fmt.Sprint("node-", i)
@@ -333,6 +333,6 @@
 	}
 	c.replica.collectGarbage(c.now.Add(time.Second))
 	if n := len(c.replica.memberLeases); n != 1 || c.replica.zoneOf("node-7") != "z" || c.replica.zoneOf("node-8") != "" {
-		t.Errorf("%d memberships are kept", n)
+		t.Errorf("%d memberships left, want the renewed one only", n)
 	}
 }
--- a/internal/server/round_trips.go
+++ b/internal/server/round_trips.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// maxLeaderRoundTrip is the smoothed round trip to a quorum above which a leader has the voters
-	// compare their links.
+	// maxLeaderRoundTrip is the smoothed round-trip time to a quorum above which a leader has the
+	// voters compare their links.
 	maxLeaderRoundTrip = 60 * time.Millisecond
-	// roundTripSampleInterval is the time between two samples of the round trip to a quorum,
-	// roundTripWeight the weight of each in the smoothed one.
+	// roundTripSampleInterval is the interval at which the round-trip time to a quorum is sampled.
+	// roundTripWeight is the weight of each sample in the smoothed value.
 	roundTripSampleInterval = 40 * time.Millisecond
 	roundTripWeight         = 0.2
-	// lateRoundTripTimeout is how long a quorum answers a leader late before it transfers the
-	// leadership; a large configuration on its way is over by then.
+	// lateRoundTripTimeout is how long a quorum must respond late before the leader transfers
+	// leadership. Sending a large configuration takes less time than that.
 	lateRoundTripTimeout = time.Second
 	// linkTrialInterval is the time between two comparisons of the voters' links, and between an
-	// election and the first; a comparison takes linkTrialTimeout at most.
+	// election and the first comparison. A comparison takes at most linkTrialTimeout.
 	linkTrialInterval = 8 * time.Second
 	linkTrialTimeout  = 2 * time.Second
 )
 
-// watchRoundTrips has the voters compare their links while a quorum answers this leader late, and
-// transfers the leadership to one whose link is clearly better: all that a leader on a bad link
-// answers takes as long, and soon after that it has no lease. It does so after
-// lateRoundTripTimeout, and compares links at most once in linkTrialInterval.
+// watchRoundTrips has the voters compare their links while a quorum responds late to this leader,
+// and transfers leadership to a voter whose link is clearly better. Every request to a leader on a
+// bad link takes as long as its round trips, and such a leader soon loses its lease. The transfer
+// takes place after lateRoundTripTimeout, and links are compared at most once per
+// linkTrialInterval.
 func (r *Replica) watchRoundTrips(ctx context.Context, now time.Time) {
 	trips := &r.roundTrips
 	if !r.leading || r.node == nil {
@@ -44,45 +45,45 @@
 	if r.linkTrial.endedAt.After(lastTrial) {
 		lastTrial = r.linkTrial.endedAt
 	}
-	if trips.isLateFor(lateRoundTripTimeout/2, now) && now.Sub(lastTrial) >= linkTrialInterval {
+	if trips.lateForAtLeast(lateRoundTripTimeout/2, now) && now.Sub(lastTrial) >= linkTrialInterval {
 		r.startLinkTrial(ctx, now)
 	}
 }
 
-// continueLinkTrial transfers the leadership if another voter's link is better, and ends the trial
-// once it has taken linkTrialTimeout or answers come in time again.
+// continueLinkTrial transfers leadership if another voter's link is better. It ends the trial after
+// linkTrialTimeout, or once responses are on time again.
 func (r *Replica) continueLinkTrial(now time.Time) {
 	trips := &r.roundTrips
-	begun := time.Unix(0, r.linkTrial.id)
-	better := ""
-	if trips.isLateFor(lateRoundTripTimeout, now) {
-		better = r.betterVoter(now)
+	startedAt := time.Unix(0, r.linkTrial.id)
+	betterVoter := ""
+	if trips.lateForAtLeast(lateRoundTripTimeout, now) {
+		betterVoter = r.voterWithBetterLink(now)
 	}
-	if better == "" && !trips.lateSince.IsZero() && now.Sub(begun) < linkTrialTimeout {
+	if betterVoter == "" && !trips.lateSince.IsZero() && now.Sub(startedAt) < linkTrialTimeout {
 		return
 	}
-	own := r.linkMeasurement.ownQuality(now)
+	own := r.linkMeasurement.currentQuality(now)
 	reports := r.linkTrial.reports
 	r.linkTrial = linkTrial{endedAt: now}
 	if trips.lateSince.IsZero() {
 		return
 	}
-	transferred := better != "" && r.node.TransferLeadershipTo(better) == nil
+	transferred := betterVoter != "" && r.node.TransferLeadershipTo(betterVoter) == nil
 	_ = r.log.Log("level", "warn", "event", "leader.heard_late", "round_trip", trips.smoothed.Round(time.Millisecond),
 		"latency", own.Latency.Round(time.Millisecond), "transfer", own.Transfer.Round(time.Millisecond),
-		"reports", len(reports), "better", better, "transferred", transferred)
+		"reports", len(reports), "better", betterVoter, "transferred", transferred)
 }
 
-// roundTrips is what a leader knows of the round trips to a quorum.
+// roundTrips tracks a leader's round-trip times to a quorum.
 type roundTrips struct {
 	smoothed  time.Duration
-	sampledAt time.Time // zero: never
-	lateSince time.Time // since when the smoothed round trip is too long; zero: it isn't
+	sampledAt time.Time // zero if never
+	lateSince time.Time // when the smoothed round trip became too long; zero if it is not
 }
 
-// sample takes a round trip into account.
+// sample adds a round-trip time to the smoothed value.
 func (t *roundTrips) sample(now time.Time, roundTrip time.Duration) {
-	roundTrip = min(roundTrip, lateRoundTripTimeout) // there may be none yet
+	roundTrip = min(roundTrip, lateRoundTripTimeout) // raft.NoQuorum, if there is none yet, is far longer
 	t.smoothed += time.Duration(roundTripWeight * float64(roundTrip-t.smoothed))
 	t.sampledAt = now
 	switch {
@@ -93,7 +94,7 @@
 	}
 }
 
-// isLateFor reports whether answers have come late for a time.
-func (t *roundTrips) isLateFor(duration time.Duration, now time.Time) bool {
+// lateForAtLeast reports whether responses have been late for at least the given duration.
+func (t *roundTrips) lateForAtLeast(duration time.Duration, now time.Time) bool {
 	return !t.lateSince.IsZero() && now.Sub(t.lateSince) >= duration
 }
