--- a/internal/server/constants_test.go
+++ b/internal/server/constants_test.go
@@ -7,16 +7,16 @@
 	"tealpond/internal/timing"
 )
 
-// TestConstantRelations holds the constants to the relations on which the server rests.
+// TestConstantRelations checks the relations between constants that the server relies on.
 func TestConstantRelations(t *testing.T) {
 	for name, holds := range map[string]bool{
 		"snapshots are taken at digests":                  SnapshotInterval%digestInterval == 0,
 		"a snapshot leaves fewer entries than it covers":  snapshotTrailingEntries < SnapshotInterval,
 		"a candidate expires after several announcements": candidateExpiry > 3*bootstrap.AnnounceInterval,
-		"an aggregator outwaits an election":              aggregatorRequestTimeout > timing.ExpectedElectionTime && aggregatorLeaderLossTimeout > timing.ExpectedElectionTime,
+		"an aggregator waits longer than an election":     aggregatorRequestTimeout > timing.ExpectedElectionTime && aggregatorLeaderLossTimeout > timing.ExpectedElectionTime,
 	} {
 		if !holds {
-			t.Errorf("does not hold: %s", name)
+			t.Errorf("relation does not hold: %s", name)
 		}
 	}
 }
--- a/internal/server/snapshot_exchange.go
+++ b/internal/server/snapshot_exchange.go
@@ -8,14 +8,14 @@
 	"tealpond/internal/transport"
 )
 
-// snapshotChunkRetryInterval is the time after which a chunk without an answer is sent again.
+// snapshotChunkRetryInterval is the time after which an unacknowledged chunk is sent again.
 const snapshotChunkRetryInterval = 700 * time.Millisecond
 
-// sendSnapshot begins to send a snapshot, or repeats a chunk that may be lost.
+// sendSnapshot starts sending a snapshot, or repeats a chunk that may have been lost.
 func (r *Replica) sendSnapshot(ctx context.Context, message raft.Message) {
 	now := time.Now()
 	sender := r.outgoingSnapshots[message.To]
-	if !sender.serves(message, now) {
+	if !sender.canServe(message, now) {
 		sender = newSnapshotSender(message, now)
 		r.outgoingSnapshots[message.To] = sender
 	}
@@ -25,14 +25,14 @@
 	}
 }
 
-// sendChunk sends the chunk that the receiver lacks.
+// sendChunk sends the next chunk that the receiver lacks.
 func (r *Replica) sendChunk(ctx context.Context, sender *snapshotSender, now time.Time) {
 	if !r.sendFrame(ctx, sender.message.To, transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(sender.nextChunk(now))}) {
 		sender.sentAt = time.Time{}
 	}
 }
 
-// resumeTransfers goes on with transfers that waited for a stream.
+// resumeTransfers continues transfers that waited for a stream.
 func (r *Replica) resumeTransfers(ctx context.Context) {
 	now := time.Now()
 	for to, sender := range r.outgoingSnapshots {
@@ -42,7 +42,7 @@
 	}
 }
 
-// handleSnapshotAck sends the next chunk.
+// handleSnapshotAck handles an acknowledgement, and sends the next chunk if there is one.
 func (r *Replica) handleSnapshotAck(ctx context.Context, body []byte) {
 	var ack snapshotAck
 	if transport.Decode(body, &ack) != nil || ack.To != r.self.ID || r.node == nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// handleSnapshotChunk takes a chunk, and hands the message to the node once all of
-// the snapshot is there.
+// handleSnapshotChunk handles a received chunk, and passes the message to the node once the
+// snapshot is complete.
 func (r *Replica) handleSnapshotChunk(ctx context.Context, body []byte, stream *transport.Stream) {
 	var chunk snapshotChunk
 	if transport.Decode(body, &chunk) != nil || chunk.Message.To != r.self.ID || chunk.Message.Snapshot == nil || r.node == nil ||
@@ -71,8 +71,8 @@
 	}
 	received, complete := receiver.add(chunk)
 	if snapshot.Index <= r.node.CommitIndex() {
-		// This replica has caught up by other means. The node answers the message
-		// by its commit index, without a look at the data.
+		// This replica has caught up by other means. The node responds to the message with its
+		// commit index, without reading the data.
 		received, complete = chunk.Total, true
 	}
 	ack := snapshotAck{From: r.self.ID, To: from, Index: snapshot.Index, Received: received}
--- a/internal/server/storage_lag.go
+++ b/internal/server/storage_lag.go
@@ -7,31 +7,30 @@
 )
 
 const (
-	// maxPendingStorageWrites is the number of pending writes from which a replica takes no more Raft
-	// messages and commands, so that memory is bounded.
+	// maxPendingStorageWrites is the number of pending writes from which a replica accepts no more
+	// Raft messages and commands, so that memory use is bounded.
 	maxPendingStorageWrites = 4096
-	// storageStallTimeout is how long writes may wait without a finished sync before a leader
-	// transfers its leadership.
+	// storageStallTimeout is how long writes may wait without a completed sync before a leader
+	// transfers leadership.
 	storageStallTimeout = 300 * time.Millisecond
 )
 
-// writeQueueFull reports whether so many writes wait for the storage that nothing more
-// may be taken on. Messages of the consensus protocol are dropped then, as if the
-// network had lost them: the member can't acknowledge them, and the leader sends
-// them again.
+// writeQueueFull reports whether too many writes are pending to accept more work. Raft messages are
+// dropped in this case as if the network had lost them: this member cannot acknowledge them, and
+// the leader sends them again.
 func (r *Replica) writeQueueFull() bool { return r.writesInFlight >= maxPendingStorageWrites }
 
-// watchStorageLag transfers leadership when the storage does not keep up: a leader
-// whose own storage hangs or refuses commits only by all the others, and if it ends
-// then, what it alone holds in memory is gone.
+// watchStorageLag transfers leadership when the storage does not keep up. A leader whose own
+// storage hangs or fails commits entries through the other voters only, and if it exits, the data
+// that only it holds in memory is lost.
 func (r *Replica) watchStorageLag(now time.Time) {
 	if r.storage != nil {
 		r.handleStorageLag(now, r.storage.WriteLag(now))
 	}
 }
 
-// handleStorageLag logs, once in a while, for how long the storage has synced
-// nothing, and transfers leadership if that is too long.
+// handleStorageLag logs, at most once per storage.WarningInterval, a storage that has synced
+// nothing for storageStallTimeout or longer, and transfers leadership then.
 func (r *Replica) handleStorageLag(now time.Time, lag time.Duration) {
 	if lag < storageStallTimeout || now.Sub(r.storageLagLoggedAt) < storage.WarningInterval {
 		return
--- a/internal/server/storage_lag_test.go
+++ b/internal/server/storage_lag_test.go
@@ -9,9 +9,9 @@
 	"tealpond/internal/state"
 )
 
-// TestLeaderWithStalledStorageTransfersLeadership: a leader whose storage syncs
-// nothing transfers leadership, once a second as long as it leads; one whose storage
-// keeps up does not.
+// TestLeaderWithStalledStorageTransfersLeadership checks that a leader whose storage syncs nothing
+// transfers leadership, at most once a second while it stays leader, and that a leader whose
+// storage keeps up does not.
 func TestLeaderWithStalledStorageTransfersLeadership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replica := newLeader(t).replica
@@ -27,28 +27,28 @@
 				}
 			}
 			if sent != test.want {
-				t.Fatalf("%v behind: transferred %d times, want %d", test.lag, sent, test.want)
+				t.Fatalf("storage lag %v: %d transfers, want %d", test.lag, sent, test.want)
 			}
 		}
 	})
 }
 
-// TestFullWriteQueueRefusesProposals: with too many writes under way no command is
-// taken on.
+// TestFullWriteQueueRefusesProposals checks that no command is accepted while too many writes are
+// pending.
 func TestFullWriteQueueRefusesProposals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		replica := newLeader(t).replica
 		for _, test := range []struct {
-			writes int
-			taken  bool
+			writes   int
+			accepted bool
 		}{{maxPendingStorageWrites - 1, true}, {maxPendingStorageWrites, false}} {
 			replica.writesInFlight = test.writes
-			last, answered := replica.node.LastIndex(), false
-			replica.commands, replica.replies = []state.EncodedCommand{{}}, []commandReply{func(_ state.Outcome, known bool) { answered = !known }}
+			last, refused := replica.node.LastIndex(), false
+			replica.commands, replica.replies = []state.EncodedCommand{{}}, []commandReply{func(_ state.Outcome, known bool) { refused = !known }}
 			time.Sleep(time.Second)
 			replica.proposeQueued(time.Now())
-			if taken := replica.node.LastIndex() > last; taken != test.taken || answered == test.taken {
-				t.Errorf("%d writes under way: taken %v, refused %v", test.writes, taken, answered)
+			if accepted := replica.node.LastIndex() > last; accepted != test.accepted || refused == test.accepted {
+				t.Errorf("%d pending writes: accepted %v, refused %v", test.writes, accepted, refused)
 			}
 		}
 	})
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -9,20 +9,21 @@
 	"tealpond/internal/storage"
 )
 
-// openedStorage is the opened storage, what it holds, and the state of its snapshot.
+// openedStorage is an opened storage, the data recovered from it, and the state decoded from its
+// snapshot.
 type openedStorage struct {
 	storage   *storage.Store
 	persisted storage.Recovered
 	store     *state.Store
 }
 
-// StorageOpened reports whether the storage has been opened. Until then this server
-// has no identity: it neither votes nor acknowledges, forwards what it can and is
-// not ready.
+// StorageOpened reports whether the storage has been opened. Until then this server has no
+// identity: it neither votes nor acknowledges entries, forwards requests where it can, and is not
+// ready.
 func (r *Replica) StorageOpened() bool { return r.storageOpened.Load() }
 
-// openStorage opens the storage beside the loop, for as long as it takes, and hands
-// it to the loop.
+// openStorage opens the storage outside the event loop, retrying for as long as necessary, and
+// posts it to the loop.
 func (r *Replica) openStorage(ctx context.Context) {
 	dir := r.settings.DataDir
 	logFailure := func(err error) {
@@ -33,8 +34,8 @@
 		return
 	}
 	if persisted.NewIdentity && r.settings.FirstStart {
-		// Without the mark this server can't form the first cluster once it was restarted;
-		// it joins one that others form.
+		// Without the mark this server cannot take part in forming the first cluster after a
+		// restart; it joins a cluster that others form.
 		if err := opened.MarkFirstStart(); err != nil {
 			logFailure(err)
 		}
@@ -42,9 +43,9 @@
 	}
 	store, err := state.DecodeSnapshot(persisted.Snapshot.Data, state.Limits{})
 	for err != nil {
-		// The record on disk is whole, so it is this program that can't read it.
-		// To take another identity would give up what was acknowledged for a
-		// fault that a newer program may not have.
+		// The record on disk is intact, so it is this program that cannot decode it. Taking a new
+		// identity would give up acknowledged data because of a fault that a newer program may not
+		// have.
 		logFailure(err)
 		select {
 		case <-ctx.Done():
@@ -59,15 +60,14 @@
 	}
 }
 
-// closeStorage closes a storage that is not used, as the process ends.
+// closeStorage closes a storage that is not used because the process is ending.
 func (r *Replica) closeStorage(opened *storage.Store) {
 	if err := opened.Close(); err != nil {
 		_ = r.log.Log("level", "warn", "event", "storage.close_failed", "error", err)
 	}
 }
 
-// handleStorageOpened takes the identity and what the storage holds, and starts the
-// node.
+// handleStorageOpened adopts the identity and the recovered data, and starts the node.
 func (r *Replica) handleStorageOpened(ctx context.Context, opened *openedStorage) {
 	if opened.persisted.QuarantineReason != "" {
 		_ = r.log.Log("level", "warn", "event", "storage.file_set_aside", "reason", opened.persisted.QuarantineReason, "disk", opened.persisted.ID)
@@ -77,10 +77,10 @@
 	r.lastSnapshotIndex = r.persisted.Snapshot.Index
 	r.storageOpened.Store(true)
 	r.startWriter(ctx)
-	// A node that is only bound is not started: the other founders may be bound
-	// to nothing yet. A message from one of them, or the seed's response, starts it. One
-	// that is bound to nothing, on a disk of the system's first start, is still a candidate
-	// for the first cluster, however often it was restarted.
+	// A node that is only bound to founders is not started: the other founders may not be bound
+	// yet. It is started by a message from one of them or by the seed's response. A server that is
+	// bound to no founders, on a disk from the system's first start, remains a candidate for the
+	// first cluster, however often it was restarted.
 	if r.persisted.HardState.Term > 0 || len(r.persisted.Founders) == 0 && (r.persisted.Snapshot.Index > 0 || !r.persisted.FirstStart) {
 		r.startNode(r.persisted.Snapshot)
 	}
--- a/internal/server/storage_open_test.go
+++ b/internal/server/storage_open_test.go
@@ -13,7 +13,7 @@
 	"tealpond/internal/transport"
 )
 
-// eventLog is a log that passes on the event of each line.
+// eventLog is a logger that sends the event name of each log line on a channel.
 type eventLog chan string
 
 func (e eventLog) Log(kv ...any) error {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// wait waits for the line of an event.
+// wait blocks until the event has been logged.
 func (e eventLog) wait(event string) {
 	for logged := range e {
 		if logged == event {
@@ -34,17 +34,17 @@
 	}
 }
 
-// call returns the response to a request of this process.
+// call sends a request as this process would and returns the response.
 func call(replica *Replica, kind string) rpc.Response {
 	received := make(chan rpc.Response, 1)
 	replica.HandleLocal(rpc.Request{Kind: kind}, func(response rpc.Response) { received <- response })
 	return <-received
 }
 
-// TestReplicaWaitsForItsStorage: a storage that does not serve must not end the
-// daemon, cost it its identity or keep it from answering; it says so, and starts once
-// the storage serves.
-func TestReplicaWaitsForItsStorage(t *testing.T) {
+// TestReplicaWaitsForStorage checks that a storage that can't be opened neither ends the daemon,
+// nor costs it its identity, nor keeps it from answering. The daemon logs the failure, and starts
+// its node once the storage can be opened.
+func TestReplicaWaitsForStorage(t *testing.T) {
 	dir := t.TempDir()
 	opened, persisted, err := storage.Open(dir)
 	if err != nil {
@@ -53,7 +53,7 @@
 	if err := opened.Close(); err != nil {
 		t.Fatal(err)
 	}
-	other, err := bolt.Open(filepath.Join(dir, "tealpond.db"), 0o600, nil)
+	lockedDB, err := bolt.Open(filepath.Join(dir, "tealpond.db"), 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,22 +69,22 @@
 	logged.wait("storage.open_failed")
 	var info rpc.LeaderInfo
 	if response := call(replica, rpc.KindLeader); response.Code != rpc.CodeOK || transport.Decode(response.Body, &info) != nil || info.IsLeader {
-		t.Errorf("%+v %+v", response, info)
+		t.Errorf("response to the leader request: %+v, %+v", response, info)
 	}
 	if response := call(replica, rpc.KindGetConfig); response.Code != rpc.CodeNotLeader {
-		t.Errorf("%+v", response)
+		t.Errorf("response to the configuration request: %+v", response)
 	}
 	if replica.StorageOpened() {
-		t.Error("ready without a storage")
+		t.Error("storage reported as opened while it is locked")
 	}
-	if err := other.Close(); err != nil {
+	if err := lockedDB.Close(); err != nil {
 		t.Fatal(err)
 	}
 	logged.wait("raft.started")
-	got := make(chan string, 1)
-	replica.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(rpc.Response) { got <- replica.self.ID })
-	if id := <-got; id != persisted.ID || !replica.StorageOpened() {
-		t.Errorf("identity %s, was %s", id, persisted.ID)
+	identity := make(chan string, 1)
+	replica.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(rpc.Response) { identity <- replica.self.ID })
+	if id := <-identity; id != persisted.ID || !replica.StorageOpened() {
+		t.Errorf("identity is %s, want %s", id, persisted.ID)
 	}
 	stop()
 	<-done
