--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -9,18 +9,18 @@
 	"tealpond/internal/transport"
 )
 
-// groupCommitIntervalPerVoter is, for each other voter, the least time between two entries;
-// commands that arrive within it share an entry.
+// groupCommitIntervalPerVoter is the minimum time between two log entries per other voter. Commands
+// that arrive within it share an entry.
 const groupCommitIntervalPerVoter = time.Millisecond
 
-// pendingEntry holds the callers whose commands are in one entry of the log.
+// pendingEntry holds the callers whose commands are in one log entry.
 type pendingEntry struct {
 	term    uint64
-	replies []commandReply // nil where nobody waits
+	replies []commandReply // nil where no caller waits
 }
 
-// replyUnknown answers the callers of an entry that will not be applied here as it was
-// proposed: whether it takes effect isn't known.
+// replyUnknown answers the callers of an entry that will not be applied here as it was proposed:
+// whether it takes effect is unknown.
 func (p pendingEntry) replyUnknown() {
 	for _, reply := range p.replies {
 		if reply != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// abandonEntry ends the wait for an entry without an outcome.
+// abandonEntry answers the callers that wait for an entry with an unknown outcome.
 func (r *Replica) abandonEntry(index uint64) {
 	entry, ok := r.pending[index]
 	if ok {
@@ -38,15 +38,15 @@
 	}
 }
 
-// abandonAllEntries ends the wait for all entries without an outcome.
+// abandonAllEntries answers the callers of all pending entries with an unknown outcome.
 func (r *Replica) abandonAllEntries() {
 	for index := range r.pending {
 		r.abandonEntry(index)
 	}
 }
 
-// apply applies the committed entries to the state; false if there were none, or
-// the state is found to have diverged.
+// apply applies the committed entries to the state. It returns false if there were none, or if the
+// state was found to have diverged.
 func (r *Replica) apply(ctx context.Context) bool {
 	defer r.metrics.startTimer("apply")()
 	entries := r.node.NextCommittedEntries()
@@ -61,23 +61,22 @@
 	return len(entries) > 0
 }
 
-// applyEntry applies one entry and answers those who wait for it.
+// applyEntry applies one entry and answers the callers that wait for it.
 func (r *Replica) applyEntry(entry raft.Entry) {
 	if entry.Kind != raft.EntryNormal {
 		r.state.SkipEntry(entry.Index)
 		if entry.Kind == raft.EntryConfChange {
 			_ = r.log.Log("level", "info", "event", "voters.changed", "index", entry.Index, "voters", len(r.node.VotersAt(entry.Index)))
 		}
-		// A caller may wait here too: its proposal was replaced by the
-		// entry of a later leader.
+		// A caller may wait here too, if its proposal was replaced by the entry of a later leader.
 		r.abandonEntry(entry.Index)
 		return
 	}
 	outcomes := r.state.ApplyEntry(entry.Index, entry.Data)
-	r.learnClocks(time.Now(), entry.Term)
+	r.observeClocks(time.Now(), entry.Term)
 	r.planning.due = true
 	if !r.leading {
-		// Only a leader plans, and a new one looks at all jobs.
+		// Only a leader plans, and a new leader considers all jobs.
 		r.state.TakeNewAllocations()
 	}
 	r.recordCompletions(entry)
@@ -87,8 +86,8 @@
 	}
 }
 
-// replyToEntry answers those who wait for an entry. One of another term is not what
-// they proposed, and has outcomes of its own.
+// replyToEntry answers the callers that wait for an entry. An entry of another term is not the one
+// they proposed, and its outcomes are not theirs.
 func (r *Replica) replyToEntry(entry raft.Entry, outcomes []state.Outcome) {
 	pending, ok := r.pending[entry.Index]
 	if !ok {
@@ -125,22 +124,21 @@
 	}
 }
 
-// enqueueCommand puts a command into the next entry. The name is that under which
-// package state registers the command; reply may be nil.
+// enqueueCommand adds a command to the next log entry. The name is the one under which package
+// state registers the command. reply may be nil.
 func (r *Replica) enqueueCommand(name string, command state.Command, reply commandReply) {
 	r.enqueueEncoded(state.EncodeCommand(name, command), reply)
 }
 
-// enqueueEncoded puts an encoded command into the next entry.
+// enqueueEncoded adds an encoded command to the next log entry.
 func (r *Replica) enqueueEncoded(command state.EncodedCommand, reply commandReply) {
 	r.commands = append(r.commands, command)
 	r.replies = append(r.replies, reply)
 }
 
-// proposeQueued puts the waiting commands into the log as one entry. They are
-// gathered for a while since an entry costs a message to and from each other
-// voter: the pause between two grows with their number. It returns after how long
-// the pause is over, 0 if nothing waits.
+// proposeQueued proposes the queued commands as one log entry. Commands are gathered for a while,
+// because each entry costs a message to and from every other voter: the interval between entries
+// grows with the number of voters. It returns the rest of the interval, or 0 if nothing is queued.
 func (r *Replica) proposeQueued(now time.Time) time.Duration {
 	if len(r.commands) == 0 {
 		return 0
@@ -163,7 +161,7 @@
 		pending.replyUnknown()
 		return 0
 	}
-	// One may wait for this index since an earlier term of this leader.
+	// A caller may still wait for this index since an earlier term of this leader.
 	r.abandonEntry(index)
 	r.pending[index] = pending
 	return 0
--- a/internal/server/batches.go
+++ b/internal/server/batches.go
@@ -5,8 +5,8 @@
 	"tealpond/internal/transport"
 )
 
-// aggregatedKinds are the kinds of agents' requests that an aggregator takes and
-// batches for the leader.
+// aggregatedKinds are the kinds of agent requests that an aggregator accepts and batches for the
+// leader.
 var aggregatedKinds = map[string]bool{
 	rpc.KindRenewLease:        true,
 	rpc.KindRegisterWorker:    true,
@@ -15,7 +15,7 @@
 	rpc.KindRenewMembership:   true,
 }
 
-// handleBatch answers the requests of an aggregator's batch, all in one response.
+// handleBatch handles the requests of an aggregator's batch and returns all responses in one.
 func (r *Replica) handleBatch(batch *rpc.Batch, _ *transport.Stream, reply replyFunc) {
 	r.metrics.count("batched_requests", len(batch.Requests))
 	responses := make([]rpc.Response, len(batch.Requests))
@@ -23,8 +23,8 @@
 	for i, request := range batch.Requests {
 		done := func(response rpc.Response) {
 			responses[i] = response
-			// One unknown outcome makes that of the whole batch unknown: the client
-			// then asks the next leader, and requests can be repeated.
+			// One unknown outcome makes the outcome of the whole batch unknown. The client then
+			// retries with the next leader, which is safe because the requests are idempotent.
 			unknown = unknown || response.Code == rpc.CodeLeadershipLost || response.Code == rpc.CodeNotLeader
 			if remaining--; remaining > 0 {
 				return
--- a/internal/server/bootstrap.go
+++ b/internal/server/bootstrap.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/transport"
 )
 
-// handleBootstrapAnnouncement takes the announcement of a candidate for the first
-// cluster, as a seed.
+// handleBootstrapAnnouncement handles, on a seed, the announcement of a candidate for the initial
+// cluster.
 func (r *Replica) handleBootstrapAnnouncement(body []byte, reply replyFunc) {
 	var announcement rpc.BootstrapAnnouncement
 	if transport.Decode(body, &announcement) != nil {
@@ -20,23 +20,23 @@
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.bootstrap.HandleAnnouncement(announcement, time.Now()))})
 }
 
-// isBlank reports whether this server waits to be taken in and knows of nothing yet:
-// it was started again, bound to no set, and heard of no term.
+// isBlank reports whether this server waits to be added to a cluster and has no cluster state yet:
+// it was restarted, is bound to no founding voter set, and has seen no term.
 func (r *Replica) isBlank() bool {
 	return r.node != nil && len(r.persisted.Founders) == 0 && r.node.Term() == 0 && r.node.LastIndex() == 0
 }
 
-// handleBootstrapProposal takes a seed's response: this server binds itself to the
-// set that names it, starts once all of the set are bound, and joins a cluster that
-// was formed without it.
+// handleBootstrapProposal handles a seed's response. If the proposed voter set includes this
+// server, the server binds itself to the set. It starts its node once all members of the set are
+// bound. If the set does not include it, it joins the cluster formed without it.
 func (r *Replica) handleBootstrapProposal(proposal rpc.BootstrapProposal) {
 	if !r.StorageOpened() || r.identityResets > 0 {
 		return
 	}
-	named := slices.Contains(proposal.Voters, r.self)
-	if r.isBlank() && named {
-		// It announced itself before it was restarted, and the others wait for
-		// it: to stand by until it is taken in would block them for ever.
+	isFounder := slices.Contains(proposal.Voters, r.self)
+	if r.isBlank() && isFounder {
+		// It announced itself before it was restarted, and the other founders wait for it. Waiting
+		// here to be added to a cluster would block them forever.
 		r.node = nil
 	}
 	switch {
@@ -45,7 +45,7 @@
 		if proposal.Start {
 			r.startNode(r.persisted.Snapshot)
 		}
-	case named:
+	case isFounder:
 		r.bindToFounders(proposal.Voters)
 	default:
 		// The cluster was formed without this server, which joins it.
@@ -53,7 +53,7 @@
 	}
 }
 
-// bindToFounders binds this server to the voters of the first cluster, permanently.
+// bindToFounders permanently binds this server to the voters of the initial cluster.
 func (r *Replica) bindToFounders(voters []raft.Member) {
 	snapshot := raft.Snapshot{Index: 1, Voters: voters}
 	if err := r.storage.Bootstrap(voters, snapshot); err != nil {
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -6,25 +6,25 @@
 	"tealpond/internal/clock"
 )
 
-// clock is the state's clock in ms, see clock.Monotonic.
+// clock returns the state's clock in ms, see clock.Monotonic.
 func (r *Replica) clock(now time.Time) int64 { return r.stateClock.Read(now) }
 
-// learnClocks records the clocks of the newest entry that was applied, and its term.
-func (r *Replica) learnClocks(now time.Time, term uint64) {
+// observeClocks records the clocks and the term of the last applied entry.
+func (r *Replica) observeClocks(now time.Time, term uint64) {
 	if r.state.WallClock > 0 {
 		r.wall.Learn(now, time.Duration(r.state.WallClock)*time.Millisecond)
 	}
 	r.stateClock.Learn(now, term, r.state.Clock)
 }
 
-// beginClocks begins the clocks of a term of leadership.
-func (r *Replica) beginClocks(now time.Time) {
+// startTermClocks starts the clocks for a new term of leadership.
+func (r *Replica) startTermClocks(now time.Time) {
 	r.stateClock.BeginTerm(now, r.state.Clock)
 	r.wall.BeginTerm()
 }
 
-// wallClock is the wall-clock time in Unix ms, see clock.Wall. Members without a recent
-// reading count for nothing.
+// wallClock returns the wall-clock time in Unix ms, see clock.Wall. Members without a recent
+// reading are ignored.
 func (r *Replica) wallClock(now time.Time) int64 {
 	members := []time.Duration{r.timeOfDay.Read(now, clock.MachineTime(now))}
 	for _, reading := range r.node.PeerWallClocks(now) {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -10,24 +10,24 @@
 	"tealpond/internal/transport"
 )
 
-// voterConnectInterval is the time between two attempts of a server to open the streams to other
-// voters that it lacks.
+// voterConnectInterval is the interval at which a server tries to open missing streams to other
+// voters.
 const voterConnectInterval = 100 * time.Millisecond
 
-// peerStreams are the streams to and from other servers, and their addresses.
+// peerStreams holds the streams to and from other servers, and their addresses.
 type peerStreams struct {
 	dialed         map[string]*transport.Stream // by address
-	dialing        map[string]time.Time         // by address; zero while under way, else when to retry
-	addresses      map[string]string            // by member ID, of members that aren't voters
+	dialing        map[string]time.Time         // by address; zero while dialing, else when to retry
+	addresses      map[string]string            // by member ID, of members that are not voters
 	votersDialedAt time.Time                    // when missing streams to voters were last opened
-	inbound        map[string]*transport.Stream // by member ID, the stream it was last heard on
+	inbound        map[string]*transport.Stream // by member ID, the stream of its last message
 }
 
 func newPeerStreams() peerStreams {
 	return peerStreams{dialed: map[string]*transport.Stream{}, dialing: map[string]time.Time{}, addresses: map[string]string{}, inbound: map[string]*transport.Stream{}}
 }
 
-// handleTransport takes a frame from a stream, or the end of the stream.
+// handleTransport handles a frame from a stream, or the end of the stream.
 func (r *Replica) handleTransport(ctx context.Context, event *transport.Event) {
 	if event.Closed {
 		r.handleStreamClosed(event.Stream)
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleStreamClosed forgets a stream that ended.
+// handleStreamClosed removes a stream that has ended.
 func (r *Replica) handleStreamClosed(closed *transport.Stream) {
 	isClosed := func(_ string, stream *transport.Stream) bool { return stream == closed }
 	maps.DeleteFunc(r.peers.dialed, isClosed)
@@ -60,8 +60,8 @@
 	r.dropSessions(closed)
 }
 
-// handleRaftFrame hands a message of the consensus protocol to the node, which is
-// started by it if this replica is bound to a first cluster.
+// handleRaftFrame passes a Raft message to the node. It starts the node first if this replica is
+// bound to the founders of the cluster.
 func (r *Replica) handleRaftFrame(body []byte, stream *transport.Stream) {
 	r.metrics.count("raft_in", 1)
 	if r.writeQueueFull() {
@@ -69,8 +69,8 @@
 	}
 	var message raft.Message
 	if transport.Decode(body, &message) != nil || message.To != r.self.ID {
-		// The message is for an earlier member at this address, for instance the
-		// one before the disk was replaced.
+		// The message is for an earlier member at this address, for example the one before the disk
+		// was replaced.
 		return
 	}
 	if r.node == nil {
@@ -83,7 +83,7 @@
 	r.node.Step(message, time.Now())
 }
 
-// handleRequestFrame handles a request, and sends the response on its stream.
+// handleRequestFrame handles a request and sends the response on the same stream.
 func (r *Replica) handleRequestFrame(frame transport.Frame, stream *transport.Stream) {
 	var request rpc.Request
 	if transport.Decode(frame.Body, &request) != nil {
@@ -97,7 +97,7 @@
 	}))
 }
 
-// sendRaftMessages sends messages of the consensus protocol to other members.
+// sendRaftMessages sends Raft messages to other members.
 func (r *Replica) sendRaftMessages(ctx context.Context, messages []raft.Message) {
 	for _, message := range messages {
 		if message.Kind == raft.MsgSnapshot && message.Snapshot != nil && len(message.Snapshot.Data) > 0 {
@@ -112,8 +112,8 @@
 	}
 }
 
-// sendFrame sends a frame to another member; false if there is no stream yet, and
-// the frame is lost.
+// sendFrame sends a frame to another member. It returns false if there is no stream yet; the frame
+// is then lost.
 func (r *Replica) sendFrame(ctx context.Context, to string, frame transport.Frame) bool {
 	r.sentBytes.add(len(frame.Body))
 	address := r.addressOf(to)
@@ -126,7 +126,7 @@
 		return r.sendOnInbound(to, frame)
 	}
 	if !stream.Send(frame) {
-		// The stream has ended, and its end is still in the event queue.
+		// The stream has ended, and its close event is still queued.
 		delete(r.peers.dialed, address)
 		r.dial(ctx, address)
 		return r.sendOnInbound(to, frame)
@@ -134,15 +134,15 @@
 	return true
 }
 
-// sendOnInbound answers a member on the stream by which it was last heard: a
-// candidate knows no addresses yet, and the first response after a snapshot, which
-// names them, must not be lost while a new connection is being made.
+// sendOnInbound sends a frame to a member on the stream of its last message. A candidate does not
+// know any addresses yet, and the first response after a snapshot, which contains them, must not be
+// lost while a new connection is being opened.
 func (r *Replica) sendOnInbound(to string, frame transport.Frame) bool {
 	stream := r.peers.inbound[to]
 	return stream != nil && stream.Send(frame)
 }
 
-// addressOf is the address of a member; empty if unknown.
+// addressOf returns the address of a member, or "" if it is unknown.
 func (r *Replica) addressOf(memberID string) string {
 	for _, voter := range r.node.Voters() {
 		if voter.ID == memberID {
@@ -152,9 +152,9 @@
 	return r.peers.addresses[memberID]
 }
 
-// connectVoters opens the streams to other voters that are missing. A follower sends
-// nothing until it wants to be elected; its first request for votes would be lost
-// while streams are being opened, and with it a round of the election.
+// connectVoters opens missing streams to other voters. A follower sends nothing until it starts an
+// election. Without open streams its first vote requests would be lost while it connects, and the
+// election would need another round.
 func (r *Replica) connectVoters(ctx context.Context, now time.Time) {
 	if now.Sub(r.peers.votersDialedAt) < voterConnectInterval {
 		return
@@ -167,8 +167,8 @@
 	}
 }
 
-// dial connects to a peer in the background, unless that is under way or failed
-// a moment ago.
+// dial connects to a peer in the background, unless a dial is in progress or failed less than
+// redialDelay ago.
 func (r *Replica) dial(ctx context.Context, address string) {
 	if retryAt, ok := r.peers.dialing[address]; ok && (retryAt.IsZero() || time.Now().Before(retryAt)) {
 		return
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -8,11 +8,11 @@
 	"tealpond/internal/state"
 )
 
-// milliCPUPerCore turns work in milli-CPU times ms into core-ms.
+// milliCPUPerCore converts work in milli-CPU times ms to core-ms.
 const milliCPUPerCore = 1000
 
-// logJob logs how a job went: each step as its tasks x milli-CPU, and the ms until it
-// was ready, until all of it was placed, and until it was complete.
+// logJob logs a job that has ended. Each step is logged as tasks x milli-CPU, followed by the ms
+// until it was ready, until all of it was placed, and until it was complete.
 func (r *Replica) logJob(job *state.Job) {
 	var steps strings.Builder
 	for _, instance := range job.Instances {
@@ -27,12 +27,12 @@
 		"took_ms", job.EndedAt-job.CreatedAt, "target_ms", job.TargetTurnaroundMs(), "steps", strings.TrimSpace(steps.String()))
 }
 
-// logCapacity logs, once a second, how full the workers are.
+// logCapacity logs the utilization of the workers, once a second.
 func (r *Replica) logCapacity(now time.Time) {
-	if now.Sub(r.upkeep.capacityLoggedAt) < time.Second {
+	if now.Sub(r.maintenance.capacityLoggedAt) < time.Second {
 		return
 	}
-	r.upkeep.capacityLoggedAt = now
+	r.maintenance.capacityLoggedAt = now
 	var totalCPU, usedCPU, totalMemory, usedMemory int64
 	workers := 0
 	for _, worker := range r.state.Workers {
@@ -60,7 +60,7 @@
 		"p0", cpuByPriority[0], "p1", cpuByPriority[1], "p2", cpuByPriority[2], "jobs", len(r.state.OpenJobs()))
 }
 
-// logRun logs how a run went.
+// logRun logs a run that has ended.
 func (r *Replica) logRun(completed state.ClosedRun) {
 	allocation := completed.Allocation
 	job, worker := r.state.Jobs[allocation.Job], r.state.Workers[allocation.Worker]
--- a/internal/server/digest_exchange.go
+++ b/internal/server/digest_exchange.go
@@ -10,25 +10,24 @@
 )
 
 const (
-	// SnapshotInterval is the number of entries between two snapshots.
+	// SnapshotInterval is the number of log entries between two snapshots.
 	SnapshotInterval = 3000
-	// digestInterval is the number of entries between two digests that the replicas compare;
+	// digestInterval is the number of log entries between two digests that the replicas compare.
 	// SnapshotInterval is a multiple of it.
 	digestInterval = 250
 )
 
-// Replicas prove that they agree. At fixed log indexes each takes a digest of its
-// state: of the whole encoded state where a snapshot is taken, of the chain of
-// entries and outcomes in between. It reports it to the leader, which puts the
-// digest of the majority into the log; a replica whose own differs fetches the
-// state again, the leader too. Only digests of one version of the program are
-// compared.
+// Replicas verify that their states agree. At fixed log indexes each replica computes a digest: of
+// the whole encoded state where a snapshot is taken, and of the chain of entries and outcomes at
+// the indexes in between. It reports the digest to the leader, which writes the digest of the
+// majority to the log. A replica with a different digest, including the leader, fetches the state
+// again. Digests are compared only between replicas that run the same program version.
 
-// frameDigest is the frame of a replica's digestReport to the leader.
+// frameDigest is the frame kind of a digestReport sent to the leader.
 const frameDigest = byte(64)
 
-// digestReport is a replica's digest at a log index. It is encoded by the names in
-// its tags, or by those of its fields, which therefore stay.
+// digestReport is a replica's digest at a log index. It is encoded under the names in its tags or,
+// without a tag, its field names, which must therefore not change.
 type digestReport struct {
 	From    string
 	To      string
@@ -37,21 +36,20 @@
 	Program string
 }
 
-// programVersion names what a digest depends on beside the log: the format of the
-// state and its commands, the compiler and the kind of processor.
+// programVersion identifies what a digest depends on besides the log: the format of the state and
+// its commands, the compiler version and the processor architecture.
 var programVersion = fmt.Sprintf("%d %s %s", state.FormatVersion, runtime.Version(), runtime.GOARCH)
 
-// takeDigestIfDue takes the digest after an entry, if one is due at its index.
+// takeDigestIfDue records the digest after an entry if one is due at its index.
 func (r *Replica) takeDigestIfDue(ctx context.Context, index uint64) {
 	if index%digestInterval == 0 && index%SnapshotInterval != 0 && r.state.DigestChainFrom > 0 {
 		r.recordDigest(ctx, index, r.state.DigestChain)
 	}
 }
 
-// recordDigest keeps a digest of this replica, compares it and reports it to the
-// leader.
+// recordDigest stores a digest of this replica, compares it, and reports it to the leader.
 func (r *Replica) recordDigest(ctx context.Context, index, digest uint64) {
-	if agreed, known := r.digests.addOwn(index, digest); known {
+	if agreed, known := r.digests.addLocal(index, digest); known {
 		r.compareDigest(index, agreed)
 	}
 	if r.node.IsLeader() {
@@ -64,7 +62,7 @@
 	}
 }
 
-// handleDigestReport takes another replica's digest.
+// handleDigestReport handles the digest of another replica.
 func (r *Replica) handleDigestReport(body []byte) {
 	var report digestReport
 	if transport.Decode(body, &report) != nil || report.To != r.self.ID || report.Program != programVersion {
@@ -80,8 +78,8 @@
 	r.countDigests(report.Index)
 }
 
-// countDigests counts the digests of the voters at an index, and puts that of the
-// majority into the log.
+// countDigests counts the digests of the voters at an index, and proposes that of the majority for
+// the log.
 func (r *Replica) countDigests(index uint64) {
 	switch count := r.digests.count(index, r.self.ID, r.node.Voters()); count.verdict {
 	case digestsConfirmed:
@@ -94,17 +92,18 @@
 	}
 }
 
-// compareConfirmed compares a digest from the log with this replica's own.
+// compareConfirmed compares a digest from the log with that of this replica.
 func (r *Replica) compareConfirmed(confirmed state.ConfirmDigest) {
 	if confirmed.ProgramVersion == programVersion {
 		r.compareDigest(confirmed.Index, confirmed.Digest)
 	}
 }
 
-// compareDigest compares the agreed digest at an index with this replica's own.
+// compareDigest compares the agreed digest at an index with that of this replica, and logs an error
+// if this shows that the replica has diverged.
 func (r *Replica) compareDigest(index, agreed uint64) {
 	if r.digests.compare(index, agreed) {
-		_ = r.log.Log("level", "error", "event", "replica.diverged", "index", index, "digest", r.digests.own[index], "majority", agreed,
+		_ = r.log.Log("level", "error", "event", "replica.diverged", "index", index, "digest", r.digests.local[index], "majority", agreed,
 			"disk", r.self.ID, "leads", r.node.IsLeader())
 	}
 }
--- a/internal/server/digests.go
+++ b/internal/server/digests.go
@@ -4,57 +4,56 @@
 	"tealpond/internal/raft"
 )
 
-// digestsKept is the number of the latest digests that reports and entries of the log may refer
-// to.
-const digestsKept = 40
+// retainedDigests is the number of recent digests that reports and log entries may refer to.
+const retainedDigests = 40
 
-// digestTracker holds the digests of this replica and of others, by log index, and
-// compares them. It is pure: it knows nothing of the network or the log.
+// digestTracker holds the state digests of this replica and of others, by log index, and compares
+// them. It does no I/O.
 type digestTracker struct {
-	own        map[uint64]uint64
-	agreed     map[uint64]uint64            // confirmed by the log, kept until the own one is known
-	reported   map[uint64]map[string]uint64 // by index and member ID, while this replica leads
+	local      map[uint64]uint64
+	agreed     map[uint64]uint64            // confirmed by the log, kept until the local one is known
+	reported   map[uint64]map[string]uint64 // by index and member ID, while this replica is leader
 	decided    map[uint64]bool              // indexes with a verdict other than digestsUndecided
-	divergedAt uint64                       // the index at which this replica differs; 0: none
+	divergedAt uint64                       // the index at which this replica differs; 0 if none
 }
 
 func newDigestTracker() digestTracker {
 	return digestTracker{
-		own:      map[uint64]uint64{},
+		local:    map[uint64]uint64{},
 		agreed:   map[uint64]uint64{},
 		reported: map[uint64]map[string]uint64{},
 		decided:  map[uint64]bool{},
 	}
 }
 
-// digestVerdict is what the digests of the voters at one index say together.
+// digestVerdict is the result of comparing the voters' digests at one index.
 type digestVerdict int
 
 const (
 	digestsUndecided digestVerdict = iota // too few are known
 	digestsConfirmed                      // a majority has the digest of this replica
-	digestsDiverged                       // a majority has another one
-	digestsDisagree                       // all are known, and none has a majority
+	digestsDiverged                       // a majority has a different digest
+	digestsDisagree                       // all are known and none has a majority
 )
 
-// digestCount is the outcome of counting the digests at one index.
+// digestCount is the result of counting the digests at one index.
 type digestCount struct {
 	verdict  digestVerdict
-	majority uint64 // the digest of the majority, if there is one
-	distinct int    // how many different digests there are
+	majority uint64 // the majority's digest, if there is one
+	distinct int    // number of different digests
 }
 
-// addOwn keeps a digest of this replica and drops those that are too old to be
-// compared. It returns the agreed digest if that is known already.
-func (d *digestTracker) addOwn(index, digest uint64) (agreed uint64, known bool) {
-	d.own[index] = digest
-	d.discardOld(index)
+// addLocal stores a digest of this replica and discards expired ones. It returns the agreed digest
+// at the index if that is already known.
+func (d *digestTracker) addLocal(index, digest uint64) (agreed uint64, known bool) {
+	d.local[index] = digest
+	d.discardExpired(index)
 	agreed, known = d.agreed[index]
 	delete(d.agreed, index)
 	return agreed, known
 }
 
-// addReported keeps the digest that a voter reports.
+// addReported stores a digest reported by a voter.
 func (d *digestTracker) addReported(member string, index, digest uint64) {
 	if d.reported[index] == nil {
 		d.reported[index] = map[string]uint64{}
@@ -62,10 +61,10 @@
 	d.reported[index][member] = digest
 }
 
-// count counts the digests of the voters at an index; self is the ID of this
-// replica. An index with another verdict than digestsUndecided is not counted again.
+// count counts the digests of the voters at an index; self is the ID of this replica. An index is
+// not counted again once its verdict is other than digestsUndecided.
 func (d *digestTracker) count(index uint64, self string, voters []raft.Member) digestCount {
-	own, ok := d.own[index]
+	local, ok := d.local[index]
 	if !ok || d.decided[index] {
 		return digestCount{}
 	}
@@ -73,7 +72,7 @@
 	for _, voter := range voters {
 		digest, ok := d.reported[index][voter.ID]
 		if voter.ID == self {
-			digest, ok = own, true
+			digest, ok = local, true
 		}
 		if ok {
 			reported++
@@ -86,7 +85,7 @@
 			continue
 		}
 		result.majority, result.verdict = digest, digestsConfirmed
-		if digest != own {
+		if digest != local {
 			result.verdict = digestsDiverged
 		}
 	}
@@ -100,38 +99,39 @@
 	return result
 }
 
-// compare compares the agreed digest with the own one; true if this replica is
-// found to have diverged by it, for the first time. An agreed digest without an own
-// one is kept until that is known.
+// compare compares the agreed digest with the local one. It returns true if this shows, for the
+// first time, that this replica has diverged. An agreed digest without a local one is kept until
+// the local one is known.
 func (d *digestTracker) compare(index, agreed uint64) bool {
-	own, ok := d.own[index]
+	local, ok := d.local[index]
 	if !ok {
-		// Not taken yet, or before the snapshot that this replica began with.
+		// The local digest is not taken yet, or the index precedes the snapshot that this replica
+		// started from.
 		d.agreed[index] = agreed
 		return false
 	}
-	if own == agreed || d.divergedAt != 0 {
+	if local == agreed || d.divergedAt != 0 {
 		return false
 	}
 	d.divergedAt = index
 	return true
 }
 
-// discardOwn drops the digests of this replica, whose state was replaced.
-func (d *digestTracker) discardOwn() { d.own = map[uint64]uint64{} }
+// discardLocal discards the digests of this replica after its state was replaced.
+func (d *digestTracker) discardLocal() { d.local = map[uint64]uint64{} }
 
-// discardOld drops digests that are too old to be compared.
-func (d *digestTracker) discardOld(newest uint64) {
-	deleteOld(d.own, newest)
-	deleteOld(d.agreed, newest)
-	deleteOld(d.reported, newest)
-	deleteOld(d.decided, newest)
+// discardExpired discards digests that are too old to be compared.
+func (d *digestTracker) discardExpired(newest uint64) {
+	deleteExpired(d.local, newest)
+	deleteExpired(d.agreed, newest)
+	deleteExpired(d.reported, newest)
+	deleteExpired(d.decided, newest)
 }
 
-// deleteOld drops what belongs to an index that is too old to be compared.
-func deleteOld[T any](byIndex map[uint64]T, newest uint64) {
+// deleteExpired deletes the items of indexes that are too old to be compared.
+func deleteExpired[T any](byIndex map[uint64]T, newest uint64) {
 	for index := range byIndex {
-		if index+digestsKept*digestInterval < newest {
+		if index+retainedDigests*digestInterval < newest {
 			delete(byIndex, index)
 		}
 	}
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -15,7 +15,7 @@
 	"tealpond/internal/transport"
 )
 
-// handleEvents takes what runs beside the loop has sent to it.
+// handleEvents handles the events that goroutines have posted to the event loop.
 func (h *harness) handleEvents() {
 	synctest.Wait()
 	for len(h.replica.events) > 0 {
@@ -23,14 +23,14 @@
 	}
 }
 
-// reportDigest has another replica report its digest.
+// reportDigest has another replica report a digest.
 func (h *harness) reportDigest(from string, index, digest uint64) {
 	report := digestReport{From: from, To: h.replica.self.ID, Index: index, Digest: digest, Program: programVersion}
 	frame := transport.Frame{Kind: frameDigest, Body: transport.Encode(report)}
 	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 }
 
-// applyUpTo commits entries until the state has applied one.
+// applyUpTo commits entries until the state has applied the given index.
 func (h *harness) applyUpTo(index uint64) {
 	h.t.Helper()
 	for i := 0; h.replica.state.AppliedIndex < index && i < 20000; i++ {
@@ -44,22 +44,22 @@
 		h.endTurn()
 	}
 	if h.replica.state.AppliedIndex < index {
-		h.t.Fatalf("it stands at %d", h.replica.state.AppliedIndex)
+		h.t.Fatalf("applied index is only %d", h.replica.state.AppliedIndex)
 	}
 }
 
-// useDataDir gives the replica a real storage, which can be quarantined.
+// useDataDir gives the replica a storage directory, which can be set aside.
 func (h *harness) useDataDir(dir string) {
 	h.replica.settings.DataDir = dir
 	h.replica.stopWriter = func() {}
 }
 
-// TestLeaderLogsDigestOfMajority: the leader puts the digest of the majority into the
-// log, and discards its own state if it is the one that differs.
-func TestLeaderLogsDigestOfMajority(t *testing.T) {
-	const at = digestInterval
+// TestLeaderProposesMajorityDigest checks that the leader writes the digest of the majority to the
+// log, and discards its own state if its own digest is the different one.
+func TestLeaderProposesMajorityDigest(t *testing.T) {
+	const index = digestInterval
 	for name, test := range map[string]struct {
-		b, c      uint64 // what the others report, against this one's digest
+		b, c      uint64 // difference of the reported digests from the leader's
 		reports   int
 		confirmed bool
 		discards  bool
@@ -77,33 +77,33 @@
 				h := newHarness(t)
 				h.useDataDir(t.TempDir())
 				h.becomeLeader()
-				h.applyUpTo(at)
-				own, ok := h.replica.digests.own[at]
-				if !ok || own == 0 {
-					t.Fatalf("no digest at %d", at)
+				h.applyUpTo(index)
+				local, ok := h.replica.digests.local[index]
+				if !ok || local == 0 {
+					t.Fatalf("no local digest at index %d", index)
 				}
-				h.reportDigest("b", at, own+test.b)
+				h.reportDigest("b", index, local+test.b)
 				if test.reports > 1 {
-					h.reportDigest("c", at, own+test.c)
+					h.reportDigest("c", index, local+test.c)
 				}
 				confirmed := false
 				for _, command := range h.replica.commands {
 					confirmed = confirmed || command.Name == state.CommandConfirmDigest
 				}
-				if confirmed != test.confirmed || (h.replica.digests.divergedAt > 0) != test.discards || h.replica.digests.decided[at] != (test.confirmed || test.discards || test.disagrees) {
-					t.Errorf("confirmed %v, diverged at %d, decided %v", confirmed, h.replica.digests.divergedAt, h.replica.digests.decided[at])
+				if confirmed != test.confirmed || (h.replica.digests.divergedAt > 0) != test.discards || h.replica.digests.decided[index] != (test.confirmed || test.discards || test.disagrees) {
+					t.Errorf("confirmed %v, diverged at %d, decided %v", confirmed, h.replica.digests.divergedAt, h.replica.digests.decided[index])
 				}
 				h.endTurn()
 				if (h.replica.node == nil) != test.discards {
-					t.Errorf("its node: %v", h.replica.node)
+					t.Errorf("node after the iteration: %v", h.replica.node)
 				}
 			})
 		})
 	}
 }
 
-// follow has the replica, as a follower, commit one entry of the leader "b".
-func (h *harness) follow(index uint64, data []byte) {
+// commitAsFollower has the replica, as a follower of leader "b", commit one entry.
+func (h *harness) commitAsFollower(index uint64, data []byte) {
 	h.t.Helper()
 	last := index - 1
 	logTerm, _ := h.replica.node.TermAt(last)
@@ -111,14 +111,14 @@
 	h.endTurn()
 }
 
-// confirmDigest is an entry that confirms a digest.
-func confirmDigest(index, digest uint64, version string) []byte {
+// confirmDigestEntry returns the data of a log entry that confirms a digest.
+func confirmDigestEntry(index, digest uint64, version string) []byte {
 	return commandEntry(state.CommandConfirmDigest, &state.ConfirmDigest{Index: index, Digest: digest, ProgramVersion: version})
 }
 
-// TestDivergedReplicaRejoinsWithNewIdentity: it hears of the majority's digest by the
-// log, votes and answers no more, sets its storage aside, and comes back under a new
-// identity with an empty state.
+// TestDivergedReplicaRejoinsWithNewIdentity checks that a replica that learns from the log that its
+// digest differs from the majority's stops voting and answering requests, sets its storage aside,
+// and rejoins under a new identity with an empty state.
 func TestDivergedReplicaRejoinsWithNewIdentity(t *testing.T) {
 	dir := t.TempDir()
 	opened, persisted, err := storage.Open(dir)
@@ -127,70 +127,70 @@
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
-	opened.Run(ended, make(chan storage.WriteRequest), nil) // closes it
+	opened.Run(ended, make(chan storage.WriteRequest), nil) // closes the storage
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.useDataDir(dir)
-		const at = digestInterval
-		h.follow(2, commandEntry(state.CommandSetLimits, &state.SetLimits{}))
-		for i := uint64(3); i <= at; i++ {
-			h.follow(i, appointmentEntry("z"))
+		const index = digestInterval
+		h.commitAsFollower(2, commandEntry(state.CommandSetLimits, &state.SetLimits{}))
+		for i := uint64(3); i <= index; i++ {
+			h.commitAsFollower(i, appointmentEntry("z"))
 		}
-		own, ok := h.replica.digests.own[at]
+		local, ok := h.replica.digests.local[index]
 		if !ok {
-			t.Fatal("it has no digest")
+			t.Fatal("no local digest")
 		}
-		h.follow(at+1, confirmDigest(at, own, programVersion))
-		h.follow(at+2, confirmDigest(at, own+1, "another"))
-		h.follow(at+3, confirmDigest(7, own+1, programVersion))
+		h.commitAsFollower(index+1, confirmDigestEntry(index, local, programVersion))
+		h.commitAsFollower(index+2, confirmDigestEntry(index, local+1, "another"))
+		h.commitAsFollower(index+3, confirmDigestEntry(7, local+1, programVersion))
 		if h.replica.node == nil {
-			t.Fatal("it discarded its state without a cause")
+			t.Fatal("state discarded without a different digest of this program version")
 		}
 		unknown := 0
-		h.replica.pending[at+9] = pendingEntry{term: 3, replies: []commandReply{func(state.Outcome, bool) { unknown++ }}}
-		h.follow(at+4, confirmDigest(at, own+1, programVersion))
+		h.replica.pending[index+9] = pendingEntry{term: 3, replies: []commandReply{func(state.Outcome, bool) { unknown++ }}}
+		h.commitAsFollower(index+4, confirmDigestEntry(index, local+1, programVersion))
 		if h.replica.node != nil || unknown != 1 || h.replica.self.ID != "" {
-			t.Fatalf("it goes on as %q, callers heard %d answers", h.replica.self.ID, unknown)
+			t.Fatalf("member ID is still %q, callers got %d replies, want 1", h.replica.self.ID, unknown)
 		}
-		h.checkTakesNoPart()
+		h.requireInactive()
 		for h.replica.node == nil {
 			h.handleEvents()
 			time.Sleep(time.Millisecond)
 		}
 		if h.replica.self.ID == "" || h.replica.self.ID == persisted.ID || h.replica.self.ID == "a" || h.replica.state.AppliedIndex != 0 || h.replica.node.IsVoter(h.replica.self.ID) {
-			t.Errorf("it came back as %q, state at %d", h.replica.self.ID, h.replica.state.AppliedIndex)
+			t.Errorf("rejoined as %q with the state at index %d", h.replica.self.ID, h.replica.state.AppliedIndex)
 		}
 		if _, err := os.Stat(filepath.Join(dir, "tealpond.db.differs")); err != nil {
 			t.Error(err)
 		}
-		// The writes of the identity before count no more.
+		// Writes of the previous identity are ignored.
 		h.replica.handleEvent(t.Context(), loopEvent{written: []storage.WriteRequest{{}}})
 		if h.replica.writesInFlight != 0 {
-			t.Error("a write of the old storage was counted")
+			t.Error("a write of the discarded storage was counted")
 		}
 		h.replica.stopWriter()
 	})
 }
 
-// checkTakesNoPart checks that the replica neither votes, nor starts by a proposal,
-// nor answers for the leader.
-func (h *harness) checkTakesNoPart() {
+// requireInactive checks that the replica neither votes, nor starts because of a bootstrap
+// proposal, nor answers as leader.
+func (h *harness) requireInactive() {
 	h.t.Helper()
 	h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
 	h.replica.handleEvent(h.t.Context(), loopEvent{bootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
 	if h.endTurn(); h.replica.node != nil {
-		h.t.Fatal("it takes part again with its old state")
+		h.t.Fatal("replica restarted its node with the diverged state")
 	}
 	var code rpc.Code
 	h.replica.handleRequest(rpc.Request{Kind: rpc.KindGetConfig}, nil, func(response rpc.Response) { code = response.Code })
 	if code != rpc.CodeNotLeader {
-		h.t.Errorf("it answers %d", code)
+		h.t.Errorf("response code %d, want CodeNotLeader", code)
 	}
 }
 
-// TestSnapshotsAreTakenAtFixedIndexes: at the same ones on each replica, however many
-// entries are committed in one turn; and one that a received snapshot overtook is
-// dropped.
+// TestSnapshotsAreTakenAtFixedIndexes checks that each replica takes snapshots at the same indexes,
+// however many entries are committed in one loop iteration. A snapshot is dropped if a newer one
+// was received while it was encoded.
 func TestSnapshotsAreTakenAtFixedIndexes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -206,31 +206,31 @@
 		h.endTurn()
 		h.endTurn()
 		if h.replica.state.AppliedIndex != SnapshotInterval+200 || !h.replica.encodingSnapshot {
-			t.Fatalf("at %d, encoding: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
+			t.Fatalf("applied index %d, encoding a snapshot: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
 		}
 		h.handleEvents()
 		writes := h.endTurn()
 		snapshot := h.replica.latestSnapshot
 		if snapshot == nil || snapshot.Index != SnapshotInterval ||
-			h.replica.digests.own[SnapshotInterval] != state.SnapshotDigest(snapshot.Data) {
-			t.Fatalf("the snapshot: %v", snapshot)
+			h.replica.digests.local[SnapshotInterval] != state.SnapshotDigest(snapshot.Data) {
+			t.Fatalf("snapshot is missing, at another index, or not the one of the digest: %v", snapshot)
 		}
 		store, err := state.DecodeSnapshot(snapshot.Data, state.Limits{})
 		if err != nil || store.BindSnapshotIndex(SnapshotInterval) != nil ||
 			store.Aggregators["z"].Revision != 1 || store.Aggregators["late"].Revision != 0 ||
 			h.replica.state.Aggregators["late"].Revision != 1 {
-			t.Errorf("it holds what came after it: %v", err)
+			t.Errorf("snapshot is not of the state at its index: %v", err)
 		}
 		if len(writes) != 1 || writes[0].LocalSnapshot != h.replica.latestSnapshot {
-			t.Errorf("the storage was given %v", writes)
+			t.Errorf("writes handed to the storage: %v", writes)
 		}
 
 		stale := &encodedSnapshot{h.replica.node, &raft.Snapshot{Index: SnapshotInterval * 2, Data: []byte{1}}, 1}
 		h.receive(raft.Message{Kind: raft.MsgSnapshot, From: "b", Term: 3, Snapshot: snapshotOf(t, SnapshotInterval*3, "y")})
 		h.endTurn()
 		h.replica.handleSnapshotEncoded(t.Context(), stale)
-		if h.replica.latestSnapshot.Index != SnapshotInterval*3 || len(h.replica.writeQueue) > 0 || len(h.replica.digests.own) > 0 {
-			t.Error("a snapshot replaced a newer one")
+		if h.replica.latestSnapshot.Index != SnapshotInterval*3 || len(h.replica.writeQueue) > 0 || len(h.replica.digests.local) > 0 {
+			t.Error("an older snapshot replaced a newer one")
 		}
 	})
 }
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -19,8 +19,8 @@
 	"tealpond/internal/transport"
 )
 
-// harness is a replica without its loop, streams and storage: a test hands it
-// messages and calls endTurn as the loop would. It runs in a bubble of virtual time.
+// harness is a replica without its event loop, streams and storage. A test passes it messages and
+// calls endTurn as the loop would. It runs in virtual time (package synctest).
 type harness struct {
 	t       *testing.T
 	replica *Replica
@@ -28,7 +28,7 @@
 
 var testVoters = []raft.Member{{Node: "n-a", ID: "a"}, {Node: "n-b", ID: "b"}, {Node: "n-c", ID: "c"}}
 
-// newHarness returns the replica of the first voter, bootstrapped and empty.
+// newHarness returns the replica of the first voter, bootstrapped and with an empty state.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	replica := newReplica()
@@ -42,20 +42,20 @@
 	return &harness{t: t, replica: replica}
 }
 
-// testEnvironment is that of a server with its data in a folder.
+// testEnvironment returns the environment of a server with its data in dir.
 func testEnvironment(dir string, logger log.Logger) daemon.Environment {
 	return daemon.Environment{Log: logger, Trace: tracing.NewRing(16),
 		Settings: settings.File{NodeName: "a", IPAddress: "127.0.0.1", InnerPortRange: []int{1, 9}, DataDir: dir, LossCounts: true}}
 }
 
-// receive hands the node a message as it comes in on a stream.
+// receive passes the node a message as if it had arrived on a stream.
 func (h *harness) receive(message raft.Message) {
 	message.To = h.replica.self.ID
 	frame := transport.Frame{Kind: rpc.FrameRaft, Body: transport.Encode(message)}
 	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 }
 
-// endTurn ends a turn of the loop and has all writes of it succeed.
+// endTurn ends an iteration of the event loop, and reports all of its writes as synced.
 func (h *harness) endTurn() []storage.WriteRequest {
 	h.replica.endTurn(h.t.Context(), time.Now())
 	var writes []storage.WriteRequest
@@ -68,8 +68,7 @@
 	return writes
 }
 
-// becomeLeader has the others elect this replica and commits the first entry of its
-// term.
+// becomeLeader has the other voters elect this replica, and commits the first entry of its term.
 func (h *harness) becomeLeader() {
 	h.t.Helper()
 	node := h.replica.node
@@ -86,16 +85,16 @@
 		h.endTurn()
 	}
 	if !h.replica.leading {
-		h.t.Fatal("it does not lead")
+		h.t.Fatal("replica was not elected leader")
 	}
-	// What a new leader puts into the log is committed too.
+	// Commits the commands that a new leader proposes, too.
 	time.Sleep(time.Second / 10)
 	h.endTurn()
 	h.acknowledge("b")
 	h.endTurn()
 }
 
-// acknowledge has a voter acknowledge all entries of this leader.
+// acknowledge has a voter acknowledge all log entries of this leader.
 func (h *harness) acknowledge(from string) {
 	h.receive(raft.Message{
 		Kind:      raft.MsgAppendResponse,
@@ -106,7 +105,7 @@
 	})
 }
 
-// newLeader returns a replica that leads and has a lease.
+// newLeader returns a replica that is leader and holds a lease.
 func newLeader(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t)
@@ -114,7 +113,7 @@
 	return h
 }
 
-// turn lets some time pass, and has what the leader proposed committed.
+// turn advances the time by 10 ms, and has the leader's proposals committed.
 func (h *harness) turn() {
 	time.Sleep(10 * time.Millisecond)
 	h.endTurn()
@@ -124,7 +123,7 @@
 	h.endTurn()
 }
 
-// call makes a request of this replica and plays turns until it is answered.
+// call sends a request to this replica, and runs loop iterations until there is a response.
 func (h *harness) call(kind string, body any) rpc.Response {
 	h.t.Helper()
 	h.turn()
@@ -134,17 +133,18 @@
 		h.turn()
 	}
 	if len(responses) != 1 {
-		h.t.Fatalf("%s was answered %d times", kind, len(responses))
+		h.t.Fatalf("%s got %d responses, want 1", kind, len(responses))
 	}
 	return responses[0]
 }
 
-// commandEntry is the data of an entry with one command.
+// commandEntry returns the data of a log entry with one command.
 func commandEntry(name string, command state.Command) []byte {
 	return transport.Encode(state.Batch{Clock: 1, Commands: []state.EncodedCommand{state.EncodeCommand(name, command)}})
 }
 
-// appointmentEntry is an entry that appoints nobody for a zone, to be seen in the state.
+// appointmentEntry returns the data of a log entry that leaves a mark in the state: it appoints no
+// member as the aggregator of the given zone.
 func appointmentEntry(zone string) []byte {
 	return commandEntry(state.CommandAppointAggregator, &state.AppointAggregator{Aggregator: state.ZoneAggregator{Zone: zone}})
 }
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -12,9 +12,9 @@
 	"tealpond/internal/transport"
 )
 
-// identityRenewRetryInterval is the time between two attempts to open the storage under a new
+// identityResetRetryInterval is the delay between two attempts to create the storage under a new
 // identity.
-const identityRenewRetryInterval = time.Second
+const identityResetRetryInterval = time.Second
 
 // newIdentity is an empty storage with a new identity.
 type newIdentity struct {
@@ -22,7 +22,7 @@
 	persisted storage.Recovered
 }
 
-// startWriter starts the storage's writer, which reports each write to the loop.
+// startWriter starts the storage writer, which reports each write to the event loop.
 func (r *Replica) startWriter(ctx context.Context) {
 	ctx, r.stopWriter = context.WithCancel(ctx)
 	opened := r.storage
@@ -34,10 +34,10 @@
 	})
 }
 
-// discardDivergedState ends the use of a state that differs from that of the majority:
-// from here on this server neither votes, answers nor sends assignments. It sets its
-// storage aside and comes back as a new member, which takes the state from the
-// leader; if that diverges again, the fault is in this machine, and it stays out.
+// discardDivergedState discards a state that differs from that of the majority. From here on this
+// server neither votes, answers requests nor sends assignments. It sets its storage aside and
+// rejoins as a new member, which fetches the state from the leader. If that state diverges too,
+// this machine is at fault, and the server does not rejoin.
 func (r *Replica) discardDivergedState(ctx context.Context, now time.Time) {
 	r.leading = false
 	r.abandonAllEntries()
@@ -56,14 +56,14 @@
 	r.identityResets++
 	if r.identityResets > 1 {
 		_ = r.log.Log("level", "error", "event", "replica.stayed_out",
-			"reason", "its state diverged again after it was fetched from the leader")
+			"reason", "the state diverged again after it was fetched from the leader")
 		return
 	}
 	go r.resetIdentity(ctx, r.settings.DataDir)
 }
 
-// resetIdentity sets the storage aside and makes an empty one, beside the loop and
-// for as long as it takes, and hands it to the loop.
+// resetIdentity sets the storage aside and creates an empty one. It runs outside the event loop,
+// retries until it succeeds, and posts the new storage to the loop.
 func (r *Replica) resetIdentity(ctx context.Context, dataDir string) {
 	for {
 		opened, persisted, err := storage.ResetIdentity(dataDir)
@@ -73,15 +73,14 @@
 		}
 		_ = r.log.Log("level", "error", "event", "replica.reset_failed", "error", err)
 		select {
-		case <-time.After(identityRenewRetryInterval):
+		case <-time.After(identityResetRetryInterval):
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// adoptNewIdentity starts over with an empty state and a new identity, as a
-// candidate.
+// adoptNewIdentity restarts this replica as a candidate with an empty state and a new identity.
 func (r *Replica) adoptNewIdentity(ctx context.Context, identity *newIdentity) {
 	r.storage, r.persisted, r.self.ID = identity.storage, identity.persisted, identity.persisted.ID
 	r.writeQueue, r.writesInFlight = make(chan storage.WriteRequest, storage.QueueLength), 0
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// jobExpiryInterval is the time between two removals of expired jobs.
+	// jobExpiryInterval is the interval at which expired jobs are removed.
 	jobExpiryInterval = 10 * time.Second
-	// usageRebuildInterval is the time between two rebuilds of the usage rollups from the bookings.
+	// usageRebuildInterval is the interval at which the usage rollups are rebuilt from the
+	// bookings.
 	usageRebuildInterval = 5 * time.Minute
 )
 
-// upkeep is when a leader last did its periodic work on the state.
-type upkeep struct {
-	collectionProposed bool // a garbage collection is proposed and not yet applied
+// maintenance records when a leader last did its periodic work on the state.
+type maintenance struct {
+	collectionProposed bool // a garbage collection is proposed but not yet applied
 	collectedAt        time.Time
 	usageRebuiltAt     time.Time
-	periodicWorkAt     time.Time
+	periodicTasksAt    time.Time
 	capacityLoggedAt   time.Time
 }
 
-// leaderWork does what a leader has to do at this time; it returns after how long
-// it must be called again, 0 for a replica that does not lead.
-func (r *Replica) leaderWork(now time.Time) time.Duration {
-	// A new term may follow that of another leader, who renewed leases and applied
-	// entries: what this replica kept in memory as leader is void then.
+// runLeaderTasks does the work that is due on a leader. It returns the time until it must be called
+// again, or 0 if this replica is not the leader.
+func (r *Replica) runLeaderTasks(now time.Time) time.Duration {
+	// The new term may follow that of another leader, which renewed leases and applied entries. The
+	// leader state that this replica kept in memory is then stale.
 	if r.leading && (!r.node.LeaderReady() || r.leadingTerm != r.node.Term()) {
 		r.stepDown()
 	}
@@ -38,17 +39,17 @@
 	if !r.leading {
 		r.becomeLeader(now)
 	}
-	if now.Sub(r.upkeep.periodicWorkAt) >= timing.HeartbeatInterval {
-		r.upkeep.periodicWorkAt = now
-		r.periodicWork(now)
+	if now.Sub(r.maintenance.periodicTasksAt) >= timing.HeartbeatInterval {
+		r.maintenance.periodicTasksAt = now
+		r.runPeriodicTasks(now)
 	}
-	wake := sooner(timing.HeartbeatInterval, r.runDueTimers(now))
+	wake := earlierWake(timing.HeartbeatInterval, r.runDueTimers(now))
 	r.schedule(now)
 	return wake
 }
 
-// periodicWork is what a leader does once a heartbeat.
-func (r *Replica) periodicWork(now time.Time) {
+// runPeriodicTasks runs the leader's tasks that are due once per heartbeat interval.
+func (r *Replica) runPeriodicTasks(now time.Time) {
 	r.expireWorkerLeases(now)
 	r.reconcileVoters(now)
 	r.appointAggregators(now)
@@ -61,8 +62,8 @@
 	}
 }
 
-// runDueTimers has periodic jobs run whose time has come; it returns after how long
-// the next one is due, 0 for none.
+// runDueTimers proposes a garbage collection when periodic jobs are due, which starts them. It
+// returns the time until the next one is due, or 0 if there is none or it is due now.
 func (r *Replica) runDueTimers(now time.Time) time.Duration {
 	due := r.state.NextDueAt()
 	if due <= 0 {
@@ -72,26 +73,26 @@
 	if wait > 0 {
 		return wait
 	}
-	// Applying the clean-up starts the jobs that are due. Only one is proposed at a
-	// time: until it is applied they stay due, and each turn would propose another.
-	if !r.upkeep.collectionProposed {
-		r.upkeep.collectionProposed = true
-		r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, func(state.Outcome, bool) { r.upkeep.collectionProposed = false })
+	// Applying CollectGarbage starts the jobs that are due. Only one such command is proposed at a
+	// time: the jobs stay due until it is applied, and each loop iteration would propose another.
+	if !r.maintenance.collectionProposed {
+		r.maintenance.collectionProposed = true
+		r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, func(state.Outcome, bool) { r.maintenance.collectionProposed = false })
 	}
 	return 0
 }
 
-// collectGarbage proposes the periodic clean-up of the state, with a rebuild of
-// the rollups when one is due.
+// collectGarbage proposes the periodic garbage collection of the state, and a rebuild of the usage
+// rollups when one is due.
 func (r *Replica) collectGarbage(now time.Time) {
-	if now.Sub(r.upkeep.collectedAt) < jobExpiryInterval {
+	if now.Sub(r.maintenance.collectedAt) < jobExpiryInterval {
 		return
 	}
-	r.upkeep.collectedAt = now
+	r.maintenance.collectedAt = now
 	r.expireMemberships(now)
-	rebuild := now.Sub(r.upkeep.usageRebuiltAt) >= usageRebuildInterval
+	rebuild := now.Sub(r.maintenance.usageRebuiltAt) >= usageRebuildInterval
 	if rebuild {
-		r.upkeep.usageRebuiltAt = now
+		r.maintenance.usageRebuiltAt = now
 	}
 	r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{RebuildUsage: rebuild}, nil)
 	if rebuild {
@@ -99,25 +100,25 @@
 	}
 }
 
-// becomeLeader begins a term of leadership: nothing of an earlier one is kept.
+// becomeLeader initializes the leader state for a new term. Nothing from an earlier term is kept.
 func (r *Replica) becomeLeader(now time.Time) {
 	r.leading, r.leadingSince, r.leadingTerm = true, now, r.node.Term()
-	r.beginClocks(now)
+	r.startTermClocks(now)
 	r.memberSets, r.appointments = map[string]memberSet{}, newAppointments()
-	// All sessions are synced again: before this replica led, assignments may
-	// have been held back for workers that it knew nothing of yet.
+	// All sessions are synced again: before this replica was leader, it may have held back
+	// assignments for workers that it did not know yet.
 	r.resyncSessions()
 	r.leases = map[string]*workerLease{}
 	for id, worker := range r.state.Workers {
 		if !worker.Dead && !worker.LeaseExpired {
-			// Leases aren't in the log, and the previous leader may have
-			// renewed some until this one was elected.
+			// Leases are not in the log, and the previous leader may have renewed some until this
+			// one was elected.
 			r.leases[id] = newWorkerLease(now)
 		}
 	}
-	r.planning.due, r.planning.proposed, r.upkeep.collectionProposed = true, false, false
+	r.planning.due, r.planning.proposed, r.maintenance.collectionProposed = true, false, false
 	r.planning.notBefore, r.planning.refusedInARow = time.Time{}, 0
-	r.upkeep.collectedAt, r.upkeep.usageRebuiltAt = now, now
+	r.maintenance.collectedAt, r.maintenance.usageRebuiltAt = now, now
 	if limits := stateLimits(r.settings); r.state.Limits != limits {
 		r.enqueueCommand(state.CommandSetLimits, &state.SetLimits{Limits: limits}, nil)
 	}
@@ -129,7 +130,7 @@
 	_ = r.log.Log("level", "info", "event", "leader.elected", "term", r.node.Term(), "index", r.node.AppliedIndex())
 }
 
-// stepDown ends this replica's leadership.
+// stepDown discards the leader state when this replica loses leadership.
 func (r *Replica) stepDown() {
 	r.leading = false
 	r.outgoingSnapshots = map[string]*snapshotSender{}
--- a/internal/server/leader_test.go
+++ b/internal/server/leader_test.go
@@ -10,13 +10,13 @@
 	"tealpond/internal/transport"
 )
 
-// TestLeaderOfLaterTermDiscardsEarlierTermsState: a leader that finds itself leading a later
-// term than the one it began with trusts nothing that it kept.
+// TestLeaderOfLaterTermDiscardsEarlierTermsState checks that a leader that finds itself in a later
+// term than the one it started with keeps none of its leader state.
 func TestLeaderOfLaterTermDiscardsEarlierTermsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.becomeLeader()
-		at, unknown := h.replica.leadingSince, 0
+		previousSince, unknown := h.replica.leadingSince, 0
 		h.replica.leadingTerm--
 		h.replica.leases["w"] = &workerLease{grantedAt: time.Now()}
 		h.replica.pending[999] = pendingEntry{replies: []commandReply{func(_ state.Outcome, known bool) {
@@ -26,15 +26,15 @@
 		}}}
 		time.Sleep(time.Millisecond)
 		h.endTurn()
-		if !h.replica.leading || h.replica.leadingTerm != h.replica.node.Term() || !h.replica.leadingSince.After(at) || h.replica.leases["w"] != nil || unknown != 1 {
-			t.Errorf("it goes on as in the term before: %d replies, leases %v", unknown, h.replica.leases)
+		if !h.replica.leading || h.replica.leadingTerm != h.replica.node.Term() || !h.replica.leadingSince.After(previousSince) || h.replica.leases["w"] != nil || unknown != 1 {
+			t.Errorf("leader state of the earlier term kept: %d replies, leases %v", unknown, h.replica.leases)
 		}
 	})
 }
 
-// TestClockContinuesFromTheLog: a new leader's stamps are never below those that
-// the log holds, whatever its own clock says.
-func TestClockContinuesFromTheLog(t *testing.T) {
+// TestClockContinuesFromLog checks that the timestamps of a new leader are never below those in the
+// log, whatever its own clock reads.
+func TestClockContinuesFromLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2, Entries: []raft.Entry{{Index: 2, Term: 3,
@@ -43,7 +43,7 @@
 		time.Sleep(time.Second)
 		h.becomeLeader()
 		if clock := h.replica.clock(time.Now()); clock < 1_000_000 || h.replica.state.Clock < 1_000_000 {
-			t.Errorf("its clock is at %d, the state's at %d", clock, h.replica.state.Clock)
+			t.Errorf("leader clock is %d, state clock is %d, want at least 1000000", clock, h.replica.state.Clock)
 		}
 	})
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -11,71 +11,70 @@
 )
 
 const (
-	// maxApplyDuration is how long a replica applies committed entries before it looks at its events
+	// maxApplyDuration is how long a replica applies committed entries before it handles events
 	// again: a quarter of timing.HeartbeatInterval.
 	maxApplyDuration = 20 * time.Millisecond
-	// snapshotTrailingEntries is the number of entries before a snapshot that stay in the log, for
-	// voters that were away briefly.
+	// snapshotTrailingEntries is the number of entries before a snapshot that are kept in the log,
+	// so that voters that were briefly unavailable can catch up without a snapshot.
 	snapshotTrailingEntries = 1000
 )
 
 const (
-	// eventQueueLength bounds the events that wait for the loop; senders block
-	// beyond it.
+	// eventQueueLength is the capacity of the event queue. Senders block when it is full.
 	eventQueueLength = 4096
-	// redialDelay is the pause after a failed dial to a peer.
+	// redialDelay is the delay before a peer is dialed again after a failed attempt.
 	redialDelay = 100 * time.Millisecond
 )
 
-// loopEvent is an input of the loop. Exactly one of its fields is set, except that
-// writtenBy goes with written and writeErr.
+// loopEvent is an input of the event loop. Exactly one of its fields is set, except that writtenBy
+// accompanies written and writeErr.
 type loopEvent struct {
-	// transport is a frame of a stream, or the stream's end.
+	// transport is a frame received on a stream, or the end of the stream.
 	transport *transport.Event
-	// request is a request of this process, federationRequest one of its
+	// request is a request from this process; federationRequest is one from its federation
 	// offloader.
 	request           *localRequest
 	federationRequest *localRequest
-	// written are writes that were synced, writeErr is the error of writes that are
-	// being retried; writtenBy is the storage that reports either.
+	// written are writes that were synced. writeErr is the error of writes that are being retried.
+	// writtenBy is the storage that reported either.
 	written   []storage.WriteRequest
 	writeErr  error
 	writtenBy *storage.Store
 	// peerDialed is the outcome of dialing a peer.
 	peerDialed *dialedPeer
-	// bootstrapProposal is a seed's response to this candidate.
+	// bootstrapProposal is a seed's response to this bootstrap candidate.
 	bootstrapProposal *rpc.BootstrapProposal
-	// storageOpened is the storage, once it could be opened.
+	// storageOpened is set once the storage has been opened.
 	storageOpened *openedStorage
-	// snapshotEncoded is a snapshot that is ready to be written.
+	// snapshotEncoded is an encoded snapshot, ready to be written.
 	snapshotEncoded *encodedSnapshot
-	// newIdentity is the empty storage of a replica that starts over.
+	// newIdentity is the empty storage of a replica that rejoins under a new identity.
 	newIdentity *newIdentity
 	// leaderResponse is the leader's response to a batch of this server's aggregator.
 	leaderResponse *leaderResponse
-	// leave asks the replica to leave; the channel is closed once the process may
-	// end. leaveGranted is the leader's consent.
+	// leave asks the replica to leave; the channel is closed once the process may exit.
+	// leaveGranted reports that the wait for the leader's release is over.
 	leave        chan struct{}
 	leaveGranted bool
-	// talliesOpened is the file of the tallies, once it could be opened; talliesWritten
-	// tells that what was handed to it is on the disk.
+	// talliesOpened is set once the tally file has been opened. talliesWritten reports that the
+	// data handed to it is on disk.
 	talliesOpened  *openedTallies
 	talliesWritten *writtenTallies
 }
 
-// localRequest is a request of this process.
+// localRequest is a request from this process.
 type localRequest struct {
 	request rpc.Request
 	reply   func(rpc.Response)
 }
 
-// dialedPeer is the outcome of dialing a peer; stream is nil if that failed.
+// dialedPeer is the outcome of dialing a peer. The stream is nil if dialing failed.
 type dialedPeer struct {
 	address string
 	stream  *transport.Stream
 }
 
-// Run is the event loop. It returns nil when ctx ends.
+// Run runs the event loop. It returns nil when ctx ends.
 func (r *Replica) Run(ctx context.Context) error {
 	defer close(r.ended)
 	go r.openStorage(ctx)
@@ -89,7 +88,7 @@
 	return nil
 }
 
-// post hands the loop an event from a goroutine beside it; false if ctx ended first.
+// post queues an event from another goroutine. It returns false if ctx ended first.
 func (r *Replica) post(ctx context.Context, event loopEvent) bool {
 	select {
 	case r.events <- event:
@@ -99,7 +98,7 @@
 	}
 }
 
-// handleEvent takes one event.
+// handleEvent handles one event.
 func (r *Replica) handleEvent(ctx context.Context, event loopEvent) {
 	defer r.metrics.startTimer("handle_event")()
 	switch {
@@ -114,7 +113,7 @@
 	case event.federationRequest != nil:
 		r.handleFederationRequest(event.federationRequest)
 	case (event.written != nil || event.writeErr != nil) && event.writtenBy != r.storage:
-		// A write of the identity that this server has given up.
+		// The write belongs to an identity that this server has discarded.
 	case event.written != nil:
 		r.handleWritten(ctx, event.written)
 	case event.writeErr != nil:
@@ -138,7 +137,8 @@
 	}
 }
 
-// handleWritten sends what waited for writes to be synced.
+// handleWritten sends the messages that waited for writes to be synced, and compacts the log up to
+// a snapshot that was written.
 func (r *Replica) handleWritten(ctx context.Context, writes []storage.WriteRequest) {
 	r.metrics.count("storage_batches", 1)
 	r.metrics.count("storage_writes", len(writes))
@@ -157,7 +157,7 @@
 	}
 }
 
-// handlePeerDialed takes a new connection to a peer, or puts off the next attempt.
+// handlePeerDialed records a new connection to a peer, or schedules the next dial after a failure.
 func (r *Replica) handlePeerDialed(ctx context.Context, dialed *dialedPeer) {
 	if dialed.stream == nil {
 		r.peers.dialing[dialed.address] = time.Now().Add(redialDelay)
@@ -170,8 +170,8 @@
 	}
 }
 
-// endTurn does what is due after the events of a turn of the loop; it returns
-// after how long it must run again at the latest, 0 for only after an event.
+// endTurn does the work that is due after the events of one loop iteration. It returns the longest
+// time until it must run again, or 0 if only an event requires it.
 func (r *Replica) endTurn(ctx context.Context, now time.Time) time.Duration {
 	if r.node == nil {
 		return 0
@@ -185,11 +185,11 @@
 	r.connectVoters(ctx, now)
 	r.watchStorageLag(now)
 	r.watchRoundTrips(ctx, now)
-	// The node is drained before the leader acts on the state: a received snapshot
-	// replaces the state, and the committed entries above it apply to the new one only.
+	// The node is drained before the leader acts on the state: a received snapshot replaces the
+	// state, and the committed entries after it must be applied to the new state.
 	r.drainNode(ctx)
-	for _, wait := range []time.Duration{r.leaderWork(now), r.sendBatches(ctx, now), r.proposeQueued(now)} {
-		wake = sooner(wake, wait)
+	for _, wait := range []time.Duration{r.runLeaderTasks(now), r.sendBatches(ctx, now), r.proposeQueued(now)} {
+		wake = earlierWake(wake, wait)
 	}
 	r.drainNode(ctx)
 	if r.digests.divergedAt > 0 {
@@ -198,29 +198,29 @@
 	}
 	r.sendAssignments()
 	r.replyToCancelWaiters()
-	wake = sooner(wake, r.replyToStatusWaiters(now))
-	wake = sooner(wake, r.replyToRunnerWatchers(now))
-	wake = sooner(wake, r.replyToKeyWatchers(now))
-	wake = sooner(wake, r.tallyWork(ctx, now))
+	wake = earlierWake(wake, r.replyToStatusWaiters(now))
+	wake = earlierWake(wake, r.replyToRunnerWatchers(now))
+	wake = earlierWake(wake, r.replyToKeyWatchers(now))
+	wake = earlierWake(wake, r.tallyWork(ctx, now))
 	if r.applyBacklog {
-		wake = sooner(wake, time.Nanosecond)
+		wake = earlierWake(wake, time.Nanosecond)
 	}
-	return sooner(wake, r.continueLeave(ctx, now))
+	return earlierWake(wake, r.continueLeave(ctx, now))
 }
 
-// sooner is the shorter of two waits, of which wait may be 0 for none.
-func sooner(wake, wait time.Duration) time.Duration {
+// earlierWake returns the shorter of two delays, where a wait of 0 means none.
+func earlierWake(wake, wait time.Duration) time.Duration {
 	if wait > 0 && wait < wake {
 		return wait
 	}
 	return wake
 }
 
-// drainNode carries out what the node has ready until nothing is left. A received
-// snapshot is installed before any entry is applied. After maxApplyDuration the
-// rest of the committed entries is left for the next turn: a replica that has many to
-// apply after a restart would else send and hear no heartbeats for longer than an
-// election timeout, and lose the leadership that it has just won.
+// drainNode processes the node's output until there is none left. A received snapshot is installed
+// before any entry is applied. After maxApplyDuration the remaining committed entries are left for
+// the next iteration. Otherwise a replica with many entries to apply after a restart would neither
+// send nor receive heartbeats for longer than an election timeout, and would lose the leadership it
+// has just won.
 func (r *Replica) drainNode(ctx context.Context) {
 	deadline := time.Now().Add(maxApplyDuration)
 	r.applyBacklog = false
@@ -231,8 +231,8 @@
 			if ready.Snapshot != nil {
 				r.installSnapshot(ready.Snapshot)
 			}
-			// MessagesAfterSync also wait for all earlier writes, so they follow those
-			// through the queue, even if nothing new is to be written.
+			// MessagesAfterSync must also follow all earlier writes, so they go through the write
+			// queue even if there is nothing new to write.
 			if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && r.writesInFlight > 0 {
 				r.writesInFlight++
 				r.writeQueue <- storage.WriteRequest{Ready: ready}
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -26,43 +26,46 @@
 )
 
 const (
-	// leaseLossTimeout is how long a leader whose followers answer too late for a lease stays leader.
+	// leaseLossTimeout is how long a leader stays leader while its followers respond too late to
+	// renew its lease.
 	leaseLossTimeout = time.Second
-	// maxInflightEntries is the number of entries that may be in flight to one follower.
+	// maxInflightEntries is the number of log entries that may be in flight to one follower.
 	maxInflightEntries = 512
-	// maxAppendBytes is the largest size of one append, in bytes; a larger one would delay the
-	// heartbeat behind it.
+	// maxAppendBytes is the maximum size of one append message, in bytes. A larger one would delay
+	// the heartbeats queued behind it.
 	maxAppendBytes = 256 << 10
-	// maxLargeAppendBytes bounds the large appends in flight to all followers together, in bytes,
-	// while the rates of the links are not known.
+	// maxLargeAppendBytes limits the total size of large appends in flight to all followers, in
+	// bytes, while the link rates are unknown.
 	maxLargeAppendBytes = 128 << 10
-	// maxLargeAppendDelay is for how long the large appends in flight may delay a heartbeat.
+	// maxLargeAppendDelay is the longest delay of a heartbeat that large appends in flight may
+	// cause.
 	maxLargeAppendDelay = 100 * time.Millisecond
-	// largeAppendTimeout is how long a large append that is not acknowledged delays others at most.
+	// largeAppendTimeout is the longest time that an unacknowledged large append holds back others.
 	largeAppendTimeout = 400 * time.Millisecond
-	// maxCommittedEntries is the number of entries that a replica applies between two looks at the
-	// clock.
+	// maxCommittedEntries is the number of entries that a replica applies between two checks of the
+	// elapsed time.
 	maxCommittedEntries = 16
-	// maxReplans is how often a plan that lost a placement is planned again within the same command.
+	// maxReplans is how often one command may replan after a placement in its plan could not be
+	// made.
 	maxReplans = 2
-	// jobRetentionMargin is added to the setting status_s before a completed job is forgotten.
+	// jobRetentionMargin is added to the status_s setting to get the time for which a completed job
+	// is retained.
 	jobRetentionMargin = 60 * time.Second
 )
 
-// Replica is one server's replica of the cluster's state. Its fields belong to its
-// event loop, except for the atomic ones; its exported methods are safe for
-// concurrent use.
+// Replica is one server's replica of the cluster state. Its event loop owns all fields except the
+// atomic ones. Its exported methods are safe for concurrent use.
 type Replica struct {
 	settings  settings.File
 	log       log.Logger
 	trace     *tracing.Ring
 	metrics   *loopMetrics
-	debug     bool   // lines of level debug are kept
+	debug     bool   // debug lines are logged
 	processID string // daemon.Environment.ProcessID
 	afterSync func() // daemon.Environment.AfterSync
 
-	// Identity, storage and consensus. The node is nil until the storage is open
-	// and this server belongs, or wants to belong, to a cluster.
+	// Identity, storage and Raft. The node is nil until the storage is open and this server belongs
+	// to a cluster or is about to join one.
 	self               raft.Member
 	storage            *storage.Store
 	persisted          storage.Recovered
@@ -72,59 +75,59 @@
 	writesInFlight     int
 	stopWriter         context.CancelFunc
 	storageOpened      atomic.Bool
-	applyBacklog       bool       // committed entries wait for the next turn, see drainNode
-	roundTrips         roundTrips // to a quorum, while this replica leads
-	linkTrial          linkTrial  // while this replica leads
+	applyBacklog       bool       // committed entries are left for the next loop iteration, see drainNode
+	roundTrips         roundTrips // to a quorum, while this replica is leader
+	linkTrial          linkTrial  // while this replica is leader
 	linkMeasurement    linkMeasurement
 	sentBytes          byteRate  // to other members
-	storageLagLoggedAt time.Time // when it was last logged that the storage is behind
+	storageLagLoggedAt time.Time // when storage lag was last logged
 	identityResets     int
 	digests            digestTracker
-	lastSnapshotIndex  uint64         // of the newest snapshot that the storage was given
-	latestSnapshot     *raft.Snapshot // for followers that lag
+	lastSnapshotIndex  uint64         // of the newest snapshot handed to the storage
+	latestSnapshot     *raft.Snapshot // for lagging followers
 	encodingSnapshot   bool
 	outgoingSnapshots  map[string]*snapshotSender // by the follower's ID
 	incomingSnapshots  map[string]*snapshotReceiver
 
 	// Other daemons.
 	events          chan loopEvent
-	ended           chan struct{} // closed when the loop has ended
+	ended           chan struct{} // closed when the event loop has returned
 	leaderClient    *discovery.Client
 	seeds           atomic.Pointer[[]string]
 	bootstrap       bootstrap.Coordinator
 	joinRequestedAt time.Time
 	peers           peerStreams
 
-	// Clocks of the log, see clock.go.
+	// Clocks recorded in the log, see clock.go.
 	timeOfDay  clock.TimeOfDay
 	wall       clock.Wall
 	stateClock clock.Monotonic
 
-	// Commands and those who wait for them.
+	// Commands and the callers waiting for them.
 	pending       map[uint64]pendingEntry // by log index
-	commands      []state.EncodedCommand  // of the next entry
-	replies       []commandReply          // of the same commands
+	commands      []state.EncodedCommand  // for the next log entry
+	replies       []commandReply          // to the same commands
 	proposedAt    time.Time
 	statusWaiters map[string][]statusWaiter // by job ID
 	keyWatchers   keyWatchers
-	submitting    map[string]int             // jobs on their way through the log, by ID
+	submitting    map[string]int             // by job ID, proposed and not yet applied
 	cancelWaiters map[string][]replyFunc     // by job ID
 	backlog       map[state.BacklogKey]int64 // as of backlogAt
 	backlogAt     time.Time
 	floodedAt     map[string]time.Time // by tenant, see noteFlood
-	federation    *federation.Settings // nil while federation is off
+	federation    *federation.Settings // nil if federation is disabled
 
-	// Agents that are connected to this replica, and their assignments.
+	// Agents connected to this replica, and their assignments.
 	sessions           map[string]*agentSession // by worker ID
 	sessionsUnsynced   bool
 	pendingAssignments map[*transport.Stream][]rpc.Assignment
 	aggregator         *aggregator.Batcher
 	leaderSeenAt       time.Time // when a leader was last known
 	tallies            tallyService
-	pendingUpdates     map[pendingUpdateKey][]replyFunc // who waits for each
+	pendingUpdates     map[pendingUpdateKey][]replyFunc // callers waiting for each update
 	evacuationNotices  map[string]evacuationNotice      // by zone
 
-	// The term of leadership.
+	// Leader state, valid for one term.
 	leading       bool
 	leadingSince  time.Time
 	leadingTerm   uint64
@@ -134,16 +137,16 @@
 	appointments  appointments
 	membership    membershipTracker
 	planning      planning
-	upkeep        upkeep
+	maintenance   maintenance
 	runnerList    runnerList
-	counts        *counter.Set // merged counts of all daemons, in memory
+	counts        *counter.Set // merged counts of all daemons, kept in memory only
 	configUpdates configUpdates
 	leaseDuration time.Duration
 
 	departure departure
 }
 
-// stateLimits are the limits in this server's settings; a leader puts them into the log.
+// stateLimits returns the limits from this server's settings. A leader writes them to the log.
 func stateLimits(config settings.File) state.Limits {
 	return state.Limits{
 		JobRetentionMs: int64(config.Bounds.StatusS*msPerSecond) + jobRetentionMargin.Milliseconds(),
@@ -152,8 +155,8 @@
 	}
 }
 
-// New builds a replica; Run opens its storage. Until that is open there is no
-// node, and requests that need one are answered as by a daemon without state.
+// New returns a replica; Run opens its storage. Until the storage is open there is no Raft node,
+// and requests that need one are answered as if by a daemon without state.
 func New(env daemon.Environment, leaderClient *discovery.Client) *Replica {
 	r := newReplica()
 	r.settings, r.log, r.trace, r.debug, r.processID = env.Settings, env.Log, env.Trace, env.Debug, env.ProcessID
@@ -170,7 +173,7 @@
 	return r
 }
 
-// newReplica makes the tables of a replica, all empty.
+// newReplica returns a replica with all maps initialized and empty.
 func newReplica() *Replica {
 	return &Replica{
 		state:              state.New(state.Limits{}),
@@ -198,7 +201,7 @@
 	}
 }
 
-// raftConfig is the timing and the limits of a node.
+// raftConfig returns the timing and limits of a Raft node.
 func raftConfig() raft.Config {
 	return raft.Config{
 		HeartbeatInterval:   timing.HeartbeatInterval,
@@ -216,14 +219,14 @@
 	}
 }
 
-// startNode starts the consensus node at a snapshot, with the log that the storage
-// holds above it.
+// startNode starts the Raft node from a snapshot and the log entries that the storage holds after
+// it.
 func (r *Replica) startNode(snapshot raft.Snapshot) {
 	seed := fnv.New64()
-	_, _ = seed.Write([]byte(r.self.ID)) // a hash never fails to write
+	_, _ = seed.Write([]byte(r.self.ID)) // writing to a hash never fails
 	if r.state.AppliedIndex == 0 {
-		// The limits come by the log (see becomeLeader), so that all replicas apply
-		// each entry under the same ones.
+		// Limits are set through the log (see becomeLeader), so that all replicas apply each entry
+		// under the same limits.
 		r.state.Limits = state.Limits{}
 	}
 	if err := r.state.BindSnapshotIndex(snapshot.Index); err != nil {
@@ -231,7 +234,7 @@
 	}
 	r.node = raft.New(r.self.ID, r.persisted.HardState, snapshot, r.persisted.Entries, time.Now(), raftConfig(), int64(seed.Sum64())^time.Now().UnixNano())
 	r.node.RestoreCommit(r.persisted.Commit)
-	r.learnClocks(time.Now(), snapshot.Term)
+	r.observeClocks(time.Now(), snapshot.Term)
 	r.node.SetWallClock(func() int64 {
 		now := time.Now()
 		return r.timeOfDay.Read(now, clock.MachineTime(now)).Milliseconds()
@@ -243,23 +246,22 @@
 		"term", r.node.Term(), "last", r.node.LastIndex(), "voters", len(r.node.Voters()))
 }
 
-// SetSeeds replaces the addresses of the seeds.
+// SetSeeds replaces the addresses of the seed servers.
 func (r *Replica) SetSeeds(addresses []string) { r.seeds.Store(&addresses) }
 
-// Deliver hands the loop an event of an accepted stream. It blocks while the
-// loop's queue is full, and does nothing once the loop has ended.
+// Deliver queues an event of an accepted stream. It blocks while the event queue is full, and does
+// nothing after the event loop has returned.
 func (r *Replica) Deliver(event transport.Event) { r.send(loopEvent{transport: &event}) }
 
-// HandleLocal hands the loop a request of this process; reply is called in the
-// loop and must not block. Once the loop has ended it is called here, with the
-// response that nobody leads.
+// HandleLocal queues a request from this process. The event loop calls reply, which must not block.
+// After the event loop has returned, HandleLocal itself calls reply, with CodeNoLeader.
 func (r *Replica) HandleLocal(request rpc.Request, reply func(rpc.Response)) {
 	if !r.send(loopEvent{request: &localRequest{request: request, reply: reply}}) {
 		reply(rpc.Response{Code: rpc.CodeNoLeader})
 	}
 }
 
-// send hands the loop an event; false if the loop has ended.
+// send queues an event. It returns false if the event loop has returned.
 func (r *Replica) send(event loopEvent) bool {
 	select {
 	case r.events <- event:
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -11,20 +11,20 @@
 	"tealpond/internal/transport"
 )
 
-// encodedSnapshot is a snapshot that was encoded outside the loop.
+// encodedSnapshot is a snapshot that was encoded outside the event loop.
 type encodedSnapshot struct {
-	node     *raft.Node // whose entries it covers
+	node     *raft.Node // the node whose log it covers
 	snapshot *raft.Snapshot
 	digest   uint64
 }
 
-// beginSnapshot copies the state as of the last entry applied. The first result
-// has all but the data, which the second encodes; that may run beside the loop.
+// beginSnapshot copies the state as of the last applied entry. The first result lacks only the
+// data, which the second result encodes, possibly outside the event loop.
 func (r *Replica) beginSnapshot() (*raft.Snapshot, *state.Snapshot) {
 	index := r.state.AppliedIndex
 	term, ok := r.node.TermAt(index)
 	if !ok {
-		panic("server: a snapshot at an entry that the log does not know")
+		panic("server: no term in the log for the entry of the snapshot")
 	}
 	snapshot := &raft.Snapshot{
 		Index:          index,
@@ -35,8 +35,8 @@
 	return snapshot, r.state.Snapshot()
 }
 
-// snapshotForFollower is a snapshot for a follower that lags: the newest one, since
-// the log holds what follows it. If there is none yet it is taken at once.
+// snapshotForFollower returns a snapshot for a lagging follower: the newest one, since the log
+// holds the entries after it. If there is none yet, it is taken at once.
 func (r *Replica) snapshotForFollower() *raft.Snapshot {
 	if r.latestSnapshot == nil {
 		snapshot, copied := r.beginSnapshot()
@@ -46,9 +46,9 @@
 	return r.latestSnapshot
 }
 
-// takeSnapshotIfDue begins a snapshot at indexes that are the same on all replicas,
-// so that their digests can be compared. Only the copy is made on the loop: to encode
-// the state of a large cluster takes longer than followers wait for a heartbeat.
+// takeSnapshotIfDue starts a snapshot at log indexes that are the same on all replicas, so that
+// their digests can be compared. The event loop only copies the state: encoding the state of a
+// large cluster takes longer than followers wait for a heartbeat.
 func (r *Replica) takeSnapshotIfDue(ctx context.Context, index uint64) {
 	if index%SnapshotInterval != 0 || r.encodingSnapshot {
 		return
@@ -62,9 +62,9 @@
 	}()
 }
 
-// handleSnapshotEncoded has a snapshot written, unless a newer one was received or
-// the node was replaced meanwhile. The snapshot before stays valid until this one is
-// synced: the storage replaces it in one step.
+// handleSnapshotEncoded has a snapshot written, unless a newer one was received or the node was
+// replaced in the meantime. The previous snapshot remains valid until this one is synced: the
+// storage replaces it atomically.
 func (r *Replica) handleSnapshotEncoded(ctx context.Context, encoded *encodedSnapshot) {
 	if encoded.node != r.node {
 		return
@@ -79,8 +79,7 @@
 	r.writeQueue <- storage.WriteRequest{LocalSnapshot: encoded.snapshot}
 }
 
-// installSnapshot replaces the state by a received snapshot, and with it all that was
-// derived from the state before.
+// installSnapshot replaces the state, and everything derived from it, by a received snapshot.
 func (r *Replica) installSnapshot(snapshot *raft.Snapshot) {
 	store, err := state.DecodeSnapshot(snapshot.Data, state.Limits{})
 	if err == nil {
@@ -90,12 +89,12 @@
 		panic("server: unreadable snapshot: " + err.Error())
 	}
 	r.state = store
-	r.learnClocks(time.Now(), snapshot.Term)
+	r.observeClocks(time.Now(), snapshot.Term)
 	r.lastSnapshotIndex, r.latestSnapshot = snapshot.Index, snapshot
 	r.planning.due = true
-	r.digests.discardOwn()
-	// The entries up to the snapshot's are never applied one by one here, so it
-	// is unknown whether they are those that the callers proposed.
+	r.digests.discardLocal()
+	// The entries covered by the snapshot are not applied one by one here, so it is unknown whether
+	// they are the ones that the callers proposed.
 	for index := range r.pending {
 		if index <= snapshot.Index {
 			r.abandonEntry(index)
--- a/internal/server/snapshot_test.go
+++ b/internal/server/snapshot_test.go
@@ -9,7 +9,8 @@
 	"tealpond/internal/state"
 )
 
-// snapshotOf is a snapshot at an entry, of a state that has an aggregator for a zone.
+// snapshotOf returns a snapshot at the given index, of a state that has an aggregator for the given
+// zone.
 func snapshotOf(t *testing.T, index uint64, zone string) *raft.Snapshot {
 	t.Helper()
 	store := state.New(state.Limits{})
@@ -20,15 +21,15 @@
 	return &raft.Snapshot{Index: index, Term: 3, Voters: testVoters, Data: store.EncodeSnapshot()}
 }
 
-// TestSnapshotAndAppendInOneTurnBothApply: the loop takes a snapshot and entries above
-// it in one turn. Applied to the state before the snapshot, the entries would be lost
-// with that state.
-func TestSnapshotAndAppendInOneTurnBothApply(t *testing.T) {
-	for name, more := range map[string]bool{"snapshot first": false, "entries, snapshot, entries": true} {
+// TestSnapshotAndAppendInOneIterationBothApply guards against lost entries when a snapshot and
+// entries after it arrive in one loop iteration. Entries applied to the state before the snapshot
+// would be lost with that state.
+func TestSnapshotAndAppendInOneIterationBothApply(t *testing.T) {
+	for name, entriesFirst := range map[string]bool{"snapshot first": false, "entries, snapshot, entries": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t)
-				if more {
+				if entriesFirst {
 					h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2,
 						Entries: []raft.Entry{{Index: 2, Term: 3, Data: appointmentEntry("old")}}})
 				}
@@ -41,26 +42,26 @@
 				h.endTurn()
 				for _, zone := range []string{"snapshot", "eleven", "thirteen"} {
 					if _, ok := h.replica.state.Aggregators[zone]; !ok {
-						t.Errorf("the state lacks %q: it has %v", zone, h.replica.state.Aggregators)
+						t.Errorf("zone %q is missing in the state: %v", zone, h.replica.state.Aggregators)
 					}
 				}
 				if _, ok := h.replica.state.Aggregators["old"]; ok || h.replica.state.AppliedIndex != 13 || h.replica.node.AppliedIndex() != 13 {
-					t.Errorf("state at %d, node at %d: %v", h.replica.state.AppliedIndex, h.replica.node.AppliedIndex(), h.replica.state.Aggregators)
+					t.Errorf("applied index of the state %d, of the node %d, aggregators %v", h.replica.state.AppliedIndex, h.replica.node.AppliedIndex(), h.replica.state.Aggregators)
 				}
 				if snapshot, _ := h.replica.beginSnapshot(); snapshot.Index != 13 {
-					t.Errorf("a snapshot taken now is at %d", snapshot.Index)
+					t.Errorf("a snapshot taken now is at index %d, want 13", snapshot.Index)
 				}
 				if snapshot := h.replica.snapshotForFollower(); snapshot.Index != 10 {
-					t.Errorf("a member that lags is sent a snapshot at %d, not the one received", snapshot.Index)
+					t.Errorf("snapshot for a lagging member is at index %d, want the received one at 10", snapshot.Index)
 				}
 			})
 		})
 	}
 }
 
-// TestInstalledSnapshotAbandonsPendingEntries: who waits for an entry that a snapshot
-// covers is told that its outcome isn't known, and assignments of the old state are
-// not sent.
+// TestInstalledSnapshotAbandonsPendingEntries checks that callers waiting for an entry covered by
+// an installed snapshot get an unknown outcome, and that assignments derived from the replaced
+// state are not sent.
 func TestInstalledSnapshotAbandonsPendingEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
@@ -72,17 +73,18 @@
 		h.replica.sessions["w"] = &agentSession{synced: true}
 		h.replica.installSnapshot(snapshotOf(t, 10, "z"))
 		if reply != "unknown" || len(h.replica.pending) != 0 {
-			t.Errorf("the caller heard %q, %d wait", reply, len(h.replica.pending))
+			t.Errorf("reply is %q, %d entries pending", reply, len(h.replica.pending))
 		}
 		if len(h.replica.pendingAssignments) != 0 || h.replica.sessions["w"].synced || !h.replica.sessionsUnsynced {
-			t.Error("agents go on with what the old state told")
+			t.Error("assignments or sessions of the replaced state were kept")
 		}
 	})
 }
 
-// TestReplacedProposalIsAnsweredAsUnknown: a deposed leader's entry is replaced by
-// one with fewer commands, committed before this replica has stepped down.
-func TestReplacedProposalIsAnsweredAsUnknown(t *testing.T) {
+// TestReplacedProposalHasUnknownOutcome checks a deposed leader's entry that is replaced by an
+// entry with fewer commands, committed before this replica has stepped down: its callers get an
+// unknown outcome.
+func TestReplacedProposalHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.becomeLeader()
@@ -95,48 +97,48 @@
 		h.endTurn()
 		i := h.replica.node.LastIndex()
 		if i != last+1 || len(h.replica.pending) != 1 {
-			t.Fatalf("one entry was to be proposed: %d after %d, %d wait", i, last, len(h.replica.pending))
+			t.Fatalf("want one proposed entry: last index %d after %d, %d entries pending", i, last, len(h.replica.pending))
 		}
 		logTerm, _ := h.replica.node.TermAt(last)
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 9, Index: last, LogTerm: logTerm, Commit: i,
 			Entries: []raft.Entry{{Index: i, Term: 9, Data: appointmentEntry("z")}}})
 		h.endTurn()
 		if len(replies) != 3 || replies[0] || replies[1] || replies[2] {
-			t.Errorf("the callers heard %v", replies)
+			t.Errorf("known outcomes replied: %v, want three unknown ones", replies)
 		}
 	})
 }
 
-// TestOverwrittenPendingEntryIsAnswered: a proposal at an index for which an earlier
-// one still waits must not take its reply away.
-func TestOverwrittenPendingEntryIsAnswered(t *testing.T) {
+// TestOverwrittenPendingEntryGetsReply checks that a proposal at an index where an earlier proposal
+// is still pending does not lose the reply to the earlier one.
+func TestOverwrittenPendingEntryGetsReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.becomeLeader()
-		heard := 0
+		unknownReplies := 0
 		h.replica.pending[h.replica.node.LastIndex()+1] = pendingEntry{term: 1, replies: []commandReply{func(_ state.Outcome, ok bool) {
 			if !ok {
-				heard++
+				unknownReplies++
 			}
 		}}}
 		time.Sleep(time.Second / 10)
 		h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, nil)
 		h.endTurn()
-		if heard != 1 {
-			t.Errorf("the earlier caller heard %d answers", heard)
+		if unknownReplies != 1 {
+			t.Errorf("earlier caller got %d unknown replies, want 1", unknownReplies)
 		}
 	})
 }
 
-// TestLimitsAreSetThroughTheLog: the settings of this machine reach the state by
-// a command of the leader's only, so that those of others may differ.
-func TestLimitsAreSetThroughTheLog(t *testing.T) {
+// TestLimitsAreSetThroughLog checks that settings of a machine reach the state only by a command of
+// the leader, so that they may differ between machines.
+func TestLimitsAreSetThroughLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.replica.settings.Bounds.SpreadFactor = 2.5
 		h.replica.installSnapshot(snapshotOf(t, 10, "z"))
 		if h.replica.state.Limits != (state.Limits{}) {
-			t.Errorf("a follower's state took its own settings: %+v", h.replica.state.Limits)
+			t.Errorf("follower applied its own settings to the state: %+v", h.replica.state.Limits)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
@@ -144,7 +146,7 @@
 		h.replica.settings.Bounds.SpreadFactor = 2.5
 		h.becomeLeader()
 		if h.replica.state.Limits != stateLimits(h.replica.settings) || h.replica.state.RemoteFactor() != 2.5 {
-			t.Errorf("the leader's limits are not in force: %+v", h.replica.state.Limits)
+			t.Errorf("limits of the leader are not set in the state: %+v", h.replica.state.Limits)
 		}
 	})
 }
