--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -7,17 +7,17 @@
 	"tealpond/internal/transport"
 )
 
-// serverRole is the role under which a server is known: it runs within the daemon
+// serverRole is the role in a server's membership lease: a server runs within the daemon
 // that clients and operators call.
 const serverRole = "edge"
 
-// handleTrace answers from this daemon's own ring of events.
+// handleTrace answers from the ring buffer of trace events of this daemon.
 func (r *Replica) handleTrace(body []byte, reply replyFunc) {
 	reply(rpc.HandleTrace(r.trace, r.settings.NodeName, serverRole, body))
 }
 
-// handleClusterState gives the tables of this replica's copy of the state. Any
-// replica answers, so that queries need not trouble the leader.
+// handleClusterState returns the tables of this replica's copy of the state. Any
+// replica answers, so that queries put no load on the leader.
 func (r *Replica) handleClusterState(_ []byte, reply replyFunc) {
 	response := rpc.ClusterState{Node: r.settings.NodeName, Clock: r.state.Clock}
 	if r.node != nil {
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -13,23 +13,23 @@
 	// aggregatorRequestTimeout is how long an aggregator waits for the leader's response; it outlasts
 	// an election.
 	aggregatorRequestTimeout = 1500 * time.Millisecond
-	// aggregatorLeaderLossTimeout is how long an aggregator without a leader goes on collecting; it
-	// outlasts an election.
+	// aggregatorLeaderLossTimeout is how long an aggregator that knows no leader keeps accepting
+	// requests; it outlasts an election.
 	aggregatorLeaderLossTimeout = 1200 * time.Millisecond
 )
 
 // leaderResponse is the leader's response to one batch.
 type leaderResponse struct {
-	aggregator *aggregator.Batcher // whose batch it was: each numbers its batches from 1
+	aggregator *aggregator.Batcher // that sent the batch: each numbers its batches from 1
 	batch      aggregator.Batch
 	response   rpc.Response
 }
 
-// isAggregating reports whether this server may take requests of agents for the
+// isAggregating reports whether this server may collect requests of agents for the
 // leader.
 func (r *Replica) isAggregating(now time.Time) bool {
-	// It goes on through an election: agents have nowhere better to turn to, and
-	// the batch is sent as soon as a leader is known.
+	// Aggregation continues during an election: no other server could serve the agents
+	// better, and the batch is sent as soon as a leader is known.
 	mayAggregate := r.node != nil && (r.node.IsVoter(r.self.ID) || r.isAppointed(r.self.ID))
 	return mayAggregate && len(r.departure.waiters) == 0 && r.leaderlessFor(now) < aggregatorLeaderLossTimeout
 }
@@ -44,7 +44,7 @@
 	return false
 }
 
-// leaderlessFor is for how long no leader has been known here.
+// leaderlessFor returns for how long this replica has known no leader.
 func (r *Replica) leaderlessFor(now time.Time) time.Duration {
 	if r.node.Leader() != "" || r.leaderSeenAt.IsZero() {
 		r.leaderSeenAt = now
@@ -52,8 +52,8 @@
 	return now.Sub(r.leaderSeenAt)
 }
 
-// enqueueForLeader takes a request of an agent into the next batch; false if it
-// can't.
+// enqueueForLeader adds a request of an agent to the next batch. It returns false if the
+// request can't be batched here.
 func (r *Replica) enqueueForLeader(request rpc.Request, stream *transport.Stream, reply replyFunc) bool {
 	now := time.Now()
 	if stream == nil || !aggregatedKinds[request.Kind] || !r.isAggregating(now) {
@@ -74,8 +74,8 @@
 	return true
 }
 
-// sendBatches sends the leader the batches that are due; it returns after how long
-// the next one is, 0 for none.
+// sendBatches sends the leader the batches that are due. It returns the time until the
+// next one is due, 0 if there is none.
 func (r *Replica) sendBatches(ctx context.Context, now time.Time) time.Duration {
 	if r.leading {
 		for _, queued := range r.aggregator.TakeUnsent() {
@@ -97,7 +97,7 @@
 	return wake
 }
 
-// sendBatch sends the leader one batch; its response comes back as an event.
+// sendBatch sends the leader one batch. The response is posted to the loop as an event.
 func (r *Replica) sendBatch(ctx context.Context, batch aggregator.Batch) {
 	request := rpc.Request{Kind: rpc.KindBatch, Body: transport.Encode(batch.Requests)}
 	if batch.Renewals != nil {
@@ -115,11 +115,11 @@
 	}()
 }
 
-// handleLeaderResponse hands the leader's response to the aggregator.
+// handleLeaderResponse passes the leader's response to the aggregator.
 func (r *Replica) handleLeaderResponse(received *leaderResponse) {
 	response := received.response
-	// With these codes the caller looks for the leader by itself, and knows
-	// whether its request may have been taken.
+	// These codes make the caller look for the leader itself, and tell it whether its
+	// request may have been accepted.
 	switch response.Code {
 	case rpc.CodeNoLeader:
 		response = responseNotLeader
--- a/internal/server/announced_runners.go
+++ b/internal/server/announced_runners.go
@@ -10,28 +10,30 @@
 )
 
 const (
-	// announcedSilenceIntervals is how many intervals of heartbeats a runner that no platform lists
-	// may be silent before it is taken off the list.
+	// announcedSilenceIntervals is the number of heartbeat intervals for which a runner that no
+	// platform lists may be silent before it is removed from the list.
 	announcedSilenceIntervals = 3
-	// announcedRunnersSlack is how much longer than one interval a new leader waits for heartbeats
-	// before it publishes a list.
+	// announcedRunnersSlack is the time beyond one heartbeat interval for which a new leader waits
+	// for heartbeats before it publishes a list.
 	announcedRunnersSlack = 500 * time.Millisecond
-	// minRunnerHeartbeatInterval is the interval of runners' heartbeats where the settings name none.
+	// minRunnerHeartbeatInterval is the least interval of runners' heartbeats, also where the
+	// settings name none.
 	minRunnerHeartbeatInterval = 500 * time.Millisecond
 )
 
-// announcedRunners are the runners of gateways that no platform lists, as the leader hears
-// of them. They are not part of the state: a new leader hears of each within one interval
-// of heartbeats, and publishes no list before that, so that the daemons go on with the one
-// that they have.
+// announcedRunners are the runners of gateways that no platform lists; they announce
+// themselves to the leader. They are not part of the replicated state: a new leader receives a
+// heartbeat of each within one heartbeat interval, and publishes no list before that, so that
+// the daemons keep the list that they have.
 type announcedRunners struct {
 	list      *registry.Announcements
 	changed   bool
-	publishAt time.Time // the first list isn't published before
-	expireAt  time.Time
+	publishAt time.Time // no list is published before this time
+	expireAt  time.Time // when silent runners are removed next
 }
 
-// announced returns the runners that announce themselves to this leader.
+// announced returns the runners that announce themselves to this leader. The first call
+// creates the list.
 func (r *Replica) announced(now time.Time) *announcedRunners {
 	if r.runnerList.announced == nil {
 		interval := r.heartbeatInterval()
@@ -43,13 +45,13 @@
 	return r.runnerList.announced
 }
 
-// heartbeatInterval is the time between two heartbeats of a runner.
+// heartbeatInterval returns the time between two heartbeats of a runner.
 func (r *Replica) heartbeatInterval() time.Duration {
 	return max(time.Duration(r.settings.HeartbeatIntervalMs)*time.Millisecond, minRunnerHeartbeatInterval)
 }
 
-// handleAnnounceRunner takes a runner's heartbeat or sign-off. The answer is given once the
-// list that daemons are sent has it.
+// handleAnnounceRunner records a runner's heartbeat or sign-off. It replies after the change was
+// published, if the list may be published already.
 func (r *Replica) handleAnnounceRunner(announcement *rpc.RunnerAnnouncement, _ *transport.Stream, reply replyFunc) {
 	if r.settings.Deployment != settings.DeploymentAPI || r.settings.Discovery == settings.DiscoveryPlatform {
 		reply(responseBadRequest)
@@ -59,8 +61,8 @@
 	announced := r.announced(now)
 	var changed bool
 	if announcement.SignsOff {
-		goesOn := time.Duration(r.settings.Bounds.DrainMs * float64(time.Millisecond))
-		changed = announced.list.SignOff(announcement.Runner.ID, goesOn, now)
+		drainDuration := time.Duration(r.settings.Bounds.DrainMs * float64(time.Millisecond))
+		changed = announced.list.SignOff(announcement.Runner.ID, drainDuration, now)
 	} else {
 		changed = announced.list.Heartbeat(announcement.Runner, announcement.Sequence, now)
 	}
@@ -69,7 +71,7 @@
 	reply(responseOK)
 }
 
-// publishAnnouncedRunners puts what has changed into the list that daemons are sent.
+// publishAnnouncedRunners publishes the announced runners to the daemons if they have changed.
 func (r *Replica) publishAnnouncedRunners(now time.Time) {
 	announced := r.runnerList.announced
 	if announced == nil || now.Before(announced.publishAt) {
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -10,48 +10,51 @@
 	"tealpond/internal/transport"
 )
 
-// The announcer's turns are bootstrap.AnnounceInterval apart.
+// The rounds of the announcer are bootstrap.AnnounceInterval apart.
 const (
-	// A voter introduces itself to the seeds and announces the first cluster each
-	// fourth turn, as seeds may start later than this server; after introduceOften
-	// turns it introduces itself each introduceRarely-th.
-	announceEvery   = 4
-	introduceOften  = 40
-	introduceRarely = 40
-	// A candidate tries each askToJoin-th turn to join a cluster that exists already.
-	askToJoin = 12
-	// A learner that the leader has taken in asks again each repeatJoin-th turn.
-	repeatJoin = 8
-	// joinTimeout bounds one request to be taken into a cluster.
+	// announceRoundInterval is the number of rounds between two introductions of a voter to the
+	// seeds, and between two announcements of the first cluster, while this server starts: seeds
+	// may start later than this server. After startupIntroductionRounds rounds, a voter
+	// introduces itself each introductionRoundInterval rounds.
+	announceRoundInterval     = 4
+	startupIntroductionRounds = 40
+	introductionRoundInterval = 40
+	// candidateJoinRoundInterval is the number of rounds between two attempts of a candidate to join
+	// an existing cluster.
+	candidateJoinRoundInterval = 12
+	// learnerJoinRoundInterval is the number of rounds after which a learner that the leader has
+	// accepted repeats its request to join.
+	learnerJoinRoundInterval = 8
+	// joinTimeout bounds one request to join a cluster.
 	joinTimeout = time.Second
-	// leaderlessBeforeJoin is how long a voter may know no leader before it asks
-	// whether it was replaced.
-	leaderlessBeforeJoin = 3 * time.Second
+	// rejoinLeaderlessTimeout is how long a voter may know no leader before it requests to join
+	// again, since it may have been replaced.
+	rejoinLeaderlessTimeout = 3 * time.Second
 )
 
-// requestAnnouncerState is the request of this server's announcer to its loop.
+// requestAnnouncerState is the kind of the announcer's request to the loop of this server.
 const requestAnnouncerState = "state"
 
-// announcerState is what the loop tells its own announcer: how this server stands to
-// the cluster, and who leads.
+// announcerState is the loop's answer to the announcer: the membership phase of this server,
+// what it announces, and the leader.
 type announcerState struct {
 	phase        membershipPhase
 	announcement rpc.BootstrapAnnouncement
 	leader       string // its address; empty if unknown
 }
 
-// membershipPhase is how a server stands to the cluster.
+// membershipPhase is the phase of a server's membership of the cluster.
 type membershipPhase byte
 
 const (
-	phaseCandidate      = membershipPhase(iota) // there is no cluster yet, as far as it knows
-	phaseJoining                                // it wants to be taken into a cluster that exists
-	phaseVoter                                  // it belongs to the cluster
-	phaseOpeningStorage                         // it has no identity to announce yet
+	phaseCandidate      = membershipPhase(iota) // it knows of no cluster yet
+	phaseJoining                                // it wants to join an existing cluster
+	phaseVoter                                  // it is a voter of the cluster
+	phaseOpeningStorage                         // its storage is not open, so it has no identity to announce
 )
 
-// runAnnouncer announces this candidate to the seeds until it is a member, and then
-// the cluster that was bootstrapped. It ends with ctx.
+// runAnnouncer announces this candidate to the seeds until it is a member, and after that
+// the cluster that was bootstrapped. It returns when ctx ends.
 func (r *Replica) runAnnouncer(ctx context.Context) {
 	ticker := time.NewTicker(bootstrap.AnnounceInterval)
 	defer ticker.Stop()
@@ -61,14 +64,14 @@
 		received := make(chan announcerState, 1)
 		r.HandleLocal(rpc.Request{Kind: requestAnnouncerState}, func(response rpc.Response) {
 			var announcement rpc.BootstrapAnnouncement
-			_ = transport.Decode(response.Body, &announcement) // by this process itself
+			_ = transport.Decode(response.Body, &announcement) // encoded by this process
 			received <- announcerState{membershipPhase(response.Value), announcement, response.Leader}
 		})
 		select {
 		case current := <-received:
 			if current.leader != leader && current.leader != "" {
-				// The seeds of a daemon that was restarted may be down or gone,
-				// but its log names the members.
+				// After a restart, the configured seeds may be down or removed, but
+				// the log names the members.
 				r.leaderClient.AddServer(current.leader)
 			}
 			leader = current.leader
@@ -84,21 +87,21 @@
 	}
 }
 
-// announcer is what the announcer keeps between its turns.
+// announcer is the announcer's state between two rounds.
 type announcer struct {
 	round        int
 	selector     bootstrap.SeedSelector
-	joinedLeader string // the address of the leader that has taken this learner in
+	joinedLeader string // the address of the leader that has accepted this learner
 }
 
-// announce is one turn of the announcer.
+// announce runs one round of the announcer.
 func (r *Replica) announce(ctx context.Context, announcer *announcer, current announcerState) {
 	round := announcer.round
 	switch current.phase {
 	case phaseOpeningStorage:
 		r.leaderClient.Introduce(ctx, *r.seeds.Load())
 	case phaseJoining:
-		if current.leader == "" || current.leader != announcer.joinedLeader || round%repeatJoin == 0 {
+		if current.leader == "" || current.leader != announcer.joinedLeader || round%learnerJoinRoundInterval == 0 {
 			announcer.joinedLeader = ""
 			if r.requestJoin(ctx, current.announcement.Voter, joinTimeout) {
 				announcer.joinedLeader = current.leader
@@ -108,19 +111,19 @@
 			r.announceToSeed(ctx, &announcer.selector, current.announcement)
 		}
 	case phaseVoter:
-		often := round < introduceOften && round%announceEvery == 1
-		if often || round%introduceRarely == 0 {
+		startup := round < startupIntroductionRounds && round%announceRoundInterval == 1
+		if startup || round%introductionRoundInterval == 0 {
 			r.leaderClient.Introduce(ctx, *r.seeds.Load())
 		}
-		justFormed := r.settings.FirstStart && round < bootstrap.AnnounceRounds && round%announceEvery == 1
-		if justFormed || round%introduceRarely == 0 {
+		justFormed := r.settings.FirstStart && round < bootstrap.AnnounceRounds && round%announceRoundInterval == 1
+		if justFormed || round%introductionRoundInterval == 0 {
 			r.announceBootstrapped(ctx, current.announcement)
 		}
 	default:
 		r.announceToSeed(ctx, &announcer.selector, current.announcement)
-		if round%askToJoin == 0 && len(current.announcement.BoundVoters) == 0 {
-			// The cluster may have been bootstrapped while this server was slow,
-			// and the seed may have forgotten it.
+		if round%candidateJoinRoundInterval == 0 && len(current.announcement.BoundVoters) == 0 {
+			// The cluster may have been bootstrapped without this server because it
+			// was slow, and the seed may no longer know of it.
 			if r.requestJoin(ctx, current.announcement.Voter, transport.DialTimeout) {
 				r.post(ctx, loopEvent{bootstrapProposal: &rpc.BootstrapProposal{Voters: []raft.Member{{}}}})
 			}
@@ -128,38 +131,38 @@
 	}
 }
 
-// requestJoin asks the leader to take this server in; false if there was none, or
-// it refused.
+// requestJoin asks the leader to let this server join. It returns false if no leader
+// answered, or if it refused.
 func (r *Replica) requestJoin(ctx context.Context, self raft.Member, timeout time.Duration) bool {
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return r.leaderClient.Call(callCtx, rpc.KindJoin, self).Code == rpc.CodeOK
 }
 
-// announcerResponse tells the announcer what to announce.
+// announcerResponse returns the response to requestAnnouncerState.
 func (r *Replica) announcerResponse() rpc.Response {
 	announcement := rpc.BootstrapAnnouncement{Voter: r.self, BoundVoters: r.persisted.Founders, NotFirstStart: r.isBlank()}
 	return rpc.Response{Value: int64(r.currentPhase()), Leader: r.leaderAddress(), Body: transport.Encode(announcement)}
 }
 
-// currentPhase is how this server stands to the cluster now.
+// currentPhase returns the membership phase of this server.
 func (r *Replica) currentPhase() membershipPhase {
 	switch {
 	case !r.StorageOpened():
 		return phaseOpeningStorage
 	case r.node == nil:
 		return phaseCandidate
-	case !r.node.IsVoter(r.self.ID), r.node.Leader() == "" && time.Since(r.joinRequestedAt) > leaderlessBeforeJoin:
-		// Also a voter that knows no leader: it may have been replaced while
-		// it was away, and only the leader can take it back.
+	case !r.node.IsVoter(r.self.ID), r.node.Leader() == "" && time.Since(r.joinRequestedAt) > rejoinLeaderlessTimeout:
+		// A voter that knows no leader joins again too: it may have been replaced
+		// while it was away, and only the leader can add it again.
 		r.joinRequestedAt = time.Now()
 		return phaseJoining
 	}
 	return phaseVoter
 }
 
-// announceToSeed announces a candidate to the seed that forms the first cluster; its
-// proposal comes back as an event.
+// announceToSeed announces a candidate to the seed that forms the first cluster. The seed's
+// proposal is posted to the loop as an event.
 func (r *Replica) announceToSeed(ctx context.Context, selector *bootstrap.SeedSelector, announcement rpc.BootstrapAnnouncement) {
 	seed := selector.Select(*r.seeds.Load(), time.Now())
 	if seed == "" {
@@ -174,15 +177,15 @@
 	r.post(ctx, loopEvent{bootstrapProposal: &proposal})
 }
 
-// announceBootstrapped tells all seeds of the set that formed the first cluster, so
-// that none of them proposes another to candidates that come late.
+// announceBootstrapped announces the voters of the first cluster to all seeds, so that no
+// seed proposes another set to candidates that start late.
 func (r *Replica) announceBootstrapped(ctx context.Context, announcement rpc.BootstrapAnnouncement) {
 	if len(announcement.BoundVoters) == 0 {
 		return
 	}
 	for _, seed := range *r.seeds.Load() {
 		go func() {
-			// The error is dropped: the announcement is repeated in later turns.
+			// The error is ignored: the announcement is repeated in later rounds.
 			_, _ = rpc.Call(ctx, seed, rpc.KindBootstrap, transport.Encode(announcement), transport.DialTimeout)
 		}()
 	}
--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// learnerAnnounceTimeout is how long a new leader leaves a zone to a learner that it has not heard
-	// of yet.
+	// learnerAnnounceTimeout is how long a new leader keeps a learner as a zone's aggregator that
+	// has not announced itself to it yet.
 	learnerAnnounceTimeout = 1500 * time.Millisecond
-	// shutdownReleasePeriod is how long a voter that may end counts as gone, though it is still heard.
+	// shutdownReleasePeriod is how long a voter that was allowed to shut down counts as gone although
+	// it is still in contact.
 	shutdownReleasePeriod = 2 * time.Second
 )
 
-// appointments is what the leader knows of the servers that may aggregate for a
+// appointments is what the leader knows about the servers that may aggregate for a
 // zone.
 type appointments struct {
-	contactSince  map[string]time.Time // by member ID: since when it has been heard without a gap
-	leavingUntil  map[string]time.Time // by member ID: it is leaving, and until when that is believed
-	releasedAt    map[string]time.Time // by member ID: when it was allowed to end
+	contactSince  map[string]time.Time // by member ID: start of the current contact without a gap
+	leavingUntil  map[string]time.Time // by member ID: the server is leaving, as announced, until this time
+	releasedAt    map[string]time.Time // by member ID: when it was allowed to shut down
 	changePending map[string]bool      // by zone: a change is proposed and not yet applied
-	zonesListedAt time.Time
+	zonesListedAt time.Time            // when the zones of all workers were last listed
 }
 
 func newAppointments() appointments {
 	return appointments{contactSince: map[string]time.Time{}, leavingUntil: map[string]time.Time{}, releasedAt: map[string]time.Time{}, changePending: map[string]bool{}}
 }
 
-// forgetPast removes what no longer counts of servers that are leaving or were released.
-func (a *appointments) forgetPast(now time.Time) {
+// removeExpired removes the expired records of servers that were leaving or released.
+func (a *appointments) removeExpired(now time.Time) {
 	maps.DeleteFunc(a.leavingUntil, func(_ string, until time.Time) bool { return now.After(until) })
 	maps.DeleteFunc(a.releasedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= shutdownReleasePeriod })
 }
 
-// canAggregate reports whether a server may aggregate for a zone now, and notes since
-// when it is heard.
+// canAggregate reports whether a server may aggregate for a zone now, and records since
+// when it is in contact.
 func (r *Replica) canAggregate(server raft.Member, now time.Time) bool {
-	heard := r.node.TimeSinceContact(server.ID) < aggregatorSilenceTimeout
+	inContact := r.node.TimeSinceContact(server.ID) < aggregatorSilenceTimeout
 	leaving := !now.After(r.appointments.leavingUntil[server.ID])
-	ok := server.ID != r.self.ID && heard && !leaving
+	ok := server.ID != r.self.ID && inContact && !leaving
 	if !ok {
 		delete(r.appointments.contactSince, server.ID)
 	} else if r.appointments.contactSince[server.ID].IsZero() {
@@ -52,11 +53,11 @@
 	return ok
 }
 
-// appointAggregators gives each zone that has workers an aggregator: a server of
-// the zone that does not lead; if there is none and the leader isn't in the zone
-// itself, the server with the fewest zones.
+// appointAggregators appoints an aggregator for each zone that has workers: a server in
+// the zone that is not the leader. If there is none and the leader isn't in the zone
+// itself, it is the server that aggregates for the fewest zones.
 func (r *Replica) appointAggregators(now time.Time) {
-	r.appointments.forgetPast(now)
+	r.appointments.removeExpired(now)
 	var candidates []raft.Member
 	for _, server := range append(r.node.Voters(), r.caughtUpLearners()...) {
 		if r.canAggregate(server, now) {
@@ -76,8 +77,8 @@
 	}
 }
 
-// caughtUpLearners are the learners that may aggregate: what they have applied is as
-// new as that of a voter.
+// caughtUpLearners returns the learners that may aggregate: the state that they have applied
+// is as new as that of a voter.
 func (r *Replica) caughtUpLearners() []raft.Member {
 	var learners []raft.Member
 	for _, candidate := range r.liveCandidates() {
@@ -88,9 +89,8 @@
 	return learners
 }
 
-// awaitsLearner reports whether a zone's aggregator may be a learner that this leader,
-// elected a moment ago, has not heard of yet: learners announce themselves to each
-// new leader.
+// awaitsLearner reports whether a zone's aggregator may be a learner that has not announced
+// itself to this newly elected leader yet: learners announce themselves to each new leader.
 func (r *Replica) awaitsLearner(current state.ZoneAggregator, now time.Time) bool {
 	if current.Member == "" || r.node.IsVoter(current.Member) || now.Before(r.appointments.leavingUntil[current.Member]) {
 		return false
@@ -99,15 +99,15 @@
 	return !announced && now.Sub(r.leadingSince) < learnerAnnounceTimeout
 }
 
-// zonesToServe are the zones that have an aggregator and, once in a while, those of
-// all workers, in the order of their names.
+// zonesToServe returns the zones that have an aggregator and, once each
+// timing.WorkerSilenceTimeout, those of all workers, sorted by name.
 func (r *Replica) zonesToServe(now time.Time) []string {
 	zones := map[string]bool{}
 	for zone := range r.state.Aggregators {
 		zones[zone] = true
 	}
 	if now.Sub(r.appointments.zonesListedAt) >= timing.WorkerSilenceTimeout {
-		// Not each time, since it walks all workers.
+		// This is not done each time, since it iterates over all workers.
 		r.appointments.zonesListedAt = now
 		for _, worker := range r.state.Workers {
 			if !worker.Dead {
@@ -118,7 +118,7 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// appointAggregator proposes an aggregator and a standby for one zone, if they change.
+// appointAggregator proposes an aggregator and a standby for one zone if they should change.
 func (r *Replica) appointAggregator(zone string, candidates []raft.Member, zoneCount map[string]int, now time.Time) {
 	choice := aggregatorChoice{
 		zone:         zone,
--- a/internal/server/config_updates.go
+++ b/internal/server/config_updates.go
@@ -4,22 +4,22 @@
 	"tealpond/internal/clusterconfig"
 )
 
-// configUpdates makes the changes that lead from earlier configurations to the newest one,
-// once for all daemons that lack the same. It is not part of the state.
+// configUpdates computes the diffs from earlier configurations to the newest one, each once for
+// all daemons that have the same version. It is not part of the replicated state.
 type configUpdates struct {
-	texts   map[int64][]byte // of the last versions
-	changes map[int64][]byte // from a version to newest; nil: it must be sent whole
-	newest  int64
+	texts   map[int64][]byte // by version: the texts of the last versions
+	changes map[int64][]byte // by version: the diff to newest; nil if the whole text must be sent
+	newest  int64            // version
 }
 
-// keptConfigTexts is how many versions are remembered. Daemons that lack more are told the
-// whole.
-const keptConfigTexts = 8
+// maxConfigTexts is the number of versions whose texts are kept. Daemons with an older version
+// are sent the whole text.
+const maxConfigTexts = 8
 
-// since returns a configuration to a daemon that has a version: the change from that one, or
-// the whole text and 0.
+// since returns the update for a daemon that has a version: the diff from that version, or the
+// whole text with base 0.
 func (n *configUpdates) since(version int64, newest *clusterconfig.Config) (text []byte, base int64) {
-	n.remember(newest)
+	n.recordText(newest)
 	change, made := n.changes[version]
 	if from := n.texts[version]; !made && from != nil {
 		if diff, ok := clusterconfig.Diff(from, newest.Raw); ok && len(diff) < len(newest.Raw) {
@@ -33,8 +33,8 @@
 	return change, version
 }
 
-// remember keeps the text of a configuration, and forgets that of the oldest.
-func (n *configUpdates) remember(newest *clusterconfig.Config) {
+// recordText keeps the text of the newest configuration, and removes the oldest ones.
+func (n *configUpdates) recordText(newest *clusterconfig.Config) {
 	if n.newest == newest.Version {
 		return
 	}
@@ -43,7 +43,7 @@
 	}
 	n.newest, n.changes = newest.Version, map[int64][]byte{}
 	n.texts[newest.Version] = newest.Raw
-	for len(n.texts) > keptConfigTexts {
+	for len(n.texts) > maxConfigTexts {
 		oldest := newest.Version
 		for version := range n.texts {
 			oldest = min(oldest, version)
--- a/internal/server/configuration_test.go
+++ b/internal/server/configuration_test.go
@@ -11,8 +11,8 @@
 	"tealpond/internal/transport"
 )
 
-// responseTo returns the response to a request that is answered at once.
-func responseTo(handler leaderHandler, replica *Replica) rpc.Response {
+// immediateResponse returns the response to a request that is answered at once.
+func immediateResponse(handler leaderHandler, replica *Replica) rpc.Response {
 	var received rpc.Response
 	handler(replica, nil, nil, replica.withAppliedVersions(func(response rpc.Response) { received = response }))
 	return received
@@ -23,7 +23,7 @@
 func TestConfigurationIsReadAsSent(t *testing.T) {
 	replica := newReplica()
 	for name, handler := range map[string]leaderHandler{"read": (*Replica).handleGetConfig, "limits": (*Replica).handleGetLimits} {
-		if response := responseTo(handler, replica); response.Code != rpc.CodeUnavailable || response.RetryAfterMs == 0 {
+		if response := immediateResponse(handler, replica); response.Code != rpc.CodeUnavailable || response.RetryAfterMs == 0 {
 			t.Errorf("%s before the first: %d, come back in %d ms", name, response.Code, response.RetryAfterMs)
 		}
 	}
@@ -31,12 +31,12 @@
 	if outcome := (&state.ReplaceConfiguration{Raw: raw}).Apply(replica.state); outcome.Code != state.CodeOK {
 		t.Fatal(outcome)
 	}
-	response := responseTo((*Replica).handleGetConfig, replica)
+	response := immediateResponse((*Replica).handleGetConfig, replica)
 	if response.Code != rpc.CodeOK || string(response.Body) != string(raw) || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("read: %+v", response)
 	}
 	var limits clusterconfig.Limits
-	response = responseTo((*Replica).handleGetLimits, replica)
+	response = immediateResponse((*Replica).handleGetLimits, replica)
 	decoded := transport.Decode(response.Body, &limits) == nil && limits.MaxBodyBytes == 99
 	if response.Code != rpc.CodeOK || !decoded || response.Value != 7 || response.ConfigVersion != 7 {
 		t.Errorf("limits: %+v, %+v", response, limits)
@@ -56,7 +56,7 @@
 		if outcome := (&state.ReplaceConfiguration{Raw: []byte(raw)}).Apply(replica.state); outcome.Code != state.CodeOK {
 			t.Fatal(outcome)
 		}
-		limitsBytes, configBytes := len(transport.Encode(responseTo((*Replica).handleGetLimits, replica))), len(transport.Encode(responseTo((*Replica).handleGetConfig, replica)))
+		limitsBytes, configBytes := len(transport.Encode(immediateResponse((*Replica).handleGetLimits, replica))), len(transport.Encode(immediateResponse((*Replica).handleGetConfig, replica)))
 		t.Logf("%d routes: %d bytes, the whole configuration %d", routes, limitsBytes, configBytes)
 		if limitsBytes > 200 {
 			t.Errorf("%d routes: %d bytes", routes, limitsBytes)
--- a/internal/server/coordination.go
+++ b/internal/server/coordination.go
@@ -9,14 +9,15 @@
 	"tealpond/internal/transport"
 )
 
-// defaultKeyHistory is for how long a watch may resume where the settings name no historyS.
+// defaultKeyHistory is the period for which a watch may resume where the settings name no historyS.
 const defaultKeyHistory = time.Minute
 
-// The calls of applications. Each change goes through the log, and is answered once it is
-// applied. What the applied state refuses already is refused without an entry, where that
-// can't change any more for the call: the leader's lease shows that no other leader has
-// decided otherwise. Whether there is room is not such a thing: an earlier leader may have
-// put the call into the log already, so the commands decide on it.
+// The handlers below serve the coordination calls of applications. Each change goes through the
+// log, and is answered once it is applied. A call that the applied state refuses is refused
+// without a log entry if that outcome is final for the call: the leader's lease shows that no
+// other leader has decided otherwise. A full table is not final in this sense: an earlier leader
+// may have put the call into the log already, so the commands decide about it when they are
+// applied.
 
 var (
 	responseLockHeld    = rpc.Response{Code: rpc.CodeConflict, Text: coordination.ErrHeld.Error()}
@@ -24,8 +25,8 @@
 	responseKeyNotFound = rpc.Response{Code: rpc.CodeNotFound, Text: "no such key"}
 )
 
-// handleAcquireLock asks for a lock. Elections are asked for by many while one holds them,
-// so a lock that another holds costs no entry.
+// handleAcquireLock acquires a lock. Locks used for elections are requested by many callers
+// while one holds them, so the refusal of a lock that another caller holds costs no log entry.
 func (r *Replica) handleAcquireLock(request *coordination.Acquire, _ *transport.Stream, reply replyFunc) {
 	if r.state.Coordination.HeldByOther(*request, r.clock(time.Now())) {
 		reply(responseLockHeld)
@@ -34,7 +35,7 @@
 	r.enqueueCommand(state.CommandAcquireLock, (*state.AcquireLock)(request), outcomeReply(reply))
 }
 
-// handleRenewLock asks for more time. A lock that is lost stays so.
+// handleRenewLock extends the hold of a lock. A lock that was lost can't be renewed again.
 func (r *Replica) handleRenewLock(request *coordination.Renew, _ *transport.Stream, reply replyFunc) {
 	if !r.state.Coordination.Holds(request.Name, request.Holder, request.Fence, r.clock(time.Now())) {
 		reply(responseLockLost)
@@ -43,25 +44,25 @@
 	r.enqueueCommand(state.CommandRenewLock, (*state.RenewLock)(request), outcomeReply(reply))
 }
 
-// handleReleaseLock gives a lock back.
+// handleReleaseLock releases a lock.
 func (r *Replica) handleReleaseLock(request *coordination.Release, _ *transport.Stream, reply replyFunc) {
 	r.enqueueCommand(state.CommandReleaseLock, (*state.ReleaseLock)(request), outcomeReply(reply))
 }
 
-// handleNextNumber gives a number.
+// handleNextNumber increments a counter and returns its new value.
 func (r *Replica) handleNextNumber(name *string, _ *transport.Stream, reply replyFunc) {
 	r.enqueueCommand(state.CommandNextNumber, &state.NextNumber{Name: *name}, outcomeReply(reply))
 }
 
-// handlePutKey sets a key. Also what will be refused goes through the log: a copy of the
-// same put may be on its way, and must be refused then too.
+// handlePutKey sets a key. A put that will be refused goes through the log too: a copy of
+// the same put may be in flight, and must be refused then as well.
 func (r *Replica) handlePutKey(request *coordination.Put, _ *transport.Stream, reply replyFunc) {
 	request.HistoryMs = r.settings.KeyHistory(defaultKeyHistory).Milliseconds()
 	r.enqueueCommand(state.CommandPutKey, (*state.PutKey)(request), outcomeReply(reply))
 }
 
-// handleReadKey reads a key from the applied state. The leader has applied all that was
-// ever acknowledged, and its lease shows that nobody else has acknowledged anything since.
+// handleReadKey reads a key from the applied state. The leader has applied each put that was
+// ever acknowledged, and its lease shows that no other leader has acknowledged one since.
 func (r *Replica) handleReadKey(key *string, _ *transport.Stream, reply replyFunc) {
 	value, ok := r.state.Coordination.Read(*key)
 	if !ok {
--- a/internal/server/coordination_test.go
+++ b/internal/server/coordination_test.go
@@ -80,15 +80,15 @@
 	})
 }
 
-// watchKeys asks for updates of a group and gives a function that tells the answers so far.
-func (h *harness) watchKeys(after, waitMs int64) func() []rpc.Response {
+// startKeyWatch asks for updates of a group and gives a function that tells the answers so far.
+func (h *harness) startKeyWatch(after, waitMs int64) func() []rpc.Response {
 	var responses []rpc.Response
 	body := transport.Encode(rpc.KeyWatch{Group: "g.", After: after, WaitMs: waitMs})
 	h.replica.handleRequest(rpc.Request{Kind: rpc.KindWatchKeys, Body: body}, nil, func(response rpc.Response) { responses = append(responses, response) })
 	return func() []rpc.Response { return responses }
 }
 
-func updateFor(t *testing.T, responses []rpc.Response) coordination.WatchResult {
+func decodeWatchResult(t *testing.T, responses []rpc.Response) coordination.WatchResult {
 	t.Helper()
 	var update coordination.WatchResult
 	if len(responses) != 1 || responses[0].Code != rpc.CodeOK || transport.Decode(responses[0].Body, &update) != nil {
@@ -102,27 +102,27 @@
 func TestWatchesAreHeldUntilAPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
-		fromNothing := h.watchKeys(0, 2000)
+		emptyGroupWatch := h.startKeyWatch(0, 2000)
 		h.call(rpc.KindPutKey, coordination.Put{Key: "h.a", Value: "other"})
-		if responses := fromNothing(); len(responses) != 0 {
+		if responses := emptyGroupWatch(); len(responses) != 0 {
 			t.Errorf("a put of another group answers %+v", responses)
 		}
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.a", Value: "v"})
-		if update := updateFor(t, fromNothing()); update.Revision != 1 || len(update.Events) != 1 {
+		if update := decodeWatchResult(t, emptyGroupWatch()); update.Revision != 1 || len(update.Events) != 1 {
 			t.Errorf("%+v", update)
 		}
-		if update := updateFor(t, h.watchKeys(0, 2000)()); update.Revision != 1 || len(update.Events) != 0 {
+		if update := decodeWatchResult(t, h.startKeyWatch(0, 2000)()); update.Revision != 1 || len(update.Events) != 0 {
 			t.Errorf("the present revision: %+v", update)
 		}
-		short, long := h.watchKeys(1, 300), h.watchKeys(1, 2000)
+		short, long := h.startKeyWatch(1, 300), h.startKeyWatch(1, 2000)
 		for end := time.Now().Add(400 * time.Millisecond); time.Now().Before(end); {
 			h.turn()
 		}
-		if update := updateFor(t, short()); update.Revision != 1 || len(update.Events) != 0 || len(long()) != 0 {
+		if update := decodeWatchResult(t, short()); update.Revision != 1 || len(update.Events) != 0 || len(long()) != 0 {
 			t.Errorf("%+v, the longer one %+v", update, long())
 		}
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.b", Value: "w"})
-		if update := updateFor(t, long()); update.Revision != 2 || len(update.Events) != 1 || update.Events[0].Name != "g.b" {
+		if update := decodeWatchResult(t, long()); update.Revision != 2 || len(update.Events) != 1 || update.Events[0].Name != "g.b" {
 			t.Errorf("%+v", update)
 		}
 		if len(h.replica.keyWatchers.byGroup) != 0 || len(h.replica.keyWatchers.notifiedRevision) != 0 {
@@ -136,7 +136,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.a", Value: "v"})
-		held := h.watchKeys(1, 20_000)
+		held := h.startKeyWatch(1, 20_000)
 		values := map[string]float64{}
 		for _, gauge := range h.replica.gauges(time.Now()) {
 			values[gauge.Name] = gauge.Value
--- a/internal/server/counts.go
+++ b/internal/server/counts.go
@@ -12,31 +12,32 @@
 	"tealpond/internal/transport"
 )
 
-// newCounts makes the set of counts through which the daemons hear of each other's. It
-// is not part of the state: a new leader is sent all of it again. Its name differs from
-// that of the daemon in the same process, which exchanges its counts like any other.
+// newCounts creates the set of counts through which the daemons exchange theirs. It is not
+// part of the replicated state: the daemons send all of it to a new leader again. Its name
+// differs from that of the daemon in the same process, which exchanges its counts like any
+// other daemon.
 func newCounts(processID string, window time.Duration, now time.Time) *counter.Set {
 	return counter.NewSet(processID+leaderSuffix, window, counter.SlotWidth, now)
 }
 
-// leaderSuffix tells a leader's set of counts from that of its daemon.
+// leaderSuffix distinguishes the name of a leader's set of counts from that of its daemon.
 const leaderSuffix = "-leader"
 
-// handleExchangeCounts merges a daemon's counts and says what it lacks.
+// handleExchangeCounts merges a daemon's counts and returns those that it lacks.
 func (r *Replica) handleExchangeCounts(request *counter.Request, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
 	r.counts.Expire(now)
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.counts.Answer(*request, now))})
 }
 
-// handleExchangeSums merges a gateway's counts and tells it the sums of all others'.
+// handleExchangeSums merges a gateway's counts and returns the sums of all others' counts.
 func (r *Replica) handleExchangeSums(request *counter.Request, _ *transport.Stream, reply replyFunc) {
 	now := time.Now()
 	r.counts.Expire(now)
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.counts.AnswerSums(*request, now))})
 }
 
-// handleGetTenants gives the tenants of the newest configuration, unless the caller has
+// handleGetTenants returns the tenants of the newest configuration, unless the caller has
 // them already.
 func (r *Replica) handleGetTenants(query *rpc.TenantQuery, _ *transport.Stream, reply replyFunc) {
 	if r.state.Configuration.Version == 0 {
@@ -52,7 +53,7 @@
 	reply(response)
 }
 
-// tenantShares lists what daemons are sent of the tenants.
+// tenantShares lists the shares and key digests of the tenants, as they are sent to daemons.
 func tenantShares(config *clusterconfig.Config) []rpc.TenantShare {
 	shares := []rpc.TenantShare{}
 	for _, tenant := range config.Tenants() {
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// defaultEvacuationTime is how soon after an order nothing is started in an evacuated zone, where
-	// the settings don't say.
+	// defaultEvacuationTime is the time after an evacuation order from which nothing is started in the
+	// zone any more, where the settings don't name it.
 	defaultEvacuationTime = 5 * time.Second
-	// evacuationGraceShare is the part of the evacuation time in which runs that were placed before
-	// the order may still be started, so that gangs are not broken.
+	// evacuationGraceShare is the share of the evacuation time during which runs that were placed
+	// before the order may still be started, so that gangs stay complete.
 	evacuationGraceShare = 0.4
 )
 
-// evacuationNotice is when this replica noticed the order in force about a zone.
+// evacuationNotice records when this replica noticed the order in force for a zone.
 type evacuationNotice struct {
-	changedAt int64 // on the state's clock: of which order
+	changedAt int64 // of the order, on the state's clock
 	at        time.Time
 }
 
-// handleZoneEvacuation tells the order in force about a zone. The leader has applied each
-// one that was ever acknowledged.
+// handleZoneEvacuation returns the order in force for a zone. The leader has applied each
+// order that was ever acknowledged.
 func (r *Replica) handleZoneEvacuation(zone *string, _ *transport.Stream, reply replyFunc) {
 	evacuation := r.state.Evacuations[*zone]
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(rpc.ZoneEvacuation{Zone: *zone, Evacuated: evacuation.Evacuated, Revision: evacuation.Revision})})
 }
 
-// handleEvacuateZone orders that a zone's workers get no new work, or takes that back, if
-// no other order has come since the one that the caller knows.
+// handleEvacuateZone orders that a zone's workers get no new work, or revokes that order. It
+// is refused if the order in force is newer than the one that the caller knows.
 func (r *Replica) handleEvacuateZone(order *rpc.ZoneEvacuation, _ *transport.Stream, reply replyFunc) {
 	command := &state.EvacuateZone{Zone: order.Zone, Evacuated: order.Evacuated, BaseRevision: order.Revision}
 	r.enqueueCommand(state.CommandEvacuateZone, command, func(outcome state.Outcome, known bool) {
@@ -42,7 +42,8 @@
 	})
 }
 
-// noticeEvacuations records orders that were applied in this turn.
+// noticeEvacuations records when the orders that were applied in this turn of the loop were
+// noticed.
 func (r *Replica) noticeEvacuations(now time.Time) {
 	for zone, evacuation := range r.state.Evacuations {
 		if known, ok := r.evacuationNotices[zone]; !ok || known.changedAt != evacuation.ChangedAt {
@@ -54,9 +55,10 @@
 	}
 }
 
-// startGrace is for how long runs of an evacuated zone may still be started that were
-// placed before; false if the zone is not evacuated. Gangs of which some members run
-// already should not be broken, and the operators' bound must hold.
+// startGrace returns the remaining time in which runs that were placed in an evacuated zone
+// before the order may still be started; evacuated is false if the zone is not evacuated. The
+// grace lets gangs complete of which some members run already. It is a share of the configured
+// evacuation time, so that this bound holds.
 func (r *Replica) startGrace(zone string, now time.Time) (grace time.Duration, evacuated bool) {
 	since, evacuated := r.state.IsEvacuated(zone)
 	if !evacuated {
@@ -66,7 +68,7 @@
 	return max(r.evacuationGrace()-age, 0), true
 }
 
-// evacuationGrace is for how long after an evacuation runs may be started at all.
+// evacuationGrace returns the time after an evacuation order in which runs may still be started.
 func (r *Replica) evacuationGrace() time.Duration {
 	bound := time.Duration(r.settings.Bounds.EvacuateMs) * time.Millisecond
 	if bound <= 0 {
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -9,34 +9,34 @@
 	"tealpond/internal/transport"
 )
 
-// loanSlices is into how many slices the whole capacity is cut for loans.
+// loanSlices is the number of slices into which the whole capacity is divided for loans.
 const loanSlices = 64
 
-// EnableFederation turns federation on. It must be called before Run.
+// EnableFederation enables federation. It must be called before Run.
 func (r *Replica) EnableFederation(config federation.Settings) { r.federation = &config }
 
-// FederationWork shows the offloader what there is to do; on a replica that does
-// not lead, and when ctx ends, that is nothing.
+// FederationWork returns the pending work of the offloader. It is empty on a replica that
+// does not lead, and when ctx ends.
 func (r *Replica) FederationWork(ctx context.Context) federation.PendingWork {
 	var work federation.PendingWork
 	if response, ok := r.callLoop(ctx, rpc.KindFederationWork, nil); ok {
-		_ = transport.Decode(response.Body, &work) // by this process itself
+		_ = transport.Decode(response.Body, &work) // encoded by this process
 	}
 	return work
 }
 
-// Propose puts a command of the offloader's into the log, under the name by which
-// package state registers it, and waits for its outcome; false if it is unknown
-// whether it takes effect.
+// Propose proposes a command of the offloader, under the name by which package state
+// registers it, and waits for its outcome. It returns false if it is unknown whether the
+// command takes effect.
 func (r *Replica) Propose(ctx context.Context, name string, command state.Command) (state.Outcome, bool) {
 	response, ok := r.callLoop(ctx, rpc.KindPropose, transport.Encode(state.EncodeCommand(name, command)))
 	outcome := state.Outcome{Code: state.Code(response.Code), Text: response.Text, Value: response.Value}
-	// The codes below mean that the command has no outcome here.
+	// Codes below rpc.MinHTTPCode mean that the command has no outcome here.
 	return outcome, ok && response.Code >= rpc.MinHTTPCode
 }
 
-// callLoop sends a request of the offloader to the loop of this process and waits
-// for the response; false when ctx ends.
+// callLoop sends a request of the offloader to the loop of this process and waits for the
+// response. It returns false when ctx ends first.
 func (r *Replica) callLoop(ctx context.Context, kind string, body []byte) (rpc.Response, bool) {
 	received := make(chan rpc.Response, 1)
 	reply := func(response rpc.Response) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// handleFederationRequest answers the offloader of this process; streams can't reach
-// it.
+// handleFederationRequest answers the offloader of this process. These requests can't come
+// from a stream.
 func (r *Replica) handleFederationRequest(local *localRequest) {
 	if r.node == nil || !r.node.LeaderReady() || !r.leading || r.federation == nil {
 		local.reply(responseNotLeader)
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleFederationCall answers the leader of another cluster.
+// handleFederationCall handles a call of the leader of another cluster.
 func (r *Replica) handleFederationCall(body []byte, _ *transport.Stream, reply replyFunc) {
 	if r.federation == nil {
 		reply(rpc.Response{Code: rpc.CodeNotFound, Text: "moving is off"})
@@ -97,7 +97,7 @@
 			reply(responseOutcomeUnknown)
 			return
 		}
-		// The current status of an accepted job is sent, as it may have ended since.
+		// The current status of an accepted job is sent, since it may have ended since then.
 		status := outcome.Text
 		if job := r.state.Jobs[request.JobID]; status == state.AnswerAccepted && job != nil {
 			status = state.IncomingJobStatus(job)
@@ -121,15 +121,15 @@
 		release := &state.ReleaseJob{Peer: request.From, OfferID: request.OfferID, ID: request.JobID}
 		r.enqueueCommand(state.CommandReleaseJob, release, respondOutcome)
 	case federation.CallWithdrawOffer:
-		void := &state.WithdrawOffer{Peer: request.From, OfferID: request.OfferID, ID: request.JobID, Cancel: request.Cancel}
-		r.enqueueCommand(state.CommandWithdrawOffer, void, respondOutcome)
+		withdraw := &state.WithdrawOffer{Peer: request.From, OfferID: request.OfferID, ID: request.JobID, Cancel: request.Cancel}
+		r.enqueueCommand(state.CommandWithdrawOffer, withdraw, respondOutcome)
 	default:
 		reply(rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown call"})
 	}
 }
 
-// lendCapacity lends another cluster what this one can spare, if that is enough for
-// the call.
+// lendCapacity lends another cluster the capacity that this one can spare, if that is enough
+// for the call.
 func (r *Replica) lendCapacity(request *federation.Call, reply replyFunc, respond func(status string, value int64)) {
 	work := federationWork(r.state, r.federation)
 	spare := r.federation.LendableMilliCPU(work)
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -6,8 +6,8 @@
 	"tealpond/internal/state"
 )
 
-// federationWork is what the offloader works on: the open transfers, the jobs that
-// may be offered to another cluster, and the record of demand.
+// federationWork returns the input of the offloader: the open transfers, the jobs that may be
+// offered to another cluster, and the recorded demand.
 func federationWork(store *state.Store, config *federation.Settings) federation.PendingWork {
 	work := federation.PendingWork{
 		IsLeader: true,
@@ -16,7 +16,7 @@
 		WallMs:   store.WallClock,
 		Demand:   map[int64]float64{},
 	}
-	peerRoutes := map[string]string{} // by the local route
+	peerRoutes := map[string]string{} // by local route
 	for _, route := range config.Routes {
 		peerRoutes[route.LocalRoute] = route.PeerRoute
 	}
@@ -30,7 +30,7 @@
 		}
 		if _, federated := peerRoutes[job.Route]; federated && mayBeOffered(job) {
 			work.Candidates = append(work.Candidates, federation.Candidate{
-				JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: widestStep(job), Offers: job.Transfer.OfferCount,
+				JobID: job.ID, Route: job.Route, Priority: job.Priority, MilliCPU: largestStepMilliCPU(job), Offers: job.Transfer.OfferCount,
 			})
 		}
 	}
@@ -45,18 +45,17 @@
 	return work
 }
 
-// openTransfer is a job's transfer as the offloader sees it.
+// openTransfer returns a job's transfer as the offloader sees it.
 func openTransfer(job *state.Job) federation.OpenTransfer {
 	return federation.OpenTransfer{JobID: job.ID, Peer: job.Transfer.Peer, OfferID: job.Transfer.OfferID, State: job.Transfer.State}
 }
 
-// mayBeOffered reports whether a job may be offered to another cluster: nothing of it
-// has begun, it is to end, and it is not another cluster's.
+// mayBeOffered reports whether a job may be offered to another cluster: no run of it has
+// started, it is neither periodic nor long-running, and it did not come from another cluster.
 func mayBeOffered(job *state.Job) bool {
 	return !job.Started && job.PeriodicInstances == 0 && !job.Transfer.Incoming && !hasLongRunningStep(job)
 }
 
-// hasLongRunningStep reports whether a job has a long-running step.
 func hasLongRunningStep(job *state.Job) bool {
 	for _, step := range job.Steps {
 		if step.LongRunning {
@@ -66,17 +65,17 @@
 	return false
 }
 
-// widestStep is the milli-CPU of a job's widest step.
-func widestStep(job *state.Job) int64 {
-	widest := int64(0)
+// largestStepMilliCPU returns the milli-CPU of all tasks of the job's largest step.
+func largestStepMilliCPU(job *state.Job) int64 {
+	largest := int64(0)
 	for _, step := range job.Steps {
-		widest = max(widest, step.CPUUnits*int64(step.TaskCount))
+		largest = max(largest, step.CPUUnits*int64(step.TaskCount))
 	}
-	return widest
+	return largest
 }
 
-// federatedServices are the services of the federated routes, or all services if
-// none of these routes is known.
+// federatedServices returns the services of the federated routes, or all services if none of
+// these routes is known.
 func federatedServices(store *state.Store, config *federation.Settings) map[string]bool {
 	services := map[string]bool{}
 	for _, federated := range config.Routes {
@@ -92,7 +91,7 @@
 	return services
 }
 
-// addDemand adds the record of demand on some services, and their capacity.
+// addDemand adds the recorded demand on some services, and their capacity.
 func addDemand(work *federation.PendingWork, store *state.Store, services map[string]bool) {
 	for name, route := range store.Routes {
 		if services[route.TargetService] {
@@ -107,13 +106,13 @@
 	}
 }
 
-// serviceToLend is the service whose capacity is lent: the first by name.
+// serviceToLend returns the service whose capacity is lent: the first by name.
 func serviceToLend(store *state.Store) string {
-	first := ""
+	firstService := ""
 	for service := range store.Services {
-		if first == "" || service < first {
-			first = service
+		if firstService == "" || service < firstService {
+			firstService = service
 		}
 	}
-	return first
+	return firstService
 }
--- a/internal/server/federation_work_test.go
+++ b/internal/server/federation_work_test.go
@@ -49,9 +49,9 @@
 // nothing has begun, and which aren't another cluster's.
 func TestFederationWorkOffersUntouchedJobs(t *testing.T) {
 	wide := protocol.Job{Steps: []protocol.Step{plainJob.Steps[0], {TaskCount: 4, CPUUnits: 200, EstimateMs: 1000}}}
-	lasting := protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, LongRunning: true}}}
+	longRunning := protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, LongRunning: true}}}
 	periodic := protocol.Job{Steps: plainJob.Steps, PeriodicInstances: 2, FirstRunMs: 1 << 50, IntervalMs: 1000}
-	store := storeWithJobs(t, map[string]protocol.Job{"wide": wide, "lasting": lasting, "periodic": periodic, "begun": plainJob, "incoming": plainJob, "elsewhere": plainJob})
+	store := storeWithJobs(t, map[string]protocol.Job{"wide": wide, "lasting": longRunning, "periodic": periodic, "begun": plainJob, "incoming": plainJob, "elsewhere": plainJob})
 	store.Jobs["begun"].Started = true
 	store.Jobs["incoming"].Transfer.Incoming = true
 	want := []federation.Candidate{{JobID: "wide", Route: "fed", MilliCPU: 800}}
--- a/internal/server/job_status.go
+++ b/internal/server/job_status.go
@@ -7,19 +7,19 @@
 	"tealpond/internal/transport"
 )
 
-// statusSettleWait is how long a status request for a job whose last runs are under way may wait
-// for completions that are listed but not committed.
-const statusSettleWait = 60 * time.Millisecond
+// statusHoldTimeout is how long a status request for a job in its final runs may be held until
+// completions that are reported but not committed are applied.
+const statusHoldTimeout = 60 * time.Millisecond
 
-// statusWaiter is a status request that waits for a moment, so that a job's last
-// completions can be applied.
+// statusWaiter is a status request that is held for up to statusHoldTimeout, so that a job's
+// last completions can be applied.
 type statusWaiter struct {
-	reply replyFunc
-	until time.Time
+	reply    replyFunc
+	deadline time.Time
 }
 
-// handleJobStatus answers with a job's state, or, for a path without an ID, with
-// the number of jobs that wait on the route.
+// handleJobStatus returns the status of a job or, for a path without an ID, the number of
+// pending jobs of the route.
 func (r *Replica) handleJobStatus(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
 	call, ok := r.admit(request, reply)
 	if !ok {
@@ -32,9 +32,9 @@
 	}
 	if status, ok := r.state.JobStatus(id); ok {
 		if r.state.Jobs[id].InFinalRuns() {
-			// Its last completions may be on their way through the log, and an
-			// older answer costs the client another poll.
-			r.statusWaiters[id] = append(r.statusWaiters[id], statusWaiter{reply, time.Now().Add(statusSettleWait)})
+			// Its last completions may be in the log and not applied yet, and an
+			// outdated answer costs the client another poll.
+			r.statusWaiters[id] = append(r.statusWaiters[id], statusWaiter{reply, time.Now().Add(statusHoldTimeout)})
 			return
 		}
 		reply(rpc.Response{Code: rpc.CodeOK, Text: status})
@@ -47,17 +47,16 @@
 	reply(responseNoSuchJob)
 }
 
-// replyToStatusWaiters answers status requests whose job has ended, or that have
-// waited long enough; it returns after how long the next one must be answered, 0
-// for none.
+// replyToStatusWaiters answers the held status requests whose job has ended or whose deadline
+// has passed. It returns the time until the next one must be answered, 0 if there is none.
 func (r *Replica) replyToStatusWaiters(now time.Time) time.Duration {
 	wake := time.Duration(0)
 	for id, waiters := range r.statusWaiters {
 		job := r.state.Jobs[id]
-		keep := waiters[:0]
+		kept := waiters[:0]
 		for _, waiter := range waiters {
-			if wait := waiter.until.Sub(now); wait > 0 && job != nil && job.InFinalRuns() && r.leading {
-				keep = append(keep, waiter)
+			if wait := waiter.deadline.Sub(now); wait > 0 && job != nil && job.InFinalRuns() && r.leading {
+				kept = append(kept, waiter)
 				if wake == 0 || wait < wake {
 					wake = wait
 				}
@@ -72,10 +71,10 @@
 				waiter.reply(rpc.Response{Code: rpc.CodeOK, Text: job.Status()})
 			}
 		}
-		if len(keep) == 0 {
+		if len(kept) == 0 {
 			delete(r.statusWaiters, id)
 		} else {
-			r.statusWaiters[id] = keep
+			r.statusWaiters[id] = kept
 		}
 	}
 	return wake
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -14,7 +14,7 @@
 // jobIDDigits is the length of a job ID, in hex digits.
 const jobIDDigits = 16
 
-// validJobID reports whether a job ID consists of its 16 hex digits.
+// validJobID reports whether a job ID consists of 16 hex digits.
 func validJobID(id string) bool {
 	if len(id) != jobIDDigits {
 		return false
@@ -29,15 +29,15 @@
 	return true
 }
 
-// jobCall is a client's call about a job whose route and caller are known.
+// jobCall is a client's call about jobs, with its route and its authenticated caller.
 type jobCall struct {
 	route  *clusterconfig.Route
 	id     string // of the job; empty if the path names none
 	tenant string // of the caller's key; empty where no key is needed
 }
 
-// admit finds the route of a request and its caller. If there is no such route, or the
-// caller may not call it, it answers the request and the last result is false.
+// admit finds the route of a request and authenticates its caller. If there is no such route,
+// or the caller may not make the call, it answers the request and returns false.
 func (r *Replica) admit(request *rpc.JobRequest, reply replyFunc) (jobCall, bool) {
 	if r.state.Configuration.Version == 0 {
 		reply(responseNotConfigured)
@@ -60,7 +60,7 @@
 	return jobCall{route, id, tenant}, true
 }
 
-// admitForJob is admit for a request that must name a job.
+// admitForJob does the same as admit for a request that must name a job.
 func (r *Replica) admitForJob(request *rpc.JobRequest, reply replyFunc) (jobCall, bool) {
 	call, ok := r.admit(request, reply)
 	if ok && !validJobID(call.id) {
@@ -70,14 +70,13 @@
 	return call, ok
 }
 
-// handleSubmitJob puts a job into the log. A job whose ID is known already stays as
-// it is.
+// handleSubmitJob proposes a job. A job whose ID is known already is not changed.
 func (r *Replica) handleSubmitJob(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
 	call, ok := r.admitForJob(request, reply)
 	if !ok {
 		return
 	}
-	// A refusal promises that the job is not taken, so it must not be in the log either.
+	// A refusal promises that the job is not accepted, so it must not be in the log either.
 	if r.state.Jobs[call.id] == nil && r.submitting[call.id] == 0 {
 		if wait := r.backlogWait(call, request); wait > 0 {
 			reply(responseOverloaded(wait))
@@ -87,16 +86,16 @@
 	}
 	r.trace.Record(call.id, "ordered", int64(r.node.LastIndex()+1), call.route.Name)
 	submit := state.SubmitJob{Host: request.Host, Path: request.Path, ID: call.id, Job: request.Job, DemandBucket: r.demandBucket()}
-	settle := r.whileSubmitting(call.id, r.withTrace(call.id, "settled", r.admitAgain(request, reply)))
+	onOutcome := r.whileSubmitting(call.id, r.withTrace(call.id, "settled", r.submissionReply(request, reply)))
 	if len(r.state.Configuration.Tenants()) == 0 {
-		r.enqueueCommand(state.CommandSubmitJob, &submit, settle)
+		r.enqueueCommand(state.CommandSubmitJob, &submit, onOutcome)
 		return
 	}
 	r.enqueueCommand(state.CommandSubmitTenantJob,
-		&state.SubmitTenantJob{Submit: submit, Tenant: call.tenant, ConfigVersion: r.state.Configuration.Version, BeyondShare: request.BeyondShare}, settle)
+		&state.SubmitTenantJob{Submit: submit, Tenant: call.tenant, ConfigVersion: r.state.Configuration.Version, BeyondShare: request.BeyondShare}, onOutcome)
 }
 
-// whileSubmitting counts a job among those that are on their way through the log until its
+// whileSubmitting counts a job among those that are in the log and not applied, until its
 // command has an outcome.
 func (r *Replica) whileSubmitting(id string, next commandReply) commandReply {
 	r.submitting[id]++
@@ -108,9 +107,9 @@
 	}
 }
 
-// admitAgain answers a submission with the outcome of its command. If a configuration
-// came into force between the two, the caller is judged again by that one.
-func (r *Replica) admitAgain(request *rpc.JobRequest, reply replyFunc) commandReply {
+// submissionReply answers a submission with the outcome of its command. If another
+// configuration came into force in between, the caller is authenticated again by that one.
+func (r *Replica) submissionReply(request *rpc.JobRequest, reply replyFunc) commandReply {
 	return func(outcome state.Outcome, known bool) {
 		switch {
 		case !known || outcome.Code != state.CodeConflict:
@@ -118,13 +117,12 @@
 		case r.leadsWithLease(time.Now()):
 			r.handleSubmitJob(request, nil, reply)
 		default:
-			// It was surely not accepted, so another leader may be asked.
+			// The job was certainly not accepted, so the caller may ask another leader.
 			reply(rpc.Response{Code: rpc.CodeNotLeader, Leader: r.leaderAddress()})
 		}
 	}
 }
 
-// handleCancelJob cancels a job.
 func (r *Replica) handleCancelJob(request *rpc.JobRequest, _ *transport.Stream, reply replyFunc) {
 	call, ok := r.admitForJob(request, reply)
 	if !ok {
@@ -135,12 +133,12 @@
 	r.enqueueCommand(state.CommandCancelJob, &state.CancelJob{ID: id}, r.withTrace(id, "cancel settled", r.cancelReply(id, reply)))
 }
 
-// cancelReply answers a cancellation; one of a job at a peer waits until the
-// peer has stopped it.
+// cancelReply answers a cancellation. The answer for a job at a peer cluster is held until the
+// peer has stopped the job.
 func (r *Replica) cancelReply(id string, reply replyFunc) commandReply {
 	return func(outcome state.Outcome, known bool) {
 		if known && outcome.Code == state.CodeAccepted {
-			// Its runs may start until the stop is in the peer's log.
+			// Its runs may still be started until the cancellation is in the peer's log.
 			r.cancelWaiters[id] = append(r.cancelWaiters[id], reply)
 			return
 		}
@@ -148,7 +146,7 @@
 	}
 }
 
-// replyToCancelWaiters answers the cancellations whose job has ended.
+// replyToCancelWaiters answers the held cancellations whose job has ended.
 func (r *Replica) replyToCancelWaiters() {
 	for id, replies := range r.cancelWaiters {
 		job := r.state.Jobs[id]
@@ -166,7 +164,7 @@
 	}
 }
 
-// withTrace records what became of a command before its caller hears of it.
+// withTrace records the outcome of a command in the trace before its caller is answered.
 func (r *Replica) withTrace(id, event string, next commandReply) commandReply {
 	return func(outcome state.Outcome, known bool) {
 		text := outcome.Text
@@ -178,7 +176,7 @@
 	}
 }
 
-// demandBucket is the present bucket in the record of demand; 0 while federation is off.
+// demandBucket returns the current bucket of the recorded demand; 0 while federation is off.
 func (r *Replica) demandBucket() int64 {
 	if r.federation == nil {
 		return 0
--- a/internal/server/key_watches.go
+++ b/internal/server/key_watches.go
@@ -9,41 +9,42 @@
 	"tealpond/internal/transport"
 )
 
-// keyWatcher is a watch that is held until there is a put for it.
+// keyWatcher is a watch that is held until there is a put for it or its
+// deadline has passed.
 type keyWatcher struct {
-	after int64
-	reply replyFunc
-	until time.Time
+	after    int64 // revision that the caller has
+	reply    replyFunc
+	deadline time.Time
 }
 
 // keyWatchers are the watches that the leader holds, by group.
 type keyWatchers struct {
 	byGroup map[string][]keyWatcher
-	// notifiedRevision is the revision of a group up to which its watchers were answered.
+	// notifiedRevision is, by group, the revision up to which its watchers were answered.
 	notifiedRevision map[string]int64
-	// nextUntil is when the first of them must be answered; zero if there are none.
-	nextUntil time.Time
+	// nextDeadline is when the first watcher must be answered; zero if there are none.
+	nextDeadline time.Time
 }
 
 func newKeyWatchers() keyWatchers {
 	return keyWatchers{byGroup: map[string][]keyWatcher{}, notifiedRevision: map[string]int64{}}
 }
 
-// add holds a watch of a group that is at a revision.
+// add holds a watch of a group whose current revision is given.
 func (w *keyWatchers) add(group string, revision int64, watcher keyWatcher) {
 	w.byGroup[group] = append(w.byGroup[group], watcher)
 	w.notifiedRevision[group] = revision
-	w.noteUntil(watcher.until)
+	w.recordDeadline(watcher.deadline)
 }
 
-// noteUntil records when a watcher must be answered.
-func (w *keyWatchers) noteUntil(until time.Time) {
-	if w.nextUntil.IsZero() || until.Before(w.nextUntil) {
-		w.nextUntil = until
+// recordDeadline moves nextDeadline forward if a watcher must be answered earlier.
+func (w *keyWatchers) recordDeadline(deadline time.Time) {
+	if w.nextDeadline.IsZero() || deadline.Before(w.nextDeadline) {
+		w.nextDeadline = deadline
 	}
 }
 
-// answer answers the watchers of a group that answerable picks, and keeps the others.
+// answer answers the watchers of a group for which answerable is true, and keeps the others.
 func (w *keyWatchers) answer(group string, answerable func(keyWatcher) bool, reply func(keyWatcher)) {
 	kept := w.byGroup[group][:0]
 	for _, watcher := range w.byGroup[group] {
@@ -61,7 +62,7 @@
 	}
 }
 
-// count is the number of watches that are held.
+// count returns the number of held watches.
 func (w *keyWatchers) count() int {
 	count := 0
 	for _, watchers := range w.byGroup {
@@ -71,70 +72,70 @@
 }
 
 // handleWatchKeys answers a watch at once if there are puts for it, if its history is no
-// longer kept, or if it only asks for the present revision; else it is held. A group in
-// which nothing was ever put has no revision that its watcher could resume from: the
-// watch is held for the first put, which would else be missed.
+// longer kept, or if it only asks for the current revision. Otherwise the watch is held. A group
+// without any put has no revision from which its watcher could resume: the watch is held
+// for the first put, which would otherwise be missed.
 func (r *Replica) handleWatchKeys(watch *rpc.KeyWatch, _ *transport.Stream, reply replyFunc) {
 	if revision := r.state.Coordination.Revision(watch.Group); watch.After <= 0 && revision > 0 {
-		reply(updateResponse(coordination.WatchResult{Revision: revision}, nil))
+		reply(watchResponse(coordination.WatchResult{Revision: revision}, nil))
 		return
 	}
 	update, err := r.state.Coordination.Since(watch.Group, watch.After)
 	if err != nil || len(update.Events) > 0 || watch.WaitMs <= 0 {
-		reply(updateResponse(update, err))
+		reply(watchResponse(update, err))
 		return
 	}
 	wait := min(time.Duration(watch.WaitMs)*time.Millisecond, timing.MaxWatchWait)
 	r.keyWatchers.add(watch.Group, r.state.Coordination.Revision(watch.Group), keyWatcher{watch.After, reply, time.Now().Add(wait)})
 }
 
-// updateResponse is the answer to a watch.
-func updateResponse(update coordination.WatchResult, err error) rpc.Response {
+// watchResponse returns the response to a watch.
+func watchResponse(update coordination.WatchResult, err error) rpc.Response {
 	if err != nil {
 		return rpc.Response{Code: rpc.CodeGone, Text: err.Error()}
 	}
 	return rpc.Response{Code: rpc.CodeOK, Value: update.Revision, Body: transport.Encode(update)}
 }
 
-// replyToKeyWatchers answers the watches for which there are puts, or whose time is over;
-// it returns after how long the next one must be answered, 0 for none. Only groups with
-// new puts are looked at, and all of them when the time of one is over.
+// replyToKeyWatchers answers the watches for which there are puts, or whose deadline has
+// passed. It returns the time until the next one must be answered, 0 if there is none. It
+// examines only groups with new puts, and all groups when a deadline has passed.
 func (r *Replica) replyToKeyWatchers(now time.Time) time.Duration {
 	w := &r.keyWatchers
 	if len(w.byGroup) == 0 {
 		return 0
 	}
-	// What is committed stays true, so without its lease a leader may still tell of it.
+	// Committed puts are final, so a leader without a valid lease may still send them.
 	leads := r.leading
-	timeIsOver := !now.Before(w.nextUntil)
-	if timeIsOver {
-		w.nextUntil = time.Time{}
+	deadlinePassed := !now.Before(w.nextDeadline)
+	if deadlinePassed {
+		w.nextDeadline = time.Time{}
 	}
 	for group := range w.byGroup {
 		revision := r.state.Coordination.Revision(group)
-		if leads && !timeIsOver && revision == w.notifiedRevision[group] {
+		if leads && !deadlinePassed && revision == w.notifiedRevision[group] {
 			continue
 		}
 		w.notifiedRevision[group] = revision
 		w.answer(group,
-			func(watcher keyWatcher) bool { return !leads || revision > watcher.after || !now.Before(watcher.until) },
-			func(watcher keyWatcher) { r.replyToKeyWatcher(group, watcher, leads) })
-		for _, watcher := range w.byGroup[group] {
-			w.noteUntil(watcher.until)
+			func(held keyWatcher) bool { return !leads || revision > held.after || !now.Before(held.deadline) },
+			func(held keyWatcher) { r.replyToKeyWatcher(group, held, leads) })
+		for _, held := range w.byGroup[group] {
+			w.recordDeadline(held.deadline)
 		}
 	}
 	if len(w.byGroup) == 0 {
-		w.nextUntil = time.Time{}
+		w.nextDeadline = time.Time{}
 		return 0
 	}
-	return max(w.nextUntil.Sub(now), time.Millisecond)
+	return max(w.nextDeadline.Sub(now), time.Millisecond)
 }
 
-// replyToKeyWatcher answers one watch with what there is for it.
+// replyToKeyWatcher answers one watch with the puts since its revision.
 func (r *Replica) replyToKeyWatcher(group string, watcher keyWatcher, leads bool) {
 	if !leads {
 		watcher.reply(rpc.Response{Code: rpc.CodeNotLeader, Leader: r.leaderAddress()})
 		return
 	}
-	watcher.reply(updateResponse(r.state.Coordination.Since(group, watcher.after)))
+	watcher.reply(watchResponse(r.state.Coordination.Since(group, watcher.after)))
 }
--- a/internal/server/membership_leases.go
+++ b/internal/server/membership_leases.go
@@ -15,10 +15,9 @@
 	renewedAt time.Time
 }
 
-// memberKey is the key of a daemon in Replica.memberLeases.
+// memberKey returns the key of a daemon in Replica.memberLeases.
 func memberKey(node, role string) string { return node + "/" + role }
 
-// handleRenewMembership renews a daemon's membership lease.
 func (r *Replica) handleRenewMembership(lease *rpc.MembershipLease, _ *transport.Stream, reply replyFunc) {
 	r.memberLeases[memberKey(lease.Node, lease.Role)] = memberLease{*lease, time.Now()}
 	reply(responseOK)
@@ -35,7 +34,7 @@
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(members)})
 }
 
-// expireMemberships forgets the daemons that have not renewed their lease in time.
+// expireMemberships removes the daemons that have not renewed their lease in time.
 func (r *Replica) expireMemberships(now time.Time) {
 	for key, lease := range r.memberLeases {
 		if now.Sub(lease.renewedAt) > timing.MembershipLeaseDuration {
@@ -44,5 +43,5 @@
 	}
 }
 
-// zoneOf is the zone of a server, from its membership lease; empty if unknown.
+// zoneOf returns the zone of a server from its membership lease; empty if unknown.
 func (r *Replica) zoneOf(node string) string { return r.memberLeases[memberKey(node, serverRole)].Zone }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// loopMetrics counts what the loop does, by cause, for the debug log. A nil value
-// counts nothing and costs nothing.
+// loopMetrics counts and times the work of the loop, by cause, for the debug log. A nil value
+// counts nothing and has no overhead.
 type loopMetrics struct {
 	since     time.Time
 	counts    map[string]int64
@@ -28,7 +28,7 @@
 	}
 }
 
-// startTimer begins to time a part of the loop; the function that it returns ends it.
+// startTimer starts to time a part of the loop. The returned function stops the timer.
 func (m *loopMetrics) startTimer(name string) func() {
 	if m == nil {
 		return func() {}
@@ -37,8 +37,8 @@
 	return func() { m.durations[name] += time.Since(start) }
 }
 
-// logLine returns the counts of the second that has gone by, in the order of their
-// names, and begins the next; nothing before a second is over.
+// logLine returns the counts of the last second, sorted by name, and resets them. It returns
+// nil before a second has passed.
 func (m *loopMetrics) logLine(now time.Time) []any {
 	if m == nil || now.Sub(m.since) < time.Second {
 		return nil
--- a/internal/server/monitoring.go
+++ b/internal/server/monitoring.go
@@ -9,11 +9,11 @@
 	"tealpond/internal/transport"
 )
 
-// requestGauges is the request of this process for its figures.
+// requestGauges is the kind of this process's request for its gauges.
 const requestGauges = "gauges"
 
-// Gauges returns the figures of this replica, as its loop reads them; none if the
-// context ends first. It is safe for concurrent use.
+// Gauges returns the gauges of this replica, as read by its loop; none if the context ends
+// first. It is safe for concurrent use.
 func (r *Replica) Gauges(ctx context.Context) []monitoring.Gauge {
 	received := make(chan rpc.Response, 1)
 	request := &localRequest{request: rpc.Request{Kind: requestGauges}, reply: func(response rpc.Response) { received <- response }}
@@ -23,13 +23,13 @@
 	var gauges []monitoring.Gauge
 	select {
 	case response := <-received:
-		_ = transport.Decode(response.Body, &gauges) // by this process itself
+		_ = transport.Decode(response.Body, &gauges) // encoded by this process
 	case <-ctx.Done():
 	}
 	return gauges
 }
 
-// gauges reads the figures of this replica, in the loop.
+// gauges returns the gauges of this replica. It must be called in the loop.
 func (r *Replica) gauges(now time.Time) []monitoring.Gauge {
 	gauges := []monitoring.Gauge{
 		{Name: "tealpond_storage_open", Value: monitoring.Flag(r.StorageOpened())},
@@ -47,7 +47,7 @@
 	return gauges
 }
 
-// raftGauges are the figures of the consensus node.
+// raftGauges returns the gauges of the consensus node.
 func (r *Replica) raftGauges(now time.Time) []monitoring.Gauge {
 	return []monitoring.Gauge{
 		{Name: "tealpond_raft_term", Value: float64(r.node.Term())},
@@ -62,7 +62,7 @@
 	}
 }
 
-// stateGauges are the figures of the replicated state.
+// stateGauges returns the gauges of the replicated state.
 func (r *Replica) stateGauges() []monitoring.Gauge {
 	schedulable := 0
 	for _, worker := range r.state.Workers {
@@ -93,7 +93,7 @@
 	return gauges
 }
 
-// leaderGauges are the figures that only the leader has.
+// leaderGauges returns the gauges that only the leader has.
 func (r *Replica) leaderGauges(now time.Time) []monitoring.Gauge {
 	return []monitoring.Gauge{
 		{Name: "tealpond_leader_for_seconds", Value: now.Sub(r.leadingSince).Seconds()},
--- a/internal/server/requests.go
+++ b/internal/server/requests.go
@@ -13,8 +13,8 @@
 // replicaHandler handles a request that any replica answers.
 type replicaHandler = func(r *Replica, body []byte, reply replyFunc)
 
-// leaderHandler handles a request that only a leader with a valid lease answers;
-// stream is nil for a request of this process, or of an aggregator's batch.
+// leaderHandler handles a request that only a leader with a valid lease answers. The stream
+// is nil for a request of this process, or in a batch of an aggregator.
 type leaderHandler = func(r *Replica, body []byte, stream *transport.Stream, reply replyFunc)
 
 // replicaHandlers are the requests that any replica answers, by kind.
@@ -35,7 +35,8 @@
 var leaderHandlers map[string]leaderHandler
 
 func init() {
-	// Set here, since handleBatch looks others up in this table.
+	// Initialized here to avoid an initialization cycle: handleBatch looks up handlers in this
+	// table.
 	leaderHandlers = map[string]leaderHandler{
 		rpc.KindJoin:              decoded((*Replica).handleJoin),
 		rpc.KindRenewMembership:   decoded((*Replica).handleRenewMembership),
@@ -73,8 +74,8 @@
 	}
 }
 
-// decoded makes a handler of one that takes the decoded body. A body that can't be
-// decoded is answered with rpc.CodeBadRequest.
+// decoded wraps a handler that takes the decoded body. A body that can't be decoded is
+// answered with rpc.CodeBadRequest.
 func decoded[T any](handle func(r *Replica, request *T, stream *transport.Stream, reply replyFunc)) leaderHandler {
 	return func(r *Replica, body []byte, stream *transport.Stream, reply replyFunc) {
 		request := new(T)
@@ -86,7 +87,7 @@
 	}
 }
 
-// handleRequest dispatches a request; stream is nil for one of this process.
+// handleRequest dispatches a request. The stream is nil for a request of this process.
 func (r *Replica) handleRequest(request rpc.Request, stream *transport.Stream, reply replyFunc) {
 	if handler := replicaHandlers[request.Kind]; handler != nil {
 		handler(r, request.Body, reply)
@@ -107,13 +108,14 @@
 	handler(r, request.Body, stream, reply)
 }
 
-// leadsWithLease reports whether this replica leads, is ready to, and no other can
-// have been elected yet.
+// leadsWithLease reports whether this replica is a ready leader and holds a valid lease, so
+// that no other leader can have been elected yet.
 func (r *Replica) leadsWithLease(now time.Time) bool {
 	return r.node != nil && r.node.LeaderReady() && r.leading && r.node.HasLease(now)
 }
 
-// withAppliedVersions adds to each response the versions that this replica has applied.
+// withAppliedVersions adds the configuration version and the log index that this replica has
+// applied to each response.
 func (r *Replica) withAppliedVersions(reply replyFunc) replyFunc {
 	return func(response rpc.Response) {
 		response.ConfigVersion = max(response.ConfigVersion, r.state.Configuration.Version)
@@ -124,7 +126,8 @@
 	}
 }
 
-// leaderAddress is the address of another leader; empty if none is known.
+// leaderAddress returns the address of the leader if that is another replica; empty if none
+// is known.
 func (r *Replica) leaderAddress() string {
 	if r.node == nil || r.node.Leader() == "" || r.node.Leader() == r.self.ID {
 		return ""
@@ -132,7 +135,7 @@
 	return r.addressOf(r.node.Leader())
 }
 
-// handleLeaderInfo tells what this replica knows of the leader.
+// handleLeaderInfo returns what this replica knows about the leader.
 func (r *Replica) handleLeaderInfo(_ []byte, reply replyFunc) {
 	info := rpc.LeaderInfo{}
 	if r.node != nil {
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/state"
 )
 
-// Responses that several handlers give. Their texts are shown to clients.
+// Responses of the handlers. Their texts are shown to clients.
 var (
 	responseOK            = rpc.Response{Code: rpc.CodeOK}
 	responseBadRequest    = rpc.Response{Code: rpc.CodeBadRequest}
@@ -19,13 +19,12 @@
 	responseNoSuchJob     = rpc.Response{Code: rpc.CodeGone, Text: "no such job"}
 	responseNotConfigured = rpc.Response{Code: rpc.CodeUnavailable, Text: "not configured yet", RetryAfterMs: 1000}
 	responseNotLeader     = rpc.Response{Code: rpc.CodeNotLeader}
-	// responseOutcomeUnknown: the command may or may not be in the log.
+	// responseOutcomeUnknown says that the command may or may not be in the log.
 	responseOutcomeUnknown = rpc.Response{Code: rpc.CodeLeadershipLost}
 )
 
-// commandReply tells what became of a command. If known is false the outcome is
-// empty, and whether the command takes effect isn't known. It is called once, in
-// the loop.
+// commandReply receives the outcome of a command. If known is false, the outcome is empty,
+// and the command may or may not take effect. It is called once, in the loop.
 type commandReply = func(outcome state.Outcome, known bool)
 
 // outcomeReply answers a request with the outcome of its command.
@@ -39,7 +38,7 @@
 	}
 }
 
-// responseOverloaded refuses a job that may come again after a wait.
+// responseOverloaded refuses a job that may be submitted again after a wait.
 func responseOverloaded(wait time.Duration) rpc.Response {
 	return rpc.Response{Code: rpc.CodeTooManyRequests, Text: "more work than can be finished in time", RetryAfterMs: max(wait.Milliseconds(), 1)}
 }
--- a/internal/server/runners.go
+++ b/internal/server/runners.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// runnerWatchWait is how long the leader holds a watch of the list of runners; it is below
+	// runnerWatchWait is how long the leader holds a watch of the runner list; it is below
 	// timing.RequestAttemptTimeout.
 	runnerWatchWait = 350 * time.Millisecond
-	// healthEntriesPerS bounds the entries of runners' health that the leader sends to all daemons
-	// together, a second.
+	// healthEntriesPerS bounds the runner health entries per second that the leader sends to all
+	// daemons together.
 	healthEntriesPerS = 15_000
 )
 
 // runnerList is the list of runners that a leader keeps for the daemons.
 type runnerList struct {
-	table        *registry.Table   // what daemons are sent; nil: nothing is published
-	deltas       runnerDeltas      // encoded
-	readAt       time.Time         // since when changes may be missing in the list
-	healthSentAt time.Time         // when daemons were last sent the runners' health
-	announced    *announcedRunners // what runners tell of themselves, where no platform lists them
+	table        *registry.Table   // published to daemons; nil if nothing is published
+	deltas       runnerDeltas      // encoded changes of table
+	readAt       time.Time         // the list includes all changes up to this time
+	healthSentAt time.Time         // when the runners' health was last published
+	announced    *announcedRunners // runners that announce themselves, where no platform lists them
 	watchers     []runnerWatcher
 	positions    map[string]daemonPosition // of daemons, by node
-	positionsAt  time.Time
-	observations *registry.Observations // of runners, by all daemons
+	positionsAt  time.Time                 // when positions were computed
+	observations *registry.Observations    // observations of runners by all daemons
 }
 
 func newRunnerList() runnerList { return runnerList{observations: registry.NewObservations()} }
 
-// runnerWatcher is a daemon's question for changes, held until there is one.
+// runnerWatcher is a daemon's watch of the runner list, held until there is a change or its
+// deadline has passed.
 type runnerWatcher struct {
-	watch   rpc.RunnerWatch
-	reply   replyFunc
-	askedAt time.Time
-	until   time.Time
+	watch      rpc.RunnerWatch
+	reply      replyFunc
+	receivedAt time.Time
+	deadline   time.Time
 }
 
-// handlePublishRunners takes over the platform's list as the leader's process has read
-// it. The list is not part of the state: a new leader reads it anew.
+// handlePublishRunners publishes the platform's list as the leader's process has read it.
+// The list is not part of the replicated state: a new leader reads it again.
 func (r *Replica) handlePublishRunners(list *rpc.RunnerList, stream *transport.Stream, reply replyFunc) {
 	if stream != nil {
 		reply(responseBadRequest) // only the leader itself reads the list
@@ -55,8 +56,8 @@
 	reply(responseOK)
 }
 
-// runnerListAge is since when changes may be missing in the list, in ms; negative if it
-// isn't known. What runners announce is in the list once it is acknowledged.
+// runnerListAge returns the age in ms from which changes may be missing in the list; negative
+// if it isn't known. Announcements of runners are in the list once they are acknowledged.
 func (r *Replica) runnerListAge(now time.Time) int64 {
 	switch {
 	case r.runnerList.table == nil:
@@ -67,7 +68,7 @@
 	return now.Sub(r.runnerList.readAt).Milliseconds() + 1
 }
 
-// publishRunners puts a whole list in the place of the one that daemons are sent.
+// publishRunners replaces the list that is published to daemons.
 func (r *Replica) publishRunners(list []registry.Runner, now time.Time) {
 	if r.runnerList.table == nil {
 		r.runnerList.table = registry.NewTable(r.processID + "/" + now.Format(time.RFC3339Nano))
@@ -81,8 +82,8 @@
 	r.runnerList.table.Update(list)
 }
 
-// healthInterval is the least time between two accounts of the health of runners: each
-// tells every daemon of about all runners of its zone.
+// healthInterval returns the minimum time between two updates of the runners' health: each
+// update sends every daemon about one entry for each runner of its zone.
 func (r *Replica) healthInterval(list []registry.Runner) time.Duration {
 	zones := map[string]bool{}
 	for i := range list {
@@ -92,8 +93,8 @@
 	return time.Duration(entries) * time.Second / healthEntriesPerS
 }
 
-// handleWatchRunners tells a daemon what has changed in the list, or holds its question
-// for a moment.
+// handleWatchRunners sends a daemon the changes of the list, or holds its watch for up to
+// runnerWatchWait.
 func (r *Replica) handleWatchRunners(watch *rpc.RunnerWatch, _ *transport.Stream, reply replyFunc) {
 	r.runnerList.observations.Add(watch.Observations)
 	now := time.Now()
@@ -105,7 +106,7 @@
 	r.runnerList.watchers = append(r.runnerList.watchers, watcher)
 }
 
-// hasUpdateFor reports whether the list or the configuration is another than a daemon has.
+// hasUpdateFor reports whether the list or the configuration differs from that of a daemon.
 func (r *Replica) hasUpdateFor(watch *rpc.RunnerWatch) bool {
 	if r.state.Configuration.Version > watch.ConfigVersion {
 		return true
@@ -113,11 +114,11 @@
 	return r.runnerList.table != nil && !r.runnerList.table.IsAt(watch.Epoch, watch.Version, watch.Scope)
 }
 
-// replyWithRunners gives a daemon what it lacks of the list. Each response names the
-// version of the configuration.
+// replyWithRunners sends a daemon the changes of the list and of the configuration that it
+// lacks. Each response names the version of the configuration.
 func (r *Replica) replyWithRunners(watcher *runnerWatcher, now time.Time) {
 	watch := &watcher.watch
-	update := rpc.RunnerUpdate{ListAgeMs: r.runnerListAge(now), HeldMs: now.Sub(watcher.askedAt).Milliseconds()}
+	update := rpc.RunnerUpdate{ListAgeMs: r.runnerListAge(now), HeldMs: now.Sub(watcher.receivedAt).Milliseconds()}
 	if r.runnerList.table != nil {
 		update.Delta = r.runnerList.deltas.since(r.runnerList.table, watch)
 	}
@@ -129,15 +130,15 @@
 	watcher.reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(update)})
 }
 
-// runnerDeltas keeps the encoded changes of the newest version of the list: daemons of a
-// zone mostly lack the same. Its zero value is empty.
+// runnerDeltas caches the encoded changes up to the newest version of the list: the daemons of
+// a zone mostly lack the same changes. Its zero value is empty.
 type runnerDeltas struct {
 	table   *registry.Table
 	version uint64
 	encoded map[deltaKey][]byte
 }
 
-// deltaKey is what a change depends on beside the newest version.
+// deltaKey holds the parameters of a change besides the newest version.
 type deltaKey struct {
 	zone, scope string
 	from        registry.Position
@@ -157,8 +158,8 @@
 	return encoded
 }
 
-// daemonPosition is a daemon's place among those of its role and zone that hold a
-// membership lease. It isn't known to a leader that has not heard all of them yet.
+// daemonPosition returns a daemon's position among those of its role and zone that hold a
+// membership lease. It is zero while a new leader may not have received all their leases yet.
 func (r *Replica) daemonPosition(node string) daemonPosition {
 	now := time.Now()
 	if !r.leading || now.Sub(r.leadingSince) < 2*timing.MembershipRenewInterval {
@@ -171,11 +172,11 @@
 	return r.runnerList.positions[node]
 }
 
-// daemonPosition is a daemon's place among the daemons of its zone, by their names, and
-// the numbers of these and of the daemons of all zones.
+// daemonPosition is a daemon's position among the daemons of its zone, sorted by name, and
+// the number of daemons in its zone and in all zones.
 type daemonPosition struct{ index, count, total int }
 
-// positionsByZone returns each gateway's place among those of its zone.
+// positionsByZone returns each gateway's position among those of its zone.
 func positionsByZone(leases map[string]memberLease) map[string]daemonPosition {
 	byZone, total := map[string][]string{}, 0
 	for _, lease := range leases {
@@ -194,11 +195,12 @@
 	return positions
 }
 
-// gatewayRole is the role of the daemons that watch the list of runners.
+// gatewayRole is the role of the daemons that watch the runner list.
 const gatewayRole = "gateway"
 
-// replyToRunnerWatchers answers the questions for which there is news, or whose time is
-// over; it returns after how long the next one must be answered, 0 for none.
+// replyToRunnerWatchers answers the watches for which there is an update, or whose deadline
+// has passed. It returns the time until the next one must be answered, 0 if there is none. On a
+// replica that does not lead, it discards the list.
 func (r *Replica) replyToRunnerWatchers(now time.Time) time.Duration {
 	if !r.leading {
 		r.runnerList.table, r.runnerList.observations, r.runnerList.announced = nil, registry.NewObservations(), nil
@@ -208,7 +210,7 @@
 	wake := time.Duration(0)
 	kept := r.runnerList.watchers[:0]
 	for _, watcher := range r.runnerList.watchers {
-		wait := watcher.until.Sub(now)
+		wait := watcher.deadline.Sub(now)
 		switch {
 		case !r.leadsWithLease(now):
 			watcher.reply(rpc.Response{Code: rpc.CodeNotLeader, Leader: r.leaderAddress()})
--- a/internal/server/runners_test.go
+++ b/internal/server/runners_test.go
@@ -12,22 +12,22 @@
 	"tealpond/internal/transport"
 )
 
-// publish gives the leader a list, as its own process does.
-func (h *harness) publish(list ...registry.Runner) {
+// publishRunnerList gives the leader a list, as its own process does.
+func (h *harness) publishRunnerList(list ...registry.Runner) {
 	h.t.Helper()
 	if response := h.call(rpc.KindPublishRunners, rpc.RunnerList{Runners: list}); response.Code != rpc.CodeOK {
 		h.t.Fatalf("%+v", response)
 	}
 }
 
-// watch asks for changes and gives the delta and how long the answer took.
-func (h *harness) watch(view *registry.View, configVersion int64) (registry.Delta, time.Duration) {
+// watchRunners asks for changes and gives the delta and how long the answer took.
+func (h *harness) watchRunners(view *registry.View, configVersion int64) (registry.Delta, time.Duration) {
 	h.t.Helper()
-	question := rpc.RunnerWatch{ConfigVersion: configVersion}
+	watch := rpc.RunnerWatch{ConfigVersion: configVersion}
 	known := view.Position()
-	question.Epoch, question.Version, question.Digest = known.Epoch, known.Version, known.Digest
+	watch.Epoch, watch.Version, watch.Digest = known.Epoch, known.Version, known.Digest
 	askedAt := time.Now()
-	response := h.call(rpc.KindWatchRunners, question)
+	response := h.call(rpc.KindWatchRunners, watch)
 	var update rpc.RunnerUpdate
 	if response.Code != rpc.CodeOK || len(response.Body) > 0 && transport.Decode(response.Body, &update) != nil {
 		h.t.Fatalf("%+v", response)
@@ -46,22 +46,22 @@
 		h := newLeader(t)
 		h.configure()
 		view := registry.NewView()
-		if _, took := h.watch(view, 7); took < runnerWatchWait {
+		if _, took := h.watchRunners(view, 7); took < runnerWatchWait {
 			t.Errorf("answered after %v, though no list is known", took)
 		}
-		h.publish(registry.Runner{ID: "a", Service: "s"}, registry.Runner{ID: "b", Service: "s"})
-		delta, took := h.watch(view, 7)
+		h.publishRunnerList(registry.Runner{ID: "a", Service: "s"}, registry.Runner{ID: "b", Service: "s"})
+		delta, took := h.watchRunners(view, 7)
 		if view.Apply(delta); len(view.Runners()) != 2 || took >= runnerWatchWait {
 			t.Errorf("%+v after %v", delta, took)
 		}
-		if _, took = h.watch(view, 7); took < runnerWatchWait {
+		if _, took = h.watchRunners(view, 7); took < runnerWatchWait {
 			t.Errorf("answered after %v, though nothing is new", took)
 		}
-		if _, took = h.watch(view, 6); took >= runnerWatchWait {
+		if _, took = h.watchRunners(view, 6); took >= runnerWatchWait {
 			t.Errorf("answered after %v, though the configuration is new", took)
 		}
-		h.publish(registry.Runner{ID: "b", Service: "s", Draining: true})
-		delta, _ = h.watch(view, 7)
+		h.publishRunnerList(registry.Runner{ID: "b", Service: "s", Draining: true})
+		delta, _ = h.watchRunners(view, 7)
 		if view.Apply(delta); len(delta.Removed) != 1 || len(view.Runners()) != 1 || !view.Runners()[0].Draining {
 			t.Errorf("%+v", delta)
 		}
@@ -89,8 +89,8 @@
 // list tells of it; with three hundred and thousands of runners only one in many seconds.
 func TestHealthIsToldLessOftenInLargeFleets(t *testing.T) {
 	for _, test := range []struct {
-		daemons, runners, zones int
-		least, most             time.Duration
+		daemons, runners, zones  int
+		minInterval, maxInterval time.Duration
 	}{
 		{95, 330, 4, 0, 700 * time.Millisecond},
 		{76, 258, 5, 0, 700 * time.Millisecond},
@@ -106,7 +106,7 @@
 		for i := range list {
 			list[i].Zone = fmt.Sprint("z", i%test.zones)
 		}
-		if interval := replica.healthInterval(list); interval < test.least || interval > test.most {
+		if interval := replica.healthInterval(list); interval < test.minInterval || interval > test.maxInterval {
 			t.Errorf("%d daemons, %d runners: each %v", test.daemons, test.runners, interval)
 		}
 	}
--- a/internal/server/scheduling.go
+++ b/internal/server/scheduling.go
@@ -9,29 +9,30 @@
 	"tealpond/internal/timing"
 )
 
-// preemptionInterval is the time between two preemptions, since stopping runs takes a moment.
+// preemptionInterval is the minimum time between two preemptions: the runs stopped by one need
+// time to end.
 const preemptionInterval = 250 * time.Millisecond
 
-// planning is the leader's work with the scheduler.
+// planning is the state of the leader's scheduling.
 type planning struct {
 	planner       scheduler.Planner
-	due           bool      // the state changed since the planner ran
+	due           bool      // the state has changed since the planner ran
 	proposed      bool      // plans are proposed and not yet applied
-	notBefore     time.Time // see notePlansApplied
-	refusedInARow int       // times that all plans were refused
+	notBefore     time.Time // no plans before this time, see recordPlanOutcome
+	refusedInARow int       // consecutive times that all plans were refused
 	preemptedAt   time.Time
 }
 
-// minRuntimeReports is how many workers must have reported the length of their runs
-// before they are compared with each other.
+// minRuntimeReports is the number of workers that must have reported the duration of their
+// runs before they are compared with each other.
 const minRuntimeReports = 3
 
-// percent turns a share in percent into one of 1.
+// percent is the number of percent in a whole.
 const percent = 100
 
-// schedule proposes the planner's plans and preemptions for what changed since it
-// last ran. Only one set of plans is proposed at a time, since the planner sees the
-// applied state alone and would place the same tasks again.
+// schedule proposes the planner's plans and preemptions if the state has changed since it
+// last ran. Only one set of plans is in flight at a time, since the planner sees only the
+// applied state and would place the same tasks again.
 func (r *Replica) schedule(now time.Time) {
 	if !r.planning.due || r.planning.proposed || r.applyBacklog || now.Before(r.planning.notBefore) {
 		return
@@ -45,7 +46,7 @@
 		r.enqueueCommand(state.CommandApplyPlans, &state.ApplyPlans{Plans: plans},
 			func(outcome state.Outcome, known bool) {
 				r.planning.proposed = false
-				r.notePlansApplied(known, known && outcome.Value == int64(len(plans)))
+				r.recordPlanOutcome(known, known && outcome.Value == int64(len(plans)))
 			})
 	}
 	if now.Sub(r.planning.preemptedAt) < preemptionInterval {
@@ -58,26 +59,27 @@
 	}
 }
 
-// maxRefusedInARow is how many times in a row all plans may be refused before the next
-// ones wait. One time is usual: a worker or a job changed while they were under way.
-const maxRefusedInARow = 2
+// maxConsecutiveRefusals is the number of consecutive refusals of all plans after which the next
+// ones are delayed. A single refusal is usual: a worker or a job changed while the plans were in
+// the log.
+const maxConsecutiveRefusals = 2
 
-// notePlansApplied puts off the next plans if none could be applied several times in a
-// row: the state changed by the attempts alone, and the same plans would be made and
-// refused at each turn of the loop.
-func (r *Replica) notePlansApplied(known, allRefused bool) {
+// recordPlanOutcome delays the next plans if all plans were refused several times in a row: the
+// state then changed by the attempts only, and the same plans would be made and refused in each
+// turn of the loop.
+func (r *Replica) recordPlanOutcome(known, allRefused bool) {
 	if !allRefused {
 		r.planning.refusedInARow = 0
 		return
 	}
 	r.planning.refusedInARow++
-	if known && r.planning.refusedInARow >= maxRefusedInARow {
+	if known && r.planning.refusedInARow >= maxConsecutiveRefusals {
 		r.planning.notBefore = time.Now().Add(scheduler.StragglerCheckInterval)
 	}
 }
 
-// updatePlanner tells the planner which workers are silent or unhealthy, and how
-// much slower than the others each is.
+// updatePlanner updates the planner's sets of silent and of unhealthy workers, and how much
+// slower than the others each worker is.
 func (r *Replica) updatePlanner(now time.Time) {
 	slowdown := map[string]float64{}
 	if median, ok := medianRuntimePercent(r.leases); ok {
@@ -103,8 +105,9 @@
 	r.planning.planner.UnresponsiveWorkers, r.planning.planner.UnhealthyWorkers, r.planning.planner.Slowdown = silent, unhealthy, slowdown
 }
 
-// medianRuntimePercent is the median of what the workers report of the length of
-// their runs, in percent of the estimates and at least 1; false if too few do.
+// medianRuntimePercent returns the median of the run durations that the workers report, in
+// percent of the estimates and at least 1. It returns false if fewer than minRuntimeReports
+// workers report any.
 func medianRuntimePercent(leases map[string]*workerLease) (float64, bool) {
 	var reported []int64
 	for _, lease := range leases {
--- a/internal/server/scheduling_test.go
+++ b/internal/server/scheduling_test.go
@@ -44,15 +44,15 @@
 			h.replica.schedule(time.Now())
 			if !h.replica.planning.due {
 				planned++
-				h.replica.notePlansApplied(true, true)
+				h.replica.recordPlanOutcome(true, true)
 			}
 		}
-		if limit := int(time.Second/scheduler.StragglerCheckInterval) + maxRefusedInARow; planned > limit || planned <= maxRefusedInARow {
+		if limit := int(time.Second/scheduler.StragglerCheckInterval) + maxConsecutiveRefusals; planned > limit || planned <= maxConsecutiveRefusals {
 			t.Errorf("planned %d times in a second, want at most %d", planned, limit)
 		}
-		h.replica.notePlansApplied(true, false)
+		h.replica.recordPlanOutcome(true, false)
 		h.replica.planning.notBefore = time.Time{}
-		h.replica.notePlansApplied(true, true)
+		h.replica.recordPlanOutcome(true, true)
 		if h.replica.planning.due = true; !h.replica.planning.notBefore.IsZero() {
 			t.Error("plans that were refused once are put off")
 		}
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -8,19 +8,21 @@
 	"tealpond/internal/transport"
 )
 
-// agentSession is an agent connected to this replica, leader or not: its
-// assignments are read from this replica's applied state and go down this stream.
+// agentSession is the session of an agent that is connected to this replica, whether that
+// leads or not: its assignments are read from this replica's applied state and sent on
+// this stream.
 type agentSession struct {
 	stream *transport.Stream
 	fence  int64
-	// knownIndex is the log index of the newest state that was sent to the agent.
-	// Assignments are held back until this replica has applied it: an older state
-	// may name a run that is over, and which runs elsewhere by now.
+	// knownIndex is the log index of the newest state from which the agent was sent
+	// assignments. Assignments are held back until this replica has applied it: an older
+	// state may list a run that has ended, and that runs elsewhere by now.
 	knownIndex uint64
-	synced     bool // all of the worker's allocations were forwarded this stream
+	synced     bool // all of the worker's allocations were sent on this stream
 }
 
-// openSession notes the stream by which an agent renews its lease.
+// openSession records the stream on which an agent renews its lease, and opens a session if
+// the stream or the fence is a new one.
 func (r *Replica) openSession(renewal *rpc.LeaseRenewal, stream *transport.Stream) {
 	if stream == nil {
 		return
@@ -32,12 +34,12 @@
 		r.sessions[renewal.Worker] = session
 		r.sessionsUnsynced = true
 	}
-	// An agent that is synced again may have learnt of a newer state.
+	// An agent that is synced again may know of a newer state.
 	session.knownIndex = max(session.knownIndex, renewal.KnownIndex)
 }
 
-// syncSessions sends agents with a new connection all allocations on their workers:
-// assignments on their previous connection may be lost.
+// syncSessions sends agents with a new connection all allocations on their workers, since
+// assignments on the previous connection may be lost.
 func (r *Replica) syncSessions() {
 	if !r.sessionsUnsynced {
 		return
@@ -59,8 +61,8 @@
 	}
 }
 
-// dropSessionsOfDeadWorkers forgets sessions whose runners were replaced: their agents
-// go on with a new incarnation, and often on the same stream.
+// dropSessionsOfDeadWorkers removes sessions whose runners were replaced: their agents
+// continue with a new incarnation, often on the same stream.
 func (r *Replica) dropSessionsOfDeadWorkers() {
 	for workerID := range r.sessions {
 		if worker := r.state.Workers[workerID]; worker != nil && worker.Dead {
@@ -69,7 +71,7 @@
 	}
 }
 
-// resyncSessions has all sessions synced again, after this replica's state was
+// resyncSessions marks all sessions to be synced again, after this replica's state was
 // replaced as a whole.
 func (r *Replica) resyncSessions() {
 	for _, session := range r.sessions {
@@ -78,7 +80,7 @@
 	}
 }
 
-// dropSessions forgets the agents of a stream that ended.
+// dropSessions removes the sessions of a stream that ended.
 func (r *Replica) dropSessions(stream *transport.Stream) {
 	for workerID, session := range r.sessions {
 		if session.stream == stream {
@@ -87,8 +89,8 @@
 	}
 }
 
-// closeSessions ends all sessions and their streams: agents whose stream is closed
-// look for another server at once.
+// closeSessions closes all sessions and their streams: agents whose stream is closed look
+// for another server at once.
 func (r *Replica) closeSessions() {
 	for _, session := range r.sessions {
 		session.stream.Close()
@@ -96,8 +98,8 @@
 	r.sessions = map[string]*agentSession{}
 }
 
-// queueAssignment queues the start or stop of a run for the agent of its worker, if
-// that is connected to this replica.
+// queueAssignment queues the start or stop of a run for the agent of its worker if that is
+// connected to this replica.
 func (r *Replica) queueAssignment(allocation *state.Allocation) {
 	session := r.sessions[allocation.Worker]
 	worker := r.state.Workers[allocation.Worker]
@@ -136,7 +138,7 @@
 	r.pendingAssignments[session.stream] = append(r.pendingAssignments[session.stream], assignment)
 }
 
-// sendAssignments sends the assignments of this turn, one frame for each stream.
+// sendAssignments sends the assignments of this turn of the loop, one frame for each stream.
 func (r *Replica) sendAssignments() {
 	r.noticeEvacuations(time.Now())
 	for _, id := range r.state.TakeChangedRuns() {
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -9,16 +9,15 @@
 	"tealpond/internal/tally"
 )
 
-// The tables of the state as operators query them. The names of tables and columns
-// are part of that interface; some are older than the names in the code. Each table
-// is cut at rpc.MaxQueryRows.
+// The functions below build the tables of the state that operators query. The names of tables
+// and columns are part of that interface; some are older than the names in the code. Each table
+// is truncated at rpc.MaxQueryRows.
 
-// newTable is an empty table.
 func newTable(name string, columns ...string) rpc.Table {
 	return rpc.Table{Name: name, Columns: columns}
 }
 
-// addRow adds a row, unless the table is full.
+// addRow adds a row, or marks the table as truncated if it is full.
 func addRow(table *rpc.Table, row ...any) {
 	if len(table.Rows) >= rpc.MaxQueryRows {
 		table.Truncated = true
@@ -36,8 +35,8 @@
 	return table
 }
 
-// runnerTable lists the runners of a gateway's platform, with what the requests of all
-// daemons tell of them. Only the leader has it; list is nil elsewhere.
+// runnerTable lists the runners that gateways forward to, with their health as observed by all
+// daemons. Only the leader has the list; it is nil elsewhere.
 func runnerTable(list *registry.Table) rpc.Table {
 	table := newTable("runners", "id", "service", "zone", "addr", "slots", "draining", "latency_ms", "failed_pct")
 	if list == nil {
@@ -49,7 +48,7 @@
 	return table
 }
 
-// stateTables are the tables of the replicated state.
+// stateTables returns the tables of the replicated state.
 func stateTables(store *state.Store) []rpc.Table {
 	devices, bookings := deviceTables(store)
 	return []rpc.Table{
@@ -70,7 +69,7 @@
 	return table
 }
 
-// deviceTables lists the devices, and the reservations on them.
+// deviceTables lists the devices and their reservations.
 func deviceTables(store *state.Store) (devices, reservations rpc.Table) {
 	devices = newTable("devices", "id", "class", "worker", "healthy", "bookings")
 	reservations = newTable("bookings", "device", "alloc", "from_ms", "to_ms")
@@ -114,8 +113,8 @@
 	return table
 }
 
-// transferStateNames are the states of a job's transfer between clusters, as the
-// table names them.
+// transferStateNames are the names of the states of a job's transfer between clusters, as
+// they stand in the table.
 var transferStateNames = map[byte]string{
 	state.TransferNone:     "home",
 	state.TransferOffered:  "offered",
@@ -146,8 +145,8 @@
 	return table
 }
 
-// tenantTable lists the tenants with their limits and what they use of them, in the
-// units of the configuration; a limit of 0 is none. Keys are never in a table.
+// tenantTable lists the tenants with their limits and their usage, in the units of the
+// configuration; a limit of 0 means no limit. API keys are never in a table.
 func tenantTable(store *state.Store) rpc.Table {
 	table := newTable("tenants", "name", "share_milli", "cpu_limit", "cpu_used", "mem_limit", "mem_used", "gpu_limit", "gpu_used",
 		"runs", "open_jobs", "waiting_jobs", "beyond_share", "waits_for")
@@ -172,17 +171,17 @@
 	return table
 }
 
-// quotaFullPercent is the use of a quota, in percent, from which its tenant's waiting
-// work is said to wait for it.
+// quotaFullPercent is the usage of a quota, in percent, from which its tenant's pending jobs
+// are shown as waiting for the quota.
 const quotaFullPercent = 90
 
-// waitsFor tells what the waiting jobs of a tenant wait for; empty if none wait.
+// waitsFor returns what the pending jobs of a tenant wait for; empty if there are none.
 func waitsFor(quota state.Quota, use state.TenantUse, waiting int) string {
-	full := func(bound, used int64) bool { return bound > 0 && used*percent >= bound*quotaFullPercent }
+	nearLimit := func(limit, used int64) bool { return limit > 0 && used*percent >= limit*quotaFullPercent }
 	switch {
 	case waiting == 0:
 		return ""
-	case full(quota.MilliCPU, use.MilliCPU), full(quota.MemoryMB, use.MemoryMB), full(int64(quota.GPUs), int64(use.GPUs)):
+	case nearLimit(quota.MilliCPU, use.MilliCPU), nearLimit(quota.MemoryMB, use.MemoryMB), nearLimit(int64(quota.GPUs), int64(use.GPUs)):
 		return "quota"
 	}
 	return "room"
@@ -196,9 +195,7 @@
 	return table
 }
 
-// lockTable lists the locks that are held, or were until a moment ago: left_ms is below 0
-// once the next caller may have the lock.
-// zoneTable lists the zones about whose evacuation there was an order.
+// zoneTable lists the zones for which there was an evacuation order.
 func zoneTable(store *state.Store) rpc.Table {
 	table := newTable("zones", "zone", "evacuated", "revision", "since_ms")
 	for zone, evacuation := range store.Evacuations {
@@ -207,9 +204,9 @@
 	return table
 }
 
-// tallyTables are this replica's tallies, and what it knows of the other replicas of them:
-// since when each is silent (-1: it was never heard), and how many adds that are here are not
-// known to be there. The replica is nil where there are no tallies.
+// tallyTables lists this replica's tallies and the other replicas of them: for each, the time
+// since the last contact (-1 if there was none), and how many of the adds stored here it is not
+// known to have. The replica is nil where there are no tallies.
 func tallyTables(replica *tally.Replica, now time.Time) []rpc.Table {
 	tallies, peers := newTable("tallies", "name", "total"), newTable("tally_peers", "id", "silent_ms", "lacks")
 	if replica == nil {
@@ -228,6 +225,8 @@
 	return []rpc.Table{tallies, peers}
 }
 
+// lockTable lists the locks that are held or have recently expired: left_ms is negative once
+// the next caller may acquire the lock.
 func lockTable(store *state.Store) rpc.Table {
 	table := newTable("locks", "name", "holder", "fence", "held_ms", "left_ms")
 	if store.Coordination == nil {
--- a/internal/server/state_tables_test.go
+++ b/internal/server/state_tables_test.go
@@ -40,7 +40,7 @@
 		h := newLeader(t)
 		h.configure()
 		h.call(rpc.KindRenewMembership, rpc.MembershipLease{Node: "n", Role: "edge"})
-		h.publish(registry.Runner{ID: "r", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 2})
+		h.publishRunnerList(registry.Runner{ID: "r", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 2})
 		h.call(rpc.KindRegisterWorker, state.RegisterWorker{ID: "w", Node: "n-w", Service: "s", Zone: "z", Capacity: protocol.Resources{CPUUnits: 4000, MemoryMB: 1000, GPUs: 2}, LeavesInMs: -1})
 		h.call(rpc.KindSubmitJob, rpc.JobRequest{Host: "h.example", Path: "/r/0123456789abcdef", Job: protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}})
 		h.call(rpc.KindAcquireLock, coordination.Acquire{Name: "l", Holder: "a", HoldMs: 3000})
--- a/internal/server/tallies.go
+++ b/internal/server/tallies.go
@@ -15,68 +15,69 @@
 )
 
 const (
-	// tallyPeerTimeout is the silence of a replica after which it counts as cut off; two exchanges
+	// tallyPeerTimeout is the silence after which a replica counts as unreachable; two exchanges
 	// were lost by then.
 	tallyPeerTimeout = 1200 * time.Millisecond
-	// tallyAnswerTimeout is how long a replica may take to answer that it was sent an add.
+	// tallyAnswerTimeout is how long a replica may take to acknowledge an add that it was sent.
 	tallyAnswerTimeout = 400 * time.Millisecond
-	// tallyExchangeInterval is the time between two exchanges with each replica; two of them fit into
-	// mergeMs.
+	// tallyExchangeInterval is the time between two exchanges with each replica; two exchanges fit
+	// into mergeMs.
 	tallyExchangeInterval = 500 * time.Millisecond
-	// tallyRepeatInterval is the time after which a replica is sent adds again that are not on its
-	// disk.
+	// tallyRepeatInterval is the time after which adds that a replica has not stored on its disk are
+	// sent to it again.
 	tallyRepeatInterval = 250 * time.Millisecond
-	// tallyStartupTimeout is for how long a replica that has just started answers no reads while it
-	// doesn't know whether it lacks what it acknowledged.
+	// tallyStartupTimeout is how long a restarted replica answers no reads while it doesn't know
+	// whether it lacks adds that it acknowledged.
 	tallyStartupTimeout = 1500 * time.Millisecond
-	// tallyLearnerTimeout is the silence after which a replica that is no voter is forgotten.
+	// tallyLearnerTimeout is the silence after which a replica that is not a voter is removed.
 	tallyLearnerTimeout = 20 * time.Second
-	// tallyDiskShare is the share of a server's disk that the file of the tallies may take.
+	// tallyDiskShare is the maximum share of a server's disk that the tallies file may use.
 	tallyDiskShare = 0.25
-	// tallyMemoryShare is the size of the file of the tallies as a share of the process's memory at
-	// most; adds take more in memory than in the file.
+	// tallyMemoryShare is the maximum size of the tallies file as a share of the process's memory
+	// limit; adds take more space in memory than in the file.
 	tallyMemoryShare = 0.125
-	// tallyWarningShare is how full the file of the tallies is when that is logged first,
-	// tallyWarningStep by how much more it is when that is logged again.
+	// tallyWarningShare is the used share of the tallies file's maximum size that is logged first,
+	// tallyWarningStep the increase after which it is logged again.
 	tallyWarningShare = 0.8
 	tallyWarningStep  = 0.05
-	// maxTallyMessageAdds is the number of adds in one message, which then has about 30 KB.
+	// maxTallyMessageAdds is the maximum number of adds in one message, which then has about 30 KB.
 	maxTallyMessageAdds = 500
 )
 
-// Tallies go on at each side of a partition: they need no leader, and are in no log. This
-// file gives package tally its peers, its disk and its clock.
+// Tallies stay available on each side of a partition: they need no leader and are not in the
+// log. This file connects package tally to its peers, its file and the clock.
 
-// bytesPerMB is the size of the unit of the settings.
+// bytesPerMB is the size of a megabyte in the settings.
 const bytesPerMB = 1 << 20
 
 // frameTally carries an rpc.TallyMessage between replicas.
 const frameTally = byte(67)
 
-// codeBehind answers a call at a replica that lacks what the caller knows of, and one that
-// has just started. Another replica may have it.
-const codeBehind = 416
+// codeReplicaBehind is the code of a replica that lacks adds that the caller knows of, or that
+// has just started. Another replica may have them.
+const codeReplicaBehind = 416
 
-// tallyService is a replica's tallies, their disk and their peers. It belongs to the loop.
+// tallyService holds a replica's tallies, the writer of their file and their peers. It belongs
+// to the loop.
 type tallyService struct {
 	replica         *tally.Replica // nil until the file is open
 	writes          chan []tally.Run
-	learnerContacts map[string]time.Time // replicas that are no voters, and when they were last heard
+	learnerContacts map[string]time.Time // by member ID: last contact of replicas that are not voters
 	changed         bool                 // there may be something to write or send
-	tickAt          time.Time            // when the replica is to look at the time
-	silent          map[string]bool      // of each other replica, as it was logged last
-	filled          float64              // the share of the file's bound that was logged last
+	nextTickAt      time.Time            // when replica.Tick is called next
+	silent          map[string]bool      // by member ID: whether it is silent, as logged last
+	loggedFileShare float64              // the used share of the file's maximum size that was logged last
 	// differences are those that were logged last.
 	differences tally.Differences
 }
 
-// openedTallies is the outcome of opening the file of the tallies.
+// openedTallies is the result of opening the tallies file.
 type openedTallies struct {
 	file      *storage.Tallies
 	recovered storage.RecoveredTallies
 }
 
-// openTallies opens the file beside the loop, for as long as it takes.
+// openTallies opens the tallies file outside the loop, and retries until that succeeds.
 func (r *Replica) openTallies(ctx context.Context) {
 	for ctx.Err() == nil {
 		file, recovered, err := storage.OpenTallies(r.settings.DataDir)
@@ -94,7 +95,7 @@
 	}
 }
 
-// handleTalliesOpened starts the tallies.
+// handleTalliesOpened creates the replica of the tallies and starts the writer of their file.
 func (r *Replica) handleTalliesOpened(ctx context.Context, opened *openedTallies) {
 	recovered := opened.recovered
 	if recovered.QuarantineReason != "" {
@@ -121,18 +122,18 @@
 	go r.writeTallies(ctx, opened.file, r.tallies.writes)
 }
 
-// maxTallyBytes bounds the file of the tallies, in bytes: by the disk, and by the memory that
-// its adds take while the process runs.
+// maxTallyBytes returns the maximum size of the tallies file in bytes. It is bounded by the disk,
+// and by the memory that its adds take while the process runs.
 func maxTallyBytes(limits settings.Limits) int64 {
-	bound := float64(limits.MemoryMb) * tallyMemoryShare
+	maxMB := float64(limits.MemoryMb) * tallyMemoryShare
 	if limits.DiskMb > 0 {
-		bound = min(bound, float64(limits.DiskMb)*tallyDiskShare)
+		maxMB = min(maxMB, float64(limits.DiskMb)*tallyDiskShare)
 	}
-	return int64(bound * bytesPerMB)
+	return int64(maxMB * bytesPerMB)
 }
 
-// writeTallies writes what the loop hands it, until ctx ends. A write that fails is made
-// again: nobody is notified of it before it is on the disk.
+// writeTallies writes the runs that the loop passes to it until ctx ends. A failed write is
+// retried: the loop is notified only when the runs are on disk.
 func (r *Replica) writeTallies(ctx context.Context, file *storage.Tallies, writes <-chan []tally.Run) {
 	defer func() { _ = file.Close() }()
 	for {
@@ -155,18 +156,18 @@
 	}
 }
 
-// writtenTallies says that a write has ended, and what the file has in use since, in bytes.
+// writtenTallies reports that a write has completed, and the bytes that the file uses since then.
 type writtenTallies struct{ fileBytes int64 }
 
-// handleTalliesWritten records a write, and how full the file is.
+// handleTalliesWritten records a write, and logs when the tallies file fills up.
 func (r *Replica) handleTalliesWritten(written *writtenTallies) {
 	r.tallies.replica.Written(written.fileBytes, time.Now())
 	r.tallies.changed = true
 	share := r.tallies.replica.FileShare()
-	if share < tallyWarningShare || share < r.tallies.filled+tallyWarningStep && r.tallies.filled > 0 {
+	if share < tallyWarningShare || share < r.tallies.loggedFileShare+tallyWarningStep && r.tallies.loggedFileShare > 0 {
 		return
 	}
-	r.tallies.filled = share
+	r.tallies.loggedFileShare = share
 	level := "warn"
 	if share >= 1 {
 		level = "error" // new adds are refused
@@ -174,7 +175,7 @@
 	_ = r.log.Log("level", level, "event", "tallies.filling", "share", math.Round(share*100)/100, "bytes", written.fileBytes)
 }
 
-// handleTallyFrame takes a message of another replica.
+// handleTallyFrame processes a message of another replica.
 func (r *Replica) handleTallyFrame(body []byte, stream *transport.Stream) {
 	var message rpc.TallyMessage
 	if transport.Decode(body, &message) != nil || message.To != r.self.ID || r.tallies.replica == nil || r.node == nil {
@@ -189,8 +190,8 @@
 	r.tallies.replica.Receive(message.From, message.Message, time.Now())
 }
 
-// tallyPeers are the IDs of the other replicas: the voters, and those that are none and were
-// heard lately.
+// tallyPeers returns the IDs of the other replicas: the voters, and the non-voters that were
+// recently in contact.
 func (r *Replica) tallyPeers() []string {
 	var peers []string
 	for _, voter := range r.node.Voters() {
@@ -206,32 +207,32 @@
 	return peers
 }
 
-// tallyWork carries out what the tallies have to write and send; it returns after how long
-// to look again, 0 for no time of its own.
+// tallyWork starts the pending writes and sends the pending messages of the tallies. It returns
+// the time until it must be called again, 0 if there are no tallies.
 func (r *Replica) tallyWork(ctx context.Context, now time.Time) time.Duration {
 	replica := r.tallies.replica
 	if replica == nil {
 		return 0
 	}
-	if wait := r.tallies.tickAt.Sub(now); wait <= 0 {
+	if wait := r.tallies.nextTickAt.Sub(now); wait <= 0 {
 		r.tickTallies(now)
 	} else if !r.tallies.changed {
 		return wait
 	}
 	r.tallies.changed = false
 	if runs := replica.TakeWrites(); runs != nil {
-		r.tallies.writes <- runs // one write at a time is under way, so there is room
+		r.tallies.writes <- runs // doesn't block, since only one write is in flight at a time
 	}
 	for _, envelope := range replica.TakeMessages() {
 		message := rpc.TallyMessage{From: r.self.ID, To: envelope.To, Message: envelope.Message}
 		r.sendFrame(ctx, envelope.To, transport.Frame{Kind: frameTally, Body: transport.Encode(message)})
 	}
-	return r.tallies.tickAt.Sub(now)
+	return r.tallies.nextTickAt.Sub(now)
 }
 
-// tickTallies has the replica look at the time and at who its peers are.
+// tickTallies updates the replica's peers and runs its timeouts.
 func (r *Replica) tickTallies(now time.Time) {
-	r.tallies.tickAt = now.Add(tallyRepeatInterval / 2)
+	r.tallies.nextTickAt = now.Add(tallyRepeatInterval / 2)
 	maps.DeleteFunc(r.tallies.learnerContacts, func(id string, lastContact time.Time) bool {
 		return r.node.IsVoter(id) || now.Sub(lastContact) > tallyLearnerTimeout
 	})
@@ -242,8 +243,8 @@
 	r.logTallyDifferences()
 }
 
-// logTallyDifferences logs that contents differed from another replica's under equal vectors,
-// and how many adds got a new position since.
+// logTallyDifferences logs if the contents differed from those of another replica under equal
+// vectors, and how many adds were given a new position since then.
 func (r *Replica) logTallyDifferences() {
 	if differences := r.tallies.replica.Differences(); differences != r.tallies.differences {
 		r.tallies.differences = differences
@@ -251,8 +252,8 @@
 	}
 }
 
-// logTallyPeers logs which other replicas fall silent, and are heard again with how many
-// adds that they may lack.
+// logTallyPeers logs which other replicas become silent, and which are in contact again, with
+// the number of adds that those may lack.
 func (r *Replica) logTallyPeers(now time.Time) {
 	for _, peer := range r.tallies.replica.Peers() {
 		silent := now.Sub(peer.LastContact) > tallyPeerTimeout
@@ -268,8 +269,8 @@
 	}
 }
 
-// handleChangeTally adds to a tally. There is no answer to an add that is not acknowledged
-// in time: it may count or not.
+// handleChangeTally adds to a tally. An add that is not acknowledged in time gets no answer: it
+// may or may not count.
 func (r *Replica) handleChangeTally(body []byte, reply replyFunc) {
 	var add tally.Add
 	if transport.Decode(body, &add) != nil {
@@ -288,17 +289,16 @@
 			reply(rpc.Response{Code: codeTalliesFull, Text: "there is no room for another add"})
 			return
 		default:
-			reply(rpc.Response{Code: codeBehind, Text: "the file of this replica is an older copy of itself, the others bring what it lacks"})
+			reply(rpc.Response{Code: codeReplicaBehind, Text: "the file of this replica is an older copy of itself, the others bring what it lacks"})
 			return
 		}
 		reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(rpc.TallyAnswer{Position: position, Servers: r.serverAddresses()})})
 	})
 }
 
-// codeTalliesFull refuses an add for which there is no room.
+// codeTalliesFull is the code that refuses an add because the tallies file is full.
 const codeTalliesFull = 507
 
-// handleReadTally reads a tally.
 func (r *Replica) handleReadTally(body []byte, reply replyFunc) {
 	var read rpc.TallyRead
 	if transport.Decode(body, &read) != nil {
@@ -311,13 +311,13 @@
 	}
 	total, result := r.tallies.replica.Read(read.Tally, read.After, time.Now())
 	if result != tally.ResultOK {
-		reply(rpc.Response{Code: codeBehind, Text: "this replica lacks adds that the caller knows of"})
+		reply(rpc.Response{Code: codeReplicaBehind, Text: "this replica lacks adds that the caller knows of"})
 		return
 	}
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(rpc.TallyAnswer{Total: total, Servers: r.serverAddresses()})})
 }
 
-// serverAddresses are the addresses of the replicas that this one knows.
+// serverAddresses returns the addresses of the replicas that this one knows, its own first.
 func (r *Replica) serverAddresses() []string {
 	addresses := []string{r.self.Addr}
 	for _, voter := range r.node.Voters() {
--- a/internal/server/worker_leases.go
+++ b/internal/server/worker_leases.go
@@ -11,26 +11,25 @@
 	"tealpond/internal/transport"
 )
 
-// Reasons why a worker's lease is not renewed.
+// Errors of renewLease.
 var (
-	errWorkerGone   = errors.New("the worker is not registered any more")
-	errLeaseNotHeld = errors.New("the agent does not hold the worker's lease")
+	errWorkerNotRegistered = errors.New("worker is not registered")
+	errLeaseNotHeld        = errors.New("agent does not hold the lease of the worker")
 )
 
 // workerLease is an agent's lease on a worker, as the leader sees it.
 type workerLease struct {
 	grantedAt      time.Time
-	expiring       bool      // its expiry is being put into the log
-	lastContact    time.Time // when the agent was last heard, also without a renewal
+	expiring       bool      // its expiry is proposed and not yet applied
+	lastContact    time.Time // when the agent was last in contact, also without a renewal
 	runtimePercent int64     // see rpc.LeaseRenewal
 }
 
-// newWorkerLease is a lease that begins now.
+// newWorkerLease returns a lease that begins now.
 func newWorkerLease(now time.Time) *workerLease {
 	return &workerLease{grantedAt: now, lastContact: now}
 }
 
-// handleRenewLease renews a worker's lease.
 func (r *Replica) handleRenewLease(request *rpc.LeaseRenewal, stream *transport.Stream, reply replyFunc) {
 	if err := r.renewLease(request.Worker, request.Fence, time.Now()); err != nil {
 		reply(rpc.Response{Code: leaseRefusalCode(err), Text: "take the worker up again"})
@@ -44,21 +43,21 @@
 }
 
 // memberSet is an aggregator's set of workers, as the leader last received it.
-// A set is known by the aggregator's process and its number: a batch of an
-// earlier process may arrive late, and may bear the number of a later set.
+// A set is identified by the aggregator's process and its number: a batch of an
+// earlier process may arrive late, and may have the number of a later set.
 type memberSet struct {
 	processID string
 	number    uint64
 	members   []rpc.BatchMember
 }
 
-// matches reports whether the set is the one that a batch numbers.
+// matches reports whether the set is the one that a batch refers to.
 func (s memberSet) matches(batch *rpc.LeaseBatch) bool {
 	return s.processID == batch.AggregatorProcessID && s.number == batch.SetNumber && len(batch.Requested) == (len(s.members)+7)/8
 }
 
-// handleLeaseBatch renews the leases of all workers that ask for it in a batch of
-// an aggregator.
+// handleLeaseBatch renews the leases of all workers that request it in an aggregator's
+// batch.
 func (r *Replica) handleLeaseBatch(batch *rpc.LeaseBatch, _ *transport.Stream, reply replyFunc) {
 	set := r.memberSets[batch.AggregatorDisk]
 	if batch.Members != nil {
@@ -92,12 +91,12 @@
 	reply(response)
 }
 
-// renewLease renews a worker's lease from now on. The error is errWorkerGone or
+// renewLease renews the lease of a worker, starting now. The error is errWorkerNotRegistered or
 // errLeaseNotHeld.
 func (r *Replica) renewLease(workerID string, fence int64, now time.Time) error {
 	worker := r.state.Workers[workerID]
 	if worker == nil || worker.Dead {
-		return errWorkerGone
+		return errWorkerNotRegistered
 	}
 	lease := r.leases[workerID]
 	if worker.LeaseExpired || worker.Fence != fence || lease == nil || lease.expiring {
@@ -107,18 +106,18 @@
 	return nil
 }
 
-// leaseRefusalCode is the response code for an agent whose lease was not renewed.
+// leaseRefusalCode returns the response code for an agent whose lease was not renewed.
 func leaseRefusalCode(err error) rpc.Code {
-	if errors.Is(err, errWorkerGone) {
+	if errors.Is(err, errWorkerNotRegistered) {
 		return rpc.CodeGone
 	}
 	return rpc.CodeConflict
 }
 
-// expireWorkerLeases ends the leases of workers that were not renewed for so long
-// that all their runs must be over: a runner ends its runs when the lease runs out by
-// its own clock. The timeout covers a clock that is slower by
-// timing.LeaseClockDriftFactor, so that no task is started again while it may run.
+// expireWorkerLeases expires the leases of workers that were not renewed for so long that
+// all their runs must have ended: a runner ends its runs when the lease expires by its own
+// clock. The timeout allows for a clock that is slower by timing.LeaseClockDriftFactor, so
+// that no task is started again while it may still run.
 func (r *Replica) expireWorkerLeases(now time.Time) {
 	timeout := time.Duration(float64(r.leaseDuration)*timing.LeaseClockDriftFactor) + timing.LeaseExpiryMargin
 	var expired []state.FencedWorker
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -44,8 +44,8 @@
 // the place of one that did: the leader would hold that one for silent, and start its
 // runs elsewhere while the aggregator tells it to go on.
 func TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet(t *testing.T) {
-	replica, fences := leaderWithWorkers("a", "b", "c")
-	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fences[w]} }
+	replica, fenceOf := leaderWithWorkers("a", "b", "c")
+	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fenceOf[w]} }
 	old := rpc.LeaseBatch{
 		AggregatorDisk:      "d",
 		AggregatorProcessID: "1",
--- a/internal/server/workers.go
+++ b/internal/server/workers.go
@@ -8,8 +8,8 @@
 	"tealpond/internal/transport"
 )
 
-// drainStopLead is added to the setting stopGraceMs: as long before a worker leaves, its runs are
-// stopped, so that their completions and checkpoints are listed in time.
+// drainStopLead is added to the setting stopGraceMs. The sum is how long before a worker leaves
+// its runs are stopped, so that their completions and checkpoints are reported in time.
 const drainStopLead = 350 * time.Millisecond
 
 // handleRegisterWorker registers a worker for an agent, under a new fencing token.
@@ -17,8 +17,8 @@
 	r.enqueueCommand(state.CommandRegisterWorker, request, func(outcome state.Outcome, known bool) {
 		if known && outcome.Code == state.CodeOK {
 			if lease := r.leases[request.ID]; lease == nil || lease.expiring {
-				// The new lease begins now, and with it the time from which silence
-				// counts. No run of an earlier lease can be left.
+				// The new lease and its silence timeout begin now. No run of an earlier
+				// lease can be left.
 				r.leases[request.ID] = newWorkerLease(time.Now())
 			}
 			_ = r.log.Log("level", "info", "event", "worker.registered", "worker", request.ID, "node", request.Node, "fence", outcome.Value)
@@ -27,12 +27,12 @@
 	})
 }
 
-// handleSetEligibility records whether a worker is draining, unhealthy or signed off.
+// handleSetEligibility records whether a worker is draining, unhealthy or has signed off.
 func (r *Replica) handleSetEligibility(request *state.SetEligibility, _ *transport.Stream, reply replyFunc) {
 	r.enqueueCommand(state.CommandSetEligibility, request, outcomeReply(reply))
 }
 
-// handleReportCompletions takes the completions of runs that an agent reports.
+// handleReportCompletions records the completions of runs that an agent reports.
 func (r *Replica) handleReportCompletions(request *state.ReportCompletions, _ *transport.Stream, reply replyFunc) {
 	if lease := r.leases[request.Worker]; lease != nil {
 		lease.lastContact = time.Now()
@@ -40,8 +40,8 @@
 	r.enqueueCommand(state.CommandReportCompletions, request, outcomeReply(reply))
 }
 
-// stopRunsOfLeavingWorkers stops what still runs on workers that are about to
-// leave: the runs would die there, and their checkpoints would be lost.
+// stopRunsOfLeavingWorkers stops the remaining runs on workers that are about to leave.
+// Otherwise the runs would be killed there and their checkpoints lost.
 func (r *Replica) stopRunsOfLeavingWorkers(now time.Time) {
 	leadTime := r.settings.Bounds.StopGraceMs + drainStopLead.Milliseconds()
 	var ids []uint64
