--- a/internal/server/announcer_test.go
+++ b/internal/server/announcer_test.go
@@ -9,9 +9,10 @@
 	"tealpond/internal/rpc"
 )
 
-// TestRestartedCandidateBindsToItsBootstrapSet: a candidate that was ended before it
-// bound itself comes back with firstStart false. The set that names it waits for
-// it; it must bind itself, and not stand by until a cluster takes it in.
+// TestRestartedCandidateBindsToItsBootstrapSet guards against a bootstrap that never completes: a
+// candidate was stopped before it bound itself to the proposed set, and restarts with firstStart
+// false. The set that names it waits for it, so it must bind itself instead of waiting until a
+// cluster accepts it as a member.
 func TestRestartedCandidateBindsToItsBootstrapSet(t *testing.T) {
 	replica := New(testEnvironment(t.TempDir(), log.NewNopLogger()), nil)
 	go replica.openStorage(t.Context())
@@ -19,19 +20,19 @@
 	others := []raft.Member{{Node: "b", ID: "b"}, {Node: "c", ID: "c"}}
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: others, Start: true})
 	if replica.node == nil || len(replica.node.Voters()) != 0 {
-		t.Fatal("it didn't stand by beside a cluster that doesn't name it")
+		t.Fatal("the candidate did not wait as a non-voter of a cluster that doesn't name it")
 	}
 	own := append([]raft.Member{replica.self}, others...)
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: own})
 	if replica.node != nil || len(replica.persisted.Founders) != 3 {
-		t.Fatalf("bound to %v", replica.persisted.Founders)
+		t.Fatalf("bound to %v, want the three voters of the proposal", replica.persisted.Founders)
 	}
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: own, Start: true})
 	if replica.node == nil || len(replica.node.Voters()) != 3 {
-		t.Fatal("it wasn't started as a voter")
+		t.Fatal("the candidate was not started as a voter of the set that names it")
 	}
 	replica.handleBootstrapProposal(rpc.BootstrapProposal{Voters: others, Start: true})
 	if len(replica.node.Voters()) != 3 {
-		t.Error("a voter let itself be talked out of its cluster")
+		t.Error("a proposal of another set changed the voters of a started cluster")
 	}
 }
--- a/internal/server/appointments_test.go
+++ b/internal/server/appointments_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestLeavingServersAreForgotten: what is known of servers that left doesn't grow with restarts,
-// and counts for as long as it did.
-func TestLeavingServersAreForgotten(t *testing.T) {
+// TestExpiredAppointmentRecordsAreRemoved guards against records of servers that left which
+// accumulate with each restart. Records must be kept until they expire.
+func TestExpiredAppointmentRecordsAreRemoved(t *testing.T) {
 	const restarts = 1000
 	appointments, now := newAppointments(), time.Now()
 	for n := range restarts {
@@ -16,12 +16,12 @@
 		appointments.leavingUntil[id], appointments.releasedAt[id] = now.Add(shutdownReleasePeriod), now
 		appointments.removeExpired(now)
 		if appointments.leavingUntil[id].IsZero() || appointments.releasedAt[id].IsZero() {
-			t.Fatal("forgotten at once")
+			t.Fatal("records were removed before they expired")
 		}
 		now = now.Add(shutdownReleasePeriod + time.Millisecond)
 	}
 	appointments.removeExpired(now)
 	if len(appointments.leavingUntil)+len(appointments.releasedAt) > 0 {
-		t.Errorf("%d and %d are known after %d restarts", len(appointments.leavingUntil), len(appointments.releasedAt), restarts)
+		t.Errorf("%d leaving and %d released servers are recorded after %d restarts, want none", len(appointments.leavingUntil), len(appointments.releasedAt), restarts)
 	}
 }
--- a/internal/server/backlog_test.go
+++ b/internal/server/backlog_test.go
@@ -15,37 +15,37 @@
 	"tealpond/internal/transport"
 )
 
-// TestFloodOfOneTenantHasNobodyElseRefused: a job beyond its tenant's share is refused,
-// with the time after which it would meet its target, if it would miss that behind the
-// work ahead of it: that of all tenants on all workers, or its own tenant's under its
-// quota. A job within the share is refused so only while its tenant floods the cluster.
-// Less urgent work isn't ahead of it. Else a job within its share is accepted until all
-// workers have far too much to do.
-func TestFloodOfOneTenantHasNobodyElseRefused(t *testing.T) {
+// TestFloodOfOneTenantCausesNoRefusalsForOthers checks which jobs are refused behind a backlog.
+// A job beyond its tenant's share is refused, with the time after which it would meet its target,
+// if it would miss that behind the queued work: that of all tenants on all workers, or its own
+// tenant's under its quota. Less urgent work doesn't count. A job within the share is refused by
+// this rule only under its own tenant's quota, and shortly after a refusal beyond the share;
+// otherwise it is accepted until the backlog of all workers exceeds maxBacklogPerCore.
+func TestFloodOfOneTenantCausesNoRefusalsForOthers(t *testing.T) {
 	const cores = 10
 	hardLimit := int(maxBacklogPerCore.Seconds()) * cores
 	for _, c := range []struct {
 		name        string
-		waiting     int // tasks of a core-second each, submitted by tenant a
-		waitingOn   string
+		queued      int // tasks of one core-second each, submitted by tenant a
+		queuedOn    string
 		key         string
 		beyondShare bool
-		flooded     bool  // a job beyond the share was refused a moment ago
+		flooded     bool  // a job of tenant a beyond its share was refused just before
 		retryMs     int64 // 0: accepted
 	}{
 		{"within the share", 8 * cores, "/r/", "b1", false, false, 0},
-		{"little waits", cores, "/r/", "b1", true, false, 0},
-		{"as much as the target allows", 2 * cores, "/r/", "b1", true, false, 0},
-		{"more than that", 5 * cores, "/r/", "b1", true, false, 3000},
-		{"less urgent work waits", 5 * cores, "/later/", "b1", true, false, 0},
-		{"under its own quota", cores, "/r/", "a1", true, false, 3000},
-		{"little under its own quota", 3, "/r/", "a1", true, false, 0},
-		{"within the share, under its own quota", cores, "/r/", "a1", false, false, 0},
-		{"within the share, under its own quota, in a flood", cores, "/r/", "a1", false, true, 3000},
-		{"within the share, little under its own quota, in a flood", 3, "/r/", "a1", false, true, 0},
+		{"small backlog", cores, "/r/", "b1", true, false, 0},
+		{"as much backlog as the target allows", 2 * cores, "/r/", "b1", true, false, 0},
+		{"more backlog than the target allows", 5 * cores, "/r/", "b1", true, false, 3000},
+		{"less urgent backlog", 5 * cores, "/later/", "b1", true, false, 0},
+		{"backlog under its own quota", cores, "/r/", "a1", true, false, 3000},
+		{"small backlog under its own quota", 3, "/r/", "a1", true, false, 0},
+		{"within the share, backlog under its own quota", cores, "/r/", "a1", false, false, 0},
+		{"within the share, backlog under its own quota, in a flood", cores, "/r/", "a1", false, true, 3000},
+		{"within the share, small backlog under its own quota, in a flood", 3, "/r/", "a1", false, true, 0},
 		{"within the share, in a flood of another tenant", 8 * cores, "/r/", "b1", false, true, 0},
-		{"far too much", hardLimit + 2*cores, "/r/", "b1", false, false, 2000},
-		{"far too much of less urgent work", hardLimit + 2*cores, "/later/", "b1", false, false, 2000},
+		{"backlog above the limit of all tenants", hardLimit + 2*cores, "/r/", "b1", false, false, 2000},
+		{"less urgent backlog above the limit of all tenants", hardLimit + 2*cores, "/later/", "b1", false, false, 2000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -53,10 +53,10 @@
 				h.configureBacklog()
 				h.call(rpc.KindRegisterWorker, state.RegisterWorker{ID: "w", Node: "n", Service: "s", LeavesInMs: -1,
 					Capacity: protocol.Resources{CPUUnits: cores * 1000, MemoryMB: 1000}})
-				flood := tenantRequest(c.waitingOn+tenantJobID, "a1")
-				flood.Job.Steps[0].TaskCount, flood.Job.Steps[0].CPUUnits = c.waiting, 1000
+				flood := tenantRequest(c.queuedOn+tenantJobID, "a1")
+				flood.Job.Steps[0].TaskCount, flood.Job.Steps[0].CPUUnits = c.queued, 1000
 				if response := h.call(rpc.KindSubmitJob, flood); response.Code != rpc.CodeOK {
-					t.Fatalf("%+v", response)
+					t.Fatalf("the flood was not accepted: %+v", response)
 				}
 				time.Sleep(timing.HeartbeatInterval)
 				if c.flooded {
@@ -66,15 +66,15 @@
 				request.BeyondShare = c.beyondShare
 				response := h.call(rpc.KindSubmitJob, request)
 				if refused := response.Code == rpc.CodeTooManyRequests; refused != (c.retryMs > 0) || response.RetryAfterMs != c.retryMs {
-					t.Errorf("%+v; want a refusal for %d ms", response, c.retryMs)
+					t.Errorf("%+v; want a retry after %d ms, 0 if accepted", response, c.retryMs)
 				}
 			})
 		})
 	}
 }
 
-// configureBacklog puts a configuration in force with an urgent and a less urgent route,
-// of which jobs of one second have a target of two, and two tenants: a may use two cores.
+// configureBacklog applies a configuration with an urgent and a less urgent route, on which jobs
+// of one second have a target of two seconds, and with two tenants: tenant a may use two cores.
 func (h *harness) configureBacklog() {
 	h.t.Helper()
 	route := func(name string, priority int) string {
@@ -84,14 +84,14 @@
 	raw := `{"configVersion":1,"routeList":[` + route("r", 0) + "," + route("later", 1) + `],"serviceList":[{"name":"s"}],` +
 		`"tenantList":[{"name":"a","apiKeys":["a1"],"upperLimit":{"cpuUnits":2000}},{"name":"b","apiKeys":["b1"]}]}`
 	if response := h.call(rpc.KindPutConfig, rpc.ConfigUpdate{Raw: []byte(raw)}); response.Code != rpc.CodeOK {
-		h.t.Fatalf("the configuration: %+v", response)
+		h.t.Fatalf("configuration not accepted: %+v", response)
 	}
 }
 
-// TestJobOnItsWayThroughTheLogIsNotRefused: a copy of a submission comes while the first is
-// in the log and not applied yet, and a flood has begun in between. A refusal would promise
-// that the job is never taken.
-func TestJobOnItsWayThroughTheLogIsNotRefused(t *testing.T) {
+// TestJobInTheLogIsNotRefused guards against refusing a job that runs nevertheless: a submission
+// is repeated while the first one is in the log and not applied yet, and a flood has begun in
+// between. A refusal would promise that the job is never accepted.
+func TestJobInTheLogIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.configureBacklog()
@@ -113,7 +113,7 @@
 		}
 		want := []rpc.Code{rpc.CodeTooManyRequests, rpc.CodeOK, rpc.CodeOK}
 		if !slices.Equal(codes, want) || len(h.replica.submitting) != 0 {
-			t.Errorf("answers %v, want %v; on their way %v", codes, want, h.replica.submitting)
+			t.Errorf("codes %v, want %v; still submitting %v", codes, want, h.replica.submitting)
 		}
 	})
 }
--- a/internal/server/configuration_test.go
+++ b/internal/server/configuration_test.go
@@ -18,13 +18,14 @@
 	return received
 }
 
-// TestConfigurationIsReadAsSent: before there is one, callers are told to come back;
-// then it is given as sent, and each response names its version.
+// TestConfigurationIsReadAsSent checks that callers are told to retry while there is no
+// configuration, that the configuration is returned as it was sent, and that each response names
+// its version.
 func TestConfigurationIsReadAsSent(t *testing.T) {
 	replica := newReplica()
 	for name, handler := range map[string]leaderHandler{"read": (*Replica).handleGetConfig, "limits": (*Replica).handleGetLimits} {
 		if response := immediateResponse(handler, replica); response.Code != rpc.CodeUnavailable || response.RetryAfterMs == 0 {
-			t.Errorf("%s before the first: %d, come back in %d ms", name, response.Code, response.RetryAfterMs)
+			t.Errorf("%s before the first configuration: code %d, retry after %d ms", name, response.Code, response.RetryAfterMs)
 		}
 	}
 	raw := []byte(`{"configVersion":7,"routeList":[],"serviceList":[],"limits":{"maxBodyBytes":99}}`)
@@ -43,8 +44,8 @@
 	}
 }
 
-// TestLimitsResponseDoesNotGrowWithRoutes: what a daemon without state pulls at a change
-// doesn't grow with the number of routes.
+// TestLimitsResponseDoesNotGrowWithRoutes checks that the response that a daemon without state
+// fetches at each change doesn't grow with the number of routes.
 func TestLimitsResponseDoesNotGrowWithRoutes(t *testing.T) {
 	for _, routes := range []int{10, 100, 1000} {
 		var list []string
@@ -57,9 +58,9 @@
 			t.Fatal(outcome)
 		}
 		limitsBytes, configBytes := len(transport.Encode(immediateResponse((*Replica).handleGetLimits, replica))), len(transport.Encode(immediateResponse((*Replica).handleGetConfig, replica)))
-		t.Logf("%d routes: %d bytes, the whole configuration %d", routes, limitsBytes, configBytes)
+		t.Logf("%d routes: limits of %d bytes, whole configuration of %d bytes", routes, limitsBytes, configBytes)
 		if limitsBytes > 200 {
-			t.Errorf("%d routes: %d bytes", routes, limitsBytes)
+			t.Errorf("%d routes: limits of %d bytes, want at most 200", routes, limitsBytes)
 		}
 	}
 }
--- a/internal/server/coordination_test.go
+++ b/internal/server/coordination_test.go
@@ -17,15 +17,15 @@
 	return coordination.Acquire{Name: "l", Holder: holder, HoldMs: 3000}
 }
 
-// TestHeldLockCostsNoEntry: an election that many ask for is refused from the applied
-// state, and so is the renewal of a lock that is lost; a lock whose time is over is given
-// to the next caller.
-func TestHeldLockCostsNoEntry(t *testing.T) {
+// TestRefusedLockCallsAddNoLogEntry guards against a log that grows with each caller of a contended
+// lock: an acquisition of a held lock is refused from the applied state, and so is the renewal of
+// a lost lock. An expired lock is given to the next caller.
+func TestRefusedLockCallsAddNoLogEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		first := h.call(rpc.KindAcquireLock, acquire("a"))
 		if first.Code != rpc.CodeOK || first.Value == 0 {
-			t.Fatalf("%+v", first)
+			t.Fatalf("the lock was not acquired: %+v", first)
 		}
 		last := h.replica.node.LastIndex()
 		for kind, body := range map[string]any{rpc.KindAcquireLock: acquire("b"), rpc.KindRenewLock: coordination.Renew{Name: "l", Holder: "b", Fence: first.Value, HoldMs: 3000}} {
@@ -34,24 +34,24 @@
 			}
 		}
 		if h.replica.node.LastIndex() != last {
-			t.Errorf("%d entries for calls that were refused", h.replica.node.LastIndex()-last)
+			t.Errorf("%d log entries for refused calls, want none", h.replica.node.LastIndex()-last)
 		}
 		if response := h.call(rpc.KindRenewLock, coordination.Renew{Name: "l", Holder: "a", Fence: first.Value, HoldMs: 3000}); response.Code != rpc.CodeOK {
-			t.Errorf("the holder's renewal: %+v", response)
+			t.Errorf("renewal by the holder: %+v", response)
 		}
 		for end := time.Now().Add(3100 * time.Millisecond); time.Now().Before(end); {
 			h.turn()
 		}
 		if second := h.call(rpc.KindAcquireLock, acquire("b")); second.Code != rpc.CodeOK || second.Value <= first.Value {
-			t.Errorf("after the hold: %+v", second)
+			t.Errorf("acquisition after the hold expired: %+v", second)
 		}
 		if response := h.call(rpc.KindReleaseLock, coordination.Release{Name: "l", Holder: "b", Fence: first.Value}); response.Code != rpc.CodeOK {
-			t.Errorf("a release of what isn't held: %+v", response)
+			t.Errorf("release of a lock that the caller doesn't hold: %+v", response)
 		}
 	})
 }
 
-// TestPutsNumbersAndReads through the log and from the applied state.
+// TestPutsNumbersAndReads checks changes through the log and reads from the applied state.
 func TestPutsNumbersAndReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -66,7 +66,7 @@
 			t.Errorf("%+v", refused)
 		}
 		if h.replica.state.Coordination.HistoryMs == 0 {
-			t.Error("puts are kept for no time")
+			t.Error("no history of puts is kept")
 		}
 		var value coordination.KeyValue
 		if response := h.call(rpc.KindReadKey, "g.a"); transport.Decode(response.Body, &value) != nil || value.Value != "v" || response.Value != 1 {
@@ -80,7 +80,7 @@
 	})
 }
 
-// startKeyWatch asks for updates of a group and gives a function that tells the answers so far.
+// startKeyWatch watches a group and returns a function that returns the responses so far.
 func (h *harness) startKeyWatch(after, waitMs int64) func() []rpc.Response {
 	var responses []rpc.Response
 	body := transport.Encode(rpc.KeyWatch{Group: "g.", After: after, WaitMs: waitMs})
@@ -97,42 +97,43 @@
 	return update
 }
 
-// TestWatchesAreHeldUntilAPut: of the group, or until their time is over; also from the
-// beginning of a group in which nothing was put yet.
+// TestWatchesAreHeldUntilAPut checks that a watch is held until a put in its group or until its
+// deadline, also for a group without any put.
 func TestWatchesAreHeldUntilAPut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		emptyGroupWatch := h.startKeyWatch(0, 2000)
 		h.call(rpc.KindPutKey, coordination.Put{Key: "h.a", Value: "other"})
 		if responses := emptyGroupWatch(); len(responses) != 0 {
-			t.Errorf("a put of another group answers %+v", responses)
+			t.Errorf("a put in another group was answered with %+v", responses)
 		}
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.a", Value: "v"})
 		if update := decodeWatchResult(t, emptyGroupWatch()); update.Revision != 1 || len(update.Events) != 1 {
 			t.Errorf("%+v", update)
 		}
 		if update := decodeWatchResult(t, h.startKeyWatch(0, 2000)()); update.Revision != 1 || len(update.Events) != 0 {
-			t.Errorf("the present revision: %+v", update)
+			t.Errorf("current revision: %+v", update)
 		}
 		short, long := h.startKeyWatch(1, 300), h.startKeyWatch(1, 2000)
 		for end := time.Now().Add(400 * time.Millisecond); time.Now().Before(end); {
 			h.turn()
 		}
 		if update := decodeWatchResult(t, short()); update.Revision != 1 || len(update.Events) != 0 || len(long()) != 0 {
-			t.Errorf("%+v, the longer one %+v", update, long())
+			t.Errorf("watch with the short wait %+v, with the long wait %+v", update, long())
 		}
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.b", Value: "w"})
 		if update := decodeWatchResult(t, long()); update.Revision != 2 || len(update.Events) != 1 || update.Events[0].Name != "g.b" {
 			t.Errorf("%+v", update)
 		}
 		if len(h.replica.keyWatchers.byGroup) != 0 || len(h.replica.keyWatchers.notifiedRevision) != 0 {
-			t.Errorf("kept: %+v", h.replica.keyWatchers)
+			t.Errorf("watchers remain: %+v", h.replica.keyWatchers)
 		}
 	})
 }
 
-// TestWatchesOfALeaderThatIsNoneAreSentOn to the next leader, with what they know.
-func TestWatchesOfALeaderThatIsNoneAreSentOn(t *testing.T) {
+// TestKeyWatchesAreRedirectedAfterLeadershipLoss checks that held watches are counted by the gauges,
+// and answered with a redirect when another leader is elected.
+func TestKeyWatchesAreRedirectedAfterLeadershipLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.a", Value: "v"})
@@ -152,10 +153,11 @@
 	})
 }
 
-// TestCallsRepeatedAtFullTables: a call that an earlier leader has put into the log already is
-// answered with its outcome though no more names fit, and whoever holds a lock gets it again.
-// What doesn't fit is not promised never to happen.
-func TestCallsRepeatedAtFullTables(t *testing.T) {
+// TestRetriesAtFullTablesGetTheirOutcome checks that a call that an earlier leader has already put
+// into the log is answered with its outcome although the tables are full, and that the holder of a
+// lock acquires it again. A new name that doesn't fit is refused without a promise that the call
+// never takes effect.
+func TestRetriesAtFullTablesGetTheirOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		acquired := h.call(rpc.KindAcquireLock, acquire("a"))
@@ -163,7 +165,7 @@
 		set := h.call(rpc.KindPutKey, put)
 		refusedPut := coordination.Put{Key: "g.a", Value: "w", Expected: 5}
 		refused := h.call(rpc.KindPutKey, refusedPut)
-		// The next leader has this state.
+		// The next leader takes over this state.
 		h.replica.becomeLeader(time.Now())
 		tables := h.replica.state.Coordination
 		group := tables.Groups["g."]
@@ -173,13 +175,13 @@
 			group.Keys["g."+name], group.Outcomes[name] = coordination.KeyValue{Revision: 1}, coordination.PutOutcome{At: math.MaxInt64}
 		}
 		if again := h.call(rpc.KindAcquireLock, acquire("a")); again.Code != rpc.CodeOK || again.Value <= acquired.Value {
-			t.Errorf("the holder's lock: %+v", again)
+			t.Errorf("acquisition by the holder: %+v", again)
 		}
 		if again := h.call(rpc.KindPutKey, put); again.Code != rpc.CodeOK || again.Value != set.Value {
-			t.Errorf("a put that was done: %+v", again)
+			t.Errorf("retry of an applied put: %+v", again)
 		}
 		if again := h.call(rpc.KindPutKey, refusedPut); again.Code != rpc.CodePreconditionFailed || again.Value != refused.Value {
-			t.Errorf("a put that was refused: %+v", again)
+			t.Errorf("retry of a refused put: %+v", again)
 		}
 		for kind, body := range map[string]any{
 			rpc.KindAcquireLock: coordination.Acquire{Name: "new", Holder: "a", HoldMs: 3000},
@@ -190,7 +192,7 @@
 			}
 		}
 		if _, ok := tables.Locks["new"]; ok || group.Keys["g.new"].Revision != 0 {
-			t.Error("what was refused is there")
+			t.Error("a refused call took effect")
 		}
 	})
 }
--- a/internal/server/federation_work_test.go
+++ b/internal/server/federation_work_test.go
@@ -12,8 +12,9 @@
 	"tealpond/internal/state"
 )
 
-// storeWithJobs is a state with the routes "fed" and "local", of the services "s1" and
-// "s2", a worker of 4000 milli-CPU for each service, and one job for each name.
+// storeWithJobs returns a state with the routes "fed" and "local" of the services "s1" and "s2",
+// a worker of 4000 milli-CPU for each service, and the given jobs by ID. The job "elsewhere" is on
+// the route "local", all others on "fed".
 func storeWithJobs(t *testing.T, jobs map[string]protocol.Job) *state.Store {
 	t.Helper()
 	store := state.New(state.Limits{})
@@ -39,15 +40,16 @@
 	return store
 }
 
-// federatedRoutes are the settings that federate the route "fed".
+// federatedRoutes are settings that federate the route "fed".
 var federatedRoutes = &federation.Settings{Routes: []federation.Route{{LocalRoute: "fed", PeerRoute: "theirs"}}}
 
 // plainJob is a job of one short task.
 var plainJob = protocol.Job{Spec: "spec", Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}
 
-// TestFederationWorkOffersUntouchedJobs: jobs of a federated route that end, of which
-// nothing has begun, and which aren't another cluster's.
-func TestFederationWorkOffersUntouchedJobs(t *testing.T) {
+// TestFederationWorkOffersJobsNotStarted checks that only jobs of a federated route are offered
+// that have not started, are neither periodic nor long-running, and did not come from another
+// cluster.
+func TestFederationWorkOffersJobsNotStarted(t *testing.T) {
 	wide := protocol.Job{Steps: []protocol.Step{plainJob.Steps[0], {TaskCount: 4, CPUUnits: 200, EstimateMs: 1000}}}
 	longRunning := protocol.Job{Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, LongRunning: true}}}
 	periodic := protocol.Job{Steps: plainJob.Steps, PeriodicInstances: 2, FirstRunMs: 1 << 50, IntervalMs: 1000}
@@ -56,44 +58,44 @@
 	store.Jobs["incoming"].Transfer.Incoming = true
 	want := []federation.Candidate{{JobID: "wide", Route: "fed", MilliCPU: 800}}
 	if got := federationWork(store, federatedRoutes).Candidates; !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("candidates %+v, want %+v", got, want)
 	}
 	if got := federationWork(store, &federation.Settings{}).Candidates; len(got) != 0 {
-		t.Errorf("without federated routes: %+v", got)
+		t.Errorf("without federated routes: candidates %+v, want none", got)
 	}
 }
 
-// TestFederationWorkListsOpenTransfers: those under way with the job itself, and those
-// that have ended here and are to be confirmed.
+// TestFederationWorkListsOpenTransfers checks that the offloader gets the transfers in progress,
+// with their jobs, and those whose job has ended here and is to be confirmed.
 func TestFederationWorkListsOpenTransfers(t *testing.T) {
 	store := storeWithJobs(t, map[string]protocol.Job{"here": plainJob, "offered": plainJob, "finished": plainJob})
 	store.Jobs["offered"].Transfer = state.JobTransfer{Peer: "p", OfferID: 5, State: state.TransferOffered, CancelRequested: true}
 	store.Jobs["finished"].Transfer = state.JobTransfer{Peer: "p", OfferID: 6, State: state.TransferAccepted}
 	store.Jobs["finished"].EndedAt = 1
 	work := federationWork(store, federatedRoutes)
-	// The store still lists the job whose end this test has written as open.
+	// The store still lists the job as open whose end this test has set directly.
 	open := slices.DeleteFunc(work.OpenTransfers, func(transfer federation.OpenTransfer) bool { return transfer.JobID == "finished" && !transfer.Finished })
 	want := []federation.OpenTransfer{
 		{JobID: "offered", Peer: "p", OfferID: 5, State: state.TransferOffered, CancelRequested: true, Route: "theirs", Job: plainJob},
 		{JobID: "finished", Peer: "p", OfferID: 6, State: state.TransferAccepted, Finished: true},
 	}
 	if !reflect.DeepEqual(open, want) {
-		t.Errorf("%+v, want %+v", open, want)
+		t.Errorf("open transfers %+v, want %+v", open, want)
 	}
 }
 
-// TestFederationWorkCountsFederatedServices: demand and capacity are those of the
-// services of the federated routes; of all, if there are none.
+// TestFederationWorkCountsFederatedServices checks that demand and capacity are those of the
+// services of the federated routes, or of all services if there are no such routes.
 func TestFederationWorkCountsFederatedServices(t *testing.T) {
 	store := storeWithJobs(t, map[string]protocol.Job{"a": plainJob, "elsewhere": plainJob})
 	federated, all := federationWork(store, federatedRoutes), federationWork(store, &federation.Settings{})
 	if federated.CapacityMilliCPU != 4000 || all.CapacityMilliCPU != 8000 {
-		t.Errorf("capacity %d and %d milli-CPU", federated.CapacityMilliCPU, all.CapacityMilliCPU)
+		t.Errorf("capacity %d and %d milli-CPU, want 4000 and 8000", federated.CapacityMilliCPU, all.CapacityMilliCPU)
 	}
 	if federated.Demand[3] <= 0 || all.Demand[3] != 2*federated.Demand[3] {
-		t.Errorf("demand %v and %v", federated.Demand, all.Demand)
+		t.Errorf("demand %v and %v, want that of all services to be twice the first", federated.Demand, all.Demand)
 	}
 	if service := serviceToLend(store); service != "s1" {
-		t.Errorf("%q is lent", service)
+		t.Errorf("capacity of service %q is lent, want s1", service)
 	}
 }
--- a/internal/server/metrics_test.go
+++ b/internal/server/metrics_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestLoopMetrics: a line a second, with what was counted and timed in it; nothing if
-// they are off.
+// TestLoopMetrics checks that there is one line a second, with the counts and durations of that
+// second, and none if the metrics are disabled.
 func TestLoopMetrics(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		off := newLoopMetrics(false)
 		off.count("x", 1)
 		off.startTimer("x")()
 		if line := off.logLine(time.Now()); line != nil {
-			t.Errorf("off: %v", line)
+			t.Errorf("disabled: %v", line)
 		}
 		on := newLoopMetrics(true)
 		on.logLine(time.Now())
@@ -26,11 +26,11 @@
 		time.Sleep(time.Millisecond)
 		stop()
 		if line := on.logLine(time.Now()); line != nil {
-			t.Errorf("too soon: %v", line)
+			t.Errorf("line within the first second: %v", line)
 		}
 		time.Sleep(time.Second)
 		if line := fmt.Sprint(on.logLine(time.Now())); line != "[level debug event loop.measured a 1 b 5 c_us 1000]" {
-			t.Errorf("%v", line)
+			t.Errorf("first line: %v", line)
 		}
 		time.Sleep(time.Second)
 		if line := fmt.Sprint(on.logLine(time.Now())); line != "[level debug event loop.measured]" {
--- a/internal/server/monitoring_test.go
+++ b/internal/server/monitoring_test.go
@@ -9,9 +9,9 @@
 	"tealpond/internal/transport"
 )
 
-// TestGaugesOfALeader: each name once, those of the leader included; a replica whose
-// storage isn't open has few.
-func TestGaugesOfALeader(t *testing.T) {
+// TestLeaderGauges checks that a leader returns each gauge once, including those that only a leader
+// has, and that a replica without a consensus node returns only the three that need none.
+func TestLeaderGauges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		var gauges []monitoring.Gauge
@@ -21,7 +21,7 @@
 		values := map[string]float64{}
 		for _, gauge := range gauges {
 			if _, twice := values[gauge.Name]; twice {
-				t.Errorf("%s stands twice", gauge.Name)
+				t.Errorf("gauge %s is returned twice", gauge.Name)
 			}
 			values[gauge.Name] = gauge.Value
 		}
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -15,18 +15,18 @@
 	"tealpond/internal/transport"
 )
 
-// configure gives the cluster a configuration with one route, h.example/r/, of the
-// service "s".
+// configure applies a configuration with one route, h.example/r/, of the service "s".
 func (h *harness) configure() {
 	h.t.Helper()
 	raw := `{"configVersion":7,"routeList":[{"name":"r","hostName":"h.example","pathPrefix":"/r/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"s","maxTries":4,"stretch":1.5}],"serviceList":[{"name":"s"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144,"headerTimeoutMs":3000,"idleTimeoutMs":15000}}`
 	if response := h.call(rpc.KindPutConfig, rpc.ConfigUpdate{Raw: []byte(raw)}); response.Code != rpc.CodeOK || response.Value != 7 {
-		h.t.Fatalf("the configuration: %+v", response)
+		h.t.Fatalf("configuration not accepted: %+v", response)
 	}
 }
 
-// TestRequestsOfALeaderAreRefusedByAFollower: at once, and without any effect.
-func TestRequestsOfALeaderAreRefusedByAFollower(t *testing.T) {
+// TestFollowerRefusesLeaderRequests checks that a follower refuses the requests of a leader at once
+// and without any effect.
+func TestFollowerRefusesLeaderRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		for kind := range leaderHandlers {
@@ -35,14 +35,14 @@
 			}
 		}
 		if len(h.replica.commands) != 0 {
-			t.Errorf("%d commands are to be proposed", len(h.replica.commands))
+			t.Errorf("%d commands would be proposed, want none", len(h.replica.commands))
 		}
 	})
 }
 
-// TestRequestsThatCantBeReadAreRefused: an unknown kind, and a body that is not of
-// the kind's type.
-func TestRequestsThatCantBeReadAreRefused(t *testing.T) {
+// TestInvalidRequestsAreRefused checks that a request of an unknown kind, and a body that can't be
+// decoded as that of its kind, are refused.
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		for _, kind := range []string{"no such kind", rpc.KindJoin, rpc.KindRenewMembership, rpc.KindReleaseZones, rpc.KindSubmitJob, rpc.KindJobStatus, rpc.KindCancelJob, rpc.KindPutConfig,
@@ -52,13 +52,13 @@
 			}
 		}
 		if response := h.call(rpc.KindJoin, raft.Member{Node: "n"}); response.Code != rpc.CodeBadRequest {
-			t.Errorf("a candidate without an identity: %+v", response)
+			t.Errorf("candidate without an identity: %+v", response)
 		}
 	})
 }
 
-// TestJobRequests: a job is submitted, asked for and canceled; what can't be is told
-// by its code.
+// TestJobRequests checks the responses to submissions, status requests and cancellations of jobs,
+// valid and invalid ones.
 func TestJobRequests(t *testing.T) {
 	const id, other = "0123456789abcdef", "fedcba9876543210"
 	job := protocol.Job{Spec: "spec", Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}
@@ -76,17 +76,17 @@
 			value            int64
 		}{
 			{"no route", rpc.KindSubmitJob, "/x/" + id, rpc.CodeNotFound, "no such queue", 0},
-			{"a short ID", rpc.KindSubmitJob, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
-			{"a job", rpc.KindSubmitJob, "/r/" + id, rpc.CodeOK, "", 0},
-			{"the same again", rpc.KindSubmitJob, "/r/" + id, rpc.CodeOK, "known", 0},
-			{"its status", rpc.KindJobStatus, "/r/" + id, rpc.CodeOK, state.StatusPending, 0},
-			{"how many wait", rpc.KindJobStatus, "/r/", rpc.CodeOK, "count", 1},
-			{"the status of another", rpc.KindJobStatus, "/r/" + other, rpc.CodeGone, "no such job", 0},
-			{"the status of none", rpc.KindJobStatus, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
-			{"cancel none", rpc.KindCancelJob, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
-			{"cancel another", rpc.KindCancelJob, "/r/" + other, rpc.CodeGone, "", 0},
-			{"cancel it", rpc.KindCancelJob, "/r/" + id, rpc.CodeOK, "", 0},
-			{"nothing waits", rpc.KindJobStatus, "/r/", rpc.CodeOK, "count", 0},
+			{"short ID", rpc.KindSubmitJob, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
+			{"submit", rpc.KindSubmitJob, "/r/" + id, rpc.CodeOK, "", 0},
+			{"submit again", rpc.KindSubmitJob, "/r/" + id, rpc.CodeOK, "known", 0},
+			{"status", rpc.KindJobStatus, "/r/" + id, rpc.CodeOK, state.StatusPending, 0},
+			{"count of pending jobs", rpc.KindJobStatus, "/r/", rpc.CodeOK, "count", 1},
+			{"status of an unknown job", rpc.KindJobStatus, "/r/" + other, rpc.CodeGone, "no such job", 0},
+			{"status with a short ID", rpc.KindJobStatus, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
+			{"cancel with a short ID", rpc.KindCancelJob, "/r/123", rpc.CodeBadRequest, "the ID wants 16 hex digits", 0},
+			{"cancel an unknown job", rpc.KindCancelJob, "/r/" + other, rpc.CodeGone, "", 0},
+			{"cancel", rpc.KindCancelJob, "/r/" + id, rpc.CodeOK, "", 0},
+			{"count after the cancellation", rpc.KindJobStatus, "/r/", rpc.CodeOK, "count", 0},
 		} {
 			if response := h.call(step.kind, request(step.path)); response.Code != step.code || response.Text != step.text || response.Value != step.value {
 				t.Errorf("%s: %+v", step.name, response)
@@ -95,15 +95,15 @@
 	})
 }
 
-// TestWorkerRequests: a worker is registered, its lease renewed under its fence only,
-// and its lease expires in silence.
+// TestWorkerRequests checks that a worker is registered, that its lease is renewed under its fence
+// only, and that the lease expires without renewals.
 func TestWorkerRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.configure()
 		registered := h.call(rpc.KindRegisterWorker, state.RegisterWorker{ID: "w", Node: "n-w", Service: "s", Zone: "z", Capacity: protocol.Resources{CPUUnits: 4000, MemoryMB: 1000}, LeavesInMs: -1})
 		if registered.Code != rpc.CodeOK || registered.Value == 0 {
-			t.Fatalf("registered: %+v", registered)
+			t.Fatalf("worker not registered: %+v", registered)
 		}
 		fence := registered.Value
 		for _, step := range []struct {
@@ -118,7 +118,7 @@
 			}
 		}
 		if lease := h.replica.leases["w"]; lease == nil || lease.runtimePercent != 120 {
-			t.Errorf("the lease: %+v", lease)
+			t.Errorf("runtime not recorded in the lease: %+v", lease)
 		}
 		if response := h.call(rpc.KindSetEligibility, state.SetEligibility{ID: "w", LeavesInMs: -1, Unhealthy: true}); response.Code != rpc.CodeOK || !h.replica.state.Workers["w"].Unhealthy {
 			t.Errorf("unhealthy: %+v", response)
@@ -130,16 +130,16 @@
 			h.turn()
 		}
 		if !h.replica.state.Workers["w"].LeaseExpired {
-			t.Fatal("its lease does not expire")
+			t.Fatal("the lease does not expire")
 		}
 		if response := h.call(rpc.KindRenewLease, rpc.LeaseRenewal{Worker: "w", Fence: fence}); response.Code != rpc.CodeConflict {
-			t.Errorf("renewed after its end: %+v", response)
+			t.Errorf("renewal after the expiry: %+v", response)
 		}
 	})
 }
 
-// TestBatchIsAnsweredInOneResponse: each request has its own response, in order; kinds
-// that aren't an agent's are refused.
+// TestBatchIsAnsweredInOneResponse checks that each request of a batch has its own response, in
+// order, and that kinds that are not requests of agents are refused.
 func TestBatchIsAnsweredInOneResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -159,14 +159,14 @@
 			codes = append(codes, each.Code)
 		}
 		if want := []rpc.Code{rpc.CodeOK, rpc.CodeBadRequest, rpc.CodeOK, rpc.CodeBadRequest}; !slices.Equal(codes, want) {
-			t.Errorf("%v, want %v", codes, want)
+			t.Errorf("codes %v, want %v", codes, want)
 		}
 	})
 }
 
-// TestBatchWithAnUnknownOutcomeIsUnknown: as a whole, since its client then asks the
-// next leader.
-func TestBatchWithAnUnknownOutcomeIsUnknown(t *testing.T) {
+// TestBatchWithUnknownOutcome checks that the outcome of a whole batch is unknown if that of one of
+// its requests is, since the client then asks the next leader.
+func TestBatchWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.turn()
@@ -186,8 +186,8 @@
 	})
 }
 
-// TestMembershipLeases: members are listed by node and role until their leases are
-// over, and name the zone of a server.
+// TestMembershipLeases checks that members are listed by node and role until their leases expire,
+// and that a server's zone is read from its lease.
 func TestMembershipLeases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -213,11 +213,11 @@
 		if zone := h.replica.zoneOf("n2"); zone != "z" || h.replica.zoneOf("n3") != "" {
 			t.Errorf("zone: %q", zone)
 		}
-		over := h.replica.memberLeases["n1/side"]
-		over.renewedAt = time.Now().Add(-timing.MembershipLeaseDuration)
-		h.replica.memberLeases["n1/side"] = over
+		expired := h.replica.memberLeases["n1/side"]
+		expired.renewedAt = time.Now().Add(-timing.MembershipLeaseDuration)
+		h.replica.memberLeases["n1/side"] = expired
 		if got := list(); got != "n1/edge n2/edge " {
-			t.Errorf("members after one is over: %s", got)
+			t.Errorf("members after one lease expired: %s", got)
 		}
 	})
 }
--- a/internal/server/runners_test.go
+++ b/internal/server/runners_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/transport"
 )
 
-// publishRunnerList gives the leader a list, as its own process does.
+// publishRunnerList publishes a runner list, as the leader's own process does.
 func (h *harness) publishRunnerList(list ...registry.Runner) {
 	h.t.Helper()
 	if response := h.call(rpc.KindPublishRunners, rpc.RunnerList{Runners: list}); response.Code != rpc.CodeOK {
@@ -20,13 +20,13 @@
 	}
 }
 
-// watchRunners asks for changes and gives the delta and how long the answer took.
+// watchRunners watches the runner list, and returns the delta and the time until the response.
 func (h *harness) watchRunners(view *registry.View, configVersion int64) (registry.Delta, time.Duration) {
 	h.t.Helper()
 	watch := rpc.RunnerWatch{ConfigVersion: configVersion}
 	known := view.Position()
 	watch.Epoch, watch.Version, watch.Digest = known.Epoch, known.Version, known.Digest
-	askedAt := time.Now()
+	startedAt := time.Now()
 	response := h.call(rpc.KindWatchRunners, watch)
 	var update rpc.RunnerUpdate
 	if response.Code != rpc.CodeOK || len(response.Body) > 0 && transport.Decode(response.Body, &update) != nil {
@@ -36,18 +36,18 @@
 	if len(update.Delta) > 0 && transport.Decode(update.Delta, &delta) != nil {
 		h.t.Fatalf("%+v", update)
 	}
-	return delta, time.Since(askedAt)
+	return delta, time.Since(startedAt)
 }
 
-// TestWatchersHearOfChanges: at once if they lack something, else when it changes or
-// after a moment.
-func TestWatchersHearOfChanges(t *testing.T) {
+// TestRunnerWatchesReceiveChanges checks that a watch is answered at once if the daemon lacks a
+// change, and otherwise at the next change or after runnerWatchWait.
+func TestRunnerWatchesReceiveChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.configure()
 		view := registry.NewView()
 		if _, took := h.watchRunners(view, 7); took < runnerWatchWait {
-			t.Errorf("answered after %v, though no list is known", took)
+			t.Errorf("answered after %v although there is no list", took)
 		}
 		h.publishRunnerList(registry.Runner{ID: "a", Service: "s"}, registry.Runner{ID: "b", Service: "s"})
 		delta, took := h.watchRunners(view, 7)
@@ -55,10 +55,10 @@
 			t.Errorf("%+v after %v", delta, took)
 		}
 		if _, took = h.watchRunners(view, 7); took < runnerWatchWait {
-			t.Errorf("answered after %v, though nothing is new", took)
+			t.Errorf("answered after %v without a change", took)
 		}
 		if _, took = h.watchRunners(view, 6); took >= runnerWatchWait {
-			t.Errorf("answered after %v, though the configuration is new", took)
+			t.Errorf("answered after %v despite a new configuration", took)
 		}
 		h.publishRunnerList(registry.Runner{ID: "b", Service: "s", Draining: true})
 		delta, _ = h.watchRunners(view, 7)
@@ -68,15 +68,16 @@
 	})
 }
 
-// TestWatchersOfALeaderThatIsNoneAreSentOn.
-func TestWatchersOfALeaderThatIsNoneAreSentOn(t *testing.T) {
+// TestRunnerWatchesAreRedirectedAfterLeadershipLoss checks that held watches are answered when
+// another leader is elected.
+func TestRunnerWatchesAreRedirectedAfterLeadershipLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.configure()
 		var responses []rpc.Response
 		body := transport.Encode(rpc.RunnerWatch{ConfigVersion: 7})
 		h.replica.handleRequest(rpc.Request{Kind: rpc.KindWatchRunners, Body: body}, nil, func(response rpc.Response) { responses = append(responses, response) })
-		// Another has been elected.
+		// Another leader has been elected.
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: h.replica.node.Term() + 1})
 		h.endTurn()
 		if len(responses) != 1 || responses[0].Code == rpc.CodeOK {
@@ -85,9 +86,10 @@
 	})
 }
 
-// TestHealthIsToldLessOftenInLargeFleets: on fleets of a hundred daemons each reading of the
-// list tells of it; with three hundred and thousands of runners only one in many seconds.
-func TestHealthIsToldLessOftenInLargeFleets(t *testing.T) {
+// TestHealthIsSentLessOftenInLargeFleets checks that the runners' health is updated with each
+// reading of the list in fleets of a hundred daemons, and only every several seconds with three
+// hundred daemons and thousands of runners.
+func TestHealthIsSentLessOftenInLargeFleets(t *testing.T) {
 	for _, test := range []struct {
 		daemons, runners, zones  int
 		minInterval, maxInterval time.Duration
@@ -107,7 +109,7 @@
 			list[i].Zone = fmt.Sprint("z", i%test.zones)
 		}
 		if interval := replica.healthInterval(list); interval < test.minInterval || interval > test.maxInterval {
-			t.Errorf("%d daemons, %d runners: each %v", test.daemons, test.runners, interval)
+			t.Errorf("%d daemons, %d runners: interval %v", test.daemons, test.runners, interval)
 		}
 	}
 }
--- a/internal/server/scheduling_test.go
+++ b/internal/server/scheduling_test.go
@@ -8,8 +8,8 @@
 	"tealpond/internal/scheduler"
 )
 
-// TestMedianRuntimePercent: workers that report nothing don't count, and two are too
-// few to be compared.
+// TestMedianRuntimePercent checks that workers without a report don't count, and that two workers
+// are too few for a comparison.
 func TestMedianRuntimePercent(t *testing.T) {
 	for _, test := range []struct {
 		reported []int64
@@ -32,10 +32,10 @@
 	}
 }
 
-// TestRefusedPlansAreNotRepeatedEachTurn: plans that are refused each time, as for a job
-// that finds no resources left in its loan, are made a few times a second and not at each
-// turn of the loop; those that are refused once are made again at once.
-func TestRefusedPlansAreNotRepeatedEachTurn(t *testing.T) {
+// TestRefusedPlansAreDelayed guards against a planner that runs in each turn of the loop: plans that
+// are refused each time, as for a job that finds no resources left in its loan, are made only a
+// few times a second. Plans that are refused once are made again at once.
+func TestRefusedPlansAreDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		planned := 0
@@ -54,7 +54,7 @@
 		h.replica.planning.notBefore = time.Time{}
 		h.replica.recordPlanOutcome(true, true)
 		if h.replica.planning.due = true; !h.replica.planning.notBefore.IsZero() {
-			t.Error("plans that were refused once are put off")
+			t.Error("plans that were refused once are delayed")
 		}
 	})
 }
--- a/internal/server/state_tables_test.go
+++ b/internal/server/state_tables_test.go
@@ -14,8 +14,8 @@
 	"tealpond/internal/transport"
 )
 
-// TestClusterStateTables: the names of tables and columns are an interface, and each
-// row has a value for each column.
+// TestClusterStateTables checks the names of tables and columns, which operators rely on, and that
+// each row has a value for each column.
 func TestClusterStateTables(t *testing.T) {
 	want := `daemons: node role zone addr seen_ms
 runners: id service zone addr slots draining latency_ms failed_pct
@@ -63,7 +63,7 @@
 			}
 		}
 		if got != want {
-			t.Errorf("the tables are\n%s", got)
+			t.Errorf("tables:\n%s", got)
 		}
 		for _, name := range []string{"daemons", "runners", "workers", "devices", "inboxes", "jobs", "allocs"} {
 			if rows[name] == 0 {
@@ -73,7 +73,8 @@
 	})
 }
 
-// TestTenantTable: what a tenant uses of its limit, what waits, and what it waits for.
+// TestTenantTable checks the usage, the limits and the pending jobs of tenants, and what these jobs
+// wait for.
 func TestTenantTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -92,12 +93,13 @@
 			}
 		}
 		if len(table.Rows) != 2 {
-			t.Errorf("%d rows", len(table.Rows))
+			t.Errorf("%d rows, want 2", len(table.Rows))
 		}
 	})
 }
 
-// TestTablesAreTruncated: a table holds only so many rows, and says so.
+// TestTablesAreTruncated checks that a table has at most rpc.MaxQueryRows rows, and that it is
+// marked as truncated if there are more.
 func TestTablesAreTruncated(t *testing.T) {
 	table := newTable("t", "n")
 	for n := range rpc.MaxQueryRows {
--- a/internal/server/tenants_test.go
+++ b/internal/server/tenants_test.go
@@ -16,8 +16,8 @@
 
 const tenantJobID = "0123456789abcdef"
 
-// configureTenants puts a configuration in force with a route for tenants, /r/, a public
-// one, /open/, and tenants with the given text.
+// configureTenants applies a configuration with a route for tenants, /r/, a public route, /open/,
+// and the given JSON list of tenants.
 func (h *harness) configureTenants(version int, tenants string) {
 	h.t.Helper()
 	route := func(name, prefix, more string) string {
@@ -27,19 +27,19 @@
 		version, route("r", "/r/", ""), route("open", "/open/", `,"public":true`), tenants)
 	base := h.replica.state.Configuration.Version
 	if response := h.call(rpc.KindPutConfig, rpc.ConfigUpdate{BaseVersion: base, Raw: []byte(raw)}); response.Code != rpc.CodeOK {
-		h.t.Fatalf("the configuration: %+v", response)
+		h.t.Fatalf("configuration not accepted: %+v", response)
 	}
 }
 
-// tenantRequest is a client's call with a key.
+// tenantRequest returns a client's call with a key.
 func tenantRequest(path, key string) rpc.JobRequest {
 	return rpc.JobRequest{Host: "h.example", Path: path, Key: key,
 		Job: protocol.Job{Spec: "spec", Steps: []protocol.Step{{TaskCount: 1, CPUUnits: 100, EstimateMs: 1000}}}}
 }
 
-// TestCallsNeedTheirTenantsKey: an unknown key gets 401 on each call but on public
-// routes, another tenant's 403, and the job's own tenant reaches it by any of its keys.
-func TestCallsNeedTheirTenantsKey(t *testing.T) {
+// TestCallsRequireAKeyOfTheTenant checks that an unknown key gets 401 on all routes except public
+// ones, that another tenant's key gets 403, and that each key of the job's tenant has access.
+func TestCallsRequireAKeyOfTheTenant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		h.configureTenants(1, `{"name":"a","apiKeys":["a1","a2"]},{"name":"b","apiKeys":["b1"]}`)
@@ -51,18 +51,18 @@
 			{"no key", rpc.KindSubmitJob, "/r/" + tenantJobID, "", rpc.CodeUnauthorized},
 			{"unknown key", rpc.KindSubmitJob, "/r/" + tenantJobID, "c1", rpc.CodeUnauthorized},
 			{"submit", rpc.KindSubmitJob, "/r/" + tenantJobID, "a1", rpc.CodeOK},
-			{"again, other key", rpc.KindSubmitJob, "/r/" + tenantJobID, "a2", rpc.CodeOK},
-			{"another tenant's ID", rpc.KindSubmitJob, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
+			{"submit again with another key of the tenant", rpc.KindSubmitJob, "/r/" + tenantJobID, "a2", rpc.CodeOK},
+			{"submit with the ID of another tenant's job", rpc.KindSubmitJob, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
 			{"status", rpc.KindJobStatus, "/r/" + tenantJobID, "a2", rpc.CodeOK},
 			{"status without key", rpc.KindJobStatus, "/r/" + tenantJobID, "", rpc.CodeUnauthorized},
-			{"status of another tenant's", rpc.KindJobStatus, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
+			{"status of another tenant's job", rpc.KindJobStatus, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
 			{"count", rpc.KindJobStatus, "/r/", "b1", rpc.CodeOK},
 			{"count without key", rpc.KindJobStatus, "/r/", "", rpc.CodeUnauthorized},
-			{"cancel another tenant's", rpc.KindCancelJob, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
-			{"cancel without key", rpc.KindCancelJob, "/r/" + tenantJobID, "x", rpc.CodeUnauthorized},
+			{"cancel another tenant's job", rpc.KindCancelJob, "/r/" + tenantJobID, "b1", rpc.CodeForbidden},
+			{"cancel with an unknown key", rpc.KindCancelJob, "/r/" + tenantJobID, "x", rpc.CodeUnauthorized},
 			{"cancel", rpc.KindCancelJob, "/r/" + tenantJobID, "a1", rpc.CodeOK},
-			{"public", rpc.KindSubmitJob, "/open/" + strings.Repeat("f", jobIDDigits), "", rpc.CodeOK},
-			{"public, anybody's", rpc.KindJobStatus, "/open/" + strings.Repeat("f", jobIDDigits), "b1", rpc.CodeOK},
+			{"submit on a public route", rpc.KindSubmitJob, "/open/" + strings.Repeat("f", jobIDDigits), "", rpc.CodeOK},
+			{"status on a public route with any key", rpc.KindJobStatus, "/open/" + strings.Repeat("f", jobIDDigits), "b1", rpc.CodeOK},
 		} {
 			if response := h.call(step.kind, tenantRequest(step.path, step.key)); response.Code != step.code {
 				t.Errorf("%s: %+v, want code %d", step.name, response, step.code)
@@ -71,8 +71,8 @@
 	})
 }
 
-// TestRevokedKeyIsRefusedAtOnce: also if the change comes into force while a submission
-// is on its way through the log; a key that moved goes to its new tenant.
+// TestRevokedKeyIsRefusedAtOnce checks that a revoked key is refused even if the change is applied
+// while a submission is in the log, and that a key that moved counts for its new tenant.
 func TestRevokedKeyIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
@@ -83,7 +83,8 @@
 			h.replica.handleRequest(rpc.Request{Kind: rpc.KindSubmitJob, Body: transport.Encode(request)}, nil,
 				func(response rpc.Response) { responses[key] = response })
 		}
-		// The change is in the log first, the submissions behind it were let in before.
+		// The change is first in the log. The submissions behind it were admitted before it was
+		// applied.
 		raw := `{"configVersion":2,"routeList":[{"name":"r","hostName":"h.example","pathPrefix":"/r/","timeoutMs":3000,"targetService":"s"}],` +
 			`"serviceList":[{"name":"s"}],"tenantList":[{"name":"a"},{"name":"b","apiKeys":["b1","moved"]}]}`
 		h.replica.enqueueCommand(state.CommandReplaceConfiguration, &state.ReplaceConfiguration{BaseVersion: 1, Raw: []byte(raw)}, nil)
@@ -93,17 +94,17 @@
 			h.turn()
 		}
 		if responses["a1"].Code != rpc.CodeUnauthorized || h.replica.state.Jobs[tenantJobID] != nil {
-			t.Errorf("with the revoked key: %+v", responses["a1"])
+			t.Errorf("submission with the revoked key: %+v", responses["a1"])
 		}
 		if job := h.replica.state.Jobs[strings.Repeat("e", jobIDDigits)]; responses["moved"].Code != rpc.CodeOK || job == nil || job.Tenant() != "b" {
-			t.Errorf("with the key that moved: %+v, job %+v", responses["moved"], job)
+			t.Errorf("submission with the key that moved: %+v, job %+v", responses["moved"], job)
 		}
 	})
 }
 
-// TestTenantsAreToldOnce: daemons get the tenants, without their keys, and nothing while
-// those they have are the newest.
-func TestTenantsAreToldOnce(t *testing.T) {
+// TestTenantsAreSentOnlyWhenChanged checks that daemons are sent the tenants without their keys, and
+// nothing while they have the newest ones.
+func TestTenantsAreSentOnlyWhenChanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
 		if response := h.call(rpc.KindGetTenants, rpc.TenantQuery{}); response.Code != rpc.CodeUnavailable {
@@ -116,23 +117,23 @@
 			t.Fatalf("%+v, %v", shares, err)
 		}
 		if strings.Contains(string(first.Body), "secret") {
-			t.Error("a key is told")
+			t.Error("the response has an API key in it")
 		}
 		h.configureTenants(2, `{"name":"a","apiKeys":["secret"],"share":2.5}`)
 		if again := h.call(rpc.KindGetTenants, rpc.TenantQuery{KnownDigest: first.Text}); len(again.Body) != 0 || again.Text != first.Text {
-			t.Errorf("told again though nothing changed: %+v", again)
+			t.Errorf("tenants sent again without a change: %+v", again)
 		}
 		h.configureTenants(3, `{"name":"a","apiKeys":["secret"],"share":3}`)
 		if changed := h.call(rpc.KindGetTenants, rpc.TenantQuery{KnownDigest: first.Text}); len(changed.Body) == 0 {
-			t.Errorf("a changed share is not told: %+v", changed)
+			t.Errorf("a changed share is not sent: %+v", changed)
 		}
 	})
 }
 
-// TestCountsAreMergedThroughTheLeader: what one daemon has counted, another hears of, as
-// entries or as sums; also if it is the daemon in the leader's own process.
+// TestCountsAreMergedThroughTheLeader checks that the counts of one daemon reach another, as
+// entries or as sums, also those of the daemon in the leader's own process.
 func TestCountsAreMergedThroughTheLeader(t *testing.T) {
-	const leadersProcess = "a" // of newHarness
+	const leadersProcess = "a" // process ID in newHarness
 	for _, kind := range []string{rpc.KindExchangeCounts, rpc.KindExchangeSums} {
 		for _, counting := range []string{"d1", leadersProcess} {
 			synctest.Test(t, func(t *testing.T) {
@@ -150,7 +151,7 @@
 					set.Merge(counts.Entries, counts.Process, time.Now())
 				}
 				if sum := second.Sum("a", time.Now()); sum != 3 {
-					t.Errorf("%s: the other daemon knows of %d that %s counted, want 3", kind, sum, counting)
+					t.Errorf("%s: the other daemon has a sum of %d for the counts of %s, want 3", kind, sum, counting)
 				}
 			})
 		}
--- a/internal/server/worker_leases_test.go
+++ b/internal/server/worker_leases_test.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/transport"
 )
 
-// leaderWithWorkers is as much of a leader as answers an aggregator, with workers
-// that were registered; fences by worker.
+// leaderWithWorkers returns a replica with enough of a leader's state to answer an aggregator, with
+// registered workers, and their fences by worker ID.
 func leaderWithWorkers(workers ...string) (*Replica, map[string]int64) {
 	replica := newReplica()
 	replica.leaseDuration = time.Second
@@ -22,7 +22,8 @@
 	return replica, fences
 }
 
-// renewedWorkers sends a batch and gives the code and whose leases were renewed.
+// renewedWorkers sends a batch, and returns the response code and the workers whose leases were
+// renewed.
 func renewedWorkers(replica *Replica, request rpc.LeaseBatch) (rpc.Code, string) {
 	for _, lease := range replica.leases {
 		lease.grantedAt = time.Time{}
@@ -38,11 +39,11 @@
 	return code, renewed
 }
 
-// TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet: an aggregator is restarted and
-// numbers its sets from 1 again; a late batch of its earlier process brings another
-// set of that number. The lease of a worker that asked nothing must not be renewed in
-// the place of one that did: the leader would hold that one for silent, and start its
-// runs elsewhere while the aggregator tells it to go on.
+// TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet guards against renewing the lease of the wrong
+// worker. An aggregator is restarted and numbers its sets from 1 again; then a late batch of its
+// earlier process brings another set with the same number. If the leader used that set, it would
+// renew the lease of a worker that did not request it in place of one that did. It would take the
+// latter for silent and start its runs elsewhere, while the aggregator confirms its lease.
 func TestLeaseBatchOfLaterProcessDoesNotUseEarlierSet(t *testing.T) {
 	replica, fenceOf := leaderWithWorkers("a", "b", "c")
 	member := func(w string) rpc.BatchMember { return rpc.BatchMember{Worker: w, Fence: fenceOf[w]} }
@@ -61,17 +62,17 @@
 		Requested:           []byte{3},
 	}
 	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "ac" {
-		t.Fatalf("the set with its members: %d, renewed %q", code, renewed)
+		t.Fatalf("set with its members: code %d, renewed %q", code, renewed)
 	}
 	if code, renewed := renewedWorkers(replica, old); code != rpc.CodeOK || renewed != "ab" {
-		t.Fatalf("the late batch: %d, renewed %q", code, renewed)
+		t.Fatalf("late batch: code %d, renewed %q", code, renewed)
 	}
 	current.Members, current.Requested = nil, []byte{2}
 	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeUnknownSet || renewed != "" {
-		t.Errorf("c asked by the number of its set: %d, renewed %q; wanted 428 and nobody", code, renewed)
+		t.Errorf("request of c by the number of its set: code %d, renewed %q; want 428 and none", code, renewed)
 	}
 	current.Members = []rpc.BatchMember{member("a"), member("c")}
 	if code, renewed := renewedWorkers(replica, current); code != rpc.CodeOK || renewed != "c" {
-		t.Errorf("with its members again: %d, renewed %q", code, renewed)
+		t.Errorf("set with its members again: code %d, renewed %q", code, renewed)
 	}
 }
