--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -90,11 +90,11 @@
 		r.aggregator.FailAll(responseNotLeader)
 		return 0
 	}
-	batches, wake := r.aggregator.DueBatches(now)
+	batches, untilNext := r.aggregator.DueBatches(now)
 	for _, batch := range batches {
 		r.sendBatch(ctx, batch)
 	}
-	return wake
+	return untilNext
 }
 
 // sendBatch sends the leader one batch. The response is posted to the loop as an event.
--- a/internal/server/aggregator_choice.go
+++ b/internal/server/aggregator_choice.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/state"
 )
 
-// aggregatorReturnDelay is how long a server must have been in contact without a gap before it
-// replaces an aggregator or a standby that is still available.
+// aggregatorReturnDelay is how long a server must have been in contact without a gap before it is
+// appointed in place of another one while the current aggregator is available.
 const aggregatorReturnDelay = 3 * time.Second
 
 // aggregatorChoice chooses the aggregator and the standby of one zone. Its methods are pure:
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -111,8 +111,8 @@
 			r.announceToSeed(ctx, &announcer.selector, current.announcement)
 		}
 	case phaseVoter:
-		startup := round < startupIntroductionRounds && round%announceRoundInterval == 1
-		if startup || round%introductionRoundInterval == 0 {
+		starting := round < startupIntroductionRounds && round%announceRoundInterval == 1
+		if starting || round%introductionRoundInterval == 0 {
 			r.leaderClient.Introduce(ctx, *r.seeds.Load())
 		}
 		justFormed := r.settings.FirstStart && round < bootstrap.AnnounceRounds && round%announceRoundInterval == 1
--- a/internal/server/config_updates.go
+++ b/internal/server/config_updates.go
@@ -18,14 +18,14 @@
 
 // since returns the update for a daemon that has a version: the diff from that version, or the
 // whole text with base 0.
-func (n *configUpdates) since(version int64, newest *clusterconfig.Config) (text []byte, base int64) {
-	n.recordText(newest)
-	change, made := n.changes[version]
-	if from := n.texts[version]; !made && from != nil {
+func (u *configUpdates) since(version int64, newest *clusterconfig.Config) (text []byte, base int64) {
+	u.recordText(newest)
+	change, made := u.changes[version]
+	if from := u.texts[version]; !made && from != nil {
 		if diff, ok := clusterconfig.Diff(from, newest.Raw); ok && len(diff) < len(newest.Raw) {
 			change = diff
 		}
-		n.changes[version] = change
+		u.changes[version] = change
 	}
 	if change == nil {
 		return newest.Raw, 0
@@ -34,20 +34,20 @@
 }
 
 // recordText keeps the text of the newest configuration, and removes the oldest ones.
-func (n *configUpdates) recordText(newest *clusterconfig.Config) {
-	if n.newest == newest.Version {
+func (u *configUpdates) recordText(newest *clusterconfig.Config) {
+	if u.newest == newest.Version {
 		return
 	}
-	if n.texts == nil {
-		n.texts = map[int64][]byte{}
+	if u.texts == nil {
+		u.texts = map[int64][]byte{}
 	}
-	n.newest, n.changes = newest.Version, map[int64][]byte{}
-	n.texts[newest.Version] = newest.Raw
-	for len(n.texts) > maxConfigTexts {
+	u.newest, u.changes = newest.Version, map[int64][]byte{}
+	u.texts[newest.Version] = newest.Raw
+	for len(u.texts) > maxConfigTexts {
 		oldest := newest.Version
-		for version := range n.texts {
+		for version := range u.texts {
 			oldest = min(oldest, version)
 		}
-		delete(n.texts, oldest)
+		delete(u.texts, oldest)
 	}
 }
--- a/internal/server/job_status.go
+++ b/internal/server/job_status.go
@@ -50,15 +50,15 @@
 // replyToStatusWaiters answers the held status requests whose job has ended or whose deadline
 // has passed. It returns the time until the next one must be answered, 0 if there is none.
 func (r *Replica) replyToStatusWaiters(now time.Time) time.Duration {
-	wake := time.Duration(0)
+	untilNext := time.Duration(0)
 	for id, waiters := range r.statusWaiters {
 		job := r.state.Jobs[id]
 		kept := waiters[:0]
 		for _, waiter := range waiters {
 			if wait := waiter.deadline.Sub(now); wait > 0 && job != nil && job.InFinalRuns() && r.leading {
 				kept = append(kept, waiter)
-				if wake == 0 || wait < wake {
-					wake = wait
+				if untilNext == 0 || wait < untilNext {
+					untilNext = wait
 				}
 				continue
 			}
@@ -77,5 +77,5 @@
 			r.statusWaiters[id] = kept
 		}
 	}
-	return wake
+	return untilNext
 }
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -50,11 +50,11 @@
 	}
 	tenant, ok := r.state.Authenticate(route, request.Key)
 	if !ok {
-		reply(responseNoSuchKey)
+		reply(responseUnknownKey)
 		return jobCall{}, false
 	}
 	if job := r.state.Jobs[id]; job != nil && !job.VisibleTo(tenant) {
-		reply(responseOthersJob)
+		reply(responseOtherTenantsJob)
 		return jobCall{}, false
 	}
 	return jobCall{route, id, tenant}, true
@@ -86,7 +86,7 @@
 	}
 	r.trace.Record(call.id, "ordered", int64(r.node.LastIndex()+1), call.route.Name)
 	submit := state.SubmitJob{Host: request.Host, Path: request.Path, ID: call.id, Job: request.Job, DemandBucket: r.demandBucket()}
-	onOutcome := r.whileSubmitting(call.id, r.withTrace(call.id, "settled", r.submissionReply(request, reply)))
+	onOutcome := r.trackSubmission(call.id, r.withTrace(call.id, "settled", r.submissionReply(request, reply)))
 	if len(r.state.Configuration.Tenants()) == 0 {
 		r.enqueueCommand(state.CommandSubmitJob, &submit, onOutcome)
 		return
@@ -95,9 +95,9 @@
 		&state.SubmitTenantJob{Submit: submit, Tenant: call.tenant, ConfigVersion: r.state.Configuration.Version, BeyondShare: request.BeyondShare}, onOutcome)
 }
 
-// whileSubmitting counts a job among those that are in the log and not applied, until its
+// trackSubmission records that a submission of a job is in the log and not applied, until its
 // command has an outcome.
-func (r *Replica) whileSubmitting(id string, next commandReply) commandReply {
+func (r *Replica) trackSubmission(id string, next commandReply) commandReply {
 	r.submitting[id]++
 	return func(outcome state.Outcome, known bool) {
 		if r.submitting[id]--; r.submitting[id] == 0 {
--- a/internal/server/responses.go
+++ b/internal/server/responses.go
@@ -9,16 +9,16 @@
 
 // Responses of the handlers. Their texts are shown to clients.
 var (
-	responseOK            = rpc.Response{Code: rpc.CodeOK}
-	responseBadRequest    = rpc.Response{Code: rpc.CodeBadRequest}
-	responseUnknownKind   = rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown ask"}
-	responseBadJobID      = rpc.Response{Code: rpc.CodeBadRequest, Text: "the ID wants 16 hex digits"}
-	responseNoSuchKey     = rpc.Response{Code: rpc.CodeUnauthorized, Text: "no tenant's key"}
-	responseOthersJob     = rpc.Response{Code: rpc.CodeForbidden, Text: "another tenant's job"}
-	responseNoSuchRoute   = rpc.Response{Code: rpc.CodeNotFound, Text: "no such queue"}
-	responseNoSuchJob     = rpc.Response{Code: rpc.CodeGone, Text: "no such job"}
-	responseNotConfigured = rpc.Response{Code: rpc.CodeUnavailable, Text: "not configured yet", RetryAfterMs: 1000}
-	responseNotLeader     = rpc.Response{Code: rpc.CodeNotLeader}
+	responseOK              = rpc.Response{Code: rpc.CodeOK}
+	responseBadRequest      = rpc.Response{Code: rpc.CodeBadRequest}
+	responseUnknownKind     = rpc.Response{Code: rpc.CodeBadRequest, Text: "unknown ask"}
+	responseBadJobID        = rpc.Response{Code: rpc.CodeBadRequest, Text: "the ID wants 16 hex digits"}
+	responseUnknownKey      = rpc.Response{Code: rpc.CodeUnauthorized, Text: "no tenant's key"}
+	responseOtherTenantsJob = rpc.Response{Code: rpc.CodeForbidden, Text: "another tenant's job"}
+	responseNoSuchRoute     = rpc.Response{Code: rpc.CodeNotFound, Text: "no such queue"}
+	responseNoSuchJob       = rpc.Response{Code: rpc.CodeGone, Text: "no such job"}
+	responseNotConfigured   = rpc.Response{Code: rpc.CodeUnavailable, Text: "not configured yet", RetryAfterMs: 1000}
+	responseNotLeader       = rpc.Response{Code: rpc.CodeNotLeader}
 	// responseOutcomeUnknown says that the command may or may not be in the log.
 	responseOutcomeUnknown = rpc.Response{Code: rpc.CodeLeadershipLost}
 )
--- a/internal/server/runners.go
+++ b/internal/server/runners.go
@@ -56,8 +56,8 @@
 	reply(responseOK)
 }
 
-// runnerListAge returns the age in ms from which changes may be missing in the list; negative
-// if it isn't known. Announcements of runners are in the list once they are acknowledged.
+// runnerListAge returns for how long, in ms, changes may have been missing from the list; negative
+// if there is no list. Announcements of runners are in the list once they are acknowledged.
 func (r *Replica) runnerListAge(now time.Time) int64 {
 	switch {
 	case r.runnerList.table == nil:
@@ -207,7 +207,7 @@
 		r.runnerList.healthSentAt = time.Time{}
 	}
 	r.publishAnnouncedRunners(now)
-	wake := time.Duration(0)
+	untilNext := time.Duration(0)
 	kept := r.runnerList.watchers[:0]
 	for _, watcher := range r.runnerList.watchers {
 		wait := watcher.deadline.Sub(now)
@@ -218,12 +218,12 @@
 			r.replyWithRunners(&watcher, now)
 		default:
 			kept = append(kept, watcher)
-			if wake == 0 || wait < wake {
-				wake = wait
+			if untilNext == 0 || wait < untilNext {
+				untilNext = wait
 			}
 		}
 	}
 	clear(r.runnerList.watchers[len(kept):])
 	r.runnerList.watchers = kept
-	return wake
+	return untilNext
 }
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -14,8 +14,8 @@
 type agentSession struct {
 	stream *transport.Stream
 	fence  int64
-	// knownIndex is the log index of the newest state from which the agent was sent
-	// assignments. Assignments are held back until this replica has applied it: an older
+	// knownIndex is the newest applied index that the agent was sent in a response.
+	// Assignments are held back until this replica has applied that index: an older
 	// state may list a run that has ended, and that runs elsewhere by now.
 	knownIndex uint64
 	synced     bool // all of the worker's allocations were sent on this stream
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -35,8 +35,8 @@
 	return table
 }
 
-// runnerTable lists the runners that gateways forward to, with their health as observed by all
-// daemons. Only the leader has the list; it is nil elsewhere.
+// runnerTable lists the runners of a gateway's platform, with their health as observed in the
+// requests of all daemons. Only the leader has the list; it is nil elsewhere.
 func runnerTable(list *registry.Table) rpc.Table {
 	table := newTable("runners", "id", "service", "zone", "addr", "slots", "draining", "latency_ms", "failed_pct")
 	if list == nil {
