--- a/internal/state/allocation.go
+++ b/internal/state/allocation.go
@@ -1,8 +1,8 @@
 package state
 
 // Allocation is one run of one task on one worker, with the resources reserved for
-// it. It exists from when a plan is applied until the run's end is known: by a
-// completion, an expired lease or a crash of the runner.
+// it. It exists from the time its plan is applied until the run is known to have ended:
+// by a completion, an expired lease or a crash of the runner.
 type Allocation struct {
 	_               struct{} `cbor:",toarray"`
 	ID              uint64
@@ -11,24 +11,24 @@
 	Instance        int
 	Step            int
 	TaskIndex       int
-	Copy            int // 0, or 1 for the second copy of a speculative step's task
-	Run             int // number of the run among those of its task, from 1
+	Copy            int // 0, or 1 for the speculative copy of a task
+	Run             int // number of the run within its task, starting at 1
 	MilliCPU        int64
 	MemoryMB        int64
-	GPUs            []string // IDs of devices
+	GPUs            []string // device IDs
 	AllocatedAt     int64
 	Stopping        bool
 	StopReason      string
-	Checkpoint      string // text that the run starts from
+	Checkpoint      string // the checkpoint that the run resumes from; empty if it starts afresh
 	servicePriority ServicePriority
-	tenant          string // of its job
+	tenant          string // the job's tenant
 }
 
-// TaskName is the name that runners know the allocation's task by.
+// TaskName returns the name by which runners identify the allocation's task.
 func (a *Allocation) TaskName() string { return TaskName(a.Job, a.Instance, a.Step, a.TaskIndex) }
 
-// addAllocation adds a run's allocation to all tables but those
-// of devices and of its worker's resources, which are claimed before.
+// addAllocation adds an allocation to the tables and indexes. Its devices and its
+// worker's CPU and memory must have been reserved before.
 func (s *Store) addAllocation(job *Job, instance *JobInstance, allocation *Allocation) {
 	task := &instance.Steps[allocation.Step].Tasks[allocation.TaskIndex]
 	lastRun, started := task.LastRun, job.Started
@@ -51,8 +51,8 @@
 	})
 }
 
-// removeAllocation releases all resources of a run. Its task, unless it is done,
-// may be placed again.
+// removeAllocation removes an allocation and releases all its resources. Its task can
+// be placed again unless it is done.
 func (s *Store) removeAllocation(allocation *Allocation) {
 	if worker := s.Workers[allocation.Worker]; worker != nil {
 		worker.UsedMilliCPU -= allocation.MilliCPU
@@ -81,8 +81,8 @@
 	}
 }
 
-// stopRun marks a run as stopping; its agent then stops it. It keeps its resources
-// and its task's lock until its end is known.
+// stopRun marks a run as stopping, upon which its agent stops it. The run keeps its
+// resources and its task's lock until its end is known.
 func (s *Store) stopRun(allocation *Allocation, reason string) {
 	if allocation.Stopping {
 		return
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -2,39 +2,39 @@
 
 // ApplyPlans allocates runs as the scheduler planned them. Plans are made outside the
 // log, on a snapshot of the state, so each placement is checked again against the
-// present rows.
+// current rows.
 type ApplyPlans struct {
 	_     struct{} `cbor:",toarray"`
 	Plans []Plan
 }
 
-// Plan places tasks of one step of a job's instance.
+// Plan is a set of placements for the tasks of one step of a job instance.
 type Plan struct {
 	_            struct{} `cbor:",toarray"`
 	Job          string
 	Instance     int
 	Step         int
-	AllOrNothing bool // of a gang: either all placements are applied or none
+	AllOrNothing bool // for a gang: either all placements are applied or none
 	Placements   []Placement
 }
 
-// Placement places one task, or one copy of it, on one worker.
+// Placement assigns one task, or one copy of it, to one worker.
 type Placement struct {
 	_             struct{} `cbor:",toarray"`
 	TaskIndex     int
 	Copy          int
 	Worker        string
-	WorkerVersion uint64 // the version of the worker's row that it was planned on
+	WorkerVersion uint64 // version of the worker's row when the placement was planned
 }
 
-// Replan makes a new plan for a step of whose plan a placement was refused;
-// false if there is none. The scheduler sets it. It runs within a command, so
-// it must be deterministic.
-var Replan func(s *Store, p Plan) (Plan, bool)
+// Replan makes a new plan for a step after a placement of its plan was refused. It
+// returns false if there is no other plan. The scheduler sets it. It runs within a
+// command, so it must be deterministic.
+var Replan func(s *Store, refused Plan) (Plan, bool)
 
-// Apply applies each plan that still fits. One of which a placement is refused is
-// replanned in the same command, Limits.MaxReplans times at most. The outcome's
-// Value is the number of plans that were not applied completely.
+// Apply applies each plan that still fits. If a placement is refused, the step is
+// replanned in the same command, at most Limits.MaxReplans times. The outcome's Value
+// is the number of plans that were not applied completely.
 func (c *ApplyPlans) Apply(s *Store) Outcome {
 	refused := 0
 	for _, plan := range c.Plans {
@@ -57,8 +57,8 @@
 	return Outcome{Code: CodeOK, Value: int64(refused)}
 }
 
-// applyPlan applies a plan; false if a placement was refused. A plan that is no
-// longer wanted, since its job has ended or gone to a peer, counts as applied.
+// applyPlan applies a plan and returns false if a placement was refused. A plan that is
+// no longer needed, because its job has ended or was offered to a peer, counts as applied.
 func (s *Store) applyPlan(plan Plan) bool {
 	job := s.Jobs[plan.Job]
 	if job == nil || job.Canceled || job.ended() || job.instance(plan.Instance) == nil || plan.Step >= len(job.Steps) {
@@ -88,10 +88,10 @@
 	return all
 }
 
-// applyPlacement allocates one run, under the given number or, if that is 0, the
-// next of its task. It returns false if the placement is refused; the caller's
-// savepoint then undoes what was changed. A placement that is no longer wanted, or
-// that no other worker could take either, is skipped and counts as applied.
+// applyPlacement allocates one run with the given run number, or with the next one of
+// its task if that is 0. It returns false if the placement is refused; the caller's
+// savepoint then undoes the changes. A placement that is no longer needed, or that no
+// other worker could take either, is skipped and counts as applied.
 func (s *Store) applyPlacement(job *Job, instance *JobInstance, step int, placement Placement, run int) bool {
 	spec := &job.Steps[step]
 	if placement.TaskIndex >= len(instance.Steps[step].Tasks) {
@@ -135,7 +135,7 @@
 		GPUs:        gpus,
 		AllocatedAt: s.Clock,
 	}
-	// A run starts from a checkpoint only if its step has checkpoints.
+	// Only runs of steps with checkpoints resume from one.
 	if spec.Checkpoints {
 		allocation.Checkpoint = task.Checkpoint
 	}
@@ -143,8 +143,8 @@
 	return true
 }
 
-// placementStillValid reports whether a placement fits its worker's present row. The
-// row's version changes when the worker drains or its lease expires.
+// placementStillValid reports whether a placement is still allowed by its worker's
+// current row. The row's version changes when the worker drains or its lease expires.
 func (s *Store) placementStillValid(job *Job, instance *JobInstance, step int, worker *Worker, placement Placement) bool {
 	if worker.Version != placement.WorkerVersion || !s.Feasible(job, step, worker) {
 		return false
@@ -153,8 +153,8 @@
 	return limit <= 0 || s.CountStepTasks(job.ID, instance.Number, step, worker.ID) < limit
 }
 
-// Feasible reports whether a worker may run tasks of a step at all, whatever it
-// has free.
+// Feasible reports whether a worker is eligible to run tasks of a step, regardless of
+// its free resources.
 func (s *Store) Feasible(job *Job, step int, worker *Worker) bool {
 	if !worker.Schedulable() || worker.Service != job.Service {
 		return false
@@ -167,13 +167,13 @@
 	return true
 }
 
-// CountStepTasks counts the runs of a step's tasks on a worker.
+// CountStepTasks returns the number of allocations of a step's tasks on a worker.
 func (s *Store) CountStepTasks(job string, instance, step int, worker string) int {
-	n := 0
-	for _, a := range s.allocationsByWorker[worker] {
-		if a.Job == job && a.Step == step && a.Instance == instance {
-			n++
+	count := 0
+	for _, allocation := range s.allocationsByWorker[worker] {
+		if allocation.Job == job && allocation.Step == step && allocation.Instance == instance {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/state/backlog.go
+++ b/internal/state/backlog.go
@@ -7,65 +7,66 @@
 	"tealpond/internal/protocol"
 )
 
-// BacklogKey is by what the backlog is summed up.
+// BacklogKey is the combination of attributes by which the backlog is grouped.
 type BacklogKey struct {
 	Service  string
-	Tenant   string // empty where there are no tenants
+	Tenant   string // empty for jobs without a tenant
 	Priority int
 }
 
-// Backlog is the work of all tasks that aren't done, running ones included, by their
-// estimates, in thousandths of a core times ms. Long-running tasks have no end to wait for
-// and don't count.
+// Backlog returns the estimated work of all unfinished tasks, including running ones, in
+// millicores times ms. Long-running tasks are not counted, since they are not expected to end.
 func (s *Store) Backlog() map[BacklogKey]int64 {
 	backlog := map[BacklogKey]int64{}
 	for _, job := range s.openJobs {
 		key := BacklogKey{job.Service, job.Tenant(), job.Priority}
 		for _, instance := range job.Instances {
 			if !instance.Failed {
-				backlog[key] += job.workLeft(instance)
+				backlog[key] += job.remainingWork(instance)
 			}
 		}
 	}
 	return backlog
 }
 
-// workLeft is the work of an instance's tasks that aren't done.
-func (j *Job) workLeft(instance *JobInstance) int64 {
-	left := int64(0)
+// remainingWork returns the estimated work of an instance's unfinished tasks, in millicores
+// times ms.
+func (j *Job) remainingWork(instance *JobInstance) int64 {
+	remaining := int64(0)
 	for i := range instance.Steps {
-		left += workOfTasks(&j.Steps[i], instance.Steps[i].TasksLeft)
+		remaining += taskWork(&j.Steps[i], instance.Steps[i].TasksLeft)
 	}
-	return left
+	return remaining
 }
 
-// workOfTasks is the work of so many tasks of a step.
-func workOfTasks(spec *protocol.Step, count int) int64 {
+// taskWork returns the estimated work of a number of tasks of a step, in millicores times ms.
+func taskWork(spec *protocol.Step, count int) int64 {
 	if spec.LongRunning {
 		return 0
 	}
 	return int64(count) * spec.CPUUnits * max(spec.EstimateMs, 1)
 }
 
-// WorkOf is the work of a job that is yet to be submitted, as Backlog counts it.
+// WorkOf returns the estimated work of a job that has not been submitted yet, as Backlog
+// counts it.
 func WorkOf(submitted *protocol.Job) int64 {
 	work := int64(0)
 	for i := range submitted.Steps {
-		work += workOfTasks(&submitted.Steps[i], submitted.Steps[i].TaskCount)
+		work += taskWork(&submitted.Steps[i], submitted.Steps[i].TaskCount)
 	}
 	return work
 }
 
-// TargetTurnaroundMs is how long a job that is yet to be submitted may take on a route and
-// still meet the route's target, where so much CPU, in thousandths of a core, is the most
-// that may run of it at once: a wider step runs in waves.
-func TargetTurnaroundMs(route *clusterconfig.Route, submitted *protocol.Job, mostMilliCPU int64) int64 {
+// TargetTurnaroundMs returns the turnaround within which a job that has not been submitted
+// yet meets its route's target, if at most maxConcurrentMilliCPU of it can run at a time. A
+// step that needs more than that runs in waves. A maximum of 0 means no limit.
+func TargetTurnaroundMs(route *clusterconfig.Route, submitted *protocol.Job, maxConcurrentMilliCPU int64) int64 {
 	job := Job{Steps: slices.Clone(submitted.Steps)}
 	for i := range job.Steps {
 		spec := &job.Steps[i]
 		width := int64(spec.TaskCount) * spec.CPUUnits
-		if mostMilliCPU > 0 && width > mostMilliCPU {
-			spec.EstimateMs *= (width + mostMilliCPU - 1) / mostMilliCPU
+		if maxConcurrentMilliCPU > 0 && width > maxConcurrentMilliCPU {
+			spec.EstimateMs *= (width + maxConcurrentMilliCPU - 1) / maxConcurrentMilliCPU
 		}
 	}
 	job.followRoute(route)
--- a/internal/state/cancel_job.go
+++ b/internal/state/cancel_job.go
@@ -1,14 +1,15 @@
 package state
 
-// CancelJob cancels a job.
+// CancelJob cancels a job at a client's request.
 type CancelJob struct {
 	_  struct{} `cbor:",toarray"`
 	ID string
 }
 
-// Apply ends the job and stops its runs; a job that has ended stays as it is.
-// The outcome is CodeAccepted if a peer may run the job: it ends when the peer
-// has said that it stopped. It is CodeGone if there is no such job.
+// Apply ends the job and stops its runs. A job that has already ended is not changed.
+// The outcome is CodeAccepted if a peer may be running the job: the job then ends
+// when the peer reports that it has stopped. The outcome is CodeGone if there is no
+// such job.
 func (c *CancelJob) Apply(s *Store) Outcome {
 	job := s.Jobs[c.ID]
 	if job == nil {
--- a/internal/state/demand.go
+++ b/internal/state/demand.go
@@ -1,11 +1,11 @@
 package state
 
-// demandBuckets is how many buckets of five minutes of a route's record of demand
-// are kept: those of eight days.
+// demandBuckets is the number of five-minute buckets that a route's demand history
+// covers: eight days.
 const demandBuckets = 8 * 24 * 60 / 5
 
-// recordDemand adds work, in cores times ms, to the record of demand that forecasts
-// are based on.
+// recordDemand adds submitted work, in cores times ms, to a bucket of the route's demand
+// history, on which forecasts are based. It removes buckets that are too old.
 func (s *Store) recordDemand(route string, bucket int64, coreMs float64) {
 	if s.Demand == nil {
 		s.Demand = map[string]map[int64]float64{}
--- a/internal/state/end_run.go
+++ b/internal/state/end_run.go
@@ -1,18 +1,18 @@
 package state
 
-// Results of runs, in the words of the runners' protocol. Any other result,
-// such as that of a run that was stopped, means that the task is to run again.
+// Results of runs, as the protocol with runners names them. With any other result,
+// such as that of a stopped run, the task is to run again.
 const (
 	ResultDone    = "done"
-	ResultFailed  = "failed"  // by the task's own fault
+	ResultFailed  = "failed"  // the task itself failed
 	ResultRefused = "refused" // the runner did not start it
-	// ResultLeaseExpired and ResultCrashed are given here to runs of a worker
-	// whose leases expired, or whose runner crashed.
+	// ResultLeaseExpired and ResultCrashed are set by the state itself for runs of a
+	// worker whose leases expired or whose runner crashed.
 	ResultLeaseExpired = "lapsed"
 	ResultCrashed      = "crashed"
 )
 
-// ClosedRun is a run that ended. It is for traces and is not part of the state.
+// ClosedRun is a run that ended, recorded for traces. It is not part of the replicated state.
 type ClosedRun struct {
 	Allocation *Allocation
 	Result     string
@@ -29,8 +29,8 @@
 	}
 }
 
-// endRun ends a run: it saves its checkpoint, releases its resources, and updates
-// its job by the result.
+// endRun ends a run. It saves the checkpoint, releases the run's resources and updates the
+// job according to the result.
 func (s *Store) endRun(allocation *Allocation, result, checkpoint string) {
 	s.saveCheckpoint(allocation, checkpoint)
 	s.removeAllocation(allocation)
@@ -42,17 +42,17 @@
 	instance := job.instance(allocation.Instance)
 	switch result {
 	case ResultDone:
-		s.recordDone(job, instance, allocation)
+		s.recordSuccess(job, instance, allocation)
 	case ResultFailed:
-		s.recordFailed(job, instance, allocation)
+		s.recordFailure(job, instance, allocation)
 	}
 	if job.IsGang(allocation.Step) && result != ResultDone {
 		s.stopGang(instance, allocation, "member "+result)
 	}
 }
 
-// stopGang stops the other members of a gang, which can't continue without the
-// given one.
+// stopGang stops the other members of a gang's run, which cannot continue without the
+// given member.
 func (s *Store) stopGang(instance *JobInstance, member *Allocation, reason string) {
 	for i := range instance.Steps[member.Step].Tasks {
 		for _, id := range instance.Steps[member.Step].Tasks[i].Allocations {
@@ -63,8 +63,8 @@
 	}
 }
 
-// saveCheckpoint keeps the checkpoint of a run for the next run of its task, or
-// of all tasks of its gang: any member's serves for the whole gang.
+// saveCheckpoint stores a run's checkpoint for the next run of its task. In a gang it is
+// stored for all tasks, since a checkpoint of any member is valid for the whole gang.
 func (s *Store) saveCheckpoint(allocation *Allocation, checkpoint string) {
 	job := s.Jobs[allocation.Job]
 	if job == nil || checkpoint == "" {
@@ -80,10 +80,10 @@
 	}
 }
 
-// recordDone completes the task of a run that is done, or all tasks of its gang.
-// The time that it took counts for estimates, converted to that of a run near its
-// data, unless the run resumed from a checkpoint.
-func (s *Store) recordDone(job *Job, instance *JobInstance, allocation *Allocation) {
+// recordSuccess completes the task of a successful run, or all tasks of its gang. Unless
+// the run resumed from a checkpoint, its duration enters the run-time statistics on which
+// estimates are based, scaled to that of a run near its data.
+func (s *Store) recordSuccess(job *Job, instance *JobInstance, allocation *Allocation) {
 	spec := &job.Steps[allocation.Step]
 	if spec.LongRunning || instance.Failed || job.Canceled {
 		return
@@ -106,8 +106,8 @@
 	}
 }
 
-// recordFailed counts the failure of a run, once for all members of a gang.
-func (s *Store) recordFailed(job *Job, instance *JobInstance, allocation *Allocation) {
+// recordFailure counts a failed run; the members of a gang's run count as one failure.
+func (s *Store) recordFailure(job *Job, instance *JobInstance, allocation *Allocation) {
 	stepState := &instance.Steps[allocation.Step]
 	if job.Canceled || stepState.Tasks[allocation.TaskIndex].Done {
 		return
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -8,72 +8,72 @@
 	"tealpond/internal/protocol"
 )
 
-// Job is a job that was accepted. It is kept for a time after its end, see
+// Job is an accepted job. It is retained for some time after its end, see
 // CollectGarbage.
 type Job struct {
 	_                 struct{} `cbor:",toarray"`
 	ID                string
-	Sequence          int64 // in the order of acceptance
+	Sequence          int64 // position in the order of acceptance
 	Route             string
 	Service           string
 	Priority          int     // 0 is the highest
-	MaxAttempts       int     // failed runs of a task, or of a gang, that fail the job
+	MaxAttempts       int     // number of failed runs of a task, or of a gang, at which the job fails
 	Stretch           float64 // see TargetTurnaroundMs
 	TargetMs          int64   // see TargetTurnaroundMs
 	Spec              string
 	Steps             []protocol.Step
-	PeriodicInstances int   // of a periodic job, how many instances it has; else 0
-	FirstRunMs        int64 // on the wall clock
+	PeriodicInstances int   // number of instances of a periodic job; 0 for other jobs
+	FirstRunMs        int64 // due time of the first instance, on the wall clock
 	IntervalMs        int64
 	CreatedAt         int64
-	NextInstance      int // number of the instance that is created next
+	NextInstance      int // number of the next instance to create
 	Instances         []*JobInstance
 	Canceled          bool
 	Failed            bool
-	Started           bool // a run of it was allocated
+	Started           bool // whether any run of it was ever allocated
 	Done              bool
 	EndedAt           int64 // 0 while it is open
 	Transfer          JobTransfer
 	tenant            JobTenant // see Store.JobTenants
 }
 
-// JobInstance is one execution of all steps of a job: a periodic job has one for
-// each time that it falls due, any other has one.
+// JobInstance is one execution of all steps of a job. A periodic job has one for each
+// time that it is due, any other job has exactly one.
 type JobInstance struct {
 	_         struct{} `cbor:",toarray"`
 	Number    int
 	CreatedAt int64
-	StepsLeft int // that aren't done
+	StepsLeft int // number of steps that are not done
 	Failed    bool
 	Steps     []StepState
 }
 
-// StepState is the progress of a step of an instance.
+// StepState is the progress of one step of a job instance.
 type StepState struct {
 	_               struct{} `cbor:",toarray"`
-	Ready           bool     // the steps that it depends on are done
-	ReadyAt         int64    // when that was
-	LastAllocatedAt int64    // when a run of it was last allocated
-	CompletedAt     int64    // when its last task was done
-	TasksLeft       int      // that aren't done
-	GangFailures    int      // failed runs of the gang
-	LastFailedRun   int      // the gang's run that failed last
-	DoneRunsMs      int64    // total duration of its done runs, converted to that near their data
-	DoneRuns        int64    // the number of these runs
+	Ready           bool     // whether all steps that it depends on are done
+	ReadyAt         int64    // when the step became ready
+	LastAllocatedAt int64    // when one of its runs was last allocated
+	CompletedAt     int64    // when its last task completed
+	TasksLeft       int      // number of tasks that are not done
+	GangFailures    int      // number of failed runs of the gang
+	LastFailedRun   int      // number of the gang's most recent failed run
+	DoneRunsMs      int64    // total duration of successful runs, scaled to that of runs near their data
+	DoneRuns        int64    // number of runs in DoneRunsMs
 	Tasks           []Task
 }
 
-// Task is the progress of a task of a step.
+// Task is the progress of one task of a step.
 type Task struct {
 	_           struct{} `cbor:",toarray"`
-	LastRun     int      // the highest number of a run that was allocated
-	Failures    int      // failed runs, of a task that isn't in a gang
+	LastRun     int      // highest run number that was allocated
+	Failures    int      // number of failed runs; a gang counts them in StepState.GangFailures
 	Done        bool
-	Checkpoint  string   // the newest, for the next run
-	Allocations []uint64 // of its runs; replaced as a whole, never written in place
+	Checkpoint  string   // latest checkpoint, from which the next run resumes
+	Allocations []uint64 // IDs of current allocations; the slice is copied on write since snapshots share it
 }
 
-// Statuses of jobs, as clients see them.
+// Job statuses, as shown to clients.
 const (
 	StatusPending  = "pending"
 	StatusRunning  = "serving"
@@ -82,7 +82,7 @@
 	StatusCanceled = "called_off"
 )
 
-// newJob makes a job of a route under the next sequence number.
+// newJob creates a job on a route and gives it the next sequence number.
 func (s *Store) newJob(id string, route *clusterconfig.Route, job protocol.Job) *Job {
 	s.LastJobSequence++
 	j := &Job{ID: id, Sequence: s.LastJobSequence, Route: route.Name, Spec: job.Spec, Steps: job.Steps, CreatedAt: s.Clock}
@@ -90,7 +90,7 @@
 	return j
 }
 
-// followRoute copies a route's settings to a job.
+// followRoute copies the route's scheduling settings to the job.
 func (j *Job) followRoute(route *clusterconfig.Route) {
 	j.Service, j.Priority, j.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
 	j.Stretch, j.TargetMs = route.Stretch, route.TargetMs
@@ -98,7 +98,7 @@
 
 func (j *Job) ended() bool { return j.EndedAt != 0 }
 
-// Status is the job's status as clients see it.
+// Status returns the job's status as shown to clients.
 func (j *Job) Status() string {
 	switch {
 	case j.Canceled:
@@ -113,16 +113,16 @@
 	return StatusPending
 }
 
-// dueAt is when an instance of a periodic job falls due, on the wall clock.
+// dueAt returns the wall-clock time at which an instance of a periodic job is due.
 func (j *Job) dueAt(instance int) int64 { return j.FirstRunMs + int64(instance)*j.IntervalMs }
 
-// hasMoreInstances reports whether a periodic job has instances that aren't
+// hasMoreInstances reports whether a periodic job has instances that are not
 // created yet.
 func (j *Job) hasMoreInstances() bool {
 	return j.PeriodicInstances > 0 && j.NextInstance < j.PeriodicInstances
 }
 
-// instance returns the instance of a number, or nil.
+// instance returns the instance with the given number, or nil if it is not created yet.
 func (j *Job) instance(number int) *JobInstance {
 	if number < len(j.Instances) {
 		return j.Instances[number]
@@ -130,11 +130,11 @@
 	return nil
 }
 
-// IsGang reports whether a step's tasks run together: all at once or none.
+// IsGang reports whether a step is gang scheduled: its tasks run all at once or not at all.
 func (j *Job) IsGang(step int) bool { return j.Steps[step].Gang }
 
-// InFinalRuns reports whether every task that is left of a job has a run: the next
-// change is the job's end, or a run that must be repeated.
+// InFinalRuns reports whether every unfinished task of a job has a run, so that the next
+// change is either the job's end or a run that must be repeated.
 func (j *Job) InFinalRuns() bool {
 	if j.ended() || j.hasMoreInstances() || j.AtPeer() {
 		return false
@@ -144,7 +144,7 @@
 			continue
 		}
 		for i := range instance.Steps {
-			if !instance.Steps[i].inFinalRuns() {
+			if !instance.Steps[i].allTasksRunning() {
 				return false
 			}
 		}
@@ -152,15 +152,15 @@
 	return true
 }
 
-// inFinalRuns reports whether each task of a step is done or runs.
-func (s *StepState) inFinalRuns() bool {
+// allTasksRunning reports whether each task of a step is done or has a run.
+func (s *StepState) allTasksRunning() bool {
 	if s.TasksLeft == 0 {
 		return true
 	}
 	return s.Ready && !slices.ContainsFunc(s.Tasks, func(task Task) bool { return !task.Done && len(task.Allocations) == 0 })
 }
 
-// lastRun is the highest number of a run of any of the step's tasks.
+// lastRun returns the highest run number of any of the step's tasks.
 func (s *StepState) lastRun() int {
 	last := 0
 	for i := range s.Tasks {
@@ -169,7 +169,7 @@
 	return last
 }
 
-// hasRuns reports whether runs of an instance are allocated.
+// hasRuns reports whether any task of the instance has an allocation.
 func (i *JobInstance) hasRuns() bool {
 	for step := range i.Steps {
 		if slices.ContainsFunc(i.Steps[step].Tasks, func(task Task) bool { return len(task.Allocations) > 0 }) {
@@ -179,15 +179,15 @@
 	return false
 }
 
-// removeAllocation drops a run of the task. The list is replaced, since a
-// Snapshot may share it.
+// removeAllocation removes an allocation from the task's list. The slice is copied, not
+// modified in place, since a Snapshot may share it.
 func (t *Task) removeAllocation(id uint64) {
 	if i := slices.Index(t.Allocations, id); i >= 0 {
 		t.Allocations = append(t.Allocations[:i:i], t.Allocations[i+1:]...)
 	}
 }
 
-// coreMs is the work of one instance of the job, in cores times ms.
+// coreMs returns the estimated work of one instance of the job, in cores times ms.
 func (j *Job) coreMs() float64 {
 	sum := 0.0
 	for _, step := range j.Steps {
@@ -196,23 +196,25 @@
 	return sum
 }
 
-// CriticalPathMs is the length of the longest chain of steps that depend on one
-// another, by their estimates.
+// CriticalPathMs returns the length of the critical path: the longest chain of dependent
+// steps, by their estimated durations.
 func (j *Job) CriticalPathMs() int64 { return j.longestPathMs(func(int) bool { return true }) }
 
-// RemainingCriticalPathMs is CriticalPathMs without the steps that are done.
+// RemainingCriticalPathMs returns the length of the critical path of the steps that are not
+// done.
 func (j *Job) RemainingCriticalPathMs(instance *JobInstance) int64 {
 	return j.longestPathMs(func(i int) bool { return instance.Steps[i].TasksLeft > 0 })
 }
 
-// TargetTurnaroundMs is how long an instance may take, from its creation to its
-// end, and still meet its route's target.
+// TargetTurnaroundMs returns the longest time from an instance's creation to its end that
+// meets its route's target.
 func (j *Job) TargetTurnaroundMs() int64 {
 	return int64(j.Stretch*float64(j.CriticalPathMs())) + j.TargetMs
 }
 
-// longestPathMs is the length of the longest chain, in which only some steps
-// count. Steps depend on earlier ones only.
+// longestPathMs returns the length of the longest chain of dependent steps; only the
+// steps for which counts returns true contribute. Steps depend on earlier steps only, so
+// one pass in order is enough.
 func (j *Job) longestPathMs(counts func(step int) bool) int64 {
 	longest := int64(0)
 	ends := make([]int64, len(j.Steps))
@@ -228,11 +230,11 @@
 	return longest
 }
 
-// taskNameParts is the number of parts of a task's name, see TaskName.
+// taskNameParts is the number of dot-separated parts of a task name, see TaskName.
 const taskNameParts = 4
 
-// TaskName is the name that runners know a task by: the job's ID and the numbers
-// of instance, step and task, with dots between.
+// TaskName returns the name by which runners identify a task: the job's ID and the numbers
+// of instance, step and task, separated by dots.
 func TaskName(job string, instance, step, index int) string {
 	return job + "." + strconv.Itoa(instance) + "." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
--- a/internal/state/job_progress.go
+++ b/internal/state/job_progress.go
@@ -1,6 +1,6 @@
 package state
 
-// addInstance creates the next instance of a job.
+// addInstance creates the next instance of a job and marks its first steps as ready.
 func (s *Store) addInstance(job *Job) {
 	instance := &JobInstance{
 		Number:    job.NextInstance,
@@ -13,12 +13,12 @@
 	}
 	job.Instances = append(job.Instances, instance)
 	job.NextInstance++
-	s.readySteps(job, instance)
+	s.markReadySteps(job, instance)
 }
 
-// readySteps makes steps ready whose dependencies are done: their tasks get
-// their locks and may be placed.
-func (s *Store) readySteps(job *Job, instance *JobInstance) {
+// markReadySteps marks the steps as ready whose dependencies are done. It creates the
+// locks of their tasks, which can then be placed.
+func (s *Store) markReadySteps(job *Job, instance *JobInstance) {
 	for i := range instance.Steps {
 		stepState := &instance.Steps[i]
 		if stepState.Ready || !instance.dependenciesDone(job.Steps[i].DependsOn) {
@@ -41,12 +41,12 @@
 	return true
 }
 
-// maxTaskCopies is the most copies of a task that run at a time; only tasks of
-// speculative steps have more than one.
+// maxTaskCopies is the maximum number of copies of a task that run at the same time. Only
+// tasks of speculative steps have more than one.
 const maxTaskCopies = 2
 
-// addTaskLocks adds a task's locks, one for each copy that may run at a time. A run
-// reserves the lock of its copy.
+// addTaskLocks creates a task's locks, one for each copy that may run at the same time. A
+// run reserves the lock of its copy.
 func (s *Store) addTaskLocks(job *Job, instance, step, index int) {
 	copies := 1
 	if job.Steps[step].Speculative {
@@ -58,23 +58,24 @@
 	}
 }
 
-// dropTaskLocks removes the locks of a task that is never to run again.
-func (s *Store) dropTaskLocks(job *Job, instance, step, index int) {
+// removeTaskLocks removes the locks of a task that will not run again.
+func (s *Store) removeTaskLocks(job *Job, instance, step, index int) {
 	for number := range maxTaskCopies {
 		delete(s.Devices, taskLockID(TaskName(job.ID, instance, step, index), number))
 	}
 }
 
-func (s *Store) dropInstanceLocks(job *Job, instance *JobInstance) {
+// removeInstanceLocks removes the locks of all tasks of an instance.
+func (s *Store) removeInstanceLocks(job *Job, instance *JobInstance) {
 	for i := range instance.Steps {
 		for task := range instance.Steps[i].Tasks {
-			s.dropTaskLocks(job, instance.Number, i, task)
+			s.removeTaskLocks(job, instance.Number, i, task)
 		}
 	}
 }
 
-// completeTask notes that a task is done and stops its other copy. With the last
-// task of a step the next steps become ready, or the job ends.
+// completeTask marks a task as done and stops its other copy. When the last task of a
+// step is done, dependent steps become ready, or the job ends if no step is left.
 func (s *Store) completeTask(job *Job, instance *JobInstance, step, index int) {
 	stepState := &instance.Steps[step]
 	task := &stepState.Tasks[index]
@@ -83,7 +84,7 @@
 	}
 	task.Done = true
 	stepState.TasksLeft--
-	s.dropTaskLocks(job, instance.Number, step, index)
+	s.removeTaskLocks(job, instance.Number, step, index)
 	if !job.IsGang(step) {
 		s.stopTaskRuns(task, "other copy done")
 	}
@@ -94,14 +95,15 @@
 	s.unmarkPlaceable(job.ID, instance, step)
 	stepState.CompletedAt = s.Clock
 	if instance.StepsLeft > 0 {
-		s.readySteps(job, instance)
+		s.markReadySteps(job, instance)
 		return
 	}
 	s.endJobIfComplete(job)
 }
 
-// countFailure counts a failed run of a task or of its gang. As many as the
-// route allows fail the instance and its job.
+// countFailure counts a failed run of a task or of its gang. When the count reaches
+// Job.MaxAttempts, the instance and its job fail. Long-running tasks are retried without
+// limit.
 func (s *Store) countFailure(job *Job, instance *JobInstance, step, index int) {
 	if job.Steps[step].LongRunning {
 		return
@@ -120,7 +122,7 @@
 	s.endJobIfComplete(job)
 }
 
-// cancelJob ends a job and stops its runs.
+// cancelJob marks a job as canceled, stops its runs and ends it.
 func (s *Store) cancelJob(job *Job) {
 	job.Canceled = true
 	for _, instance := range job.Instances {
@@ -129,9 +131,10 @@
 	s.endJob(job)
 }
 
-// stopInstance stops all runs of an instance and lets no new one start.
+// stopInstance stops all runs of an instance. It removes the task locks, so that no new run
+// can be allocated.
 func (s *Store) stopInstance(job *Job, instance *JobInstance, reason string) {
-	s.dropInstanceLocks(job, instance)
+	s.removeInstanceLocks(job, instance)
 	for i := range instance.Steps {
 		for task := range instance.Steps[i].Tasks {
 			s.stopTaskRuns(&instance.Steps[i].Tasks[task], reason)
@@ -139,7 +142,7 @@
 	}
 }
 
-// endJobIfComplete ends a job of which no instance is open or still to come.
+// endJobIfComplete ends a job that has no unfinished instance and none left to create.
 func (s *Store) endJobIfComplete(job *Job) {
 	if job.ended() || job.hasMoreInstances() {
 		return
@@ -155,7 +158,8 @@
 	s.endJob(job)
 }
 
-// endJob closes a job. EndedAt is never 0, which would mean that it is open.
+// endJob records a job's end and removes it from the indexes of open jobs. EndedAt is set to
+// at least 1, since 0 means that the job is open.
 func (s *Store) endJob(job *Job) {
 	job.EndedAt = max(s.Clock, 1)
 	s.endedJobs = append(s.endedJobs, job)
--- a/internal/state/job_test.go
+++ b/internal/state/job_test.go
@@ -7,8 +7,8 @@
 	"tealpond/internal/protocol"
 )
 
-// TestCriticalPathFollowsDependencies: the longest chain counts, not the sum, and
-// of a chain only what isn't done.
+// TestCriticalPathFollowsDependencies checks that the critical path is the longest chain of
+// steps and not the sum of all, and that the remaining one leaves out steps that are done.
 func TestCriticalPathFollowsDependencies(t *testing.T) {
 	diamond := []protocol.Step{
 		{EstimateMs: 10},
@@ -39,16 +39,16 @@
 			instance.Steps[i].TasksLeft = 0
 		}
 		if path, remaining := job.CriticalPathMs(), job.RemainingCriticalPathMs(instance); path != c.path || remaining != c.remaining {
-			t.Errorf("%s: %d ms, %d remain; want %d and %d", c.name, path, remaining, c.path, c.remaining)
+			t.Errorf("%s: critical path %d ms, remaining %d ms; want %d and %d", c.name, path, remaining, c.path, c.remaining)
 		}
 		if turnaround := job.TargetTurnaroundMs(); turnaround != 2*c.path+100 {
-			t.Errorf("%s: turnaround %d ms, want %d", c.name, turnaround, 2*c.path+100)
+			t.Errorf("%s: target turnaround %d ms, want %d", c.name, turnaround, 2*c.path+100)
 		}
 	}
 }
 
-// TestInFinalRuns: each task that isn't done must run, and nothing may be still
-// to come.
+// TestInFinalRuns checks that a job is in its final runs only if each unfinished task has a
+// run and no step or instance is still to start.
 func TestInFinalRuns(t *testing.T) {
 	running, waiting, done := Task{Allocations: []uint64{1}}, Task{}, Task{Done: true}
 	step := func(ready bool, left int, tasks ...Task) StepState {
@@ -64,33 +64,33 @@
 		{"one is done, one runs", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 1, done, running)}}}}, true},
 		{"a step is not ready", Job{Instances: []*JobInstance{{Steps: []StepState{step(true, 1, running), step(false, 1, waiting)}}}}, false},
 		{"a failed instance does not count", Job{Instances: []*JobInstance{{Failed: true, Steps: []StepState{step(false, 1, waiting)}}}}, true},
-		{"an instance is to come", Job{PeriodicInstances: 2, NextInstance: 1, Instances: []*JobInstance{{Steps: []StepState{step(true, 1, running)}}}}, false},
-		{"a peer may have it", Job{Transfer: JobTransfer{State: TransferOffered}}, false},
-		{"it has ended", Job{EndedAt: 1}, false},
+		{"an instance is still to be created", Job{PeriodicInstances: 2, NextInstance: 1, Instances: []*JobInstance{{Steps: []StepState{step(true, 1, running)}}}}, false},
+		{"a peer may have the job", Job{Transfer: JobTransfer{State: TransferOffered}}, false},
+		{"the job has ended", Job{EndedAt: 1}, false},
 	} {
 		if got := c.job.InFinalRuns(); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: in final runs %v, want the opposite", c.name, got)
 		}
 	}
 }
 
-// TestPendingJobsCountsWhatHasNotBegun: of a route's accepted jobs those of which no task
-// has begun, ended and canceled ones left out, those of other routes too.
-func TestPendingJobsCountsWhatHasNotBegun(t *testing.T) {
+// TestPendingJobsCountsUnstartedJobs checks that a route's pending jobs are those of which no
+// run was allocated, without canceled jobs and jobs of other routes.
+func TestPendingJobsCountsUnstartedJobs(t *testing.T) {
 	f := newFixture(t)
 	for i := range 5 {
 		f.submit(fmt.Sprint("j", i), protocol.Step{TaskCount: 1, CPUUnits: 100, MemoryMB: 1})
 	}
 	if n := f.store.PendingJobs("a"); n != 5 {
-		t.Fatalf("%d of 5 wait", n)
+		t.Fatalf("%d jobs are pending, want 5", n)
 	}
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	f.applyPlan("j0", 0, false, Placement{Worker: "w", WorkerVersion: worker.Version})
 	f.apply(&CancelJob{ID: "j1"})
 	if n := f.store.PendingJobs("a"); n != 3 {
-		t.Errorf("%d wait, want 3: one began and one was canceled", n)
+		t.Errorf("%d jobs are pending after one started and one was canceled, want 3", n)
 	}
 	if n := f.store.PendingJobs("another"); n != 0 {
-		t.Errorf("%d wait on another route", n)
+		t.Errorf("%d jobs are pending on another route, want 0", n)
 	}
 }
--- a/internal/state/report_completions.go
+++ b/internal/state/report_completions.go
@@ -8,47 +8,47 @@
 	"tealpond/internal/protocol"
 )
 
-// startRefusalExclusion is how long a worker that refused a start gets no new work.
+// startRefusalExclusion is the time for which a worker gets no new work after its runner
+// refused to start a run.
 const startRefusalExclusion = 300 * time.Millisecond
 
-// ReportCompletions commits what a worker's agent read from the runner: runs
-// that ended, and checkpoints of runs that go on.
+// ReportCompletions commits what a worker's agent read from the runner: completions of
+// runs, and checkpoints of runs that continue.
 //
-// A runner numbers its completions from 1. They are accepted as a contiguous
-// prefix: one beyond a gap changes nothing and is reported again later. The
-// outcome's Value is the last one of that prefix (Worker.LastCompletion): the agent
-// may acknowledge completions to the runner, which then forgets them, up to there
-// and no further.
+// A runner numbers its completions from 1. They are accepted as a contiguous prefix: a
+// completion after a gap is ignored and must be reported again later. The outcome's Value
+// is the number of the last accepted completion (Worker.LastCompletion). The agent may
+// acknowledge completions to the runner, which then deletes them, only up to this number.
 //
-// A completion of number 0 was made by the agent itself, for a run that the
-// runner will never list. It is outside the numbering.
+// A completion with sequence number 0 was created by the agent itself, for a run that the
+// runner will never list. It is not part of the sequence.
 type ReportCompletions struct {
 	_           struct{} `cbor:",toarray"`
 	Worker      string
 	Fence       int64
-	Completions []protocol.Completion // as listed, one right after the other
+	Completions []protocol.Completion // contiguous, as the runner listed them
 	Checkpoints []protocol.RunProgress
-	// FromOldest tells that Completions begins with the oldest one that the
-	// runner still has: it has forgotten those with lower numbers permanently.
+	// FromOldest says that Completions begins with the oldest completion that the runner
+	// still has: it has permanently deleted those with lower numbers.
 	FromOldest bool
 }
 
-// Faults that an accepted report can show. The outcome's Text begins with one
-// of them and goes on with the completions that it is about, or is empty. Agents
-// log them: each is a sign of an error in a daemon or a runner.
+// Faults that an accepted report can reveal. The outcome's Text is empty, or begins with
+// one of them and continues with the completions concerned. Agents log them, since each
+// indicates a bug in a daemon or a runner.
 const (
-	// CompletionsLost says that the runner has forgotten completions that were
-	// never committed: they were acknowledged too early.
+	// CompletionsLost means that the runner has deleted completions that were never
+	// committed: they were acknowledged too early.
 	CompletionsLost = "ends lost"
-	// CompletionOfOpenRun says that a run was still allocated though its
-	// completion had been committed.
+	// CompletionOfOpenRun means that a run was still allocated although its completion
+	// had been committed.
 	CompletionOfOpenRun = "acknowledged end of an open run"
-	// CompletionOfUnknownRun says that no such run was ever allocated.
+	// CompletionOfUnknownRun means that no such run was ever allocated.
 	CompletionOfUnknownRun = "end of an unknown run"
 )
 
-// Apply ends the runs that completed. The outcome is CodeGone for a worker that
-// is unknown or dead and CodeConflict for another fence than the worker's.
+// Apply ends the completed runs and saves the checkpoints. The outcome is CodeGone if the
+// worker is unknown or dead, and CodeConflict if the fence is not the worker's current one.
 func (c *ReportCompletions) Apply(s *Store) Outcome {
 	worker := s.Workers[c.Worker]
 	if worker == nil || worker.Dead {
@@ -74,7 +74,8 @@
 	return Outcome{Code: CodeOK, Value: worker.LastCompletion, Text: fault}
 }
 
-// applyCompletion ends one run. It returns the fault that this shows, if any.
+// applyCompletion ends one run. It returns the fault that the completion reveals, or an empty
+// string.
 func (s *Store) applyCompletion(worker *Worker, completion protocol.Completion) string {
 	fault := ""
 	committed := completion.Sequence > 0 && completion.Sequence <= worker.LastCompletion
@@ -99,13 +100,14 @@
 	return fault
 }
 
+// runName returns the task name and run number of a completion, for fault texts.
 func runName(completion protocol.Completion) string {
 	return completion.Task + "/" + strconv.Itoa(completion.Run)
 }
 
-// findAllocation finds the allocation of a run on a worker, or nil. Both copies
-// of a gang's task have the same run number. Of several allocations the oldest is
-// chosen, since all replicas must choose the same one.
+// findAllocation returns the allocation of a run on a worker, or nil. Both copies of a
+// gang's task have the same run number, so that several allocations may match. The oldest
+// is returned, since all replicas must choose the same one.
 func (s *Store) findAllocation(worker, task string, run int) *Allocation {
 	parts := strings.Split(task, ".")
 	if len(parts) != taskNameParts {
@@ -124,14 +126,15 @@
 	return oldest
 }
 
-// runWasAllocated reports whether a run of a task was ever allocated: run numbers
-// rise with each allocation. Nothing is known of a job that garbage collection removed.
+// runWasAllocated reports whether a run of a task was ever allocated. Run numbers increase
+// with each allocation, so the task's last one decides. It returns false for jobs that
+// garbage collection removed.
 func (s *Store) runWasAllocated(task string, run int) bool {
 	parts := strings.Split(task, ".")
 	if len(parts) != taskNameParts || s.Jobs[parts[0]] == nil {
 		return false
 	}
-	var numbers [3]int // of the instance, the step and the task
+	var numbers [3]int // instance, step and task
 	for i := range numbers {
 		number, err := strconv.Atoi(parts[i+1])
 		if err != nil || number < 0 {
--- a/internal/state/report_completions_test.go
+++ b/internal/state/report_completions_test.go
@@ -15,12 +15,12 @@
 	worker := f.addWorker("a", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	step.TaskCount = n
 	f.submit("j", step)
-	var items []Placement
+	var placements []Placement
 	for i := range n {
-		items = append(items, placementOn(worker, i))
+		placements = append(placements, placementOn(worker, i))
 	}
-	if f.applyPlan("j", 0, step.Gang, items...) != 0 || len(f.store.Allocations) != n {
-		t.Fatalf("%d of %d were booked", len(f.store.Allocations), n)
+	if f.applyPlan("j", 0, step.Gang, placements...) != 0 || len(f.store.Allocations) != n {
+		t.Fatalf("%d of %d runs were allocated", len(f.store.Allocations), n)
 	}
 	return f, worker
 }
@@ -29,9 +29,9 @@
 	return protocol.Completion{Sequence: sequence, Task: fmt.Sprintf("j.0.0.%d", index), Run: run, Result: "done"}
 }
 
-// TestCompletionsAreAcceptedAsAPrefix: of two reports under way the first was
-// lost. The second raised LastCompletion above both, the runner forgot both, and
-// the run of the first was allocated permanently.
+// TestCompletionsAreAcceptedAsAPrefix guards against completions that are lost for good: of
+// two reports in flight the first was lost, the second raised LastCompletion above both, the
+// runner deleted both, and the run of the first stayed allocated permanently.
 func TestCompletionsAreAcceptedAsAPrefix(t *testing.T) {
 	f, a := newRunningFixture(t, 4, protocol.Step{})
 	for i, c := range []struct {
@@ -42,16 +42,16 @@
 		fault       string
 	}{
 		{[]protocol.Completion{doneCompletion(2, 1, 1)}, false, 0, 4, ""},                                     // beyond a gap
-		{[]protocol.Completion{doneCompletion(2, 1, 1), doneCompletion(1, 0, 1)}, false, 0, 4, ""},            // not in order
+		{[]protocol.Completion{doneCompletion(2, 1, 1), doneCompletion(1, 0, 1)}, false, 0, 4, ""},            // out of order
 		{[]protocol.Completion{doneCompletion(1, 0, 1), doneCompletion(3, 2, 1)}, false, 1, 3, ""},            // a gap inside
-		{[]protocol.Completion{doneCompletion(1, 0, 1), doneCompletion(2, 1, 1)}, true, 2, 2, ""},             // the first again
-		{[]protocol.Completion{doneCompletion(1, 0, 1)}, false, 2, 2, ""},                                     // late and doubled
-		{[]protocol.Completion{doneCompletion(5, 3, 1)}, true, 5, 1, CompletionsLost + ": 3 to 4"},            // the runner has no more
-		{[]protocol.Completion{doneCompletion(6, 0, 1)}, false, 6, 1, ""},                                     // known to be over
-		{[]protocol.Completion{doneCompletion(7, 0, 2)}, false, 7, 1, CompletionOfUnknownRun + ": j.0.0.0/2"}, // never booked
-		{[]protocol.Completion{doneCompletion(3, 2, 1)}, false, 7, 0, CompletionOfOpenRun + ": j.0.0.2/1"},    // acknowledged, yet open
-		{[]protocol.Completion{{Task: "j.0.0.0", Run: 1, Result: "stopped"}}, false, 7, 0, ""},                // outside the numbering
-		{[]protocol.Completion{{Sequence: 9, Task: "none.0.0.0", Run: 1, Result: "done"}}, false, 7, 0, ""},   // a gap again
+		{[]protocol.Completion{doneCompletion(1, 0, 1), doneCompletion(2, 1, 1)}, true, 2, 2, ""},             // the first one repeated
+		{[]protocol.Completion{doneCompletion(1, 0, 1)}, false, 2, 2, ""},                                     // late duplicate
+		{[]protocol.Completion{doneCompletion(5, 3, 1)}, true, 5, 1, CompletionsLost + ": 3 to 4"},            // the runner has deleted 3 and 4
+		{[]protocol.Completion{doneCompletion(6, 0, 1)}, false, 6, 1, ""},                                     // run has already ended
+		{[]protocol.Completion{doneCompletion(7, 0, 2)}, false, 7, 1, CompletionOfUnknownRun + ": j.0.0.0/2"}, // run was never allocated
+		{[]protocol.Completion{doneCompletion(3, 2, 1)}, false, 7, 0, CompletionOfOpenRun + ": j.0.0.2/1"},    // acknowledged, but the run is open
+		{[]protocol.Completion{{Task: "j.0.0.0", Run: 1, Result: "stopped"}}, false, 7, 0, ""},                // not part of the sequence
+		{[]protocol.Completion{{Sequence: 9, Task: "none.0.0.0", Run: 1, Result: "done"}}, false, 7, 0, ""},   // another gap
 	} {
 		o := f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: c.completions, FromOldest: c.fromOldest})
 		if o.Code != CodeOK || o.Value != c.last || a.LastCompletion != c.last || len(f.store.Allocations) != c.open || o.Text != c.fault {
@@ -60,19 +60,20 @@
 		}
 	}
 	if status := f.status(); status != "done" {
-		t.Errorf("the job is %s", status)
+		t.Errorf("job status %s, want done", status)
 	}
 }
 
-// TestLateCompletionsOfClosedRuns: what comes late for a run that was closed
-// otherwise changes nothing but the number of the last completion.
+// TestLateCompletionsOfClosedRuns checks that a late completion of a run that was ended in
+// another way changes only the number of the last completion.
 func TestLateCompletionsOfClosedRuns(t *testing.T) {
 	t.Run("lease expired", func(t *testing.T) {
 		f, a := newRunningFixture(t, 1, protocol.Step{})
 		f.apply(&ExpireLeases{Workers: []FencedWorker{{ID: "a", Fence: f.store.Workers["a"].Fence}}})
 		o := f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{doneCompletion(1, 0, 1)}})
 		if status := f.status(); o.Value != 1 || o.Text != "" || status == "done" {
-			t.Errorf("a run whose lease expired counts: last %d, %q, job %s", o.Value, o.Text, status)
+			t.Errorf("after late completion of an expired run: last %d, fault %q, job %s; want 1, no fault, job not done",
+				o.Value, o.Text, status)
 		}
 	})
 	t.Run("canceled", func(t *testing.T) {
@@ -80,7 +81,7 @@
 		f.apply(&CancelJob{ID: "j"})
 		f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{doneCompletion(1, 0, 1)}})
 		if status := f.status(); status != "called_off" || len(f.store.Allocations) != 0 || a.UsedMilliCPU != 0 {
-			t.Errorf("job %s, open %d", status, len(f.store.Allocations))
+			t.Errorf("job %s, %d runs open; want called_off and 0", status, len(f.store.Allocations))
 		}
 	})
 	t.Run("gang", func(t *testing.T) {
@@ -88,34 +89,34 @@
 		f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{
 			{Task: "j.0.0.1", Run: 1, Result: "lapsed"}, doneCompletion(1, 0, 1), {Sequence: 2, Task: "j.0.0.2", Run: 1, Result: "broken"}}})
 		if status := f.status(); status != "done" || len(f.store.Allocations) != 0 {
-			t.Errorf("one done run counts for all: job %s, open %d", status, len(f.store.Allocations))
+			t.Errorf("after one member of the gang is done: job %s, %d runs open; want done and 0",
+				status, len(f.store.Allocations))
 		}
 		for _, r := range f.store.TakeClosedRuns() {
 			if !slices.Contains([]string{"lapsed", "done", "broken"}, r.Result) {
-				t.Errorf("closed as %s", r.Result)
+				t.Errorf("run closed with unexpected result %s", r.Result)
 			}
 		}
 	})
 	t.Run("older fence", func(t *testing.T) {
 		f, a := newRunningFixture(t, 1, protocol.Step{})
-		old := a.Fence
+		olderFence := a.Fence
 		f.apply(&RegisterWorker{ID: "a", Node: "n-a", Service: "s", LeavesInMs: -1})
-		o := f.apply(&ReportCompletions{Worker: "a", Fence: old, Completions: []protocol.Completion{{Task: "j.0.0.0", Run: 1, Result: "refused"}}})
+		o := f.apply(&ReportCompletions{Worker: "a", Fence: olderFence, Completions: []protocol.Completion{{Task: "j.0.0.0", Run: 1, Result: "refused"}}})
 		if o.Code != CodeConflict || len(f.store.Allocations) != 1 {
-			t.Errorf("a refusal under an older fence: %d, open %d", o.Code, len(f.store.Allocations))
+			t.Errorf("report with an older fence: code %d, %d runs open; want CodeConflict and 1", o.Code, len(f.store.Allocations))
 		}
 	})
 }
 
-// TestLeaseExpiryUnderAnOlderFenceFreesNothing: a worker was silent for long, and
-// was registered again and given work before the command was applied that ends
-// its runs.
-func TestLeaseExpiryUnderAnOlderFenceFreesNothing(t *testing.T) {
+// TestLeaseExpiryWithOlderFenceEndsNoRuns covers a worker that was silent for a long time but
+// was registered again and got work before the command that expires its lease was applied.
+func TestLeaseExpiryWithOlderFenceEndsNoRuns(t *testing.T) {
 	f, a := newRunningFixture(t, 2, protocol.Step{})
-	decided := FencedWorker{ID: "a", Fence: a.Fence}
+	expired := FencedWorker{ID: "a", Fence: a.Fence}
 	f.apply(&RegisterWorker{ID: "a", Node: "n-a", Service: "s", LeavesInMs: -1})
-	f.apply(&ExpireLeases{Workers: []FencedWorker{decided}})
+	f.apply(&ExpireLeases{Workers: []FencedWorker{expired}})
 	if a.LeaseExpired || len(f.store.Allocations) != 2 {
-		t.Errorf("lease expired %v, %d of 2 runs are still booked", a.LeaseExpired, len(f.store.Allocations))
+		t.Errorf("lease expired %v, %d of 2 runs are still allocated", a.LeaseExpired, len(f.store.Allocations))
 	}
 }
--- a/internal/state/savepoint.go
+++ b/internal/state/savepoint.go
@@ -1,8 +1,8 @@
 package state
 
-// savepoint makes a change and undoes it if change returns false. Savepoints may
-// be nested. Undone is what was recorded by recordUndo: rows, reservations and the
-// index, but not IDs that were used.
+// savepoint calls change and rolls its changes back if it returns false. Savepoints may be
+// nested. Only changes that were recorded with recordUndo are rolled back: rows,
+// reservations and the scheduling index, but not the allocation of IDs.
 func (s *Store) savepoint(change func() bool) bool {
 	outer := s.undoLog
 	var inner []func()
@@ -19,7 +19,7 @@
 	return ok
 }
 
-// recordUndo records how to undo a change, while a savepoint is open.
+// recordUndo records how to undo a change, if a savepoint is open.
 func (s *Store) recordUndo(undo func()) {
 	if s.undoLog != nil {
 		*s.undoLog = append(*s.undoLog, undo)
--- a/internal/state/savepoint_test.go
+++ b/internal/state/savepoint_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSavepointsTakeBackInReverse: a savepoint that fails takes back its own
-// changes and those of savepoints within it, the last first, and no others.
-func TestSavepointsTakeBackInReverse(t *testing.T) {
+// TestSavepointsRollBackInReverse checks that a failed savepoint undoes its own changes and
+// those of nested savepoints, in reverse order, and no others.
+func TestSavepointsRollBackInReverse(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		inner, outer bool // whether they succeed
@@ -21,7 +21,7 @@
 		s := New(Limits{})
 		var undone []string
 		change := func(name string) { s.recordUndo(func() { undone = append(undone, name) }) }
-		change("outside of any")
+		change("outside any savepoint")
 		outer := s.savepoint(func() bool {
 			change("a")
 			inner := s.savepoint(func() bool {
@@ -35,7 +35,7 @@
 			return c.outer
 		})
 		if outer != c.outer || !slices.Equal(undone, c.want) {
-			t.Errorf("%s: returned %v and took back %v, want %v", c.name, outer, undone, c.want)
+			t.Errorf("%s: returned %v and undid %v, want %v undone", c.name, outer, undone, c.want)
 		}
 		if s.undoLog != nil {
 			t.Errorf("%s: a savepoint is still open", c.name)
--- a/internal/state/submit_job.go
+++ b/internal/state/submit_job.go
@@ -9,20 +9,19 @@
 	Path string
 	ID   string
 	Job  protocol.Job
-	// DemandBucket is the bucket of the wall clock that the job's work counts
-	// for in the record of demand; 0 if no record is kept.
+	// DemandBucket is the wall-clock bucket of the demand history to which the job's work is
+	// added; 0 if it is not recorded.
 	DemandBucket int64
 }
 
-// Apply accepts the job unless its ID is known: the job that came first stands,
-// and the outcome is CodeOK too. The route is looked up here and not by the
-// daemon that took the request, since the configuration that is in force at this
-// entry decides. The outcome is CodeUnavailable before the first configuration,
-// CodeNotFound if no route leads there, and CodeConflict if callers need a key by the
-// configuration that is in force at this entry.
+// Apply accepts the job unless its ID is already known: the first job is then kept, and the
+// outcome is also CodeOK. The route is looked up here and not by the daemon that received
+// the request, since the configuration that is in force at this entry decides. The outcome
+// is CodeUnavailable before the first configuration, CodeNotFound if no route matches, and
+// CodeConflict if the configuration that is in force at this entry requires a key.
 func (c *SubmitJob) Apply(s *Store) Outcome { return c.accept(s, JobTenant{}) }
 
-// accept accepts the job for a tenant; an empty one means a caller without a key.
+// accept accepts the job for a tenant. The zero JobTenant stands for a caller without a key.
 func (c *SubmitJob) accept(s *Store, tenant JobTenant) Outcome {
 	if s.Jobs[c.ID] != nil {
 		return Outcome{Code: CodeOK, Text: "known"}
@@ -35,7 +34,7 @@
 		return Outcome{Code: CodeNotFound, Text: "no such queue"}
 	}
 	if tenant.Tenant == "" && !route.Public && len(s.Configuration.Tenants()) > 0 {
-		return Outcome{Code: CodeConflict, Text: textOtherConfiguration}
+		return Outcome{Code: CodeConflict, Text: textConfigurationChanged}
 	}
 	job := s.newJob(c.ID, route, c.Job)
 	s.setTenant(job, tenant)
--- a/internal/state/submit_job_test.go
+++ b/internal/state/submit_job_test.go
@@ -11,11 +11,11 @@
 	f.submit("j", protocol.Step{TaskCount: 1})
 	f.submit("j", protocol.Step{TaskCount: 7})
 	if n := f.store.Jobs["j"].Steps[0].TaskCount; n != 1 {
-		t.Fatalf("the second body stands: %d tasks", n)
+		t.Fatalf("job has %d tasks after a second submission, want 1 as first submitted", n)
 	}
 }
 
-func TestPeriodicJobFallsDue(t *testing.T) {
+func TestPeriodicJobCreatesInstancesWhenDue(t *testing.T) {
 	f := newFixture(t)
 	job := protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}, PeriodicInstances: 3, FirstRunMs: 1000, IntervalMs: 500}
 	f.apply(&SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: job})
--- a/internal/state/submit_tenant_job_test.go
+++ b/internal/state/submit_tenant_job_test.go
@@ -6,34 +6,35 @@
 	"tealpond/internal/protocol"
 )
 
-// TestTenantJobNeedsTheConfigurationItWasAdmittedBy: a key that was taken away between
-// the leader's check and the command doesn't bring a job in.
-func TestTenantJobNeedsTheConfigurationItWasAdmittedBy(t *testing.T) {
+// TestTenantJobIsRefusedAfterConfigurationChange checks that a job is refused if the
+// configuration changed between the leader's check of the key and the command, since the
+// key may have been revoked.
+func TestTenantJobIsRefusedAfterConfigurationChange(t *testing.T) {
 	f := newTenantFixture(t, Quota{})
 	step := protocol.Step{TaskCount: 1}
-	admittedBy := f.version
+	checkedVersion := f.version
 	f.configure(Quota{})
-	late := &SubmitTenantJob{Tenant: "t", ConfigVersion: admittedBy, Submit: SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{step}}}}
+	late := &SubmitTenantJob{Tenant: "t", ConfigVersion: checkedVersion, Submit: SubmitJob{Host: "h", Path: "/p/j", ID: "j", Job: protocol.Job{Steps: []protocol.Step{step}}}}
 	if outcome := f.apply(late); outcome.Code != CodeConflict || f.store.Jobs["j"] != nil {
 		t.Errorf("outcome %v, want a conflict and no job", outcome)
 	}
 	if outcome := f.submitAs("t", "j", step); outcome.Code != CodeOK {
-		t.Errorf("outcome %v under the present configuration", outcome)
+		t.Errorf("outcome %v under the current configuration, want CodeOK", outcome)
 	}
 	if outcome := f.submitAs("t", "j", step); outcome.Code != CodeOK {
-		t.Errorf("outcome %v when sent again", outcome)
+		t.Errorf("outcome %v of the repeated submission, want CodeOK", outcome)
 	}
 	if outcome := f.submitAs("u", "j", step); outcome.Code != CodeForbidden {
-		t.Errorf("outcome %v for another tenant's job", outcome)
+		t.Errorf("outcome %v for another tenant's job, want CodeForbidden", outcome)
 	}
 	if job := f.restored().store.Jobs["j"]; job.Tenant() != "t" {
-		t.Errorf("after a snapshot it is the job of %q", job.Tenant())
+		t.Errorf("after restoring a snapshot the job belongs to tenant %q, want \"t\"", job.Tenant())
 	}
 }
 
-// TestSubmissionWithoutTenantNeedsPublicRoute: where tenants are configured, only a
-// public route takes a job of nobody known. Each case has a store of its own, since a
-// repeated submission of a known ID gets its first answer on any route.
+// TestSubmissionWithoutTenantNeedsPublicRoute checks that only public routes accept jobs
+// without a tenant if tenants are configured. Each case has its own store, since a repeated
+// submission of a known ID gets the answer of the first one on any route.
 func TestSubmissionWithoutTenantNeedsPublicRoute(t *testing.T) {
 	for _, c := range []struct {
 		path     string
@@ -56,9 +57,10 @@
 	}
 }
 
-// TestRepeatedSubmissionOnAClosedRoute: a job that a public route took is known; the
-// same ID on a route that needs a tenant gets the first answer and adds nothing.
-func TestRepeatedSubmissionOnAClosedRoute(t *testing.T) {
+// TestRepeatedSubmissionOnNonPublicRoute checks that a job that was accepted on a public route
+// is known on all routes: the same ID on a route that needs a tenant gets the first answer
+// and adds no job.
+func TestRepeatedSubmissionOnNonPublicRoute(t *testing.T) {
 	f := newTenantFixture(t, Quota{})
 	job := protocol.Job{Steps: []protocol.Step{{TaskCount: 1}}}
 	for _, path := range []string{"/open/j", "/p/j"} {
@@ -71,11 +73,11 @@
 	}
 }
 
-// TestAuthenticate: a key names its tenant; without one only public routes, and
-// clusters without tenants, are open.
+// TestAuthenticate checks that a key identifies its tenant, and that callers without a known
+// key are admitted only on public routes or if no tenants are configured.
 func TestAuthenticate(t *testing.T) {
 	f := newTenantFixture(t, Quota{})
-	closed, open := &f.store.Configuration.Routes[0], &f.store.Configuration.Routes[1]
+	closedRoute, publicRoute := &f.store.Configuration.Routes[0], &f.store.Configuration.Routes[1]
 	for _, c := range []struct {
 		name, key, tenant string
 		public, admitted  bool
@@ -88,15 +90,15 @@
 		{"public, unknown key", "key-x", "", true, true},
 		{"public, key", "key-t", "t", true, true},
 	} {
-		route := closed
+		route := closedRoute
 		if c.public {
-			route = open
+			route = publicRoute
 		}
 		if tenant, ok := f.store.Authenticate(route, c.key); tenant != c.tenant || ok != c.admitted {
 			t.Errorf("%s: %q %v, want %q %v", c.name, tenant, ok, c.tenant, c.admitted)
 		}
 	}
-	if tenant, ok := newFixture(t).store.Authenticate(closed, "anything"); tenant != "" || !ok {
-		t.Errorf("without tenants: %q %v, want nobody, admitted", tenant, ok)
+	if tenant, ok := newFixture(t).store.Authenticate(closedRoute, "anything"); tenant != "" || !ok {
+		t.Errorf("without tenants: %q %v, want no tenant, admitted", tenant, ok)
 	}
 }
