--- a/internal/state/collect_garbage.go
+++ b/internal/state/collect_garbage.go
@@ -1,31 +1,31 @@
 package state
 
-// CollectGarbage removes jobs that ended long ago, crash counts of nodes that have had none for
-// long, and locks and puts that no caller can ask for any more. Since each entry advances the
-// clocks, it also makes periodic jobs fall due while nothing else happens.
+// CollectGarbage removes jobs that ended longer ago than the retention, outdated crash counts of
+// nodes, and records of locks and puts for which no caller can ask any more. Since each entry
+// advances the clocks, it also makes periodic jobs due when no other command is proposed.
 type CollectGarbage struct {
 	_            struct{} `cbor:",toarray"`
-	RebuildUsage bool     // rebuild the rollups too
+	RebuildUsage bool     // also recompute Store.ServiceUsages
 }
 
-// Apply removes jobs that ended Limits.JobRetentionMs ago, if that isn't 0. A job
-// that still has runs, or that a peer hasn't settled, is kept.
+// Apply removes jobs that ended at least Limits.JobRetentionMs ago, unless that is 0. A
+// job is kept while it has runs or while a transfer to or from a peer is not resolved.
 func (c *CollectGarbage) Apply(s *Store) Outcome {
 	for id, job := range s.Jobs {
 		if !job.ended() || job.keptForPeer() || s.Limits.JobRetentionMs <= 0 ||
 			s.Clock-job.EndedAt < s.Limits.JobRetentionMs {
 			continue
 		}
-		busy := false
+		inUse := false
 		for _, instance := range job.Instances {
-			busy = busy || instance.hasRuns()
+			inUse = inUse || instance.hasRuns()
 		}
-		if !busy {
+		if !inUse {
 			delete(s.Jobs, id)
 			delete(s.JobTenants, id)
 		}
 	}
-	s.forgetOldCrashes()
+	s.pruneCrashBackoffs()
 	if s.Coordination != nil {
 		s.Coordination.Forget(s.Clock)
 	}
--- a/internal/state/collect_garbage_test.go
+++ b/internal/state/collect_garbage_test.go
@@ -6,8 +6,8 @@
 	"tealpond/internal/protocol"
 )
 
-// TestGarbageIsCollectedAfterRetention: a job that ended is removed after the
-// retention, unless something still needs it.
+// TestGarbageIsCollectedAfterRetention checks that a job is removed when the retention after
+// its end is over, unless it still has runs or a peer still needs it.
 func TestGarbageIsCollectedAfterRetention(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -22,15 +22,15 @@
 			f.apply(&CancelJob{ID: "j"})
 			f.apply(&SetLimits{})
 		}, 5000, true},
-		{"a run is not over", func(f *fixture, _ *Job) {
+		{"has a run", func(f *fixture, _ *Job) {
 			f.applyPlan("j", 0, false, placementOn(f.store.Workers["a"], 0))
 			f.apply(&CancelJob{ID: "j"})
 		}, 5000, true},
-		{"the peer has not settled", func(f *fixture, job *Job) {
+		{"transfer is not complete", func(f *fixture, job *Job) {
 			f.apply(&CancelJob{ID: "j"})
 			job.Transfer.State = TransferAccepted
 		}, 5000, true},
-		{"the peer has released it", func(f *fixture, job *Job) {
+		{"transfer is released", func(f *fixture, job *Job) {
 			f.apply(&CancelJob{ID: "j"})
 			job.Transfer.State = TransferReleased
 		}, 5000, false},
@@ -43,7 +43,7 @@
 			f.now += c.afterMs
 			f.apply(&CollectGarbage{})
 			if kept := f.store.Jobs["j"] != nil; kept != c.kept {
-				t.Errorf("kept: %v", kept)
+				t.Errorf("job kept: %v, want the opposite", kept)
 			}
 		})
 	}
--- a/internal/state/crash_backoff.go
+++ b/internal/state/crash_backoff.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// crashBackoff is how long a runner that was lost a second time gets no work; it doubles at each
-	// further loss, up to maxCrashBackoff.
+	// crashBackoff is the time for which a node's runner gets no work after its second crash. It
+	// doubles with each further crash, up to maxCrashBackoff.
 	crashBackoff = 500 * time.Millisecond
-	// maxCrashBackoff is the longest crashBackoff; a job that waits for 3 s beside free room counts as
-	// lost.
+	// maxCrashBackoff is the longest backoff. It must end before a job that waits although capacity
+	// is free counts as lost, which is after 3 s.
 	maxCrashBackoff = 2500 * time.Millisecond
-	// crashCountHalfLife is the time in which half of a loss is forgotten.
+	// crashCountHalfLife is the half-life of the decaying crash count.
 	crashCountHalfLife = 8 * time.Second
 )
 
-// CrashBackoff counts the recent crashes of a node's runner.
+// CrashBackoff is the decaying count of recent crashes of a node's runner.
 type CrashBackoff struct {
 	_         struct{} `cbor:",toarray"`
-	Crashes   float64  // at UpdatedAt; halves with each crashCountHalfLife
+	Crashes   float64  // at UpdatedAt; halves every crashCountHalfLife
 	UpdatedAt int64
 }
 
-// minBackoffCrashes is the least count of crashes that leads to a back-off: a second
-// crash within one half-life reaches it.
+// minBackoffCrashes is the crash count from which a backoff applies. A second crash
+// within one half-life of the first reaches it.
 const minBackoffCrashes = 1.5
 
-// crashMemoryHalfLives is after how many half-lives without a crash a node's count
-// is removed.
-const crashMemoryHalfLives = 8
+// crashRetentionHalfLives is the number of half-lives without a crash after which a
+// node's crash count is removed.
+const crashRetentionHalfLives = 8
 
-// recordCrash counts a crash of a node's runner. It returns for how many ms the
-// node's next worker gets no work: none after the first crash, then twice as
-// long with each, up to maxCrashBackoff.
+// recordCrash counts a crash of a node's runner. It returns the backoff in ms during
+// which the node's next worker gets no work. The backoff is 0 after the first crash,
+// then doubles with each further one, up to maxCrashBackoff.
 func (s *Store) recordCrash(node string) int64 {
 	backoff := s.CrashBackoffs[node]
 	decayed := backoff.Crashes * math.Exp2(-float64(s.Clock-backoff.UpdatedAt)/float64(crashCountHalfLife.Milliseconds()))
@@ -49,11 +49,11 @@
 	return int64(min(backoffMs, float64(maxCrashBackoff.Milliseconds())))
 }
 
-// forgetOldCrashes removes the counts of nodes without a crash for
-// crashMemoryHalfLives.
-func (s *Store) forgetOldCrashes() {
+// pruneCrashBackoffs removes the crash counts of nodes that had no crash for
+// crashRetentionHalfLives half-lives.
+func (s *Store) pruneCrashBackoffs() {
 	for node, backoff := range s.CrashBackoffs {
-		if s.Clock-backoff.UpdatedAt > crashMemoryHalfLives*crashCountHalfLife.Milliseconds() {
+		if s.Clock-backoff.UpdatedAt > crashRetentionHalfLives*crashCountHalfLife.Milliseconds() {
 			delete(s.CrashBackoffs, node)
 		}
 	}
--- a/internal/state/register_worker.go
+++ b/internal/state/register_worker.go
@@ -6,9 +6,9 @@
 	"tealpond/internal/protocol"
 )
 
-// RegisterWorker binds a runner to the agent beside it and gives the agent a
-// fencing token (fence): a number that its later commands must carry, so that those
-// of an agent that was replaced are refused. An agent repeats it after a restart.
+// RegisterWorker registers a runner and the agent on its node, and gives the agent a fencing
+// token (fence). The agent's later commands must carry the fence, so that commands of an
+// agent that was replaced are refused. An agent registers again after a restart.
 type RegisterWorker struct {
 	_              struct{} `cbor:",toarray"`
 	ID             string
@@ -19,18 +19,18 @@
 	Labels         []string
 	Capacity       protocol.Resources
 	Draining       bool
-	LeavesInMs     int64 // from now; negative if it stays
-	// ReplacesFence is the fence of the node's earlier worker, as far as the agent
-	// knows it. A registration may arrive late, when a newer worker than its own is
-	// registered on the node, and must not end that one.
+	LeavesInMs     int64 // from when the command is applied; negative if it stays
+	// ReplacesFence is the latest fence on the node that the agent knows of. A registration
+	// that arrives late, when a newer worker is already registered on the node, must not
+	// end that worker.
 	ReplacesFence int64
 }
 
-// Apply registers the worker; the outcome's Value is its fence. It ends the
-// workers that were registered on the node before. If one of them has a newer
-// fence than the agent knows of, the outcome is CodePreconditionFailed with that
-// fence as its Value. A worker that is dead is refused with CodeConflict: a late
-// heartbeat of a crashed runner must not bring it back.
+// Apply registers the worker and retires the workers that were registered on the node
+// before. The outcome's Value is the worker's fence. If an earlier worker has a newer
+// fence than the agent knows of, the outcome is CodePreconditionFailed with that fence as
+// its Value. A dead worker is refused with CodeConflict: a late heartbeat of a crashed
+// runner must not register it again.
 func (c *RegisterWorker) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker != nil && worker.Dead {
@@ -44,7 +44,7 @@
 	}
 	backoffMs := int64(0)
 	for _, other := range earlier {
-		// One that was draining announced its end, and didn't crash.
+		// A draining worker announced that it would stop, so this is no crash.
 		if !other.Draining {
 			backoffMs = max(backoffMs, s.recordCrash(c.Node))
 		}
@@ -64,7 +64,7 @@
 	worker.Labels, worker.Capacity = c.Labels, c.Capacity
 	worker.LeaseExpired, worker.Unhealthy = false, false
 	if c.Draining {
-		worker.leave(s.Clock, c.LeavesInMs)
+		worker.startDraining(s.Clock, c.LeavesInMs)
 	}
 	if backoffMs > 0 {
 		worker.BackoffUntil = s.Clock + backoffMs
@@ -74,7 +74,7 @@
 	return Outcome{Code: CodeOK, Value: worker.Fence}
 }
 
-// earlierWorkers lists the node's other workers that aren't dead, by ID.
+// earlierWorkers returns the node's other workers that are not dead, sorted by ID.
 func (c *RegisterWorker) earlierWorkers(s *Store) []*Worker {
 	var earlier []*Worker
 	for id, other := range s.Workers {
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -7,30 +7,31 @@
 	"tealpond/internal/protocol"
 )
 
-// schedulingIndex is what the scheduler reads instead of walking the tables. It
-// follows from them, is kept up as commands apply, is rebuilt with a snapshot or
-// a new configuration, and is not part of the state. No outcome of a command
-// depends on the order of its sets, so two replicas may have them in different ones.
+// schedulingIndex contains sets and totals that the scheduler reads so that it need not scan
+// the tables. It is derived from them: commands update it incrementally, and it is rebuilt
+// after a snapshot is restored or a new configuration is applied. It is not part of the
+// replicated state. Its sets may be ordered differently on two replicas, so no outcome of a
+// command may depend on their order.
 type schedulingIndex struct {
-	placeableSteps map[StepRef]struct{}          // may have tasks to place
-	used           map[ServicePriority]Resources // by all runs
-	capacity       map[string]Resources          // of schedulable workers, by service
-	workers        map[string]int                // number of schedulable workers, by service
-	byFreeCPU      map[string]*[freeCPUClasses]workerSet
-	byLabel        map[string]map[string]*workerSet // by service and label
-	newAllocations []uint64                         // since TakeNewAllocations was called
-	tenantUse      map[string]TenantUse             // by tenant
-	// tenantPriorityUse has the same by tenant and priority.
+	placeableSteps map[StepRef]struct{}                  // steps that may have tasks to place
+	used           map[ServicePriority]Resources         // resources of all runs
+	capacity       map[string]Resources                  // capacity of schedulable workers, by service
+	workers        map[string]int                        // number of schedulable workers, by service
+	byFreeCPU      map[string]*[freeCPUClasses]workerSet // schedulable workers, by service and class of free CPU
+	byLabel        map[string]map[string]*workerSet      // schedulable workers, by service and label
+	newAllocations []uint64                              // IDs of allocations added since the last TakeNewAllocations
+	tenantUse      map[string]TenantUse                  // resources of all runs, by tenant
+	// tenantPriorityUse is tenantUse broken down by priority.
 	tenantPriorityUse map[TenantPriority]TenantUse
 }
 
-// ServicePriority is a service and a priority, by which use is summed up.
+// ServicePriority is the service and the priority by which resource use is grouped.
 type ServicePriority struct {
 	Service  string
 	Priority int
 }
 
-// Resources is an amount of CPU, in thousandths of a core, and of memory.
+// Resources is an amount of CPU, in millicores, and of memory.
 type Resources struct{ MilliCPU, MemoryMB int64 }
 
 func (r Resources) plus(other Resources) Resources {
@@ -43,18 +44,19 @@
 
 func resourcesOf(r protocol.Resources) Resources { return Resources{r.CPUUnits, r.MemoryMB} }
 
-// StepRef names a step of a job's instance.
+// StepRef identifies a step of a job instance.
 type StepRef struct {
 	Job      string
 	Instance int
 	Step     int
 }
 
-// workerSet is a set of workers in no order. Each worker knows its offset in it.
+// workerSet is an unordered set of workers. Each worker stores its offset in the set, so that
+// removal takes constant time.
 type workerSet struct{ workers []*Worker }
 
-// removeAt removes a worker and returns the one that is moved to its offset,
-// which is the worker itself if it is the last.
+// removeAt removes the worker at an offset by moving the last worker to its place. It returns
+// the moved worker, which is the removed one if that was the last.
 func (w *workerSet) removeAt(offset int) *Worker {
 	last := len(w.workers) - 1
 	moved := w.workers[last]
@@ -64,23 +66,23 @@
 	return moved
 }
 
-// indexPosition is where a worker stands in the index.
+// indexPosition is a worker's position in the index, with the values it was indexed under.
 type indexPosition struct {
 	indexed      bool
 	service      string
 	capacity     Resources
 	cpuClass     int
-	cpuOffset    int // in the set of its class
+	cpuOffset    int // in the set of its free-CPU class
 	labels       []string
-	labelOffsets []int // in the set of each label
+	labelOffsets []int // in the sets of its labels, in the order of labels
 }
 
-// freeCPUClasses is the number of classes of free CPU. There are four to each
-// doubling; the last one has all workers with more.
+// freeCPUClasses is the number of classes of free CPU. There are four classes per power of
+// two; the last class also has all workers with more.
 const freeCPUClasses = 160
 
-// freeCPUClass is the class of an amount of free CPU. A worker that has more is
-// never in a lower class.
+// freeCPUClass returns the class of an amount of free CPU. A worker with more free CPU is never
+// in a lower class.
 func freeCPUClass(milliCPU int64) int {
 	if milliCPU < 4 {
 		return int(max(milliCPU, 0))
@@ -89,6 +91,7 @@
 	return min((n-2)*4+int(milliCPU>>(n-3)&3), freeCPUClasses-1)
 }
 
+// rebuildIndex computes the scheduling index from the tables.
 func (s *Store) rebuildIndex() {
 	s.index = schedulingIndex{
 		placeableSteps: map[StepRef]struct{}{},
@@ -118,8 +121,8 @@
 	}
 }
 
-// reindexWorker moves a worker to where its row says. It is to be called after
-// any write to the row.
+// reindexWorker updates a worker's position in the index. It must be called after every write
+// to the worker's row.
 func (s *Store) reindexWorker(worker *Worker) {
 	position := &worker.position
 	worker.evacuated = s.Evacuations[worker.Zone].Evacuated
@@ -199,7 +202,7 @@
 	}
 }
 
-// addUsage adds a run's resources to those of its job's service and priority.
+// addUsage adds a run's resources to the totals of its job's service, priority and tenant.
 func (s *Store) addUsage(allocation *Allocation) {
 	if job := s.Jobs[allocation.Job]; job != nil {
 		allocation.servicePriority = ServicePriority{job.Service, job.Priority}
@@ -211,7 +214,7 @@
 	s.index.newAllocations = append(s.index.newAllocations, allocation.ID)
 }
 
-// removeUsage takes off what addUsage added.
+// removeUsage subtracts what addUsage added.
 func (s *Store) removeUsage(allocation *Allocation) {
 	if allocation.servicePriority == (ServicePriority{}) {
 		return
@@ -226,21 +229,22 @@
 	allocation.servicePriority = ServicePriority{}
 }
 
-// markPlaceable notes that a step may have tasks to place, if that can be.
+// markPlaceable records that a step may have tasks to place, if its job is open and the step is
+// ready and not done.
 func (s *Store) markPlaceable(job string, instance *JobInstance, step int) {
 	if stepState := &instance.Steps[step]; s.openJobs[job] != nil && stepState.Ready && stepState.TasksLeft > 0 && !instance.Failed {
 		s.index.placeableSteps[StepRef{job, instance.Number, step}] = struct{}{}
 	}
 }
 
-// unmarkPlaceable notes that a step has no tasks to place.
+// unmarkPlaceable records that a step has no tasks to place.
 func (s *Store) unmarkPlaceable(job string, instance *JobInstance, step int) {
 	delete(s.index.placeableSteps, StepRef{job, instance.Number, step})
 }
 
-// EachPlaceableStep visits the steps that may have tasks to place, in no order.
-// A step for which visit returns false isn't visited again until something
-// changes that may make one of its tasks placeable.
+// EachPlaceableStep calls visit for the steps that may have tasks to place, in no particular
+// order. A step for which visit returns false is not visited again until a change may
+// have made one of its tasks placeable.
 func (s *Store) EachPlaceableStep(visit func(job *Job, instance *JobInstance, step int) bool) {
 	for ref := range s.index.placeableSteps {
 		job := s.openJobs[ref.Job]
@@ -250,23 +254,23 @@
 	}
 }
 
-// UsedByServicePriority is the resources of all runs, by service and priority. The
-// caller must not change it.
+// UsedByServicePriority returns the resources of all runs, by service and priority. The
+// caller must not modify the map.
 func (s *Store) UsedByServicePriority() map[ServicePriority]Resources { return s.index.used }
 
-// SchedulableCapacity is the capacity of a service's schedulable workers, and
+// SchedulableCapacity returns the total capacity of a service's schedulable workers, and
 // their number.
 func (s *Store) SchedulableCapacity(service string) (Resources, int) {
 	return s.index.capacity[service], s.index.workers[service]
 }
 
-// TakeNewAllocations returns the IDs of the allocations that were added since the
-// last call. Some of them may have ended. After a rebuild it returns all.
+// TakeNewAllocations returns the IDs of the allocations that were added since the last call.
+// Some of them may have ended. After the index was rebuilt, it returns all allocations.
 func (s *Store) TakeNewAllocations() []uint64 { return take(&s.index.newAllocations) }
 
-// EachWorkerByFreeCPU visits a service's schedulable workers, those of the least
-// free CPU first, until visit returns false. It begins with the class of the
-// given amount, in which some may have less.
+// EachWorkerByFreeCPU calls visit for a service's schedulable workers, in ascending order of
+// their free-CPU classes, until visit returns false. It starts with the class of the given
+// amount, in which some workers may have less than that.
 func (s *Store) EachWorkerByFreeCPU(service string, milliCPU int64, visit func(*Worker) bool) {
 	classes := s.index.byFreeCPU[service]
 	if classes == nil {
@@ -281,8 +285,8 @@
 	}
 }
 
-// WorkersWithLabel lists a service's schedulable workers that bear a label, in
-// no order. The caller must not change the list.
+// WorkersWithLabel returns a service's schedulable workers that have a label, in no
+// particular order. The caller must not modify the slice.
 func (s *Store) WorkersWithLabel(service, label string) []*Worker {
 	if set := s.index.byLabel[service][label]; set != nil {
 		return set.workers
--- a/internal/state/scheduling_index_test.go
+++ b/internal/state/scheduling_index_test.go
@@ -8,8 +8,8 @@
 	"tealpond/internal/protocol"
 )
 
-// schedulingIndexFault compares the index, as commands updated it, with a recount
-// from the tables.
+// schedulingIndexFault compares the index, as updated by commands, with one recomputed from
+// the tables. It returns a description of the first difference, or an empty string.
 func schedulingIndexFault(s *Store) string {
 	for _, check := range []func(*Store) string{workerPositionFault, usageFault, tenantUseFault, capacityFault, placeableStepsFault} {
 		if fault := check(s); fault != "" {
@@ -19,9 +19,9 @@
 	return ""
 }
 
-// workerPositionFault finds a worker that does not stand where its row says:
-// once in the class of its free CPU and under each of its labels if it is
-// schedulable, and else nowhere.
+// workerPositionFault finds a worker with a wrong position in the index. A schedulable worker
+// must be listed once in the class of its free CPU and once under each of its labels, any
+// other worker nowhere.
 func workerPositionFault(s *Store) string {
 	for _, worker := range s.Workers {
 		want := 0
@@ -33,19 +33,20 @@
 			return fault
 		}
 		if found != want {
-			return fmt.Sprintf("%s stands %d times in the classes, want %d", worker.ID, found, want)
+			return fmt.Sprintf("%s is listed %d times in the free-CPU classes, want %d", worker.ID, found, want)
 		}
 		for _, label := range worker.Labels {
 			if found := countWorker(s.WorkersWithLabel(worker.Service, label), worker); found != want {
-				return fmt.Sprintf("%s stands %d times under label %s, want %d", worker.ID, found, label, want)
+				return fmt.Sprintf("%s is listed %d times under label %s, want %d", worker.ID, found, label, want)
 			}
 		}
 	}
 	return ""
 }
 
-// countInClasses counts a worker in the classes of free CPU. It is a fault if it
-// stands in another than its own, or not where it says.
+// countInClasses counts the occurrences of a worker in the free-CPU classes. It reports a
+// fault if the worker is in another class than that of its free CPU, or at another offset
+// than its position says.
 func countInClasses(s *Store, worker *Worker) (count int, fault string) {
 	classes := s.index.byFreeCPU[worker.Service]
 	if classes == nil {
@@ -58,7 +59,7 @@
 			}
 			count++
 			if class != freeCPUClass(worker.FreeMilliCPU()) || worker.position.cpuOffset != i {
-				return count, fmt.Sprintf("%s with %d free stands in class %d at %d", worker.ID, worker.FreeMilliCPU(), class, i)
+				return count, fmt.Sprintf("%s with %d free CPU is in class %d at offset %d", worker.ID, worker.FreeMilliCPU(), class, i)
 			}
 		}
 	}
@@ -75,35 +76,35 @@
 	return count
 }
 
-// usageFault compares the use by service and priority with a recount.
+// usageFault compares the resource use by service and priority with a recount.
 func usageFault(s *Store) string {
 	recounted := map[ServicePriority]Resources{}
 	for _, a := range s.Allocations {
 		if job := s.Jobs[a.Job]; job != nil {
-			k := ServicePriority{job.Service, job.Priority}
-			recounted[k] = Resources{recounted[k].MilliCPU + a.MilliCPU, recounted[k].MemoryMB + a.MemoryMB}
+			key := ServicePriority{job.Service, job.Priority}
+			recounted[key] = Resources{recounted[key].MilliCPU + a.MilliCPU, recounted[key].MemoryMB + a.MemoryMB}
 		}
 	}
-	for k, used := range s.index.used {
-		if recounted[k] != used {
-			return fmt.Sprintf("%v holds %v, recounted %v", k, used, recounted[k])
+	for key, used := range s.index.used {
+		if recounted[key] != used {
+			return fmt.Sprintf("%v uses %v, recounted %v", key, used, recounted[key])
 		}
 	}
-	for k, used := range recounted {
-		if s.index.used[k] != used {
-			return fmt.Sprintf("%v holds %v, recounted %v", k, s.index.used[k], used)
+	for key, used := range recounted {
+		if s.index.used[key] != used {
+			return fmt.Sprintf("%v uses %v, recounted %v", key, s.index.used[key], used)
 		}
 	}
 	return ""
 }
 
-// tenantUseFault compares the use of tenants with a recount.
+// tenantUseFault compares the resource use of tenants with a recount.
 func tenantUseFault(s *Store) string {
 	recounted, byPriority := map[string]TenantUse{}, map[TenantPriority]TenantUse{}
 	for _, a := range s.Allocations {
 		if job := s.Jobs[a.Job]; job != nil && job.Tenant() != "" {
-			run, kind := &protocol.Step{CPUUnits: a.MilliCPU, MemoryMB: a.MemoryMB, GPUs: len(a.GPUs)}, TenantPriority{job.Tenant(), job.Priority}
-			recounted[job.Tenant()], byPriority[kind] = recounted[job.Tenant()].Plus(run, 1), byPriority[kind].Plus(run, 1)
+			run, key := &protocol.Step{CPUUnits: a.MilliCPU, MemoryMB: a.MemoryMB, GPUs: len(a.GPUs)}, TenantPriority{job.Tenant(), job.Priority}
+			recounted[job.Tenant()], byPriority[key] = recounted[job.Tenant()].Plus(run, 1), byPriority[key].Plus(run, 1)
 		}
 	}
 	if !maps.Equal(recounted, s.index.tenantUse) || !maps.Equal(byPriority, s.index.tenantPriorityUse) {
@@ -112,7 +113,8 @@
 	return ""
 }
 
-// capacityFault compares the schedulable capacity of services with a recount.
+// capacityFault compares the schedulable capacity and the number of workers of services with a
+// recount.
 func capacityFault(s *Store) string {
 	capacity, workers := map[string]Resources{}, map[string]int{}
 	for _, worker := range s.Workers {
@@ -130,8 +132,8 @@
 	return ""
 }
 
-// placeableStepsFault finds a step that has tasks to place and isn't listed, or
-// one that is listed though its job has ended.
+// placeableStepsFault finds a step that has tasks to place and is not listed, or one that is
+// listed although its job has ended.
 func placeableStepsFault(s *Store) string {
 	for _, job := range s.openJobs {
 		for _, instance := range job.Instances {
@@ -140,31 +142,31 @@
 					continue
 				}
 				if _, ok := s.index.placeableSteps[StepRef{job.ID, instance.Number, i}]; !ok {
-					return fmt.Sprintf("%s step %d has tasks to place and isn't listed", job.ID, i)
+					return fmt.Sprintf("%s step %d has tasks to place and is not listed", job.ID, i)
 				}
 			}
 		}
 	}
 	for ref := range s.index.placeableSteps {
 		if s.openJobs[ref.Job] == nil {
-			return fmt.Sprintf("%v is listed and its job has ended", ref)
+			return fmt.Sprintf("%v is listed although its job has ended", ref)
 		}
 	}
 	return ""
 }
 
 func hasTasksToPlace(instance *JobInstance, stepState *StepState) bool {
-	waits := false
+	waiting := false
 	for i := range stepState.Tasks {
-		waits = waits || !stepState.Tasks[i].Done && len(stepState.Tasks[i].Allocations) == 0
+		waiting = waiting || !stepState.Tasks[i].Done && len(stepState.Tasks[i].Allocations) == 0
 	}
-	return waits && stepState.Ready && !instance.Failed
+	return waiting && stepState.Ready && !instance.Failed
 }
 
-// TestSchedulingIndexFaultCatchesPlantedBreaks shows that each part of the
-// recount can fail.
-func TestSchedulingIndexFaultCatchesPlantedBreaks(t *testing.T) {
-	for name, plant := range map[string]func(s *Store){
+// TestSchedulingIndexFaultDetectsCorruption checks that each part of schedulingIndexFault
+// detects an index that does not match the tables.
+func TestSchedulingIndexFaultDetectsCorruption(t *testing.T) {
+	for name, corrupt := range map[string]func(s *Store){
 		"class":          func(s *Store) { s.Workers["a"].UsedMilliCPU += 600 },
 		"unschedulable":  func(s *Store) { s.Workers["a"].Unhealthy = true },
 		"label":          func(s *Store) { s.index.byLabel["s"]["r1"].workers = nil },
@@ -182,31 +184,31 @@
 			if fault := schedulingIndexFault(f.store); fault != "" {
 				t.Fatal(fault)
 			}
-			plant(f.store)
+			corrupt(f.store)
 			if schedulingIndexFault(f.store) == "" {
-				t.Error("the planted break was not caught")
+				t.Error("corrupted index was not detected")
 			}
 		})
 	}
 }
 
-// TestFreeCPUClassesAreOrdered: more free CPU is never in a lower class, twice as
-// much is in a higher one, and no amount is out of range.
+// TestFreeCPUClassesAreOrdered checks that more free CPU is never in a lower class, that twice
+// as much is in a higher class, and that no amount is out of range.
 func TestFreeCPUClassesAreOrdered(t *testing.T) {
 	last := 0
 	for milliCPU := range int64(300_000) {
 		class := freeCPUClass(milliCPU)
 		if class < last {
-			t.Fatalf("%d is in class %d, less in %d", milliCPU, class, last)
+			t.Fatalf("%d is in class %d, a smaller amount in class %d", milliCPU, class, last)
 		}
 		if milliCPU > 0 && freeCPUClass(2*milliCPU) <= class {
-			t.Fatalf("%d and twice as much are in class %d", milliCPU, class)
+			t.Fatalf("%d is in class %d, and twice as much is not in a higher class", milliCPU, class)
 		}
 		last = class
 	}
 	for _, milliCPU := range []int64{-5, 0, 1 << 40, Forever, 1<<63 - 1} {
 		if class := freeCPUClass(milliCPU); class < 0 || class >= freeCPUClasses {
-			t.Errorf("%d is in class %d", milliCPU, class)
+			t.Errorf("%d is in class %d, which is out of range", milliCPU, class)
 		}
 	}
 }
--- a/internal/state/service_usage.go
+++ b/internal/state/service_usage.go
@@ -1,24 +1,24 @@
 package state
 
-// ServiceUsage is a service's total capacity and use, for queries of operators. The
-// scheduler never reads it. The use is updated with each run; all else is as of
-// RebuiltAt.
+// ServiceUsage is a service's total capacity and resource use, for queries by operators. The
+// scheduler never reads it. The Used fields are updated with each run; all other fields are
+// as of RebuiltAt.
 type ServiceUsage struct {
 	_                   struct{} `cbor:",toarray"`
 	TotalMilliCPU       int64
-	AllocatableMilliCPU int64 // of workers that neither drain nor are unreachable
+	AllocatableMilliCPU int64 // capacity of workers that are neither draining nor unreachable
 	UsedMilliCPU        int64
 	TotalMemoryMB       int64
 	AllocatableMemoryMB int64
 	UsedMemoryMB        int64
 	TotalGPUs           int
 	UsedGPUs            int
-	Draining            int // workers
-	Unreachable         int // workers whose leases expired
+	Draining            int // number of draining workers
+	Unreachable         int // number of workers whose leases expired
 	RebuiltAt           int64
 }
 
-// serviceUsage returns the usage of a service and creates it if there is none.
+// serviceUsage returns the usage row of a service. It creates the row if it does not exist.
 func (s *Store) serviceUsage(service string) *ServiceUsage {
 	serviceUsage := s.ServiceUsages[service]
 	if serviceUsage == nil {
@@ -28,7 +28,8 @@
 	return serviceUsage
 }
 
-// adjustServiceUsage adds a run's resources, or subtracts them if sign is -1.
+// adjustServiceUsage adds a run's resources to its service's usage, or subtracts them if sign
+// is -1.
 func (s *Store) adjustServiceUsage(allocation *Allocation, sign int64) {
 	worker := s.Workers[allocation.Worker]
 	if worker == nil {
@@ -40,7 +41,7 @@
 	serviceUsage.UsedGPUs += int(sign) * len(allocation.GPUs)
 }
 
-// RebuildUsage computes all rollups again from workers and allocations.
+// RebuildUsage recomputes the usage of all services from workers and allocations.
 func (s *Store) RebuildUsage() {
 	s.ServiceUsages = map[string]*ServiceUsage{}
 	for _, worker := range s.Workers {
--- a/internal/state/set_eligibility.go
+++ b/internal/state/set_eligibility.go
@@ -1,18 +1,18 @@
 package state
 
-// SetEligibility records whether a worker may get new work.
+// SetEligibility records whether a worker is eligible for new work.
 type SetEligibility struct {
 	_          struct{} `cbor:",toarray"`
 	ID         string
 	Draining   bool
-	LeavesInMs int64 // from now, of a worker that drains or leaves; negative if unknown
-	Leaving    bool  // the runner signed off
-	Unhealthy  bool  // silent or stalled: no new work for now
+	LeavesInMs int64 // of a draining or leaving worker, from when the command is applied; negative if unknown
+	Leaving    bool  // the runner announced that it is leaving
+	Unhealthy  bool  // silent or stalled: gets no new work for now
 }
 
-// Apply writes the worker's row and raises its version, so that placements planned
-// before are refused. Draining is never undone. The outcome is CodeGone for a
-// worker that is unknown or dead.
+// Apply updates the worker's row and increments its version, so that placements planned
+// before are refused. Draining is never undone. The outcome is CodeGone if the worker is
+// unknown or dead.
 func (c *SetEligibility) Apply(s *Store) Outcome {
 	worker := s.Workers[c.ID]
 	if worker == nil || worker.Dead {
@@ -20,7 +20,7 @@
 	}
 	worker.Version++
 	if c.Draining || c.Leaving {
-		worker.leave(s.Clock, c.LeavesInMs)
+		worker.startDraining(s.Clock, c.LeavesInMs)
 	}
 	worker.Unhealthy = c.Unhealthy
 	s.reindexWorker(worker)
