--- a/internal/state/accept_job.go
+++ b/internal/state/accept_job.go
@@ -2,7 +2,7 @@
 
 import "tealpond/internal/protocol"
 
-// AcceptJob accepts a peer's job at the target, under a loan.
+// AcceptJob accepts at the target cluster a job that a peer offers under a loan.
 type AcceptJob struct {
 	_       struct{} `cbor:",toarray"`
 	Peer    string
@@ -13,13 +13,13 @@
 	Job     protocol.Job
 }
 
-// Apply accepts an offer at most once, and never if it was voided. The outcome's
-// Text is the answer to the peer: AnswerAccepted with CodeOK, else AnswerRefused
-// with CodeConflict. A refused offer is voided, so that a copy that arrives later,
-// when the reason no longer applies, is refused too.
+// Apply accepts an offer at most once, and never after it was withdrawn. The outcome's
+// Text is the answer to the peer: AnswerAccepted with CodeOK, or AnswerRefused with
+// CodeConflict. A refused offer is recorded as withdrawn, so that a duplicate that
+// arrives after the reason for the refusal has gone is refused too.
 func (c *AcceptJob) Apply(s *Store) Outcome {
 	if job := s.Jobs[c.ID]; job != nil {
-		if job.cameFromOffer(c.Peer, c.OfferID) {
+		if job.matchesOffer(c.Peer, c.OfferID) {
 			return Outcome{Code: CodeOK, Text: AnswerAccepted}
 		}
 		return c.refuse(s)
@@ -38,12 +38,14 @@
 	return Outcome{Code: CodeOK, Text: AnswerAccepted}
 }
 
+// refuse records the offer as withdrawn and returns the outcome of a refusal.
 func (c *AcceptJob) refuse(s *Store) Outcome {
 	s.withdrawOffer(c.Peer, c.ID, c.OfferID)
 	return Outcome{Code: CodeConflict, Text: AnswerRefused}
 }
 
-// IncomingJobStatus is the answer to a source about its job here.
+// IncomingJobStatus returns the answer to the source cluster about a job that it transferred
+// here: the job's status if the job has ended, else AnswerAccepted.
 func IncomingJobStatus(job *Job) string {
 	if job.ended() {
 		return job.Status()
--- a/internal/state/lend_capacity.go
+++ b/internal/state/lend_capacity.go
@@ -1,35 +1,35 @@
 package state
 
-// Loan is CPU of a service that is lent to a peer over the time [From, To).
+// Loan is CPU of a service that is lent to a peer during the interval [From, To).
 type Loan struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
 	Peer     string
 	Service  string
-	Slices   []string // IDs of the reserved devices
+	Slices   []string // IDs of the reserved loan slices
 	MilliCPU int64
 	From     int64
 	To       int64
 }
 
-// LendCapacity lends CPU of a service to a peer. What can be lent is divided
-// into slices, each a device that is reserved for one loan at a time.
+// LendCapacity lends CPU of a service to a peer. The CPU that can be lent is divided
+// into slices. Each slice is a device that is reserved for one loan at a time.
 type LendCapacity struct {
 	_             struct{} `cbor:",toarray"`
 	ID            string
 	Peer          string
 	Service       string
-	MilliCPU      int64 // at most
-	MinMilliCPU   int64 // less than this is no loan
-	DurationMs    int64 // from now
-	Slices        int   // how many the service has
-	SliceMilliCPU int64 // of one slice
+	MilliCPU      int64 // requested CPU; no more slices are added once it is reached
+	MinMilliCPU   int64 // nothing is lent if less than this is free
+	DurationMs    int64 // from when the command is applied
+	Slices        int   // number of slices of the service
+	SliceMilliCPU int64 // size of one slice
 }
 
-// Apply reserves free slices until they add up to MilliCPU. The outcome's Value is
-// the CPU that is lent; a command that is repeated has the same outcome. The outcome
-// is CodeConflict, and nothing is reserved, if less than MinMilliCPU is free, and
-// CodeInvalid if an amount isn't positive.
+// Apply reserves free slices until they add up to at least MilliCPU. The outcome's Value
+// is the CPU that is lent; a repeated command returns that of the existing loan. The
+// outcome is CodeConflict, and nothing is reserved, if less than MinMilliCPU is free. It is
+// CodeInvalid if an amount or the duration is not positive.
 func (c *LendCapacity) Apply(s *Store) Outcome {
 	if loan := s.Loans[c.ID]; loan != nil {
 		return Outcome{Code: CodeOK, Value: loan.MilliCPU}
@@ -61,7 +61,8 @@
 	return Outcome{Code: CodeOK, Value: loan.MilliCPU}
 }
 
-// loanSlice returns a slice of a service's CPU and creates it if there is none.
+// loanSlice returns the loan slice of a service with the given number. It creates the slice if
+// it does not exist.
 func (s *Store) loanSlice(service string, number int) *Device {
 	id := loanSliceID(service, number)
 	if s.Devices[id] == nil {
@@ -70,9 +71,9 @@
 	return s.Devices[id]
 }
 
-// LoanRemaining is the CPU that a loan still has for new runs of an incoming
-// job; false for any other job. After the loan's end its jobs continue with one run
-// at a time, so that they finish.
+// LoanRemaining returns the CPU that is left of an incoming job's loan for new runs; false
+// for any other job. After the loan has ended, its jobs continue with one run at a time, so
+// that they finish.
 func (s *Store) LoanRemaining(job *Job) (int64, bool) {
 	if !job.Transfer.Incoming {
 		return 0, false
@@ -88,15 +89,15 @@
 	return 0, true
 }
 
-// loanExhausted reports whether an incoming job's loan has no CPU left for a run. A
-// run that needs more than the whole loan may start alone.
+// loanExhausted reports whether an incoming job's loan has too little CPU left for a run. A
+// run that needs more than the whole loan may start while no other run uses the loan.
 func (s *Store) loanExhausted(job *Job, milliCPU int64) bool {
-	left, ok := s.LoanRemaining(job)
-	return ok && (left <= 0 || left < milliCPU && s.loanUsed(job.Transfer.Loan) > 0)
+	remaining, ok := s.LoanRemaining(job)
+	return ok && (remaining <= 0 || remaining < milliCPU && s.loanUsed(job.Transfer.Loan) > 0)
 }
 
-// loanUsed is the CPU of all runs under a loan. A run that needs none counts as a
-// thousandth of a core, so that the number of runs is bounded.
+// loanUsed returns the CPU of all runs under a loan. A run that requests no CPU counts as one
+// millicore, so that the number of runs is bounded.
 func (s *Store) loanUsed(loan string) int64 {
 	used := int64(0)
 	for _, allocation := range s.Allocations {
--- a/internal/state/offer_job.go
+++ b/internal/state/offer_job.go
@@ -1,6 +1,6 @@
 package state
 
-// OfferJob begins to move a job that hasn't started to a peer.
+// OfferJob starts the transfer of a job to a peer. The job must not have started yet.
 type OfferJob struct {
 	_    struct{} `cbor:",toarray"`
 	Job  string
@@ -8,8 +8,9 @@
 }
 
 // Apply marks the job as offered: none of its runs starts here until the offer is
-// settled. The outcome's Value is the ID of the offer. It is CodeGone if the job has ended,
-// and CodeConflict if it has started, is periodic, or is in a transfer already.
+// resolved. The outcome's Value is the offer ID. The outcome is CodeGone if the job is
+// unknown or has ended, and CodeConflict if it has started, is periodic or is already being
+// transferred.
 func (c *OfferJob) Apply(s *Store) Outcome {
 	job := s.Jobs[c.Job]
 	switch {
--- a/internal/state/release_job.go
+++ b/internal/state/release_job.go
@@ -1,6 +1,7 @@
 package state
 
-// ReleaseJob lets the target forget a job whose end the source has committed.
+// ReleaseJob allows the target cluster to remove a transferred job, after the source cluster has
+// committed the job's end.
 type ReleaseJob struct {
 	_       struct{} `cbor:",toarray"`
 	Peer    string
@@ -8,11 +9,11 @@
 	ID      string
 }
 
-// Apply voids the offer, so that no late copy of it is accepted once the job is
-// forgotten. The outcome's Text is AnswerReleased.
+// Apply withdraws the offer, so that a late duplicate of it is not accepted after the job
+// has been removed. The outcome's Text is AnswerReleased.
 func (c *ReleaseJob) Apply(s *Store) Outcome {
 	s.withdrawOffer(c.Peer, c.ID, c.OfferID)
-	if job := s.Jobs[c.ID]; job != nil && job.cameFromOffer(c.Peer, c.OfferID) {
+	if job := s.Jobs[c.ID]; job != nil && job.matchesOffer(c.Peer, c.OfferID) {
 		job.Transfer.State = TransferReleased
 	}
 	return Outcome{Code: CodeOK, Text: AnswerReleased}
--- a/internal/state/resolve_transfer.go
+++ b/internal/state/resolve_transfer.go
@@ -1,25 +1,25 @@
 package state
 
-// ResolveTransfer records at the source the target's answer to an offer.
+// ResolveTransfer records, at the source cluster, the target's answer to an offer.
 type ResolveTransfer struct {
 	_       struct{} `cbor:",toarray"`
 	Job     string
 	OfferID int64
 	Peer    string
-	Epoch   string // of the peer, at the entry of its log that the answer is based on
-	Index   uint64
-	Answer  string // one of the Answer constants, or the status of a job that ended
+	Epoch   string // the peer's epoch at the log entry that the answer is based on
+	Index   uint64 // index of that log entry
+	Answer  string // one of the Answer constants, or the final status of a job that ended
 }
 
-// Answers of a target to its source, as calls between clusters name them.
+// Answers of a target cluster to the source, as they are sent in calls between clusters.
 const (
 	AnswerAccepted  = "taken"
-	AnswerRefused   = "refused"  // this offer is never accepted
-	AnswerWithdrawn = "voided"   // as AnswerRefused, requested by the source
-	AnswerReleased  = "released" // the target has forgotten the job
+	AnswerRefused   = "refused"  // this offer will never be accepted
+	AnswerWithdrawn = "voided"   // the source withdrew the offer, which will never be accepted
+	AnswerReleased  = "released" // the target needs the job no longer and may remove it
 )
 
-// answerEffects is what each answer does to the job at the source.
+// answerEffects maps each answer to its effect on the job at the source.
 var answerEffects = map[string]func(*Store, *Job){
 	AnswerAccepted: func(_ *Store, job *Job) { job.Transfer.State = TransferAccepted },
 	AnswerRefused:  func(_ *Store, job *Job) { job.Transfer.State = TransferNone },
@@ -34,9 +34,9 @@
 	StatusCanceled: func(s *Store, job *Job) { s.cancelJob(job) },
 }
 
-// Apply accepts the answer only of a peer whose log has not gone back: the outcome
-// is CodeConflict for any other, and for a peer that denies a job that it accepted.
-// An answer to an offer that is settled already changes nothing.
+// Apply accepts the answer only if the peer's log has not gone back since its last answer.
+// The outcome is CodeConflict if it has, or if the peer refuses a job that it accepted
+// before. An answer to an offer that is already resolved does not change the job.
 func (c *ResolveTransfer) Apply(s *Store) Outcome {
 	progress := s.Peers[c.Peer]
 	if progress != nil && (progress.Epoch != c.Epoch || c.Index < progress.Index) {
--- a/internal/state/withdraw_offer.go
+++ b/internal/state/withdraw_offer.go
@@ -1,7 +1,7 @@
 package state
 
-// WithdrawOffer settles an offer at the target: if it was not accepted before, it never
-// will be.
+// WithdrawOffer withdraws an offer at the target. An offer that was not accepted before will
+// never be accepted.
 type WithdrawOffer struct {
 	_       struct{} `cbor:",toarray"`
 	Peer    string
@@ -10,11 +10,12 @@
 	Cancel  bool // cancel the job if it was accepted
 }
 
-// Apply settles the offer. The outcome's Text is AnswerWithdrawn, or what
-// IncomingJobStatus gives for a job that was accepted.
+// Apply withdraws the offer, unless its job was accepted before; that job is canceled if
+// Cancel is set. The outcome's Text is AnswerWithdrawn, or the result of IncomingJobStatus
+// for a job that was accepted.
 func (c *WithdrawOffer) Apply(s *Store) Outcome {
 	job := s.Jobs[c.ID]
-	if job == nil || !job.cameFromOffer(c.Peer, c.OfferID) {
+	if job == nil || !job.matchesOffer(c.Peer, c.OfferID) {
 		s.withdrawOffer(c.Peer, c.ID, c.OfferID)
 		return Outcome{Code: CodeOK, Text: AnswerWithdrawn}
 	}
