--- a/internal/raft/codec.go
+++ b/internal/raft/codec.go
@@ -7,15 +7,15 @@
 )
 
 // jointConfChange is the data of the entry that starts a configuration change.
-// The entry that ends the change holds the list of voters alone, as did every
-// configuration entry of the first version of the log.
+// The entry that ends the change holds only the list of voters, the format of all
+// configuration entries in the first version of the log.
 type jointConfChange struct {
 	Voters         []Member `cbor:"voters"`
 	OutgoingVoters []Member `cbor:"old"`
 }
 
-// encodeConfChange returns the data of a configuration entry. The outgoing voters
-// are those from before the change in the entry that starts it, else empty.
+// encodeConfChange returns the data of a configuration entry. In the entry that
+// starts a change, outgoing holds the voters from before it; otherwise it is empty.
 func encodeConfChange(voters, outgoing []Member) []byte {
 	var change any = voters
 	if len(outgoing) > 0 {
@@ -28,7 +28,7 @@
 	return raw
 }
 
-// DecodeConfChange decodes the data of a configuration entry: the voters and, in
+// DecodeConfChange decodes the data of a configuration entry: the voters and, for
 // the entry that starts a change, the outgoing voters.
 func DecodeConfChange(data []byte) (voters, outgoing []Member, err error) {
 	if cbor.Unmarshal(data, &voters) == nil {
@@ -39,9 +39,8 @@
 	return joint.Voters, joint.OutgoingVoters, err
 }
 
-// simpleSnapshot is the stored form of a snapshot outside a configuration change.
-// It is the form from before there were joint configurations, which disks of an
-// earlier version hold.
+// simpleSnapshot is the stored encoding of a snapshot outside a configuration change.
+// It predates joint configurations, so disks written by earlier versions hold it.
 type simpleSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint64
@@ -50,7 +49,7 @@
 	Data   []byte
 }
 
-// jointSnapshot is the stored form of a snapshot during a configuration change.
+// jointSnapshot is the stored encoding of a snapshot during a configuration change.
 type jointSnapshot struct {
 	_              struct{} `cbor:",toarray"`
 	Index          uint64
@@ -71,13 +70,14 @@
 	})
 }
 
-// jointSnapshotHeader is the first byte of the longer form: a CBOR array of five.
+// jointSnapshotHeader is the first byte of an encoded jointSnapshot: the header of a
+// CBOR array of five elements.
 const jointSnapshotHeader = 0x85
 
-// UnmarshalCBOR decodes either form.
+// UnmarshalCBOR decodes the encoding of simpleSnapshot or jointSnapshot.
 func (s *Snapshot) UnmarshalCBOR(raw []byte) error {
 	if len(raw) == 0 {
-		return errors.New("raft: empty snapshot")
+		return errors.New("raft: decode snapshot: empty data, want a CBOR array")
 	}
 	if raw[0] == jointSnapshotHeader {
 		var joint jointSnapshot
--- a/internal/raft/configuration.go
+++ b/internal/raft/configuration.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// configuration is who votes from an entry of the log on (thesis, section 4.3).
-// While it is joint, outgoing holds the voters from before the change: an
-// election, a commit and a lease then need a majority of each set, so that any two
-// quorums have a member in common at every moment.
+// configuration is the set of voters in force from the log entry at index on (thesis,
+// section 4.3). While it is joint, outgoing holds the voters from before the change.
+// An election, a commit and a lease then need a majority of each set, so that any two
+// quorums have a member in common at all times.
 type configuration struct {
 	index            uint64
 	voters, outgoing []Member
@@ -20,7 +20,7 @@
 
 func (c *configuration) isJoint() bool { return len(c.outgoing) > 0 }
 
-// allVoters returns the voters, then those that only vote until the change ends.
+// allVoters returns the voters, followed by the outgoing voters that are not among them.
 func (c *configuration) allVoters() []Member {
 	if !c.isJoint() {
 		return c.voters
@@ -34,7 +34,7 @@
 	return all
 }
 
-// hasQuorum reports whether granted is true for a majority of each set of voters.
+// hasQuorum reports whether granted holds for a majority of each set of voters.
 func (c *configuration) hasQuorum(granted func(id string) bool) bool {
 	majority := func(voters []Member) bool {
 		count := 0
@@ -48,7 +48,7 @@
 	return majority(c.voters) && (!c.isJoint() || majority(c.outgoing))
 }
 
-// quorumValue returns the highest value that a majority of each set has reached.
+// quorumValue returns the highest value that a majority of each set of voters has reached.
 func (c *configuration) quorumValue(value func(id string) uint64) uint64 {
 	majorityValue := func(voters []Member) uint64 {
 		values := make([]uint64, len(voters))
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// role is the part that a member plays in its term.
+// role is the role of a member in its current term.
 type role byte
 
 const (
@@ -16,21 +16,22 @@
 	return time.Duration(n.random.Int63n(int64(limit) + 1))
 }
 
-// resetElectionTimeout draws the time for which a follower waits for a leader.
-// It exceeds ElectionTimeout by a heartbeat interval: the others heard the leader
-// up to one interval later, and would refuse until their own timeout is over.
+// resetElectionTimeout draws the time for which a follower waits for a leader before
+// it campaigns. It exceeds ElectionTimeout by a heartbeat interval: other voters may
+// have heard the leader up to one interval later, and reject requests until
+// ElectionTimeout has passed for them too.
 func (n *Node) resetElectionTimeout() {
 	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval + n.randomUpTo(n.config.ElectionJitter)
 }
 
-// shortenElectionTimeout draws the shorter time after which a campaign without
-// an outcome is repeated.
-func (n *Node) shortenElectionTimeout() {
+// resetCampaignTimeout draws the shorter time after which an undecided campaign is
+// repeated.
+func (n *Node) resetCampaignTimeout() {
 	n.electionTimeout = n.config.HeartbeatInterval + n.randomUpTo(n.config.ElectionJitter)
 }
 
-// becomeFollower follows a leader, or nobody yet if leaderID is empty, in a term
-// that is the present one or a later one.
+// becomeFollower makes this member a follower in term, which is the current term or a
+// later one. leaderID is empty if the leader of that term is unknown.
 func (n *Node) becomeFollower(term uint64, leaderID string) {
 	if n.role == leader {
 		n.electionTimerStart = n.now
@@ -46,9 +47,9 @@
 	n.role, n.leader, n.noopIndex, n.transferring = follower, leaderID, 0, false
 }
 
-// preCampaign asks the voters whether they would vote for this member in the
-// next term. The term stays as it is, so that a member which can't win does not
-// disturb a leader.
+// preCampaign asks the voters whether they would vote for this member in the next
+// term. It doesn't increment the term, so a member that can't win doesn't disrupt
+// the leader.
 func (n *Node) preCampaign() {
 	n.startCampaign(preCandidate)
 	n.votes = map[string]bool{n.id: true}
@@ -56,11 +57,11 @@
 	n.tallyVotes()
 }
 
-// campaign stands for election in the next term; with force, others vote without
-// regard to the lease of the present leader, who ordered the election.
+// campaign starts an election in the next term. With force, voters ignore the lease of
+// the current leader, because it requested the election itself.
 func (n *Node) campaign(force bool) {
 	n.startCampaign(candidate)
-	// Its own vote counts once it is on disk, as any other.
+	// The member's own vote counts once it is on disk; see WriteSynced.
 	n.votes = map[string]bool{n.id: false}
 	n.term++
 	n.vote = n.id
@@ -71,13 +72,13 @@
 
 func (n *Node) startCampaign(as role) {
 	n.electionTimerStart = n.now
-	n.shortenElectionTimeout()
+	n.resetCampaignTimeout()
 	n.leader = ""
 	n.role = as
 }
 
-// requestVotes sends a request to all other voters, with the end of this
-// member's log.
+// requestVotes sends a request to all other voters, with the index and term of this
+// member's last entry.
 func (n *Node) requestVotes(request Message, afterSync bool) {
 	request.Index = n.LastIndex()
 	request.LogTerm, _ = n.TermAt(n.LastIndex())
@@ -89,8 +90,8 @@
 	}
 }
 
-// tallyVotes goes on to the next stage of an election once a majority has
-// granted its vote.
+// tallyVotes advances a pre-candidate to candidate, or a candidate to leader, once a
+// quorum has granted its votes.
 func (n *Node) tallyVotes() {
 	if !n.latestConfiguration().hasQuorum(func(id string) bool { return n.votes[id] }) {
 		return
@@ -115,8 +116,8 @@
 	n.appendEntry(EntryNoop, nil)
 }
 
-// isUpToDate reports whether the log of a member that asks for a vote ends no
-// earlier than this one.
+// isUpToDate reports whether the log of a member that requests a vote is at least as
+// up to date as this member's log.
 func (n *Node) isUpToDate(m Message) bool {
 	logTerm, _ := n.TermAt(n.LastIndex())
 	return m.LogTerm > logTerm || m.LogTerm == logTerm && m.Index >= n.LastIndex()
@@ -150,11 +151,11 @@
 		n.send(Message{Kind: MsgVoteResponse, To: m.From, Reject: true}, false)
 		return
 	}
-	// A pre-candidate may vote too, since it has not yet voted for itself.
+	// A pre-candidate may vote too, since it hasn't voted for itself yet.
 	granted := (n.vote == "" || n.vote == m.From) && n.leader == "" && n.isUpToDate(m)
-	// Within an election timeout of its start a member grants no vote either (New sets
-	// lastLeaderContact), since a leader may still trust a lease that it confirmed
-	// before it stopped.
+	// A member also rejects votes within an election timeout of its start (New sets
+	// lastLeaderContact), since a leader may still rely on a lease that this member
+	// confirmed before it stopped.
 	if !m.Force && n.now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 		granted = false
 	}
--- a/internal/raft/errors.go
+++ b/internal/raft/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// Errors of calls that only a leader can carry out.
+// Errors returned by operations that require leadership.
 var (
-	// ErrNotLeader: this member does not lead.
-	ErrNotLeader = errors.New("this member does not lead")
-	// ErrTransferInProgress: the leader is transferring the leadership.
-	ErrTransferInProgress = errors.New("the leadership is being transferred")
-	// ErrNoTransferee: no voter can take the leadership over at once.
-	ErrNoTransferee = errors.New("no voter can take the leadership over")
-	// ErrConfChangeInProgress: a change of the voters is under way, or no entry of the term is
-	// committed yet.
-	ErrConfChangeInProgress = errors.New("a change of the voters is under way")
-	// ErrInvalidVoters: the proposed set of voters is empty, or the present one.
-	ErrInvalidVoters = errors.New("the set of voters is empty or the present one")
+	// ErrNotLeader is returned if this member is not the leader.
+	ErrNotLeader = errors.New("not the leader")
+	// ErrTransferInProgress is returned while the leader transfers the leadership.
+	ErrTransferInProgress = errors.New("leadership transfer in progress")
+	// ErrNoTransferee is returned if no voter is able to take over the leadership.
+	ErrNoTransferee = errors.New("no voter is able to take over the leadership")
+	// ErrConfChangeInProgress is returned while a configuration change is in progress, or
+	// before the leader has committed an entry of its term.
+	ErrConfChangeInProgress = errors.New("configuration change in progress")
+	// ErrInvalidVoters is returned if the proposed set of voters is empty or unchanged.
+	ErrInvalidVoters = errors.New("set of voters is empty or unchanged")
 )
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -1,17 +1,17 @@
 package raft
 
-// followLeader records the leader that sent a message. It returns false, and
-// answers, if the message is of an older term.
+// followLeader records the sender of a message as the leader. If the message is of an
+// older term, it rejects the message and returns false.
 func (n *Node) followLeader(m Message) bool {
 	if m.Term < n.term {
-		// A leader that was paused must learn of the newer term. The response has
-		// no send stamp, so the leader concludes nothing on this member's log.
+		// A leader that was paused must learn of the newer term. The response has no
+		// send stamp, so the leader draws no conclusions about this member's log.
 		n.send(Message{Kind: MsgAppendResponse, To: m.From, Reject: true}, false)
 		return false
 	}
 	if n.role != follower {
 		if n.role == leader {
-			panic("raft: two leaders in one term")
+			panic("raft: received a message of another leader in the same term")
 		}
 		n.role = follower
 	}
@@ -21,11 +21,11 @@
 	return true
 }
 
-// respondToAppend tells the leader how far this log agrees with its own, or, with
-// reject, from where it may differ.
+// respondToAppend sends the leader the index up to which this log matches its own or,
+// with reject, the index up to which they may match.
 func (n *Node) respondToAppend(m Message, index uint64, reject, afterSync bool) {
 	if m.Kind == MsgAppend && m.SendStamp == 0 && len(m.Entries) == 0 {
-		// A commit index alone needs no response; see sendCommit.
+		// A message with only a commit index needs no response; see sendCommit.
 		return
 	}
 	response := Message{
@@ -38,13 +38,13 @@
 	n.send(response, afterSync)
 }
 
-// handleAppend takes entries, a heartbeat, or a commit index from the leader.
+// handleAppend handles entries, a heartbeat, or a commit index from the leader.
 func (n *Node) handleAppend(m Message) {
 	if !n.followLeader(m) {
 		return
 	}
 	if m.Index < n.commitIndex && m.LogTerm != noEntryTerm {
-		// Committed entries are the same in both logs, so they are skipped.
+		// Committed entries are identical in both logs, so they are skipped.
 		skip := n.commitIndex - m.Index
 		if uint64(len(m.Entries)) <= skip {
 			n.respondToAppend(m, n.commitIndex, false, n.syncedIndex < n.commitIndex)
@@ -66,7 +66,7 @@
 	n.respondToAppend(m, matched, false, appended || n.syncedIndex < matched)
 }
 
-// rejectionHint returns the index up to which the logs may agree, given that they
+// rejectionHint returns the index up to which the logs may match, given that they
 // differ at index or that this log ends before it.
 func (n *Node) rejectionHint(index uint64) uint64 {
 	hint := n.LastIndex()
@@ -76,8 +76,9 @@
 	return max(hint, n.commitIndex)
 }
 
-// mergeEntries adds the leader's entries that the log lacks, in place of those that
-// differ. It reports whether there were any.
+// mergeEntries appends the leader's entries that are missing from the log, after
+// truncating the log at the first conflicting entry. It reports whether any entry was
+// appended.
 func (n *Node) mergeEntries(entries []Entry) bool {
 	for i, entry := range entries {
 		if term, ok := n.TermAt(entry.Index); ok {
--- a/internal/raft/large_append_test.go
+++ b/internal/raft/large_append_test.go
@@ -123,7 +123,7 @@
 					sent := peer.largeAppends.appends[0]
 					leader.now = sent.sentAt.Add(link.delivery)
 					peer.match, peer.lastContact = sent.lastIndex, leader.now
-					leader.noteLargeAppendAcked(peer, sent.stamp)
+					leader.recordLargeAppendAcked(peer, sent.stamp)
 				}
 			}
 			leader.now = leader.now.Add(link.idle)
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// LastIndex returns the index of the newest entry of the log.
+// LastIndex returns the index of the last entry of the log.
 func (n *Node) LastIndex() uint64 { return n.base.Index + uint64(len(n.log)) }
 
-// TermAt returns the term of an entry of the log or of the snapshot before it;
-// false if the entry is compacted or not there.
+// TermAt returns the term of the entry at index, which may also be the last entry of
+// the snapshot that the log follows. It returns false if the entry is compacted or
+// doesn't exist.
 func (n *Node) TermAt(index uint64) (uint64, bool) {
 	if index == n.base.Index {
 		return n.base.Term, true
@@ -17,24 +18,24 @@
 	return n.log[index-n.base.Index-1].Term, true
 }
 
-// appendEntry adds an entry of this leader's term to the log.
+// appendEntry appends an entry of this leader's term to the log and returns its index.
 func (n *Node) appendEntry(kind EntryKind, data []byte) uint64 {
 	entry := Entry{Index: n.LastIndex() + 1, Term: n.term, Kind: kind, Data: data}
 	n.appendToLog(entry)
 	return entry.Index
 }
 
-// appendToLog adds the next entry to the log and to what is to be written.
+// appendToLog appends an entry to the log and to the pending writes.
 func (n *Node) appendToLog(entry Entry) {
 	n.log = append(n.log, entry)
 	n.recordConfiguration(entry)
 	n.pending.Entries = append(n.pending.Entries, entry)
 }
 
-// truncateLog drops the log from an index on, where the leader's differs.
+// truncateLog removes the entries from index on, which conflict with the leader's log.
 func (n *Node) truncateLog(index uint64) {
 	if index <= n.commitIndex {
-		panic("raft: a committed entry would change")
+		panic("raft: log truncation would remove a committed entry")
 	}
 	n.log = n.log[:index-n.base.Index-1]
 	for len(n.configurations) > 1 && n.latestConfiguration().index >= index {
@@ -44,21 +45,22 @@
 	n.pending.Entries = slices.DeleteFunc(n.pending.Entries, func(entry Entry) bool { return entry.Index >= index })
 }
 
-// supersedeWrites notes that the entries from an index on are replaced. Writes
-// that Ready returned before and that are not synced yet prove nothing of what will
-// be there: the same entry may even come back while an older write is still to
-// remove it.
+// supersedeWrites records that the entries from index on are replaced. Writes that
+// Ready returned earlier and that aren't synced yet then don't prove that the disk will
+// hold these entries: the same entry may be appended again while an earlier unsynced
+// write is still going to remove it.
 func (n *Node) supersedeWrites(index uint64) {
 	n.syncedIndex = min(n.syncedIndex, index-1)
-	if n.syncedWrites >= n.supersededWrite || index < n.supersededFrom {
+	if n.lastSyncedWrite >= n.supersededWrite || index < n.supersededFrom {
 		n.supersededFrom = index
 	}
-	n.supersededWrite = n.issuedWrites
+	n.supersededWrite = n.lastIssuedWrite
 }
 
-// NextCommittedEntries returns the committed entries that are to be applied, each
-// of them once, and at most Config.MaxCommittedEntries. There are none while Ready still has to return a received snapshot:
-// they apply to the state of that snapshot, and the owner has an older one.
+// NextCommittedEntries returns the committed entries to be applied next, at most
+// Config.MaxCommittedEntries. Each entry is returned once. It returns none while a
+// received snapshot is still to be returned by Ready: the entries apply to the state of
+// that snapshot, and the owner has an older state.
 func (n *Node) NextCommittedEntries() []Entry {
 	if n.pending.Snapshot != nil || n.appliedIndex >= n.commitIndex {
 		return nil
@@ -72,16 +74,16 @@
 	return entries
 }
 
-// RestoreCommit tells a node that was just started that entries up to an index were
-// committed before it stopped: the newest Ready.CommitIndex on its disk. It can then
-// apply them before it knows a leader. What was committed stays so, and the disk held
-// these entries when the index was written.
+// RestoreCommit restores the commit index of a newly started node from the latest
+// Ready.CommitIndex on its disk, so that it can apply these entries before it knows a
+// leader. This is safe since committed entries stay committed, and the disk held them
+// when the index was written.
 func (n *Node) RestoreCommit(index uint64) {
 	n.commitIndex = max(n.commitIndex, min(index, n.LastIndex()))
 }
 
-// Compact drops the entries up to an index, which a snapshot on disk includes.
-// It does nothing if they are dropped already or not applied yet.
+// Compact removes the entries up to index, which a snapshot on disk must include. It
+// does nothing if they are already compacted or not applied yet.
 func (n *Node) Compact(index uint64) {
 	if index <= n.base.Index || index > n.appliedIndex {
 		return
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// latestConfiguration returns the newest configuration in the log, which is in force
-// whether it is committed or not.
+// latestConfiguration returns the latest configuration in the log, which is in force
+// whether or not it is committed.
 func (n *Node) latestConfiguration() *configuration {
 	return &n.configurations[len(n.configurations)-1]
 }
 
-// recordConfiguration puts a new configuration in force, if the entry holds one.
+// recordConfiguration puts the configuration of a configuration entry in force. It
+// ignores other entries.
 func (n *Node) recordConfiguration(entry Entry) {
 	if entry.Kind != EntryConfChange {
 		return
 	}
 	voters, outgoing, err := DecodeConfChange(entry.Data)
 	if err != nil {
-		panic("raft: conf entry unreadable: " + err.Error())
+		panic("raft: decode configuration entry: " + err.Error())
 	}
 	n.configurations = append(n.configurations, configuration{entry.Index, voters, outgoing})
 }
 
-// Voters returns all that vote by the newest configuration in the log, during a
-// change also the outgoing voters.
+// Voters returns the voters of the latest configuration in the log, including the
+// outgoing voters during a change.
 func (n *Node) Voters() []Member { return n.latestConfiguration().allVoters() }
 
-// VoterSets returns the two sets of voters of the newest configuration in the log,
-// of each of which a majority is needed. The second one is empty outside a change.
+// VoterSets returns the two sets of voters of the latest configuration in the log. A
+// quorum needs a majority of each. The outgoing set is empty outside a change.
 func (n *Node) VoterSets() (voters, outgoing []Member) {
 	latest := n.latestConfiguration()
 	return latest.voters, latest.outgoing
 }
 
-// ConfIndex returns the index of the entry of the newest configuration.
+// ConfIndex returns the index of the entry that holds the latest configuration.
 func (n *Node) ConfIndex() uint64 { return n.latestConfiguration().index }
 
-// ConfChangePending reports whether a configuration change is under way.
+// ConfChangePending reports whether a configuration change is in progress.
 func (n *Node) ConfChangePending() bool {
 	return n.latestConfiguration().isJoint() || n.ConfIndex() > n.commitIndex
 }
 
-// IsVoter reports whether a member votes by the newest configuration in the log.
+// IsVoter reports whether a member is a voter, or an outgoing one, in the latest
+// configuration in the log.
 func (n *Node) IsVoter(id string) bool {
 	latest := n.latestConfiguration()
 	return containsMember(latest.voters, id) || containsMember(latest.outgoing, id)
 }
 
-// previousVoters returns the voters of the configuration before the newest one, if
-// the newest one is not known to be committed.
+// previousVoters returns the voters of the configuration before the latest one, if the
+// latest one isn't known to be committed.
 func (n *Node) previousVoters() []Member {
 	previous := len(n.configurations) - 2
 	if previous < 0 || n.ConfIndex() <= n.commitIndex {
@@ -58,51 +60,52 @@
 	return n.configurations[previous].allVoters()
 }
 
-// promotable reports whether this member may campaign: a voter, or one that was
-// voted out by an entry which is not known to be committed. Its log may be the
-// longest, so that no other can win its vote; it must then lead once more, without
-// counting itself, to end the change.
+// promotable reports whether this member may campaign: it is a voter, or it was removed
+// by an entry that isn't known to be committed. The log of a removed member may be the
+// longest, so that no other member can win its vote. It must then lead once more,
+// without counting itself in quorums, to complete the change.
 func (n *Node) promotable() bool {
 	return n.IsVoter(n.id) || containsMember(n.previousVoters(), n.id)
 }
 
-// updatePeers makes the leader track the members that it sends to: voters,
-// learners, and those voted out, until that is committed.
+// updatePeers updates the set of members that the leader replicates to: voters,
+// learners, and removed voters until their removal is committed.
 func (n *Node) updatePeers() {
-	wanted := map[string]bool{}
+	tracked := map[string]bool{}
 	for _, member := range n.Voters() {
-		wanted[member.ID] = true
+		tracked[member.ID] = true
 	}
 	for id := range n.learners {
-		wanted[id] = true
+		tracked[id] = true
 	}
 	if n.ConfChangePending() && len(n.configurations) > 1 {
 		for _, member := range n.configurations[len(n.configurations)-2].allVoters() {
-			wanted[member.ID] = true
+			tracked[member.ID] = true
 		}
 	}
-	delete(wanted, n.id)
-	for id := range wanted {
+	delete(tracked, n.id)
+	for id := range tracked {
 		if n.peers[id] == nil {
 			n.peers[id] = &progress{next: n.LastIndex() + 1, probing: true, nextSetStamp: n.lastStamp, lastContact: n.now}
 		}
 	}
 	for id, peer := range n.peers {
-		if !wanted[id] {
-			// A member that was voted out stops campaigning once it knows that this
-			// is committed.
+		if !tracked[id] {
+			// A removed voter stops campaigning once it knows that its removal is
+			// committed.
 			n.sendCommit(id, peer)
 			delete(n.peers, id)
 		}
 	}
 }
 
-// ProposeConfChange starts a change to a new set of voters, however many differ. The
-// log first gets an entry under which majorities of both sets are needed; once that
-// is committed, the leader adds one with the new set alone. The error is ErrNotLeader,
-// ErrTransferInProgress, ErrConfChangeInProgress or ErrInvalidVoters.
+// ProposeConfChange starts a change to a new set of voters, which may differ in any
+// number of members. The leader first appends a joint configuration, which requires
+// majorities of both sets. Once that is committed, it appends the configuration with
+// only the new set. The error is ErrNotLeader, ErrTransferInProgress,
+// ErrConfChangeInProgress or ErrInvalidVoters.
 func (n *Node) ProposeConfChange(voters []Member) error {
-	if err := n.checkLeads(); err != nil {
+	if err := n.checkActiveLeader(); err != nil {
 		return err
 	}
 	if n.ConfChangePending() || n.commitIndex < n.noopIndex {
@@ -119,9 +122,9 @@
 	return nil
 }
 
-// advanceConfChange takes the next step of a configuration change, also of one that
-// an earlier leader began. Once the joint entry is committed, the final one follows;
-// once that is committed, a leader that is no longer a voter transfers the leadership.
+// advanceConfChange takes the next step of a configuration change, which an earlier
+// leader may have started. Once the joint entry is committed, it appends the final one.
+// Once that is committed, a leader that is no longer a voter transfers the leadership.
 func (n *Node) advanceConfChange() {
 	latest := n.latestConfiguration()
 	if latest.index > n.commitIndex || n.commitIndex < n.noopIndex {
@@ -141,8 +144,8 @@
 	}
 }
 
-// AddLearner makes the leader replicate its log to a member that does not vote. It
-// does nothing on other members, or for a voter.
+// AddLearner makes the leader replicate its log to a non-voting member. It does nothing
+// if this member isn't the leader or the given member is a voter.
 func (n *Node) AddLearner(member Member) {
 	if n.role != leader || n.IsVoter(member.ID) {
 		return
@@ -151,7 +154,7 @@
 	n.updatePeers()
 }
 
-// RemoveLearner ends the replication to a learner.
+// RemoveLearner stops the replication to a learner.
 func (n *Node) RemoveLearner(id string) {
 	delete(n.learners, id)
 	if n.role == leader {
@@ -159,8 +162,8 @@
 	}
 }
 
-// startHeartbeatRound starts a round of heartbeats, if it is time for one; see
-// CaughtUp.
+// startHeartbeatRound starts a new round of heartbeats if one is due, and reports whether
+// it did; see CaughtUp.
 func (n *Node) startHeartbeatRound() bool {
 	if n.now.Sub(n.roundStartedAt) < n.config.HeartbeatInterval {
 		return false
@@ -170,17 +173,17 @@
 	return true
 }
 
-// CaughtUp reports whether a member holds all that was committed when the last
-// complete round of heartbeats began. Under load the newest entries are always
-// under way, so that a member can't be required to have them; one that lags by more
-// than a round is not caught up, however few entries that are.
+// CaughtUp reports whether a member holds all entries that were committed when the last
+// complete round of heartbeats began. Under load the newest entries are always in
+// flight, so a member isn't required to hold them. A member that lags by more than a
+// round isn't caught up, however few entries it lacks.
 func (n *Node) CaughtUp(id string) bool {
 	peer := n.peers[id]
 	return peer != nil && !peer.probing && !peer.faulty && peer.match >= n.previousRoundCommitIndex
 }
 
-// TimeSinceContact returns the time since a member was last heard by this leader, or 0 if
-// the leader does not track it.
+// TimeSinceContact returns the time since this leader's last contact with a member, or 0
+// if it doesn't replicate to that member.
 func (n *Node) TimeSinceContact(id string) time.Duration {
 	if peer := n.peers[id]; peer != nil {
 		return n.now.Sub(peer.lastContact)
@@ -188,7 +191,7 @@
 	return 0
 }
 
-// configurationAt returns the configuration in force at an entry.
+// configurationAt returns the configuration in force at the entry with the given index.
 func (n *Node) configurationAt(index uint64) configuration {
 	found := n.configurations[0]
 	for _, c := range n.configurations {
@@ -199,9 +202,9 @@
 	return found
 }
 
-// VotersAt returns the voters in force at an applied entry, for a snapshot.
+// VotersAt returns the voters in force at an applied entry, to be stored in a snapshot.
 func (n *Node) VotersAt(index uint64) []Member { return n.configurationAt(index).voters }
 
-// OutgoingVotersAt returns the outgoing voters of a change that was under way at an
-// applied entry, or nil, for a snapshot.
+// OutgoingVotersAt returns the outgoing voters of a change in progress at an applied
+// entry, or nil, to be stored in a snapshot.
 func (n *Node) OutgoingVotersAt(index uint64) []Member { return n.configurationAt(index).outgoing }
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// idleTickInterval is the time after which a member that may not campaign wants
-// to be called again; nothing depends on it.
+// idleTickInterval is the interval at which Tick asks to be called by a member that may
+// not campaign. Nothing depends on its value.
 const idleTickInterval = time.Second
 
 // Node is the Raft state machine of one member. It isn't safe for concurrent use.
@@ -26,44 +26,45 @@
 	configurations []configuration // the one in force at base, then those in the log
 
 	commitIndex, appliedIndex uint64
-	syncedIndex               uint64 // the log is on this member's disk up to here
+	syncedIndex               uint64 // index up to which the log is on this member's disk
 	unsyncedHardStates        int
-	// Sequences of the newest write that Ready returned and of the newest one synced.
-	issuedWrites, syncedWrites uint64
-	// A write up to supersededWrite may hold entries that were replaced since:
-	// from supersededFrom on, its sync proves nothing.
+	// Sequence numbers of the last write that Ready returned and of the last one synced.
+	lastIssuedWrite, lastSyncedWrite uint64
+	// Writes with a sequence number up to supersededWrite may hold entries that were
+	// replaced since. Their sync doesn't prove that entries from supersededFrom on are on
+	// disk.
 	supersededWrite, supersededFrom uint64
 
 	startedAt          time.Time
 	now                time.Time
-	lastStamp          int64 // newest send stamp, in ns since startedAt
+	lastStamp          int64 // last send stamp, in ns since startedAt
 	electionTimerStart time.Time
-	electionTimeout    time.Duration // of the present wait, with its random share
-	lastLeaderContact  time.Time     // or the start of this node
+	electionTimeout    time.Duration // current timeout, including its random part
+	lastLeaderContact  time.Time     // initially the start of this node
 	votes              map[string]bool
 
-	// State of a leader.
+	// The remaining fields up to transfer hold the state of a leader.
 	electedAt        time.Time
-	leasedAt         time.Time // when this leader last saw at a tick that it has the lease
+	lastLeaseAt      time.Time // time of the last tick at which this leader had the lease
 	peers            map[string]*progress
 	learners         map[string]Member
 	eagerCommitPeers map[string]bool
 	noopIndex        uint64 // of the first entry of this leader's term
-	// Commit index at the beginning of the present round of heartbeats and of
-	// the one before it.
+	// Commit indexes at the start of the current round of heartbeats and of the
+	// previous one.
 	roundCommitIndex, previousRoundCommitIndex uint64
 	roundStartedAt                             time.Time
 	transferring                               bool
-	transfer                                   leadTransfer // valid while transferring
+	transfer                                   leadershipTransfer // valid only while transferring is set
 
 	hardStateDirty bool
-	pending        Ready // what Ready returns next
+	pending        Ready // result of the next call of Ready
 	wallClock      func() int64
 	snapshotSource func() *Snapshot
 }
 
-// New returns a Node that starts from what its disk holds, as a follower. The
-// seed feeds the random share of election timeouts.
+// New returns a Node that starts as a follower from the state on its disk. The seed
+// initializes the random number generator for election timeouts.
 func New(
 	id string, hardState HardState, snapshot Snapshot, entries []Entry, now time.Time, config Config, seed int64,
 ) *Node {
@@ -91,7 +92,7 @@
 		n.recordConfiguration(entry)
 	}
 	n.syncedIndex = n.LastIndex()
-	// A full election timeout passes after a start, since a leader may still trust a
+	// The first timeout is at least ElectionTimeout, since a leader may still rely on a
 	// lease that this member confirmed before it stopped.
 	n.electionTimeout = n.config.ElectionTimeout + n.config.HeartbeatInterval/4 + n.randomUpTo(n.config.ElectionJitter/2)
 	return n
@@ -103,20 +104,20 @@
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Leader returns the ID of the known leader of the term, or the empty string.
+// Leader returns the ID of the leader of the current term, or the empty string if it is
+// unknown.
 func (n *Node) Leader() string { return n.leader }
 
-// IsLeader reports whether this member is the leader of its term.
+// IsLeader reports whether this member is the leader of its current term.
 func (n *Node) IsLeader() bool { return n.role == leader }
 
 // CommitIndex returns the index up to which the log is known to be committed.
 func (n *Node) CommitIndex() uint64 { return n.commitIndex }
 
-// AppliedIndex returns the index up to which NextCommittedEntries has handed
-// out the log.
+// AppliedIndex returns the index of the last entry that NextCommittedEntries returned.
 func (n *Node) AppliedIndex() uint64 { return n.appliedIndex }
 
-// Tick moves the clock on. It returns the time after which Tick is to be called
+// Tick advances the clock to now. It returns the time after which Tick is to be called
 // again if there is no other input.
 func (n *Node) Tick(now time.Time) time.Duration {
 	n.now = now
@@ -133,33 +134,34 @@
 	return n.electionTimeout
 }
 
-// isLeaseLost reports whether this leader has been without the lease for LeaseLossTimeout. A
-// majority may answer it all the while, each time too late: the messages of a leader whose link
-// carries less than it has to send queue up, and it serves nothing for as long as that lasts.
+// isLeaseLost reports whether this leader has been without the lease for LeaseLossTimeout. This can
+// happen even though a majority responds all the time, if each response arrives too late: on an
+// overloaded link the leader's messages queue up, and it can't serve requests while that lasts.
 func (n *Node) isLeaseLost() bool {
 	if n.HasLease(n.now) {
-		n.leasedAt = n.now
+		n.lastLeaseAt = n.now
 	}
 	since := n.electedAt
-	if n.leasedAt.After(since) {
-		since = n.leasedAt
+	if n.lastLeaseAt.After(since) {
+		since = n.lastLeaseAt
 	}
 	return n.config.LeaseLossTimeout > 0 && n.now.Sub(since) > n.config.LeaseLossTimeout
 }
 
-// tickLeader steps down without a quorum or a lease, ends a transfer that takes too long,
-// or sends the heartbeats that are due.
+// tickLeader steps down if the leader lost its lease or quorum, aborts a leadership transfer that
+// takes too long, or sends the heartbeats that are due.
 func (n *Node) tickLeader() time.Duration {
 	if n.isLeaseLost() {
-		// The others go first: they are heard well, and what this member has queued for them
-		// keeps them from electing for as long as it takes to arrive.
+		// The other members are to campaign first, since their messages arrive in time. Messages
+		// that this member has queued for them delay their election until they have arrived, so
+		// this member waits for longer than an election timeout.
 		n.becomeFollower(n.term, "")
 		n.electionTimeout += n.config.LeaseLossTimeout
 		return n.electionTimeout
 	}
 	withoutQuorum := n.now.Sub(n.lastQuorumContact(n.now)) > n.config.CheckQuorumTimeout
 	if withoutQuorum && n.now.Sub(n.electedAt) > n.config.CheckQuorumTimeout {
-		// A member that can reach a majority must be free to campaign.
+		// Step down, so that a member that can reach a majority may campaign.
 		n.becomeFollower(n.term, "")
 		n.electionTimerStart = n.now
 		n.resetElectionTimeout()
@@ -174,14 +176,14 @@
 	}
 	for id, peer := range n.peers {
 		if n.now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
-			n.sendDueAppend(id, peer)
+			n.sendAppendOrHeartbeat(id, peer)
 		}
 	}
 	return n.config.HeartbeatInterval
 }
 
-// Step takes a message from another member. Messages that are for another
-// member, or of an unknown kind, are dropped.
+// Step handles a message from another member. Messages addressed to a different member
+// or of an unknown kind are dropped.
 func (n *Node) Step(m Message, now time.Time) {
 	n.now = now
 	if m.To != n.id {
@@ -190,9 +192,9 @@
 	if m.Term > n.term {
 		switch m.Kind {
 		case MsgPreVote, MsgPreVoteResponse:
-			// They name a term that nobody is in yet.
+			// Their term is a proposed one that no member has entered yet.
 		case MsgVote:
-			// A leader that is up may rely on this member for its lease.
+			// The current leader may rely on this member for its lease.
 			if !m.Force && now.Sub(n.lastLeaderContact) < n.config.ElectionTimeout {
 				return
 			}
@@ -222,9 +224,9 @@
 	MsgTimeoutNow:      (*Node).handleTimeoutNow,
 }
 
-// send queues a message, with the present term unless it is of a pre-vote. It
-// waits for the sync of all earlier writes if afterSync is set, or if a hard
-// state is not on disk yet.
+// send queues a message. It sets the term of the message to the current one, except for
+// pre-vote messages. The message is sent after all earlier writes are synced if afterSync
+// is set or if the hard state isn't on disk yet.
 func (n *Node) send(m Message, afterSync bool) {
 	m.From = n.id
 	if m.Kind != MsgPreVote && m.Kind != MsgPreVoteResponse {
@@ -237,8 +239,8 @@
 	}
 }
 
-// Ready returns what the owner must write and send since the last call. It is
-// called until the result is empty.
+// Ready returns the writes and messages that have accumulated since the last call. The
+// owner calls it until the result is empty.
 func (n *Node) Ready() Ready {
 	n.replicate()
 	ready := n.pending
@@ -257,14 +259,14 @@
 	}
 	if ready.MustSync() {
 		ready.CommitIndex = n.commitIndex
-		n.issuedWrites++
-		ready.WriteToken.Sequence = n.issuedWrites
+		n.lastIssuedWrite++
+		ready.WriteToken.Sequence = n.lastIssuedWrite
 	}
 	return ready
 }
 
-// WriteSynced records that a write is on disk. Writes are reported in the
-// order in which Ready handed them out.
+// WriteSynced records that a write is on disk. Writes must be reported in the order in
+// which Ready returned them.
 func (n *Node) WriteSynced(token WriteToken) {
 	if token.HasHardState {
 		n.unsyncedHardStates--
@@ -273,7 +275,7 @@
 			n.tallyVotes()
 		}
 	}
-	n.syncedWrites = max(n.syncedWrites, token.Sequence)
+	n.lastSyncedWrite = max(n.lastSyncedWrite, token.Sequence)
 	if token.SnapshotIndex == n.base.Index {
 		n.syncedIndex = max(n.syncedIndex, token.SnapshotIndex)
 	}
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -7,47 +7,46 @@
 )
 
 const (
-	// snapshotResendInterval is the least time between two snapshots to one member.
+	// snapshotResendInterval is the minimum time between two snapshots sent to the same member.
 	snapshotResendInterval = time.Second
-	// entryOverheadBytes is added to an entry's data when an append is sized.
+	// entryOverheadBytes is added to the size of an entry's data when the size of an append is computed.
 	entryOverheadBytes = 16
-	// noEntryTerm is the term of no entry. An append that names it as LogTerm is a
-	// bare heartbeat: it is always rejected, and the rejection counts as a response
-	// but says nothing of the log.
+	// noEntryTerm is a term that no entry has. An append with this LogTerm is a bare
+	// heartbeat: it is always rejected, and the rejection counts as a response but says
+	// nothing about the log.
 	noEntryTerm = ^uint64(0)
 )
 
-// progress is what the leader knows of another member (thesis, section 3.5).
+// progress is the leader's view of another member (thesis, section 3.5).
 type progress struct {
 	match, next uint64
-	probing     bool // the index up to which the logs agree is not known, or a snapshot is on its way
-	// The newest send stamps that had been used when next was last set by a
-	// response, and when match last rose.
+	probing     bool // the index up to which the logs match is unknown, or a snapshot is in flight
+	// Values of lastStamp when a response last set next, and when match last increased.
 	nextSetStamp, matchSetStamp int64
-	faulty                      bool // it lost entries that it had acknowledged, and is not counted
+	faulty                      bool // lost entries that it had acknowledged; excluded from quorums
 	snapshotSentAt              time.Time
-	lastAckedSend               time.Time     // send time of the newest append that was answered
-	roundTrip                   time.Duration // from the sending of that one to its answer
+	lastAckedSend               time.Time     // send time of the latest append that was responded to
+	roundTrip                   time.Duration // from the sending of that append to its response
 	lastContact                 time.Time
 	lastSend                    time.Time
 	wallClock                   int64 // ms since 1970, read at wallClockAt
 	wallClockAt                 time.Time
-	commitSent                  uint64 // the newest commit index sent to it
+	commitSent                  uint64 // last commit index sent to the member
 	largeAppends                largeAppendProgress
 }
 
-// Propose adds a command to the log. It returns the index at which the command
-// will be applied, if the term stays the same. The error is ErrNotLeader or
+// Propose appends a command to the log. It returns the index at which the command will
+// be applied, provided that the term doesn't change before. The error is ErrNotLeader or
 // ErrTransferInProgress.
 func (n *Node) Propose(data []byte) (uint64, error) {
-	if err := n.checkLeads(); err != nil {
+	if err := n.checkActiveLeader(); err != nil {
 		return 0, err
 	}
 	return n.appendEntry(EntryNormal, data), nil
 }
 
-// checkLeads returns why this member takes no proposals, or nil.
-func (n *Node) checkLeads() error {
+// checkActiveLeader returns an error if this member is unable to accept proposals.
+func (n *Node) checkActiveLeader() error {
 	switch {
 	case n.role != leader:
 		return ErrNotLeader
@@ -57,11 +56,12 @@
 	return nil
 }
 
-// SetEagerCommitPeers names the members that a leader tells of each commit at once,
-// and not with the next append: they act on what they have applied.
+// SetEagerCommitPeers sets the members to which a leader sends each new commit index
+// immediately instead of with the next append, because they act on the entries that they
+// have applied.
 func (n *Node) SetEagerCommitPeers(ids map[string]bool) { n.eagerCommitPeers = ids }
 
-// sendCommit sends a member the commit index. It needs no response, and therefore
+// sendCommit sends the commit index to a member. The message needs no response, so it
 // has no send stamp.
 func (n *Node) sendCommit(id string, peer *progress) {
 	prevIndex := peer.next - 1
@@ -73,8 +73,8 @@
 	n.send(Message{Kind: MsgAppend, To: id, Index: prevIndex, LogTerm: logTerm, Commit: n.commitIndex}, false)
 }
 
-// replicate sends each member the entries that it lacks, as far as the limit on
-// those in flight allows.
+// replicate sends each member the entries that it lacks, as far as the limits on entries
+// and on large appends in flight allow.
 func (n *Node) replicate() {
 	if n.role != leader {
 		return
@@ -82,7 +82,7 @@
 	for id, peer := range n.peers {
 		if peer.probing {
 			if n.now.Sub(peer.lastSend) >= n.config.HeartbeatInterval {
-				n.sendDueAppend(id, peer)
+				n.sendAppendOrHeartbeat(id, peer)
 			}
 			continue
 		}
@@ -99,30 +99,31 @@
 	}
 }
 
-// nextStamp returns the send stamp of an append: nanoseconds of the monotonic clock
-// since the start of this node, and no two alike. The time of day may jump, and a
-// lease counted from it would then reach too far.
+// nextStamp returns a unique send stamp for an append: nanoseconds of the monotonic clock
+// since the start of this node. It doesn't use the wall clock: if that jumped, a lease
+// computed from it might be valid for too long.
 func (n *Node) nextStamp() int64 {
 	n.lastStamp = max(n.lastStamp+1, int64(n.now.Sub(n.startedAt)))
 	return n.lastStamp
 }
 
-// stampTime returns the time at which the append with a stamp was sent, or a moment
-// before it.
+// stampTime returns the time at which the append with the given stamp was queued, which is
+// when it was sent or shortly before.
 func (n *Node) stampTime(stamp int64) time.Time { return n.startedAt.Add(time.Duration(stamp)) }
 
-// sendHeartbeat sends a bare heartbeat, where no entries can be sent; see noEntryTerm.
+// sendHeartbeat sends a bare heartbeat to a member that can't be sent entries at present;
+// see noEntryTerm.
 func (n *Node) sendHeartbeat(id string, peer *progress) {
 	peer.lastSend = n.now
 	n.send(Message{Kind: MsgAppend, To: id, Index: n.commitIndex, LogTerm: noEntryTerm, SendStamp: n.nextStamp()}, false)
 }
 
-// sendSnapshot sends the state to a member that lacks compacted entries; false while an
-// earlier snapshot may be on its way.
+// sendSnapshot sends a snapshot to a member that lacks compacted entries. It returns
+// false if none is sent, for example because an earlier one may still be in flight.
 func (n *Node) sendSnapshot(id string, peer *progress) bool {
 	peer.probing = true
-	// A snapshot is large, and one on its way is enough. While a received one
-	// waits in pending, the owner has an older state still.
+	// Snapshots are large, so only one is in flight to a member at a time. While a
+	// received snapshot is pending, the owner still has an older state.
 	if n.now.Sub(peer.snapshotSentAt) < snapshotResendInterval || n.pending.Snapshot != nil {
 		return false
 	}
@@ -131,33 +132,34 @@
 	return true
 }
 
-// batch is a run of entries for one append, those from a member's next one on.
+// batch describes the entries of one append, starting at a member's next index.
 type batch struct {
 	count int
-	size  int // bytes, with the overhead of each
+	size  int // in bytes, including entryOverheadBytes per entry
 }
 
-// nextBatch measures the next entries that a member lacks, as many as go into one append: one
-// while match is unknown, since more would likely be rejected.
+// nextBatch returns the next entries that a member lacks, as many as fit into one append. While the
+// member is being probed, it is a single entry, since more would likely be rejected.
 func (n *Node) nextBatch(peer *progress) batch {
 	if peer.next <= n.base.Index || peer.next > n.LastIndex() {
 		return batch{}
 	}
-	lacking := n.log[peer.next-n.base.Index-1:]
+	missing := n.log[peer.next-n.base.Index-1:]
 	if peer.probing {
-		lacking = lacking[:1]
+		missing = missing[:1]
 	}
 	next := batch{}
-	for next.count < len(lacking) && next.size < n.config.MaxAppendBytes {
-		next.size += len(lacking[next.count].Data) + entryOverheadBytes
+	for next.count < len(missing) && next.size < n.config.MaxAppendBytes {
+		next.size += len(missing[next.count].Data) + entryOverheadBytes
 		next.count++
 	}
 	return next
 }
 
-// sendDueAppend sends a member what also is its heartbeat: the next entries, unless they have
-// to wait for large ones that are on their way to others.
-func (n *Node) sendDueAppend(id string, peer *progress) {
+// sendAppendOrHeartbeat sends a member the append that also serves as its heartbeat. It contains the next
+// entries, unless they have to wait for large appends in flight to other members. If no append can be
+// sent, the member is sent a bare heartbeat.
+func (n *Node) sendAppendOrHeartbeat(id string, peer *progress) {
 	next := n.nextBatch(peer)
 	if !peer.probing && n.mustWaitForLargeAppends(peer, next.size) {
 		next = batch{}
@@ -167,9 +169,9 @@
 	}
 }
 
-// sendAppend sends entries that a member lacks; without any, the append is a heartbeat. A
-// member that lacks compacted entries is sent the state instead. False if nothing can be sent
-// to the member at the moment.
+// sendAppend sends an append with the given entries to a member; without entries it is a heartbeat.
+// A member that lacks compacted entries is sent a snapshot instead. It returns false if nothing can
+// be sent to the member at present.
 func (n *Node) sendAppend(id string, peer *progress, next batch) bool {
 	if peer.faulty {
 		return false
@@ -189,13 +191,13 @@
 	if !peer.probing {
 		peer.next += uint64(next.count)
 	}
-	n.noteLargeAppendSent(peer, m.SendStamp, prevIndex+uint64(next.count), next.size)
+	n.recordLargeAppendSent(peer, m.SendStamp, prevIndex+uint64(next.count), next.size)
 	peer.lastSend, peer.commitSent = n.now, n.commitIndex
 	n.send(m, false)
 	return true
 }
 
-// handleAppendResponse records how far a member's log agrees with this one.
+// handleAppendResponse records a member's contact, and how far its log matches this one.
 func (n *Node) handleAppendResponse(m Message) {
 	peer := n.peers[m.From]
 	if n.role != leader || m.Term != n.term || peer == nil {
@@ -218,7 +220,7 @@
 	if m.Index > peer.match {
 		peer.match, peer.matchSetStamp = m.Index, n.lastStamp
 	}
-	n.noteLargeAppendAcked(peer, m.SendStamp)
+	n.recordLargeAppendAcked(peer, m.SendStamp)
 	if peer.probing || peer.next <= peer.match {
 		peer.nextSetStamp = n.lastStamp
 		peer.next = peer.match + 1
@@ -230,22 +232,22 @@
 	}
 }
 
-// handleAppendRejection searches for the place from which a member's log differs.
-// The response echoes the append that it rejects: its stamp, its index (in Commit)
-// and its term. Responses of a lost connection may come late; one to an append from
-// before the present place was chosen says nothing.
+// handleAppendRejection searches for the index from which a member's log differs. The
+// response echoes the stamp, the index (in Commit) and the log term of the append that it
+// rejects. Responses of a lost connection may arrive late, so a rejection of an append
+// sent before next was last set is ignored.
 //
-// A rejection at or below match breaks a promise, if the append was sent after
-// match had been acknowledged: the member has lost entries that it said were on
-// its disk (the disk was wiped, or an old copy of it put in place, under the same
-// ID). Its response can't have overtaken the acknowledgement, however late either
-// came. From then on this leader counts the member neither for commits nor for the
-// lease, and sends it no entries: if it were counted again, two majorities could
-// have in common only a member that forgot. What was committed with its help is
-// held by one disk less than it seems, which nothing can undo; what is committed
-// from here on rests on the others alone. A later leader, which was promised
-// nothing, can't tell and takes the member as it finds it; so the voter is to be
-// replaced (see FaultyPeers).
+// A rejection at or below match of an append that was sent after match had been
+// acknowledged shows that the member has lost entries that it had acknowledged as on disk:
+// its disk was wiped or replaced by an old copy, under the same ID. The order in which
+// the responses arrive doesn't matter, since the append was sent after the
+// acknowledgement. From then on this leader counts the member neither for commits nor for
+// the lease, and sends it no entries: if it were counted again, the only member common to
+// two majorities could be one that lost entries. Entries that were committed with its
+// acknowledgement are on one disk fewer than assumed, which can't be undone; later commits
+// depend on the other members only. A later leader received no acknowledgement and can't
+// detect the loss, so it accepts the member as it is. The voter must therefore be replaced
+// (see FaultyPeers).
 func (n *Node) handleAppendRejection(m Message, peer *progress) {
 	probedIndex := m.Commit
 	switch {
@@ -260,15 +262,15 @@
 	peer.next = max(min(m.Index+1, probedIndex), peer.match+1)
 	peer.probing = true
 	peer.nextSetStamp = n.lastStamp
-	// Nothing is sent while a snapshot is on its way, since each rejection would
-	// lead to the next.
+	// Nothing is sent while a snapshot is in flight, since each rejection would lead to the
+	// next append.
 	if _, ok := n.TermAt(peer.next - 1); ok || n.now.Sub(peer.snapshotSentAt) >= snapshotResendInterval {
 		n.sendAppend(m.From, peer, n.nextBatch(peer))
 	}
 }
 
-// FaultyPeers returns the IDs, sorted, of the members that lost entries which they
-// had acknowledged to this leader. They are not counted and are to be replaced.
+// FaultyPeers returns the sorted IDs of the members that lost entries after acknowledging
+// them to this leader. They are excluded from quorums and must be replaced.
 func (n *Node) FaultyPeers() []string {
 	var ids []string
 	for id, peer := range n.peers {
@@ -280,9 +282,10 @@
 	return ids
 }
 
-// maybeCommit commits what a quorum holds on disk. Only entries of this term are
-// counted; those before them follow (thesis, section 3.6.2). It then takes a
-// configuration change that was committed to its next step.
+// maybeCommit advances the commit index to the last entry that a quorum holds on disk. Only
+// entries of the current term are committed by counting; earlier ones are committed with
+// them (thesis, section 3.6.2). It then advances a configuration change whose entry is
+// committed.
 func (n *Node) maybeCommit() {
 	if n.role != leader {
 		return
