--- a/internal/raft/cluster_test.go
+++ b/internal/raft/cluster_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// testCluster is several nodes with disks, a network and a clock that the test controls.
+// testCluster is a cluster of nodes with simulated disks and network, and a clock that the test controls.
 type testCluster struct {
-	t        *testing.T
-	now      time.Time
-	nodes    map[string]*Node
-	queue    []Message
-	cut      map[string]bool // links, "a>b"
-	dropped  map[MessageKind]bool
-	disks    map[string]*testDisk
-	stalled  map[string]bool     // members whose disk does not write
-	unsynced map[string][]Ready  // what these have not written
-	applied  map[string][]string // commands
-	seed     int64
+	t            *testing.T
+	now          time.Time
+	nodes        map[string]*Node
+	queue        []Message
+	cutLinks     map[string]bool // links without connection, as "from>to"
+	dropped      map[MessageKind]bool
+	disks        map[string]*testDisk
+	stalledDisks map[string]bool     // members whose disk writes nothing
+	unsynced     map[string][]Ready  // unwritten Readys of these members
+	applied      map[string][]string // applied commands by member
+	seed         int64
 }
 
 type testDisk struct {
@@ -41,16 +41,16 @@
 func newTestCluster(t *testing.T, seed int64, ids ...string) *testCluster {
 	t.Helper()
 	c := &testCluster{
-		t:        t,
-		now:      time.Unix(1000, 0),
-		nodes:    map[string]*Node{},
-		cut:      map[string]bool{},
-		dropped:  map[MessageKind]bool{},
-		disks:    map[string]*testDisk{},
-		stalled:  map[string]bool{},
-		unsynced: map[string][]Ready{},
-		applied:  map[string][]string{},
-		seed:     seed,
+		t:            t,
+		now:          time.Unix(1000, 0),
+		nodes:        map[string]*Node{},
+		cutLinks:     map[string]bool{},
+		dropped:      map[MessageKind]bool{},
+		disks:        map[string]*testDisk{},
+		stalledDisks: map[string]bool{},
+		unsynced:     map[string][]Ready{},
+		applied:      map[string][]string{},
+		seed:         seed,
 	}
 	var voters []Member
 	for _, id := range ids {
@@ -63,7 +63,7 @@
 	return c
 }
 
-// start starts a member from its disk, or from an empty one.
+// start starts a member from its disk, or from an empty disk if it has none.
 func (c *testCluster) start(id string) {
 	disk := c.disks[id]
 	if disk == nil {
@@ -89,13 +89,13 @@
 	c.unsynced[id] = nil
 }
 
-// kill stops a member; what it has not written is lost.
+// kill stops a member, which loses its unwritten Readys.
 func (c *testCluster) kill(id string) {
 	delete(c.nodes, id)
 	c.unsynced[id] = nil
 }
 
-// write puts a Ready on a member's disk and sends the messages that rest on it.
+// write writes a Ready to a member's disk and sends the messages that depend on the write.
 func (c *testCluster) write(id string, ready Ready) {
 	disk := c.disks[id]
 	if ready.HardState != nil {
@@ -120,8 +120,8 @@
 	c.queue = append(c.queue, ready.MessagesAfterSync...)
 }
 
-// drain does all that a member has ready, and applies what is committed.
-func (c *testCluster) drain(id string) {
+// processReady processes the Readys of a member and applies its committed entries.
+func (c *testCluster) processReady(id string) {
 	node := c.nodes[id]
 	if node == nil {
 		return
@@ -136,7 +136,7 @@
 					c.applied[id] = append(c.applied[id], string(rune(command)))
 				}
 			}
-			if c.stalled[id] {
+			if c.stalledDisks[id] {
 				c.unsynced[id] = append(c.unsynced[id], ready)
 			} else {
 				for _, earlier := range c.unsynced[id] {
@@ -157,7 +157,7 @@
 	}
 }
 
-// ids returns the IDs of the members that run, sorted.
+// ids returns the sorted IDs of the running members.
 func (c *testCluster) ids() []string {
 	var ids []string
 	for id := range c.nodes {
@@ -167,28 +167,28 @@
 	return ids
 }
 
-// step moves time on by a tenth of a heartbeat interval and delivers all messages.
+// step advances the clock by a tenth of a heartbeat interval and delivers all messages.
 func (c *testCluster) step() {
 	c.now = c.now.Add(10 * time.Millisecond)
 	for _, id := range c.ids() {
 		c.nodes[id].Tick(c.now)
-		c.drain(id)
+		c.processReady(id)
 	}
 	for i := 0; len(c.queue) > 0; i++ {
 		if i > 10000 {
-			c.t.Fatal("messages without end")
+			c.t.Fatal("more than 10000 messages in one step")
 		}
 		m := c.queue[0]
 		c.queue = c.queue[1:]
-		if node := c.nodes[m.To]; node != nil && !c.cut[m.From+">"+m.To] && !c.dropped[m.Kind] {
+		if node := c.nodes[m.To]; node != nil && !c.cutLinks[m.From+">"+m.To] && !c.dropped[m.Kind] {
 			node.Step(m, c.now)
-			c.drain(m.To)
+			c.processReady(m.To)
 		}
 	}
 	c.checkAgreement()
 }
 
-// checkAgreement fails if two members applied different commands in one place.
+// checkAgreement fails if two members applied different commands at the same position.
 func (c *testCluster) checkAgreement() {
 	var longest []string
 	for _, commands := range c.applied {
@@ -199,14 +199,14 @@
 	for id, commands := range c.applied {
 		for i := range commands {
 			if commands[i] != longest[i] {
-				c.t.Fatalf("%s applied %q at %d, another %q", id, commands[i], i, longest[i])
+				c.t.Fatalf("%s applied %q at position %d, another member applied %q", id, commands[i], i, longest[i])
 			}
 		}
 	}
 }
 
-// until runs steps until a condition holds, for 10 s at most.
-func (c *testCluster) until(condition string, holds func() bool) {
+// waitUntil runs steps until a condition holds, for at most 10 s of simulated time.
+func (c *testCluster) waitUntil(condition string, holds func() bool) {
 	c.t.Helper()
 	for i := 0; i < 1000; i++ {
 		if holds() {
@@ -214,10 +214,10 @@
 		}
 		c.step()
 	}
-	c.t.Fatalf("not within 10 s: %s", condition)
+	c.t.Fatalf("condition not met within 10 s: %s", condition)
 }
 
-// leader returns the member that may serve reads, or nil.
+// leader returns the leader that may serve reads, or nil.
 func (c *testCluster) leader() *Node {
 	for _, id := range c.ids() {
 		if node := c.nodes[id]; node.LeaderReady() && node.HasLease(c.now) {
@@ -230,14 +230,14 @@
 // commit proposes a command to the leader and waits until it is committed.
 func (c *testCluster) commit(command string) {
 	c.t.Helper()
-	c.until("a leader", func() bool { return c.leader() != nil })
+	c.waitUntil("a leader is elected", func() bool { return c.leader() != nil })
 	leader := c.leader()
 	index, err := leader.Propose([]byte(command))
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	c.drain(leader.ID())
-	c.until("committed "+command, func() bool { return leader.CommitIndex() >= index })
+	c.processReady(leader.ID())
+	c.waitUntil("committed: "+command, func() bool { return leader.CommitIndex() >= index })
 }
 
 func (c *testCluster) hasApplied(id, command string) bool {
--- a/internal/raft/codec_test.go
+++ b/internal/raft/codec_test.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzEncodings: no bytes on a disk or from another member make the decoders of
-// snapshots and configurations panic, and what is decoded is encoded alike.
+// FuzzEncodings checks that the decoders of snapshots and configurations don't panic on
+// arbitrary bytes, and that decoded values survive another encoding and decoding.
 func FuzzEncodings(f *testing.F) {
 	joint, _ := cbor.Marshal(Snapshot{Index: 7, Term: 2, Voters: []Member{testMember("d")}, OutgoingVoters: []Member{testMember("a")}})
 	simple, _ := cbor.Marshal(Snapshot{Index: 7, Term: 2, Voters: []Member{testMember("d")}})
@@ -20,7 +20,7 @@
 		if voters, outgoing, err := DecodeConfChange(raw); err == nil && len(voters) > 0 {
 			again, againOutgoing, err := DecodeConfChange(encodeConfChange(voters, outgoing))
 			if err != nil || len(again) != len(voters) || len(againOutgoing) != len(outgoing) {
-				t.Fatalf("%v, %v read back as %v, %v, %v", voters, outgoing, again, againOutgoing, err)
+				t.Fatalf("voters %v, outgoing %v decoded as %v, %v, %v", voters, outgoing, again, againOutgoing, err)
 			}
 		}
 		var snapshot, again Snapshot
@@ -29,10 +29,10 @@
 		}
 		written, err := cbor.Marshal(snapshot)
 		if err != nil || cbor.Unmarshal(written, &again) != nil || again.Index != snapshot.Index {
-			t.Fatalf("%+v read back as %+v", snapshot, again)
+			t.Fatalf("snapshot %+v decoded as %+v", snapshot, again)
 		}
 		if len(again.OutgoingVoters) != len(snapshot.OutgoingVoters) || len(again.Voters) != len(snapshot.Voters) {
-			t.Fatalf("%+v read back as %+v", snapshot, again)
+			t.Fatalf("snapshot %+v decoded as %+v", snapshot, again)
 		}
 	})
 }
--- a/internal/raft/configuration_test.go
+++ b/internal/raft/configuration_test.go
@@ -11,12 +11,12 @@
 		outgoing: []Member{testMember("a"), testMember("b"), testMember("c")},
 	}
 	for _, test := range []struct {
-		have string
-		want bool
+		members string
+		want    bool
 	}{{"ad", false}, {"ab", false}, {"bcd", false}, {"abd", true}, {"bcde", true}, {"ade", false}, {"abcde", true}} {
-		has := func(disk string) bool { return slices.Contains([]byte(test.have), disk[0]) }
+		has := func(disk string) bool { return slices.Contains([]byte(test.members), disk[0]) }
 		if joint.hasQuorum(has) != test.want {
-			t.Errorf("%s: majority %v", test.have, !test.want)
+			t.Errorf("%s: quorum %v", test.members, !test.want)
 		}
 		if reached := joint.quorumValue(func(disk string) uint64 {
 			if has(disk) {
@@ -24,7 +24,7 @@
 			}
 			return 0
 		}); (reached == 7) != test.want {
-			t.Errorf("%s: reached %d", test.have, reached)
+			t.Errorf("%s: quorum value %d", test.members, reached)
 		}
 	}
 }
--- a/internal/raft/election_test.go
+++ b/internal/raft/election_test.go
@@ -11,62 +11,63 @@
 	node.Tick(now.Add(time.Minute))
 	ready := node.Ready()
 	if ready.HardState == nil || node.IsLeader() {
-		t.Fatal("leads a term that its disk may forget, and could vote in once more")
+		t.Fatal("leads before its own vote is on disk: after a crash it could vote again in the term")
 	}
 	if node.WriteSynced(ready.WriteToken); !node.IsLeader() {
-		t.Fatal("does not lead with its own vote on disk")
+		t.Fatal("not the leader with its own vote on disk")
 	}
 }
 
 func TestPreCandidateGrantsVotes(t *testing.T) {
-	node := followerWith(1)
+	node := newFollower(1)
 	node.receive(Message{Kind: MsgPreVoteResponse, From: "c", Term: 5, Reject: true})
 	node.Tick(node.now.Add(time.Minute))
 	if node.role != preCandidate || node.Term() != 5 {
-		t.Fatal("the node is not a pre-candidate")
+		t.Fatal("not a pre-candidate")
 	}
 	node.receive(Message{Kind: MsgVote, From: "c", Term: 5, Index: 1})
 	ready := node.Ready()
 	for _, message := range ready.MessagesAfterSync {
 		if message.Kind == MsgVoteResponse && !message.Reject && ready.HardState != nil && ready.HardState.Vote == "c" {
-			// Late responses to its own requests no longer count.
+			// Late responses to its own pre-vote requests are ignored.
 			node.receive(Message{Kind: MsgPreVoteResponse, From: "a", Term: 6})
 			if node.Term() != 5 {
-				t.Fatal("campaigns against the candidate that it voted for")
+				t.Fatal("campaigns after it voted for another candidate")
 			}
 			return
 		}
 	}
-	t.Fatal("withholds a vote that it has promised to nobody")
+	t.Fatal("rejected a vote request, although it had not voted in the term")
 }
 
-// TestRepeatedVoteIsNotPersistedAgain: the second response still waits for the first write.
+// TestRepeatedVoteIsNotPersistedAgain checks that a repeated vote request causes no second
+// write of the hard state, and that the second response still waits for the first write.
 func TestRepeatedVoteIsNotPersistedAgain(t *testing.T) {
-	node := followerWith(1)
+	node := newFollower(1)
 	node.now = node.now.Add(time.Minute)
 	request := Message{Kind: MsgVote, From: "c", Term: 5, Index: 1}
 	node.receive(request)
 	if ready := node.Ready(); ready.HardState == nil {
-		t.Fatal("no vote")
+		t.Fatal("vote not persisted")
 	}
 	node.receive(request)
 	if ready := node.Ready(); ready.HardState != nil || len(ready.Messages) > 0 || len(ready.MessagesAfterSync) != 1 {
-		t.Fatalf("ready %+v", ready)
+		t.Fatalf("unexpected ready %+v", ready)
 	}
 }
 
-// TestLeaderHeardTooLateStepsDown: a leader whose messages take so long that it never has the
-// lease gives way to another one, though a majority answers it all the while; one that has the
-// lease now and then stays.
-func TestLeaderHeardTooLateStepsDown(t *testing.T) {
+// TestLeaderWithoutLeaseStepsDown checks that a leader steps down if responses arrive so late that it
+// never has the lease, even though a majority keeps responding. A leader that has the lease at times
+// keeps leading.
+func TestLeaderWithoutLeaseStepsDown(t *testing.T) {
 	lease := time.Duration(float64(testConfig.ElectionTimeout) * testConfig.LeaseFraction)
 	for name, link := range map[string]struct {
-		late  func(tick int) time.Duration // the age of the newest message that was answered
-		stays bool
+		ackAge     func(tick int) time.Duration // age of the latest acknowledged append
+		wantLeader bool
 	}{
-		"in time":      {func(int) time.Duration { return lease / 2 }, true},
-		"now and then": {func(tick int) time.Duration { return lease * time.Duration(tick%4) / 2 }, true},
-		"too late":     {func(int) time.Duration { return lease + 100*time.Millisecond }, false},
+		"within the lease":          {func(int) time.Duration { return lease / 2 }, true},
+		"at times within the lease": {func(tick int) time.Duration { return lease * time.Duration(tick%4) / 2 }, true},
+		"after the lease":           {func(int) time.Duration { return lease + 100*time.Millisecond }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCluster(t, 1, "a", "b", "c")
@@ -77,15 +78,15 @@
 			for tick := 0; leader.IsLeader() && leader.now.Before(end); tick++ {
 				now := leader.now.Add(leader.config.HeartbeatInterval)
 				for _, peer := range leader.peers {
-					peer.lastAckedSend, peer.lastContact = now.Add(-link.late(tick)), now
+					peer.lastAckedSend, peer.lastContact = now.Add(-link.ackAge(tick)), now
 				}
 				leader.Tick(now)
 			}
-			if leader.IsLeader() != link.stays {
-				t.Fatalf("it leads: %v", leader.IsLeader())
+			if leader.IsLeader() != link.wantLeader {
+				t.Fatalf("leader after 5 s: %v", leader.IsLeader())
 			}
-			if others := testConfig.ElectionTimeout + testConfig.HeartbeatInterval + testConfig.ElectionJitter; !link.stays && leader.electionTimeout <= others {
-				t.Errorf("it campaigns after %v, before others do", leader.electionTimeout)
+			if maxElectionTimeout := testConfig.ElectionTimeout + testConfig.HeartbeatInterval + testConfig.ElectionJitter; !link.wantLeader && leader.electionTimeout <= maxElectionTimeout {
+				t.Errorf("campaigns after %v, before the other members", leader.electionTimeout)
 			}
 		})
 	}
--- a/internal/raft/exhaustive_copy_test.go
+++ b/internal/raft/exhaustive_copy_test.go
@@ -7,18 +7,18 @@
 	"unsafe"
 )
 
-// Copies and hashes of states of the exhaustive search, by reflection, so that Node needs
-// no code for them.
+// Deep copies and hashes of the states of the exhaustive search. They use reflection, so that
+// Node needs no code for them.
 
-// deepCopyNode returns a deep copy. Only the source of random numbers is shared, which has no
-// effect with the configuration of the search.
+// deepCopyNode returns a deep copy of a node. The copies share the source of random numbers,
+// which has no effect since searchConfig has no jitter.
 func deepCopyNode(n *Node) *Node {
 	c := *n
 	deepCopyInPlace(reflect.ValueOf(&c).Elem())
 	return &c
 }
 
-// deepCopyInPlace replaces all that a value points to by copies.
+// deepCopyInPlace replaces everything that a value points to by copies.
 func deepCopyInPlace(v reflect.Value) {
 	switch v.Type() {
 	case reflect.TypeFor[time.Time](), reflect.TypeFor[*rand.Rand]():
@@ -64,7 +64,7 @@
 	}
 }
 
-// isPlainData reports whether copies of a type share nothing that is ever changed in place.
+// isPlainData reports whether copies of a type share no data that is modified in place.
 func isPlainData(t reflect.Type) bool {
 	switch t {
 	case reflect.TypeFor[Entry](), reflect.TypeFor[Member](), reflect.TypeFor[Message]():
@@ -73,7 +73,7 @@
 	return t.Kind() <= reflect.Float64 || t.Kind() == reflect.String
 }
 
-// hasher hashes values, unexported fields too.
+// hasher hashes values, including unexported fields.
 type hasher struct{ sum uint64 }
 
 func newHasher() *hasher { return &hasher{14695981039346656037} }
--- a/internal/raft/exhaustive_state_test.go
+++ b/internal/raft/exhaustive_state_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// A small exhaustive search: three members, and every order of a bounded number of events.
-// Messages may arrive in any order or, as far as the search goes, never; a write is synced
-// at once or only later; what is not synced is lost in a crash. States that were seen with
-// as many events left are not searched again.
+// An exhaustive search of the states of three members, with every order of a bounded number of
+// events. Messages may arrive in any order or, within the depth of the search, never. A write
+// is synced immediately or later. Unsynced writes are lost in a crash. A state that was already
+// visited with at least as many remaining transitions isn't searched again.
 
-// searchState is one state of the search. A move copies what it changes.
+// searchState is one state of the search. A transition copies what it modifies.
 type searchState struct {
-	now         time.Time
-	members     [3]searchMember
-	messages    []searchMessage // sorted by hash, since any may arrive next
-	committed   []Entry         // the committed log, from index 2 on
-	committedIn []uint64        // the terms in which that was first seen
-	leaders     map[uint64]string
-	budget      [limitedKinds]int // how often each kind of event may still happen
-	lateSync    bool              // a sync is a move of its own
+	now            time.Time
+	members        [3]searchMember
+	messages       []searchMessage // sorted by hash, since any may arrive next
+	committed      []Entry         // the committed log, from index 2 on
+	committedTerms []uint64        // terms in which the committed entries were first seen
+	leaders        map[uint64]string
+	budget         [budgetedKinds]int // remaining number of events of each kind
+	delaySync      bool               // a sync is a transition of its own
 }
 
 // searchMember is a node and its disk, with a hash of both.
@@ -31,7 +31,7 @@
 	node      *Node
 	hardState HardState
 	log       []Entry
-	pending   []Ready // handed out, not synced
+	pending   []Ready // returned by Ready, not synced
 	hash      uint64
 }
 
@@ -42,22 +42,20 @@
 
 // Kinds of events of the search.
 const (
-	eventTimeout   = iota // time passes, and the timer of a member fires
+	eventTimeout   = iota // time passes, and the election timer of a member expires
 	eventHeartbeat        // a heartbeat of a leader is due
 	eventPropose
-	eventCrash // a member loses what is not synced, and starts again
-	limitedKinds
+	eventCrash // a member loses its unsynced writes and restarts
+	budgetedKinds
 	eventDeliver
 	eventSync
-	// In preludes only: the leader proposes the voters without itself; it and one
-	// other exchange all their messages.
-	eventConfChange
-	eventExchange
+	eventConfChange // in setups only: the leader proposes a configuration without itself
+	eventExchange   // in setups only: the first member and another deliver all their messages to each other
 )
 
 var searchIDs = []string{"a", "b", "c"}
 
-// searchConfig has no jitter, so that nothing is drawn at random.
+// searchConfig has no jitter, so that nothing depends on random numbers.
 var searchConfig = Config{
 	HeartbeatInterval:  80 * time.Millisecond,
 	ElectionTimeout:    400 * time.Millisecond,
@@ -83,57 +81,58 @@
 	member.node = New(searchIDs[index], member.hardState, searchSnapshot, slices.Clone(member.log), s.now, searchConfig, 1)
 }
 
-// move is one event: its kind, and the member or the message that it is for.
-type move struct{ kind, at int }
+// transition is one event: its kind, and the index of its member or message.
+type transition struct{ kind, target int }
 
-func (m move) String() string {
+func (m transition) String() string {
 	kind := [...]string{"timeout", "heartbeat", "propose", "crash", "", "deliver", "sync", "conf change", "exchange"}[m.kind]
 	if m.kind == eventDeliver {
-		return fmt.Sprint(kind, " ", m.at)
+		return fmt.Sprint(kind, " ", m.target)
 	}
-	return kind + " " + searchIDs[m.at]
+	return kind + " " + searchIDs[m.target]
 }
 
-// moves returns all events that may happen next.
-func (s *searchState) moves() []move {
-	var moves []move
+// transitions returns all events that may occur next.
+func (s *searchState) transitions() []transition {
+	var transitions []transition
 	for i, member := range s.members {
 		leads := member.node.IsLeader()
-		for kind, may := range [limitedKinds]bool{eventTimeout: !leads, eventHeartbeat: leads, eventPropose: leads, eventCrash: true} {
-			if may && s.budget[kind] > 0 {
-				moves = append(moves, move{kind, i})
+		for kind, enabled := range [budgetedKinds]bool{eventTimeout: !leads, eventHeartbeat: leads, eventPropose: leads, eventCrash: true} {
+			if enabled && s.budget[kind] > 0 {
+				transitions = append(transitions, transition{kind, i})
 			}
 		}
 		if len(member.pending) > 0 {
-			moves = append(moves, move{eventSync, i})
+			transitions = append(transitions, transition{eventSync, i})
 		}
 	}
 	for i := range s.messages {
 		if i == 0 || s.messages[i].hash != s.messages[i-1].hash {
-			moves = append(moves, move{eventDeliver, i})
+			transitions = append(transitions, transition{eventDeliver, i})
 		}
 	}
-	return moves
+	return transitions
 }
 
-// searchMutation is a bug in the harness of the search; only its check counts then.
+// searchMutation is a bug injected into the harness of the search. Only violations of its check
+// are reported.
 type searchMutation struct {
-	name            string
-	check           check
-	scenario        string // in which it must be found
-	alterMessage    func(*Message)
-	forgetHardState bool // a crash loses term and vote
-	earlySync       bool // entries are reported as synced before they are
+	name          string
+	check         check
+	scenario      string // scenario in which the search must find it
+	alterMessage  func(*Message)
+	loseHardState bool // a crash loses term and vote
+	earlySync     bool // entries are reported as synced before they are
 }
 
-// after returns the state after a move, and the invariant that it violates, or the empty
-// string.
-func (s *searchState) after(next move, mutation searchMutation) (*searchState, string) {
+// after returns the state after a transition, and a description of the invariant that it
+// violates, or the empty string.
+func (s *searchState) after(next transition, mutation searchMutation) (*searchState, string) {
 	after := *s
-	if next.kind < limitedKinds {
+	if next.kind < budgetedKinds {
 		after.budget[next.kind]--
 	}
-	index := next.at
+	index := next.target
 	var message Message
 	if next.kind == eventDeliver {
 		message = s.messages[index].Message
@@ -152,9 +151,9 @@
 		after.now = after.now.Add(searchConfig.HeartbeatInterval)
 		member.node.Tick(after.now)
 	case eventPropose:
-		_, _ = member.node.Propose([]byte{byte(after.budget[eventPropose])}) // refused by those that do not lead
+		_, _ = member.node.Propose([]byte{byte(after.budget[eventPropose])}) // fails on other members than the leader
 	case eventCrash:
-		if mutation.forgetHardState {
+		if mutation.loseHardState {
 			member.hardState = HardState{}
 		}
 		after.start(index)
@@ -164,9 +163,10 @@
 		after.sync(member, mutation)
 	case eventConfChange:
 		isProposer := func(voter Member) bool { return voter.ID == member.node.ID() }
-		_ = member.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(member.node.Voters()), isProposer)) // refused while another is under way
+		// Fails while a change is in progress.
+		_ = member.node.ProposeConfChange(slices.DeleteFunc(slices.Clone(member.node.Voters()), isProposer))
 	}
-	violation := after.drain(member, mutation)
+	violation := after.processReady(member, mutation)
 	member.hash = hashOf(reflect.ValueOf(member).Elem())
 	return &after, violation
 }
@@ -199,13 +199,13 @@
 			mutation.alterMessage(&message)
 		}
 		sent := searchMessage{message, hashOf(reflect.ValueOf(message))}
-		place, _ := slices.BinarySearchFunc(s.messages, sent, func(left, right searchMessage) int { return cmp.Compare(left.hash, right.hash) })
-		s.messages = slices.Insert(slices.Clone(s.messages), place, sent)
+		position, _ := slices.BinarySearchFunc(s.messages, sent, func(left, right searchMessage) int { return cmp.Compare(left.hash, right.hash) })
+		s.messages = slices.Insert(slices.Clone(s.messages), position, sent)
 	}
 }
 
-// drain does all that a member has ready, and checks the state.
-func (s *searchState) drain(member *searchMember, mutation searchMutation) string {
+// processReady processes the Readys of a member and checks the invariants.
+func (s *searchState) processReady(member *searchMember, mutation searchMutation) string {
 	for {
 		if violation := s.checkCommitted(member.node); violation != "" {
 			return violation
@@ -226,21 +226,21 @@
 		} else {
 			s.send(ready.MessagesAfterSync, mutation)
 		}
-		if !s.lateSync {
+		if !s.delaySync {
 			s.sync(member, mutation)
 		}
 	}
 }
 
-// checkCommitted compares what a member applies with the committed log.
+// checkCommitted compares the entries that a member applies with the committed log.
 func (s *searchState) checkCommitted(node *Node) string {
 	for _, entry := range node.NextCommittedEntries() {
 		position := int(entry.Index) - 2
 		if position == len(s.committed) {
 			s.committed = append(slices.Clip(s.committed), entry)
-			s.committedIn = append(slices.Clip(s.committedIn), node.Term())
+			s.committedTerms = append(slices.Clip(s.committedTerms), node.Term())
 		} else if position > len(s.committed) || !reflect.DeepEqual(s.committed[position], entry) {
-			return fmt.Sprintf("%s: %s applies %v, committed are %v", checkCommitted, node.ID(), entry, s.committed)
+			return fmt.Sprintf("%s: %s applies %v, but the committed log is %v", checkCommitted, node.ID(), entry, s.committed)
 		}
 	}
 	return ""
@@ -248,13 +248,14 @@
 
 func (s *searchState) checkInvariants(node *Node) string {
 	if old, known := s.leaders[node.Term()]; node.IsLeader() && known && old != node.ID() {
-		return fmt.Sprintf("%s: %s and %s in term %d", checkLeader, old, node.ID(), node.Term())
+		return fmt.Sprintf("%s: %s and %s both lead in term %d", checkLeader, old, node.ID(), node.Term())
 	} else if node.IsLeader() && !known {
 		s.leaders = maps.Clone(s.leaders)
 		s.leaders[node.Term()] = node.ID()
 		for i, entry := range s.committed {
-			if term, ok := node.TermAt(entry.Index); s.committedIn[i] < node.Term() && (!ok || term != entry.Term) {
-				return fmt.Sprintf("%s: %s in term %d lacks %d", checkLeaderCompleteness, node.ID(), node.Term(), entry.Index)
+			if term, ok := node.TermAt(entry.Index); s.committedTerms[i] < node.Term() && (!ok || term != entry.Term) {
+				return fmt.Sprintf("%s: leader %s of term %d lacks entry %d",
+					checkLeaderCompleteness, node.ID(), node.Term(), entry.Index)
 			}
 		}
 	}
@@ -264,7 +265,8 @@
 			term, _ := node.TermAt(i)
 			otherTerm, _ := other.node.TermAt(i)
 			if agreed && term != otherTerm {
-				return fmt.Sprintf("%s: %s and %s differ at %d, and not above it", checkLogMatching, node.ID(), other.node.ID(), i)
+				return fmt.Sprintf("%s: %s and %s differ at entry %d, but not at a later one",
+					checkLogMatching, node.ID(), other.node.ID(), i)
 			}
 			agreed = agreed || term == otherTerm
 		}
@@ -272,7 +274,7 @@
 	return ""
 }
 
-// hash returns a hash of a state; states of the same hash count as equal.
+// hash returns a hash of a state. States with the same hash are treated as equal.
 func (s *searchState) hash() uint64 {
 	hasher := newHasher()
 	for _, member := range s.members {
@@ -281,7 +283,7 @@
 	for _, message := range s.messages {
 		hasher.mix(message.hash)
 	}
-	for _, v := range []any{s.now, s.committed, s.committedIn, s.leaders, s.budget} {
+	for _, v := range []any{s.now, s.committed, s.committedTerms, s.leaders, s.budget} {
 		hasher.add(reflect.ValueOf(v))
 	}
 	return hasher.sum
--- a/internal/raft/exhaustive_test.go
+++ b/internal/raft/exhaustive_test.go
@@ -7,16 +7,16 @@
 	"testing"
 )
 
-// search explores all states that a number of moves can lead to.
+// search explores all states that are reachable with a bounded number of transitions.
 type search struct {
 	mutation  searchMutation
-	seen      map[uint64]int8 // by hash: the number of moves that were left there
+	seen      map[uint64]int8 // by hash: the remaining number of transitions at the visit
 	states    int
 	violation string
-	path      []move
+	path      []transition
 }
 
-// explore goes on from a state by a number of moves; false once an invariant is violated.
+// explore searches from a state to the given depth. It returns false once an invariant is violated.
 func (s *search) explore(state *searchState, depth int) bool {
 	if depth == 0 {
 		return true
@@ -29,7 +29,7 @@
 		s.states++
 	}
 	s.seen[hash] = int8(depth)
-	for _, next := range state.moves() {
+	for _, next := range state.transitions() {
 		s.path = append(s.path, next)
 		after, violation := state.after(next, s.mutation)
 		if violation != "" && strings.HasPrefix(violation, string(s.mutation.check)) {
@@ -44,52 +44,52 @@
 	return true
 }
 
-// searchScenario is a state to start from, and the bounds of the search.
+// searchScenario defines an initial state and the bounds of a search from it.
 type searchScenario struct {
-	name     string
-	prelude  []move // with deliverAll and loseAll
-	budget   [limitedKinds]int
-	lateSync bool
-	depth    int
+	name      string
+	setup     []transition // transitions to the initial state, may contain deliverAll and dropAll
+	budget    [budgetedKinds]int
+	delaySync bool
+	depth     int
 }
 
-// Moves of a prelude only.
+// Transitions that are used in setups only.
 var (
-	deliverAll = move{eventDeliver, 0} // deliver messages until there are none
-	loseAll    = move{eventSync, 0}    // drop all messages
+	deliverAll = transition{eventDeliver, 0} // deliver messages until none are left
+	dropAll    = transition{eventSync, 0}    // drop all messages
 )
 
-// Preludes that several scenarios begin with.
+// Setups that several scenarios begin with.
 var (
-	firstTimesOut   = []move{{eventTimeout, 0}}
-	leaderElected   = []move{{eventTimeout, 0}, deliverAll}
-	uncommittedTail = []move{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, loseAll}
+	firstTimesOut   = []transition{{eventTimeout, 0}}
+	leaderElected   = []transition{{eventTimeout, 0}, deliverAll}
+	uncommittedTail = []transition{{eventTimeout, 0}, deliverAll, {eventPropose, 0}, dropAll}
 )
 
-// Scenarios that mutations name.
+// Scenarios that mutations refer to.
 const (
-	scenarioTwoCandidates = "two candidates"
-	scenarioCommitted     = "a leader with a committed entry"
-	scenarioThirdUnaware  = "two members agree, the third knows nothing"
-	scenarioThirdBehind   = "entries that the third lacks"
+	scenarioTwoCandidates       = "two candidates"
+	scenarioCommitted           = "a leader with a committed entry"
+	scenarioThirdWithoutEntries = "two members hold the same entries, the third holds none"
+	scenarioThirdBehind         = "entries that the third member lacks"
 )
 
 var searchScenarios = []searchScenario{
-	{"an election", firstTimesOut, [limitedKinds]int{1, 0, 1, 1}, false, 7},
-	{scenarioTwoCandidates, []move{{eventTimeout, 0}, {eventTimeout, 1}}, [limitedKinds]int{0, 0, 0, 1}, false, 8},
-	{scenarioCommitted, leaderElected, [limitedKinds]int{1, 1, 1, 1}, false, 7},
-	{"an entry that only the leader has", uncommittedTail, [limitedKinds]int{2, 0, 1, 1}, false, 6},
+	{"an election", firstTimesOut, [budgetedKinds]int{1, 0, 1, 1}, false, 7},
+	{scenarioTwoCandidates, []transition{{eventTimeout, 0}, {eventTimeout, 1}}, [budgetedKinds]int{0, 0, 0, 1}, false, 8},
+	{scenarioCommitted, leaderElected, [budgetedKinds]int{1, 1, 1, 1}, false, 7},
+	{"an entry that only the leader holds", uncommittedTail, [budgetedKinds]int{2, 0, 1, 1}, false, 6},
 	{"entries of two leaders, each on one disk", slices.Concat(uncommittedTail,
-		[]move{{eventTimeout, 1}, deliverAll, {eventPropose, 1}, loseAll}), [limitedKinds]int{2, 0, 0, 1}, false, 6},
-	{"a leader that is voted out", slices.Concat(leaderElected, []move{{eventConfChange, 0}}), [limitedKinds]int{1, 0, 0, 1}, false, 7},
-	{scenarioThirdUnaware, []move{{eventTimeout, 0}, {eventExchange, 2}, loseAll}, [limitedKinds]int{1, 0, 1, 1}, false, 7},
+		[]transition{{eventTimeout, 1}, deliverAll, {eventPropose, 1}, dropAll}), [budgetedKinds]int{2, 0, 0, 1}, false, 6},
+	{"a leader that is removed from the voters", slices.Concat(leaderElected, []transition{{eventConfChange, 0}}), [budgetedKinds]int{1, 0, 0, 1}, false, 7},
+	{scenarioThirdWithoutEntries, []transition{{eventTimeout, 0}, {eventExchange, 2}, dropAll}, [budgetedKinds]int{1, 0, 1, 1}, false, 7},
 	{scenarioThirdBehind, slices.Concat(leaderElected,
-		[]move{{eventPropose, 0}, {eventExchange, 2}, {eventPropose, 0}, {eventExchange, 2}, loseAll}), [limitedKinds]int{1, 1, 0, 1}, false, 6},
-	{"writes that are synced late", leaderElected, [limitedKinds]int{1, 0, 2, 1}, true, 7},
-	{"votes that are synced late", firstTimesOut, [limitedKinds]int{1, 0, 1, 1}, true, 7},
+		[]transition{{eventPropose, 0}, {eventExchange, 2}, {eventPropose, 0}, {eventExchange, 2}, dropAll}), [budgetedKinds]int{1, 1, 0, 1}, false, 6},
+	{"writes with delayed sync", leaderElected, [budgetedKinds]int{1, 0, 2, 1}, true, 7},
+	{"votes with delayed sync", firstTimesOut, [budgetedKinds]int{1, 0, 1, 1}, true, 7},
 }
 
-// exchange delivers the messages between member 0 and another until there are none.
+// exchange delivers the messages between the first member and another until none are left.
 func (s *searchState) exchange(other int, mutation searchMutation) *searchState {
 	pair := []string{searchIDs[0], searchIDs[other]}
 	for {
@@ -99,49 +99,49 @@
 		if index < 0 {
 			return s
 		}
-		s, _ = s.after(move{eventDeliver, index}, mutation)
+		s, _ = s.after(transition{eventDeliver, index}, mutation)
 	}
 }
 
-// start returns the state after the prelude of a scenario.
-func (c searchScenario) start(mutation searchMutation) *searchState {
+// initialState returns the state after the setup of a scenario.
+func (c searchScenario) initialState(mutation searchMutation) *searchState {
 	state := newSearchState()
-	for _, next := range c.prelude {
-		state.budget = [limitedKinds]int{1, 1, 1, 1}
+	for _, next := range c.setup {
+		state.budget = [budgetedKinds]int{1, 1, 1, 1}
 		switch next {
 		case deliverAll:
 			for len(state.messages) > 0 {
 				state, _ = state.after(deliverAll, mutation)
 			}
-		case loseAll:
+		case dropAll:
 			state.messages = nil
 		default:
 			if next.kind == eventExchange {
-				state = state.exchange(next.at, mutation)
+				state = state.exchange(next.target, mutation)
 				continue
 			}
 			state, _ = state.after(next, mutation)
 		}
 	}
-	state.budget, state.lateSync = c.budget, c.lateSync
+	state.budget, state.delaySync = c.budget, c.delaySync
 	return state
 }
 
-var modelDeeper = flag.Int("model.deeper", defaultDeeper,
-	"moves by which the exhaustive search goes deeper; each takes some four times as long")
+var modelExtraDepth = flag.Int("model.deeper", defaultExtraDepth,
+	"additional depth of the exhaustive search; each transition takes about four times as long")
 
-func TestExhaustiveAtThreeMembers(t *testing.T) {
+func TestExhaustiveSearchWithThreeMembers(t *testing.T) {
 	for _, scenario := range searchScenarios {
 		s := &search{seen: map[uint64]int8{}}
-		if !s.explore(scenario.start(s.mutation), scenario.depth+*modelDeeper) {
+		if !s.explore(scenario.initialState(s.mutation), scenario.depth+*modelExtraDepth) {
 			t.Errorf("%s: %v: %s", scenario.name, s.path, s.violation)
 		}
-		t.Logf("%s: %d states, all to depth %d", scenario.name, s.states, scenario.depth+*modelDeeper)
+		t.Logf("%s: %d states, searched to depth %d", scenario.name, s.states, scenario.depth+*modelExtraDepth)
 	}
 }
 
-// TestExhaustiveSearchFindsInjectedBugs: the search finds the violation that a mutation
-// leads to.
+// TestExhaustiveSearchFindsInjectedBugs checks that the search finds the violation caused by each
+// mutation.
 func TestExhaustiveSearchFindsInjectedBugs(t *testing.T) {
 	for _, mutation := range []searchMutation{
 		{name: "rejected votes are counted", check: checkLeader, scenario: scenarioTwoCandidates, alterMessage: func(message *Message) {
@@ -149,22 +149,22 @@
 				message.Reject = false
 			}
 		}},
-		{name: "a crash loses term and vote", check: checkLeader, scenario: scenarioThirdUnaware, forgetHardState: true},
-		{name: "candidates say that they hold all", check: checkLeaderCompleteness, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
+		{name: "a crash loses term and vote", check: checkLeader, scenario: scenarioThirdWithoutEntries, loseHardState: true},
+		{name: "candidates claim to hold all entries", check: checkLeaderCompleteness, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
 			if message.Kind == MsgVote || message.Kind == MsgPreVote {
 				message.Index, message.LogTerm = 1<<40, 1<<40
 			}
 		}},
-		{name: "entries are reported as synced before they are", check: checkLeaderCompleteness, scenario: scenarioThirdUnaware, earlySync: true},
-		{name: "an entry changes on its way", check: checkCommitted, scenario: scenarioCommitted, alterMessage: func(message *Message) {
+		{name: "entries are reported as synced before they are", check: checkLeaderCompleteness, scenario: scenarioThirdWithoutEntries, earlySync: true},
+		{name: "an entry is modified in transit", check: checkCommitted, scenario: scenarioCommitted, alterMessage: func(message *Message) {
 			if len(message.Entries) > 0 && message.To == "b" {
 				message.Entries = slices.Clone(message.Entries)
 				message.Entries[0].Data = []byte("other")
 			}
 		}},
-		{name: "the term of an entry changes on its way", check: checkLogMatching, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
+		{name: "the term of an entry is modified in transit", check: checkLogMatching, scenario: scenarioThirdBehind, alterMessage: func(message *Message) {
 			if message.To == "b" {
-				message.Commit = 0 // or it would be seen when it is applied
+				message.Commit = 0 // otherwise checkCommitted would fail when the entry is applied
 			}
 			if len(message.Entries) > 0 && message.To == "b" && message.Entries[0].Index == 3 {
 				message.Entries = slices.Clone(message.Entries)
@@ -178,11 +178,11 @@
 			index := slices.IndexFunc(searchScenarios, func(scenario searchScenario) bool { return scenario.name == mutation.scenario })
 			scenario := searchScenarios[index]
 			s := &search{seen: map[uint64]int8{}, mutation: mutation}
-			if !s.explore(scenario.start(mutation), scenario.depth) {
+			if !s.explore(scenario.initialState(mutation), scenario.depth) {
 				t.Logf("%s: %v: %s", scenario.name, s.path, s.violation)
 				return
 			}
-			t.Error("no violation was found")
+			t.Error("no violation found")
 		})
 	}
 }
--- a/internal/raft/golden_test.go
+++ b/internal/raft/golden_test.go
@@ -10,18 +10,18 @@
 	"tealpond/internal/golden"
 )
 
-// configurationData is the data of a configuration entry.
+// configurationData holds the decoded data of a configuration entry.
 type configurationData struct{ Voters, Old []Member }
 
-// filledVoter returns a voter whose fields differ.
-func filledVoter(name string) Member {
+// memberWithDistinctFields returns a member whose fields all differ from each other.
+func memberWithDistinctFields(name string) Member {
 	return Member{Node: name + "-node", ID: name + "-disk", Addr: name + "-address"}
 }
 
-// TestStoredBytes holds what is written to disks and sent to other members
-// against the golden bytes.
-func TestStoredBytes(t *testing.T) {
-	voters, old := []Member{filledVoter("a"), filledVoter("b")}, []Member{filledVoter("c")}
+// TestGoldenEncodings compares the encodings that are stored or sent to other members with
+// golden files.
+func TestGoldenEncodings(t *testing.T) {
+	voters, old := []Member{memberWithDistinctFields("a"), memberWithDistinctFields("b")}, []Member{memberWithDistinctFields("c")}
 	entries := []Entry{{Index: 301, Term: 302, Kind: EntryConfChange, Data: []byte("entry")}}
 	snapshot := Snapshot{Index: 401, Term: 402, Voters: voters, Data: []byte("snapshot")}
 	joint := snapshot
@@ -54,10 +54,10 @@
 	golden.Check(t, "configurations.txt", codec, []golden.Case{{Name: "joint", Value: &configurationData{Voters: voters, Old: old}}})
 }
 
-// TestFormsOutsideAChange covers the shorter forms of the snapshot and of the
-// configuration, which hold no voters from before a change.
-func TestFormsOutsideAChange(t *testing.T) {
-	voters := []Member{filledVoter("a"), filledVoter("b")}
+// TestGoldenEncodingsOutsideConfChange covers the shorter encodings of a snapshot and of a
+// configuration entry, without outgoing voters.
+func TestGoldenEncodingsOutsideConfChange(t *testing.T) {
+	voters := []Member{memberWithDistinctFields("a"), memberWithDistinctFields("b")}
 	snapshot, err := cbor.Marshal(Snapshot{Index: 401, Term: 402, Voters: voters, Data: []byte("snapshot")})
 	if err != nil {
 		t.Fatal(err)
@@ -68,15 +68,15 @@
 	var decoded Snapshot
 	if err := cbor.Unmarshal(snapshot, &decoded); err != nil || decoded.Index != 401 || decoded.Term != 402 || len(decoded.Voters) != 2 ||
 		decoded.Voters[1] != voters[1] || string(decoded.Data) != "snapshot" || decoded.OutgoingVoters != nil {
-		t.Errorf("the snapshot decodes to %+v, %v", decoded, err)
+		t.Errorf("snapshot decoded as %+v, %v", decoded, err)
 	}
 	got, outgoing, err := DecodeConfChange(configuration)
 	if err != nil || len(got) != 2 || got[0] != voters[0] || got[1] != voters[1] || outgoing != nil {
-		t.Errorf("the configuration decodes to %v, %v, %v", got, outgoing, err)
+		t.Errorf("configuration decoded as %v, %v, %v", got, outgoing, err)
 	}
 }
 
-// TestKindNumbers holds the numbers of the kinds of entries and messages.
+// TestKindNumbers compares the stored and sent numbers of entry and message kinds with a golden file.
 func TestKindNumbers(t *testing.T) {
 	var text strings.Builder
 	for _, kind := range []struct {
--- a/internal/raft/large_append_test.go
+++ b/internal/raft/large_append_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// boundLargeAppends gives all members a bound on large appends.
-func (c *testCluster) boundLargeAppends() {
+// limitLargeAppends configures the limit on large appends on all members.
+func (c *testCluster) limitLargeAppends() {
 	for _, node := range c.nodes {
 		node.config.MaxLargeAppendBytes, node.config.LargeAppendTimeout = 128<<10, 400*time.Millisecond
 	}
 }
 
-// large is a command that alone reaches the bound.
-func large(mark byte) []byte { return bytes.Repeat([]byte{mark}, 128<<10) }
+// largeCommand returns a command that reaches the limit by itself.
+func largeCommand(fill byte) []byte { return bytes.Repeat([]byte{fill}, 128<<10) }
 
-// told counts the members that were sent the whole log.
-func (n *Node) told() (count int) {
+// peersSentWholeLog returns the number of members that were sent the whole log.
+func (n *Node) peersSentWholeLog() (count int) {
 	for _, peer := range n.peers {
 		if peer.next > n.LastIndex() {
 			count++
@@ -26,22 +26,22 @@
 	return count
 }
 
-// TestLargeAppendsGoOneAfterTheOther: the second member is sent one once the first has it;
-// meanwhile the others get heartbeats without entries.
-func TestLargeAppendsGoOneAfterTheOther(t *testing.T) {
+// TestLargeAppendsAreSentOneAtATime checks that a large append is in flight to only one member, and
+// that the others are sent heartbeats without entries meanwhile.
+func TestLargeAppendsAreSentOneAtATime(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c", "d", "e")
-	c.boundLargeAppends()
+	c.limitLargeAppends()
 	c.commit("1")
 	leader := c.leader()
 	for _, id := range c.others(leader) {
-		c.untilAcknowledged(leader, id)
+		c.waitForAcknowledgement(leader, id)
 	}
-	mustPropose(t, leader, large('2'))
+	mustPropose(t, leader, largeCommand('2'))
 	leader.replicate()
-	if told := leader.told(); told != 1 {
-		t.Fatalf("%d members are sent it at once", told)
+	if peersSentWholeLog := leader.peersSentWholeLog(); peersSentWholeLog != 1 {
+		t.Fatalf("append sent to %d members at the same time, want 1", peersSentWholeLog)
 	}
-	leader.pending.Messages = nil // all of it is under way for long
+	leader.pending.Messages = nil // the append stays in flight
 	for _, peer := range leader.peers {
 		if peer.next <= leader.LastIndex() {
 			peer.lastSend = leader.now.Add(-time.Second)
@@ -59,24 +59,24 @@
 	}
 }
 
-// TestLargeAppendReachesAll: also if one member is cut off, which holds nobody up for long,
-// and small appends wait for none.
-func TestLargeAppendReachesAll(t *testing.T) {
+// TestLargeAppendReachesAllMembers checks that large appends reach all members even if one is
+// unreachable, which delays the others only briefly, and that small appends don't wait for large ones.
+func TestLargeAppendReachesAllMembers(t *testing.T) {
 	for seed := int64(0); seed < 20; seed++ {
 		c := newTestCluster(t, seed, "a", "b", "c", "d", "e")
-		c.boundLargeAppends()
+		c.limitLargeAppends()
 		c.commit("1")
 		leader := c.leader()
 		others := c.others(leader)
 		for _, id := range others {
-			c.untilAcknowledged(leader, id)
+			c.waitForAcknowledgement(leader, id)
 		}
-		c.cut[leader.ID()+">"+others[0]], c.cut[others[0]+">"+leader.ID()] = true, true
+		c.cutLinks[leader.ID()+">"+others[0]], c.cutLinks[others[0]+">"+leader.ID()] = true, true
 		startedAt, term := c.now, leader.Term()
-		mustPropose(t, leader, large('2'))
-		mustPropose(t, leader, large('3'))
+		mustPropose(t, leader, largeCommand('2'))
+		mustPropose(t, leader, largeCommand('3'))
 		mustPropose(t, leader, []byte("4"))
-		c.until("the others have all", func() bool {
+		c.waitUntil("the reachable members have all entries", func() bool {
 			for _, id := range others[1:] {
 				if leader.peers[id].match < leader.LastIndex() {
 					return false
@@ -85,37 +85,37 @@
 			return true
 		})
 		if took := c.now.Sub(startedAt); took > 2*time.Second || leader.Term() != term {
-			t.Errorf("seed %d: after %v, in term %d after %d", seed, took, leader.Term(), term)
+			t.Errorf("seed %d: took %v, term %d, started in term %d", seed, took, leader.Term(), term)
 		}
-		c.cut[leader.ID()+">"+others[0]], c.cut[others[0]+">"+leader.ID()] = false, false
-		c.until("all have all", func() bool {
+		c.cutLinks[leader.ID()+">"+others[0]], c.cutLinks[others[0]+">"+leader.ID()] = false, false
+		c.waitUntil("the unreachable member has all entries again", func() bool {
 			current := c.leader()
 			return current != nil && current.peers[others[0]] != nil && current.peers[others[0]].match == current.LastIndex()
 		})
 	}
 }
 
-// TestBulkBoundFollowsTheLinks: once a large append was delivered quickly, all members are sent
-// the next ones at once; one that took long, or long ago, leaves the bound as it is.
-func TestBulkBoundFollowsTheLinks(t *testing.T) {
+// TestLargeAppendLimitFollowsLinkRate checks that after a large append was delivered quickly, the next
+// one is sent to all members at the same time. A slow delivery, or one long ago, doesn't raise the limit.
+func TestLargeAppendLimitFollowsLinkRate(t *testing.T) {
 	for name, link := range map[string]struct {
-		delivery, idle time.Duration // of the first append; from its acknowledgement to the next
-		told           int           // members that are sent the next append at once
+		delivery, idle    time.Duration // delivery time of the first append; time from its acknowledgement to the next
+		peersSentWholeLog int           // members that are sent the next append at the same time
 	}{
-		"wide":          {5 * time.Millisecond, 50 * time.Millisecond, 4},
-		"narrow":        {200 * time.Millisecond, 50 * time.Millisecond, 1},
-		"wide long ago": {5 * time.Millisecond, 2 * time.Second, 1},
+		"fast":          {5 * time.Millisecond, 50 * time.Millisecond, 4},
+		"slow":          {200 * time.Millisecond, 50 * time.Millisecond, 1},
+		"fast long ago": {5 * time.Millisecond, 2 * time.Second, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newTestCluster(t, 1, "a", "b", "c", "d", "e")
-			c.boundLargeAppends()
+			c.limitLargeAppends()
 			c.commit("1")
 			leader := c.leader()
 			leader.config.MaxLargeAppendDelay = 100 * time.Millisecond
 			for _, id := range c.others(leader) {
-				c.untilAcknowledged(leader, id)
+				c.waitForAcknowledgement(leader, id)
 			}
-			mustPropose(t, leader, large('2'))
+			mustPropose(t, leader, largeCommand('2'))
 			leader.replicate()
 			leader.pending.Messages = nil
 			for _, peer := range leader.peers {
@@ -130,10 +130,10 @@
 			for _, peer := range leader.peers {
 				peer.match, peer.next, peer.lastContact = leader.LastIndex(), leader.LastIndex()+1, leader.now
 			}
-			mustPropose(t, leader, large('3'))
+			mustPropose(t, leader, largeCommand('3'))
 			leader.replicate()
-			if told := leader.told(); told != link.told {
-				t.Errorf("%d members are sent it at once, want %d", told, link.told)
+			if peersSentWholeLog := leader.peersSentWholeLog(); peersSentWholeLog != link.peersSentWholeLog {
+				t.Errorf("append sent to %d members at the same time, want %d", peersSentWholeLog, link.peersSentWholeLog)
 			}
 		})
 	}
--- a/internal/raft/model_checks_test.go
+++ b/internal/raft/model_checks_test.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// The checks of the model test. At each step they look at all members, disks and
-// messages from outside, and compare them with all that was ever committed.
+// The invariant checks of the model test. At each step they observe all members, disks and
+// messages, and compare them with all entries that were ever committed.
 
 // check names an invariant.
 type check string
 
 const (
-	checkLeader              = check("at most one leader a term")
-	checkVote                = check("one vote a term")
-	checkElectedByMajority   = check("a leader has the votes of a majority")
-	checkLeaderCompleteness  = check("a leader holds all that was committed")
+	checkLeader              = check("at most one leader per term")
+	checkVote                = check("one vote per term")
+	checkElectedByQuorum     = check("a leader has the votes of a quorum")
+	checkLeaderCompleteness  = check("a leader holds all committed entries")
 	checkCommitted           = check("no committed entry is lost or changed")
 	checkLogMatching         = check("logs match")
 	checkApplied             = check("the same state at the same index")
 	checkLinearizableReads   = check("reads are linearizable")
-	checkDurable             = check("what is committed is on the disks of a majority")
-	checkPersistedBeforeSent = check("what is promised is on the disk")
-	checkQuorumsIntersect    = check("majorities of configurations in a row meet")
-	checkDisk                = check("the log on disk is whole")
-	checkLiveness            = check("a command is committed once all is healed")
+	checkDurable             = check("committed entries are on the disks of a quorum")
+	checkPersistedBeforeSent = check("state is persisted before messages that depend on it")
+	checkQuorumsIntersect    = check("quorums of consecutive configurations intersect")
+	checkDisk                = check("the log on disk has no gaps")
+	checkLiveness            = check("a command is committed once all faults have ended")
 	checkPanic               = check("no panic")
 )
 
 var allChecks = []check{
-	checkLeader, checkVote, checkElectedByMajority, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied,
+	checkLeader, checkVote, checkElectedByQuorum, checkLeaderCompleteness, checkCommitted, checkLogMatching, checkApplied,
 	checkLinearizableReads, checkDurable, checkPersistedBeforeSent, checkQuorumsIntersect, checkDisk, checkLiveness, checkPanic,
 }
 
@@ -43,8 +43,8 @@
 type committedEntry struct {
 	term, hash     uint64
 	kind           EntryKind
-	state          stateMachine // after it
-	lowestTermSeen uint64       // in which it was known to be committed
+	state          stateMachine // after the entry is applied
+	lowestTermSeen uint64       // lowest term in which a member knew that it is committed
 }
 
 type entryKey struct{ index, term uint64 }
@@ -54,30 +54,30 @@
 	term uint64
 }
 
-// checker holds what is known of the whole cluster.
+// checker holds the observed history of the whole cluster, which the checks refer to.
 type checker struct {
-	world   *modelWorld
-	only    check // the one check that counts, or empty for all
-	failure *failure
+	cluster   *modelCluster
+	onlyCheck check // the only check that is reported, or empty for all
+	failure   *failure
 
-	first       uint64 // the index of log[0]
-	log         []committedEntry
-	voterSets   [][]string // the newest committed configuration
-	leaders     map[uint64]string
-	votes       map[voteKey]string
-	granted     map[uint64]map[string]map[string]bool // term, candidate, voter
-	entries     map[entryKey]entryDigest
-	terms       map[string]uint64 // the highest term seen of a running member
-	commits     map[string]uint64
-	lastLedTerm map[string]uint64 // the newest term for which a member was checked as leader
-	readFloor   uint64            // a read that starts now must see this index
-	confIndex   uint64
+	firstIndex   uint64 // index of log[0]
+	log          []committedEntry
+	voterSets    [][]string // latest committed configuration
+	leaders      map[uint64]string
+	votes        map[voteKey]string
+	granted      map[uint64]map[string]map[string]bool // granted votes by term, candidate and voter
+	entries      map[entryKey]entryDigest
+	terms        map[string]uint64 // highest term seen of each running member
+	commits      map[string]uint64
+	lastLedTerm  map[string]uint64 // latest term for which each member was checked as leader
+	minReadIndex uint64            // lowest index that a read starting now must see
+	confIndex    uint64
 }
 
-func newChecker(world *modelWorld, only check) *checker {
+func newChecker(cluster *modelCluster, onlyCheck check) *checker {
 	return &checker{
-		world:       world,
-		only:        only,
+		cluster:     cluster,
+		onlyCheck:   onlyCheck,
 		leaders:     map[uint64]string{},
 		votes:       map[voteKey]string{},
 		granted:     map[uint64]map[string]map[string]bool{},
@@ -89,35 +89,35 @@
 }
 
 func (c *checker) fail(violated check, format string, args ...any) {
-	if c.failure == nil && (c.only == "" || c.only == violated) {
-		c.failure = &failure{violated, fmt.Sprintf(format, args...), c.world.step}
+	if c.failure == nil && (c.onlyCheck == "" || c.onlyCheck == violated) {
+		c.failure = &failure{violated, fmt.Sprintf(format, args...), c.cluster.step}
 	}
 }
 
-// panicked records a panic, also where only another check counts.
-func (c *checker) panicked(text string) {
+// onPanic records a panic, even if only another check is reported.
+func (c *checker) onPanic(text string) {
 	if c.failure == nil {
-		c.failure = &failure{checkPanic, text, c.world.step}
+		c.failure = &failure{checkPanic, text, c.cluster.step}
 	}
 }
 
 func (c *checker) bootstrap(snapshot Snapshot) {
-	c.first = snapshot.Index
+	c.firstIndex = snapshot.Index
 	c.log = []committedEntry{{term: snapshot.Term, state: decodeStateMachine(snapshot.Data)}}
 	c.voterSets = voterIDSets(snapshot.Voters, snapshot.OutgoingVoters)
 }
 
-func (c *checker) last() uint64 { return c.first + uint64(len(c.log)) - 1 }
+func (c *checker) lastIndex() uint64 { return c.firstIndex + uint64(len(c.log)) - 1 }
 
-func (c *checker) at(index uint64) *committedEntry {
-	if index < c.first || index > c.last() {
+func (c *checker) entryAt(index uint64) *committedEntry {
+	if index < c.firstIndex || index > c.lastIndex() {
 		return nil
 	}
-	return &c.log[index-c.first]
+	return &c.log[index-c.firstIndex]
 }
 
-// started checks what a member found on its disk.
-func (c *checker) started(member *modelMember, recovered recoveredDisk) {
+// onStart checks the state that a member recovered from its disk.
+func (c *checker) onStart(member *modelMember, recovered recoveredDisk) {
 	delete(c.terms, member.id)
 	delete(c.commits, member.id)
 	prev, term := recovered.snapshot.Index, recovered.snapshot.Term
@@ -128,36 +128,38 @@
 		}
 		prev, term = entry.Index, entry.Term
 	}
-	c.state(member, "found on disk")
+	c.state(member, "recovered from disk")
 }
 
-// loaded checks the state of a received snapshot.
-func (c *checker) loaded(member *modelMember, index uint64) {
+// onSnapshotLoaded checks the state of a member after it loaded a received snapshot.
+func (c *checker) onSnapshotLoaded(member *modelMember, index uint64) {
 	if member.state.index != index {
-		c.fail(checkApplied, "%s: a snapshot up to %d holds the state at %d", member.id, index, member.state.index)
+		c.fail(checkApplied, "%s: the snapshot up to %d holds the state at %d", member.id, index, member.state.index)
 	}
-	c.state(member, "loaded")
+	c.state(member, "loaded from a snapshot")
 }
 
-func (c *checker) state(member *modelMember, how string) {
-	if member.state.index < c.first {
+// state compares the state of a member with the committed state at the same index.
+func (c *checker) state(member *modelMember, source string) {
+	if member.state.index < c.firstIndex {
 		return
 	}
-	committed := c.at(member.state.index)
+	committed := c.entryAt(member.state.index)
 	if committed == nil {
-		c.fail(checkCommitted, "%s: state at %d %s, committed are %d", member.id, member.state.index, how, c.last())
+		c.fail(checkCommitted, "%s: state at %d %s, but the last committed entry is %d",
+			member.id, member.state.index, source, c.lastIndex())
 	} else if committed.state != member.state {
-		c.fail(checkApplied, "%s: state at %d %s differs", member.id, member.state.index, how)
+		c.fail(checkApplied, "%s: state at %d %s differs from the committed one", member.id, member.state.index, source)
 	}
 }
 
-// applying adds an entry that a member is about to apply to the committed log, or compares
-// it with that.
-func (c *checker) applying(member *modelMember, entry Entry) {
+// beforeApply compares an entry that a member is about to apply with the committed log, or
+// appends it if it is the next one.
+func (c *checker) beforeApply(member *modelMember, entry Entry) {
 	if entry.Index != member.state.index+1 {
-		c.fail(checkApplied, "%s: applies %d to the state at %d", member.id, entry.Index, member.state.index)
+		c.fail(checkApplied, "%s: applies entry %d to the state at %d", member.id, entry.Index, member.state.index)
 	}
-	if entry.Index == c.last()+1 {
+	if entry.Index == c.lastIndex()+1 {
 		c.log = append(c.log, committedEntry{
 			term:           entry.Term,
 			hash:           hashEntry(entry),
@@ -166,56 +168,61 @@
 			lowestTermSeen: member.node.Term(),
 		})
 		if entry.Kind == EntryConfChange {
-			c.applyConfChange(entry)
+			c.onConfChange(entry)
 		}
 		return
 	}
-	committed := c.at(entry.Index)
+	committed := c.entryAt(entry.Index)
 	switch {
 	case committed == nil:
-		c.fail(checkCommitted, "%s: applies %d, committed are %d", member.id, entry.Index, c.last())
+		c.fail(checkCommitted, "%s: applies entry %d, but the last committed entry is %d",
+			member.id, entry.Index, c.lastIndex())
 	case committed.term != entry.Term || committed.hash != hashEntry(entry):
-		c.fail(checkCommitted, "%s: entry %d of term %d, committed was one of term %d", member.id, entry.Index, entry.Term, committed.term)
+		c.fail(checkCommitted, "%s: applies entry %d of term %d, but the committed one is of term %d",
+			member.id, entry.Index, entry.Term, committed.term)
 	default:
 		committed.lowestTermSeen = min(committed.lowestTermSeen, member.node.Term())
 	}
 }
 
-func (c *checker) applyConfChange(entry Entry) {
+func (c *checker) onConfChange(entry Entry) {
 	sets, err := confChangeVoterSets(entry.Data)
 	if err != nil {
 		c.fail(checkQuorumsIntersect, "entry %d: %v", entry.Index, err)
 		return
 	}
 	if !quorumsIntersect(c.voterSets, sets) {
-		c.fail(checkQuorumsIntersect, "entry %d: %v after %v", entry.Index, sets, c.voterSets)
+		c.fail(checkQuorumsIntersect, "entry %d: voters %v after %v", entry.Index, sets, c.voterSets)
 	}
 	c.voterSets, c.confIndex = sets, entry.Index
 }
 
-func (c *checker) applied(member *modelMember, entry Entry) {
-	if committed := c.at(entry.Index); committed != nil && committed.state != member.state {
-		c.fail(checkApplied, "%s: state after %d differs", member.id, entry.Index)
+func (c *checker) afterApply(member *modelMember, entry Entry) {
+	if committed := c.entryAt(entry.Index); committed != nil && committed.state != member.state {
+		c.fail(checkApplied, "%s: state after entry %d differs from the committed one", member.id, entry.Index)
 	}
 }
 
-func (c *checker) acknowledged(member *modelMember, entry Entry, proposed proposal) {
+func (c *checker) onAcknowledged(member *modelMember, entry Entry, proposed proposal) {
 	if string(entry.Data) != proposed.data {
-		c.fail(checkCommitted, "%s: %q was acknowledged, entry %d is %q", member.id, proposed.data, entry.Index, entry.Data)
+		c.fail(checkCommitted, "%s: acknowledged command %q, but entry %d is %q",
+			member.id, proposed.data, entry.Index, entry.Data)
 	}
-	c.readFloor = max(c.readFloor, entry.Index)
+	c.minReadIndex = max(c.minReadIndex, entry.Index)
 }
 
+// read checks that a client read sees all that was acknowledged or read before it started.
 func (c *checker) read(member *modelMember, request clientRead) {
-	if member.state.lastData < request.floor {
-		c.fail(checkLinearizableReads, "%s in term %d: read at %d, but %d was acknowledged or read before it began",
-			member.id, member.node.Term(), member.state.lastData, request.floor)
+	if member.state.lastData < request.minIndex {
+		c.fail(checkLinearizableReads,
+			"%s in term %d: read at index %d, but index %d was acknowledged or read before the read started",
+			member.id, member.node.Term(), member.state.lastData, request.minIndex)
 	}
-	c.readFloor = max(c.readFloor, member.state.lastData)
+	c.minReadIndex = max(c.minReadIndex, member.state.lastData)
 }
 
-// appended checks entries that a member adds to its log.
-func (c *checker) appended(member *modelMember, entries []Entry) {
+// onAppend checks entries that a member appends to its log.
+func (c *checker) onAppend(member *modelMember, entries []Entry) {
 	for _, entry := range entries {
 		prev, ok := member.node.TermAt(entry.Index - 1)
 		if term, held := member.node.TermAt(entry.Index); !ok || !held || term != entry.Term {
@@ -223,15 +230,17 @@
 		}
 		key, digest := entryKey{entry.Index, entry.Term}, entryDigest{hashEntry(entry), prev}
 		if earlier, seen := c.entries[key]; seen && earlier != digest {
-			c.fail(checkLogMatching, "%s: entry %d of term %d differs from another's, or what it follows does", member.id, entry.Index, entry.Term)
+			c.fail(checkLogMatching,
+				"%s: entry %d of term %d, or the term of its predecessor, differs from that of another member",
+				member.id, entry.Index, entry.Term)
 		} else if !seen {
 			c.entries[key] = digest
 		}
 	}
 }
 
-// posted checks a message at the moment when it may leave.
-func (c *checker) posted(member *modelMember, message Message) {
+// onSend checks a message when it is sent.
+func (c *checker) onSend(member *modelMember, message Message) {
 	disk := &member.disk
 	switch {
 	case message.Kind == MsgVote || message.Kind == MsgVoteResponse && !message.Reject:
@@ -241,28 +250,30 @@
 		}
 		key := voteKey{member.id, message.Term}
 		if earlier := c.votes[key]; earlier != "" && earlier != voted {
-			c.fail(checkVote, "%s votes for %s and %s in term %d", member.id, earlier, voted, message.Term)
+			c.fail(checkVote, "%s votes for both %s and %s in term %d", member.id, earlier, voted, message.Term)
 		}
 		c.votes[key] = voted
-		c.grant(message.Term, voted, member.id)
+		c.recordVote(message.Term, voted, member.id)
 		if disk.hardState.Term < message.Term || disk.hardState.Term == message.Term && disk.hardState.Vote != voted {
-			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, on disk is %q in term %d",
+			c.fail(checkPersistedBeforeSent, "%s votes for %s in term %d, but its disk holds the vote %q in term %d",
 				member.id, voted, message.Term, disk.hardState.Vote, disk.hardState.Term)
 		}
 	case message.Kind == MsgAppendResponse || message.Kind == MsgAppend:
 		if disk.hardState.Term < message.Term {
-			c.fail(checkPersistedBeforeSent, "%s speaks in term %d, on disk is %d", member.id, message.Term, disk.hardState.Term)
+			c.fail(checkPersistedBeforeSent, "%s sends a message in term %d, but its disk holds term %d",
+				member.id, message.Term, disk.hardState.Term)
 		}
-		// In a later term another leader may have replaced the entry since.
+		// In a later term another leader may have replaced the entry.
 		if message.Kind == MsgAppendResponse && !message.Reject && disk.hardState.Term == message.Term && member.node.Term() == message.Term {
 			if term, ok := member.node.TermAt(message.Index); ok && !disk.holds(message.Index, term) {
-				c.fail(checkPersistedBeforeSent, "%s acknowledges %d of term %d, which its disk does not hold", member.id, message.Index, term)
+				c.fail(checkPersistedBeforeSent, "%s acknowledges entry %d of term %d, which its disk does not hold",
+					member.id, message.Index, term)
 			}
 		}
 	}
 }
 
-func (c *checker) grant(term uint64, candidate, from string) {
+func (c *checker) recordVote(term uint64, candidate, from string) {
 	if c.granted[term] == nil {
 		c.granted[term] = map[string]map[string]bool{}
 	}
@@ -272,68 +283,71 @@
 	c.granted[term][candidate][from] = true
 }
 
-// observe checks a member after each input.
+// observe checks the state of a member after each input.
 func (c *checker) observe(member *modelMember) {
 	node := member.node
 	if node == nil {
 		return
 	}
 	if node.Term() < c.terms[member.id] {
-		c.fail(checkVote, "%s: term fell from %d to %d", member.id, c.terms[member.id], node.Term())
+		c.fail(checkVote, "%s: term decreased from %d to %d", member.id, c.terms[member.id], node.Term())
 	}
 	c.terms[member.id] = node.Term()
 	if node.CommitIndex() < c.commits[member.id] {
-		c.fail(checkCommitted, "%s: commit fell from %d to %d", member.id, c.commits[member.id], node.CommitIndex())
+		c.fail(checkCommitted, "%s: commit index decreased from %d to %d",
+			member.id, c.commits[member.id], node.CommitIndex())
 	}
 	if node.IsLeader() {
-		c.leaderElected(member)
-		if node.CommitIndex() > c.commits[member.id] && node.CommitIndex() > c.first {
-			c.durable(member)
+		c.onLeader(member)
+		if node.CommitIndex() > c.commits[member.id] && node.CommitIndex() > c.firstIndex {
+			c.onCommit(member)
 		}
 	}
 	c.commits[member.id] = node.CommitIndex()
 }
 
-func (c *checker) leaderElected(member *modelMember) {
+func (c *checker) onLeader(member *modelMember) {
 	node := member.node
 	if c.lastLedTerm[member.id] == node.Term() {
 		return
 	}
 	c.lastLedTerm[member.id] = node.Term()
-	c.world.note("leads", member.id, node.Term(), node.LastIndex())
-	c.world.counts["leaders"]++
+	c.cluster.recordEvent("leader", member.id, node.Term(), node.LastIndex())
+	c.cluster.counts["leaders"]++
 	if earlier, ok := c.leaders[node.Term()]; ok && earlier != member.id {
-		c.fail(checkLeader, "%s and %s in term %d", earlier, member.id, node.Term())
+		c.fail(checkLeader, "%s and %s both lead in term %d", earlier, member.id, node.Term())
 	}
 	c.leaders[node.Term()] = member.id
 	votes := c.granted[node.Term()][member.id]
 	if !hasQuorum(currentVoterSets(node), func(id string) bool { return id == member.id || votes[id] }) {
-		c.fail(checkElectedByMajority, "%s in term %d: voters %v, votes of %v", member.id, node.Term(), currentVoterSets(node), votes)
+		c.fail(checkElectedByQuorum, "%s leads in term %d with voters %v and votes of %v",
+			member.id, node.Term(), currentVoterSets(node), votes)
 	}
-	for index := c.last(); index > c.first; index-- {
-		committed := c.at(index)
+	for index := c.lastIndex(); index > c.firstIndex; index-- {
+		committed := c.entryAt(index)
 		term, ok := node.TermAt(index)
 		if !ok && index <= node.LastIndex() {
-			break // the leader's snapshot includes it
+			break // included in the leader's snapshot
 		}
-		// A leader needs not hold what is committed in a later term.
+		// A leader needn't hold entries that were committed in a later term.
 		if committed.lowestTermSeen < node.Term() && (!ok || term != committed.term) {
-			c.fail(checkLeaderCompleteness, "%s in term %d lacks %d of term %d, last is %d",
+			c.fail(checkLeaderCompleteness, "leader %s of term %d lacks entry %d of term %d, its last entry is %d",
 				member.id, node.Term(), index, committed.term, node.LastIndex())
 			break
 		}
 	}
 }
 
-// durable checks that what a leader counts as committed is on the disks of a quorum. A
-// disk that was lost since counts as it was, since a minority may lose theirs.
-func (c *checker) durable(member *modelMember) {
+// onCommit checks that the last entry that a leader considers committed is on the disks of a
+// quorum. A lost disk counts with its last contents, since a minority may lose their disks.
+func (c *checker) onCommit(member *modelMember) {
 	index := member.node.CommitIndex()
 	term, ok := member.node.TermAt(index)
 	if !ok {
 		return
 	}
-	if !hasQuorum(currentVoterSets(member.node), func(id string) bool { return c.world.byID[id].disk.holds(index, term) }) {
-		c.fail(checkDurable, "%s commits %d of term %d, voters %v", member.id, index, term, currentVoterSets(member.node))
+	if !hasQuorum(currentVoterSets(member.node), func(id string) bool { return c.cluster.byID[id].disk.holds(index, term) }) {
+		c.fail(checkDurable, "%s commits entry %d of term %d, which no quorum of the voters %v has on disk",
+			member.id, index, term, currentVoterSets(member.node))
 	}
 }
--- a/internal/raft/model_configuration_test.go
+++ b/internal/raft/model_configuration_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Configurations in the model test: one set of voter IDs, or two while they are joint. A
-// quorum is a majority of each set.
+// Configurations of the model test. A configuration is one set of voter IDs, or two sets while
+// it is joint. A quorum is a majority of each set.
 
 func memberIDs(members []Member) []string {
 	var ids []string
@@ -16,7 +16,7 @@
 	return ids
 }
 
-// voterIDSets returns one set, or two during a change.
+// voterIDSets returns one set of voter IDs, or two during a change.
 func voterIDSets(voters, outgoing []Member) [][]string {
 	sets := [][]string{memberIDs(voters)}
 	if len(outgoing) > 0 {
@@ -25,16 +25,16 @@
 	return sets
 }
 
-// currentVoterSets returns the sets of a member's newest configuration.
+// currentVoterSets returns the sets of voter IDs in a member's latest configuration.
 func currentVoterSets(n *Node) [][]string { return voterIDSets(n.VoterSets()) }
 
-// confChangeVoterSets returns the sets of a configuration entry.
+// confChangeVoterSets returns the sets of voter IDs in a configuration entry.
 func confChangeVoterSets(data []byte) ([][]string, error) {
 	voters, outgoing, err := DecodeConfChange(data)
 	return voterIDSets(voters, outgoing), err
 }
 
-// allVoters returns the IDs in one or both of the sets.
+// allVoters returns the IDs of all voters in a member's latest configuration, each once.
 func allVoters(node *Node) []string {
 	var ids []string
 	for _, set := range currentVoterSets(node) {
@@ -47,7 +47,7 @@
 	return ids
 }
 
-// hasQuorum reports whether granted is true for a majority of each set.
+// hasQuorum reports whether granted holds for a majority of each set.
 func hasQuorum(sets [][]string, granted func(id string) bool) bool {
 	for _, set := range sets {
 		count := 0
@@ -63,8 +63,8 @@
 	return true
 }
 
-// quorumsIntersect reports whether any two quorums of two configurations have a member in
-// common.
+// quorumsIntersect reports whether every quorum of the first configuration has a member in
+// common with every quorum of the second.
 func quorumsIntersect(first, second [][]string) bool {
 	var ids []string
 	for _, set := range append(append([][]string{}, first...), second...) {
@@ -83,15 +83,15 @@
 	return true
 }
 
-// changeCompleted reports whether a change is committed and completed.
-func (w *modelWorld) changeCompleted(member *modelMember, change *voterChange) bool {
+// changeCompleted reports whether a requested change is committed, as known to a member.
+func (c *modelCluster) changeCompleted(member *modelMember, change *voterChange) bool {
 	hasJoined := change.incoming == "" || member.node.IsVoter(change.incoming)
 	hasLeft := change.outgoing == "" || !member.node.IsVoter(change.outgoing)
 	return !member.node.ConfChangePending() && hasJoined && hasLeft
 }
 
-// proposeChange proposes the voters after a change.
-func (w *modelWorld) proposeChange(node *Node, change *voterChange) bool {
+// proposeChange proposes the set of voters after a requested change.
+func (c *modelCluster) proposeChange(node *Node, change *voterChange) bool {
 	voters := slices.DeleteFunc(slices.Clone(node.Voters()), func(member Member) bool { return member.ID == change.outgoing })
 	if change.incoming != "" && !node.IsVoter(change.incoming) {
 		voters = append(voters, testMember(change.incoming))
@@ -99,26 +99,26 @@
 	return node.ProposeConfChange(voters) == nil
 }
 
-// operateMembership does what a leader of the package server does: it brings a learner up
-// to date, then changes the voters.
-func (w *modelWorld) operateMembership(member *modelMember) {
-	if !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) {
+// reconcileMembership carries out the requested change as a leader in package server does: it
+// waits until the learner has caught up, then proposes the new voters.
+func (c *modelCluster) reconcileMembership(member *modelMember) {
+	if !member.node.LeaderReady() || !member.node.HasLease(member.clock(c.now)) {
 		return
 	}
-	if w.now-member.lastOperatedAt < w.profile.config.HeartbeatInterval {
+	if c.now-member.lastReconciledAt < c.profile.config.HeartbeatInterval {
 		return
 	}
-	member.lastOperatedAt = w.now
-	w.replaceLostVoterFirst(member)
-	change := w.change
+	member.lastReconciledAt = c.now
+	c.replaceLostVoterFirst(member)
+	change := c.change
 	if change == nil {
 		return
 	}
-	if w.changeCompleted(member, change) {
-		w.note("changed", member.id, member.node.ConfIndex(), 0)
-		w.counts["changes"]++
-		w.change = nil
-		w.retire(w.byID[change.outgoing])
+	if c.changeCompleted(member, change) {
+		c.recordEvent("change completed", member.id, member.node.ConfIndex(), 0)
+		c.counts["changes"]++
+		c.change = nil
+		c.retire(c.byID[change.outgoing])
 		return
 	}
 	if change.incoming != "" && !member.node.IsVoter(change.incoming) {
@@ -128,74 +128,75 @@
 		}
 	}
 	if voters := member.node.Voters(); change.incoming == "" && len(voters) == 1 && voters[0].ID == change.outgoing {
-		w.change = nil // no voter would be left
+		c.change = nil // the last voter can't be removed
 		return
 	}
-	w.checks.observe(member)
-	if w.proposeChange(member.node, change) {
+	c.checks.observe(member)
+	if c.proposeChange(member.node, change) {
 		change.proposed = true
-		w.note("change", member.id, member.node.ConfIndex(), 0)
+		c.recordEvent("change proposed", member.id, member.node.ConfIndex(), 0)
 	}
 }
 
-// replaceLostVoterFirst lets a voter whose disk is lost be replaced before any other.
-func (w *modelWorld) replaceLostVoterFirst(member *modelMember) {
-	if change := w.change; change != nil && change.outgoing != "" && w.byID[change.outgoing].lost {
+// replaceLostVoterFirst makes the requested change replace a voter whose disk is lost, if
+// there is one, before other voters.
+func (c *modelCluster) replaceLostVoterFirst(member *modelMember) {
+	if change := c.change; change != nil && change.outgoing != "" && c.byID[change.outgoing].lost {
 		return
 	}
 	for _, id := range allVoters(member.node) {
-		if !w.byID[id].lost {
+		if !c.byID[id].lost {
 			continue
 		}
-		if w.change == nil {
-			w.change = &voterChange{}
+		if c.change == nil {
+			c.change = &voterChange{}
 		}
-		w.change.outgoing = id
-		if w.change.incoming == "" {
-			w.change.incoming = w.addAndStartMember().id
+		c.change.outgoing = id
+		if c.change.incoming == "" {
+			c.change.incoming = c.addAndStartMember().id
 		}
 		return
 	}
 }
 
-// retire ends a member that was voted out after a while, or lets it run on as one that
-// may become a voter again.
-func (w *modelWorld) retire(member *modelMember) {
+// retire stops a removed voter after a random delay, or keeps it running as an idle member
+// that may become a voter again.
+func (c *modelCluster) retire(member *modelMember) {
 	if member == nil || member.lost {
 		return
 	}
-	if member.idle = w.chance(0.3); member.idle {
+	if member.idle = c.chance(0.3); member.idle {
 		return
 	}
-	w.schedule(w.randomDelay(2*time.Second), func() {
-		if member.idle || w.change != nil && w.change.incoming == member.id {
-			return // it is to be a voter again
+	c.schedule(c.randomDelay(2*time.Second), func() {
+		if member.idle || c.change != nil && c.change.incoming == member.id {
+			return // becomes a voter again
 		}
-		w.crash(member, false)
+		c.crash(member, false)
 		member.retired = true
 	})
 }
 
-// abandonChange gives up a change that no leader has proposed yet.
-func (w *modelWorld) abandonChange(*modelMember) {
-	change := w.change
-	if change == nil || change.proposed || change.incoming == "" || change.outgoing != "" && w.byID[change.outgoing].lost {
+// abandonChange cancels a requested change that no leader has proposed yet.
+func (c *modelCluster) abandonChange(*modelMember) {
+	change := c.change
+	if change == nil || change.proposed || change.incoming == "" || change.outgoing != "" && c.byID[change.outgoing].lost {
 		return
 	}
-	w.change = nil
-	w.byID[change.incoming].idle = true
-	for _, member := range w.runningMembers() {
+	c.change = nil
+	c.byID[change.incoming].idle = true
+	for _, member := range c.runningMembers() {
 		member.node.RemoveLearner(change.incoming)
 	}
 }
 
-// pickLearner returns the next member that is to become a voter: an idle or a new one.
-func (w *modelWorld) pickLearner() *modelMember {
-	for _, member := range w.runningMembers() {
-		if member.idle && !member.lost && w.chance(0.5) {
+// pickLearner returns a member to be added as a voter: an idle one or a new one.
+func (c *modelCluster) pickLearner() *modelMember {
+	for _, member := range c.runningMembers() {
+		if member.idle && !member.lost && c.chance(0.5) {
 			member.idle = false
 			return member
 		}
 	}
-	return w.addAndStartMember()
+	return c.addAndStartMember()
 }
--- a/internal/raft/model_faults_test.go
+++ b/internal/raft/model_faults_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Faults, clients and configuration changes of the model test, all drawn at random.
+// Randomly generated faults, client requests and configuration changes of the model test.
 
-// runningMembers returns the members whose process runs.
-func (w *modelWorld) runningMembers() []*modelMember {
+// runningMembers returns the members whose process is running.
+func (c *modelCluster) runningMembers() []*modelMember {
 	var running []*modelMember
-	for _, member := range w.members {
+	for _, member := range c.members {
 		if member.node != nil {
 			running = append(running, member)
 		}
@@ -18,43 +18,43 @@
 	return running
 }
 
-func (w *modelWorld) randomRunningMember() *modelMember {
-	if running := w.runningMembers(); len(running) > 0 {
-		return running[w.random.Intn(len(running))]
+func (c *modelCluster) randomRunningMember() *modelMember {
+	if running := c.runningMembers(); len(running) > 0 {
+		return running[c.random.Intn(len(running))]
 	}
 	return nil
 }
 
-// runClients sends commands and reads to members that say that they lead, and at times to
-// others.
-func (w *modelWorld) runClients() {
-	w.schedule(w.randomDelay(35*time.Millisecond), w.runClients)
-	for _, member := range w.runningMembers() {
-		if !member.node.IsLeader() && !w.chance(0.05) {
+// runClients sends commands and reads to members that consider themselves leader, and
+// occasionally to others.
+func (c *modelCluster) runClients() {
+	c.schedule(c.randomDelay(35*time.Millisecond), c.runClients)
+	for _, member := range c.runningMembers() {
+		if !member.node.IsLeader() && !c.chance(0.05) {
 			continue
 		}
-		if w.chance(0.6) {
-			w.enqueue(member, input{read: &clientRead{floor: w.checks.readFloor}})
+		if c.chance(0.6) {
+			c.enqueue(member, input{read: &clientRead{minIndex: c.checks.minReadIndex}})
 		}
-		for w.chance(0.5) {
-			w.commands++
-			w.enqueue(member, input{command: fmt.Sprintf("c%d", w.commands)})
+		for c.chance(0.5) {
+			c.commands++
+			c.enqueue(member, input{command: fmt.Sprintf("c%d", c.commands)})
 		}
 	}
 }
 
 // injectFault injects a fault, and schedules the next one.
-func (w *modelWorld) injectFault() {
-	if w.faultsStopped {
+func (c *modelCluster) injectFault() {
+	if c.faultsStopped {
 		return
 	}
-	w.schedule(w.randomDelay(w.profile.meanFaultGap), w.injectFault)
-	if w.chance(0.1) {
-		// The network works again, so that the log can grow.
-		w.healNetwork()
-		w.schedule(w.randomDelay(time.Second), func() {})
+	c.schedule(c.randomDelay(c.profile.meanFaultGap), c.injectFault)
+	if c.chance(0.1) {
+		// Restore the network, so that the log can grow.
+		c.healNetwork()
+		c.schedule(c.randomDelay(time.Second), func() {})
 	}
-	member := w.randomRunningMember()
+	member := c.randomRunningMember()
 	if member == nil {
 		return
 	}
@@ -62,28 +62,28 @@
 		share int
 		run   func(*modelMember)
 	}{
-		{12, w.cutLink},
-		{4, w.isolate},
-		{4, w.partition},
-		{10, func(*modelMember) { w.healNetwork() }},
-		{8, w.reconnectMember},
-		{8, w.freeze},
-		{8, func(member *modelMember) { w.crashAndRestart(member, false) }},
-		{8, func(member *modelMember) { w.crashAndRestart(member, true) }},
-		{2, w.powerLoss},
-		{4, w.stallDisk},
-		{6, w.transferLeadership},
-		{6, func(member *modelMember) { w.enqueue(member, input{snapshot: true}) }},
-		{6, w.requestConfChange},
-		{3, w.loseDisk},
-		{1, w.abandonChange},
-		{3, w.setEagerCommitPeers},
+		{12, c.cutLink},
+		{4, c.isolate},
+		{4, c.partition},
+		{10, func(*modelMember) { c.healNetwork() }},
+		{8, c.reconnectMember},
+		{8, c.pause},
+		{8, func(member *modelMember) { c.crashAndRestart(member, false) }},
+		{8, func(member *modelMember) { c.crashAndRestart(member, true) }},
+		{2, c.powerLoss},
+		{4, c.stallDisk},
+		{6, c.transferLeadership},
+		{6, func(member *modelMember) { c.enqueue(member, input{snapshot: true}) }},
+		{6, c.requestConfChange},
+		{3, c.loseDisk},
+		{1, c.abandonChange},
+		{3, c.setEagerCommitPeers},
 	}
 	sum := 0
 	for _, fault := range faults {
 		sum += fault.share
 	}
-	draw := w.random.Intn(sum)
+	draw := c.random.Intn(sum)
 	for _, fault := range faults {
 		if draw -= fault.share; draw < 0 {
 			fault.run(member)
@@ -92,160 +92,161 @@
 	}
 }
 
-func (w *modelWorld) cutLink(member *modelMember) {
-	other := w.members[w.random.Intn(len(w.members))]
-	w.note("cut>"+other.id, member.id, 0, 0)
-	w.net.link(member.id, other.id).cut = true
-	if w.chance(0.5) {
-		w.net.link(other.id, member.id).cut = true
+func (c *modelCluster) cutLink(member *modelMember) {
+	other := c.members[c.random.Intn(len(c.members))]
+	c.recordEvent("cut>"+other.id, member.id, 0, 0)
+	c.net.link(member.id, other.id).cut = true
+	if c.chance(0.5) {
+		c.net.link(other.id, member.id).cut = true
 	}
 }
 
-// isolate cuts what a member sends, what it receives, or both.
-func (w *modelWorld) isolate(member *modelMember) {
-	direction := w.random.Intn(3)
-	w.note("isolate", member.id, uint64(direction), 0)
-	for _, other := range w.members {
+// isolate cuts a member's outgoing links, its incoming links, or both.
+func (c *modelCluster) isolate(member *modelMember) {
+	direction := c.random.Intn(3)
+	c.recordEvent("isolate", member.id, uint64(direction), 0)
+	for _, other := range c.members {
 		if direction != 0 {
-			w.net.link(member.id, other.id).cut = true
+			c.net.link(member.id, other.id).cut = true
 		}
 		if direction != 1 {
-			w.net.link(other.id, member.id).cut = true
+			c.net.link(other.id, member.id).cut = true
 		}
 	}
 }
 
-func (w *modelWorld) partition(*modelMember) {
+func (c *modelCluster) partition(*modelMember) {
 	side := map[string]bool{}
-	for _, member := range w.members {
-		side[member.id] = w.chance(0.5)
+	for _, member := range c.members {
+		side[member.id] = c.chance(0.5)
 	}
-	w.note("partition", "", 0, 0)
-	for _, from := range w.members {
-		for _, to := range w.members {
+	c.recordEvent("partition", "", 0, 0)
+	for _, from := range c.members {
+		for _, to := range c.members {
 			if side[from.id] != side[to.id] {
-				w.net.link(from.id, to.id).cut = true
+				c.net.link(from.id, to.id).cut = true
 			}
 		}
 	}
 }
 
-func (w *modelWorld) healNetwork() {
-	w.note("heal", "", 0, 0)
-	for _, from := range w.members {
-		for _, to := range w.members {
-			w.net.link(from.id, to.id).cut = false
+func (c *modelCluster) healNetwork() {
+	c.recordEvent("heal", "", 0, 0)
+	for _, from := range c.members {
+		for _, to := range c.members {
+			c.net.link(from.id, to.id).cut = false
 		}
 	}
 }
 
-func (w *modelWorld) reconnectMember(member *modelMember) {
-	for _, other := range w.members {
-		w.net.reconnect(member.id, other.id)
+func (c *modelCluster) reconnectMember(member *modelMember) {
+	for _, other := range c.members {
+		c.net.reconnect(member.id, other.id)
 	}
 }
 
-// freeze pauses a process for a while; its clock goes on.
-func (w *modelWorld) freeze(member *modelMember) {
-	w.note("freeze", member.id, 0, 0)
-	member.frozen = true
+// pause suspends a process for a random time. Its clock keeps running.
+func (c *modelCluster) pause(member *modelMember) {
+	c.recordEvent("pause", member.id, 0, 0)
+	member.paused = true
 	incarnation := member.incarnation
-	w.schedule(w.randomDelay(700*time.Millisecond), func() {
+	c.schedule(c.randomDelay(700*time.Millisecond), func() {
 		if member.incarnation == incarnation {
-			w.note("thaw", member.id, 0, 0)
-			member.frozen = false
-			w.scheduleTurn(member)
+			c.recordEvent("resume", member.id, 0, 0)
+			member.paused = false
+			c.scheduleIteration(member)
 		}
 	})
 }
 
-func (w *modelWorld) crashAndRestart(member *modelMember, power bool) {
-	w.crash(member, power)
+func (c *modelCluster) crashAndRestart(member *modelMember, powerLoss bool) {
+	c.crash(member, powerLoss)
 	incarnation := member.incarnation
-	w.schedule(w.randomDelay(800*time.Millisecond), func() {
+	c.schedule(c.randomDelay(800*time.Millisecond), func() {
 		if member.incarnation == incarnation && !member.lost && !member.retired {
-			w.start(member)
+			c.start(member)
 		}
 	})
 }
 
-// powerLoss takes the power from some members, or from all.
-func (w *modelWorld) powerLoss(*modelMember) {
-	all := w.chance(0.5)
-	for _, member := range w.runningMembers() {
-		if all || w.chance(0.4) {
-			w.crashAndRestart(member, true)
+// powerLoss simulates a power loss of some or all members.
+func (c *modelCluster) powerLoss(*modelMember) {
+	all := c.chance(0.5)
+	for _, member := range c.runningMembers() {
+		if all || c.chance(0.4) {
+			c.crashAndRestart(member, true)
 		}
 	}
 }
 
-func (w *modelWorld) stallDisk(member *modelMember) {
-	member.disk.stalledUntil = w.now + w.randomDelay(time.Second)
+func (c *modelCluster) stallDisk(member *modelMember) {
+	member.disk.stalledUntil = c.now + c.randomDelay(time.Second)
 }
 
-func (w *modelWorld) transferLeadership(member *modelMember) {
-	for _, other := range w.runningMembers() {
+func (c *modelCluster) transferLeadership(member *modelMember) {
+	for _, other := range c.runningMembers() {
 		if other.node.IsLeader() {
 			member = other
 		}
 	}
-	w.enqueue(member, input{transfer: true})
+	c.enqueue(member, input{transfer: true})
 }
 
-// setEagerCommitPeers lets a member tell some others of each commit at once.
-func (w *modelWorld) setEagerCommitPeers(member *modelMember) {
+// setEagerCommitPeers makes a member send new commit indexes immediately to some other members.
+func (c *modelCluster) setEagerCommitPeers(member *modelMember) {
 	peers := map[string]bool{}
-	for _, other := range w.members {
-		peers[other.id] = w.chance(0.5)
+	for _, other := range c.members {
+		peers[other.id] = c.chance(0.5)
 	}
 	member.node.SetEagerCommitPeers(peers)
 }
 
-// requestConfChange lets the operator replace a voter, add one, or remove one.
-func (w *modelWorld) requestConfChange(member *modelMember) {
+// requestConfChange requests to replace, add or remove a voter, as an operator would.
+func (c *modelCluster) requestConfChange(member *modelMember) {
 	ids := allVoters(member.node)
-	if w.change != nil || len(ids) == 0 {
+	if c.change != nil || len(ids) == 0 {
 		return
 	}
 	change := &voterChange{}
 	const replace, add, remove = 0, 1, 2
-	kind := w.random.Intn(3)
+	kind := c.random.Intn(3)
 	if kind != add || len(ids) >= 5 {
-		change.outgoing = ids[w.random.Intn(len(ids))]
+		change.outgoing = ids[c.random.Intn(len(ids))]
 	}
 	if kind != remove || len(ids) == 1 {
-		change.incoming = w.pickLearner().id
+		change.incoming = c.pickLearner().id
 	}
 	if change.incoming == change.outgoing {
 		return
 	}
-	w.note("want out="+change.outgoing+" in="+change.incoming, "", 0, 0)
-	w.change = change
+	c.recordEvent("change requested out="+change.outgoing+" in="+change.incoming, "", 0, 0)
+	c.change = change
 }
 
-func (w *modelWorld) addAndStartMember() *modelMember {
-	member := w.addMember()
-	w.start(member)
+func (c *modelCluster) addAndStartMember() *modelMember {
+	member := c.addMember()
+	c.start(member)
 	return member
 }
 
-// loseDisk takes a member's disk away, if every set of voters that any member may still
-// use keeps a majority; the daemon comes back with an empty disk, as another member.
-func (w *modelWorld) loseDisk(member *modelMember) {
-	for _, other := range w.members {
+// loseDisk destroys a member's disk, unless that would leave a set of voters that some
+// member may still use without a majority. The daemon rejoins with an empty disk, as
+// another member.
+func (c *modelCluster) loseDisk(member *modelMember) {
+	for _, other := range c.members {
 		if other.node == nil && !other.lost && !other.retired {
-			return // the configuration on its disk is not known now
+			return // the configuration on its disk is unknown
 		}
 		if other.node == nil {
 			continue
 		}
-		// The newest configuration may not be on any disk yet.
+		// The latest configuration may not be on any disk yet, so the committed one counts too.
 		node := other.node
 		committed := voterIDSets(node.VotersAt(node.CommitIndex()), node.OutgoingVotersAt(node.CommitIndex()))
 		for _, set := range append(currentVoterSets(node), committed...) {
 			lost := 0
 			for _, id := range set {
-				if w.byID[id].lost || w.byID[id].retired || id == member.id {
+				if c.byID[id].lost || c.byID[id].retired || id == member.id {
 					lost++
 				}
 			}
@@ -254,33 +255,33 @@
 			}
 		}
 	}
-	w.note("disk lost", member.id, 0, 0)
-	w.counts["disks lost"]++
-	w.crash(member, true)
+	c.recordEvent("disk lost", member.id, 0, 0)
+	c.counts["disks lost"]++
+	c.crash(member, true)
 	member.lost = true
-	if w.change != nil && w.change.incoming == member.id {
-		w.change.incoming = w.addAndStartMember().id
+	if c.change != nil && c.change.incoming == member.id {
+		c.change.incoming = c.addAndStartMember().id
 	}
 }
 
-// heal ends all faults and starts all members that have a disk.
-func (w *modelWorld) heal() {
-	w.faultsStopped = true
-	w.healNetwork()
-	w.net.reliable = true
-	for _, from := range w.members {
-		for _, to := range w.members {
-			w.net.reconnect(from.id, to.id) // no message waits for an earlier one
+// heal ends all faults and starts all stopped members that are neither retired nor lost.
+func (c *modelCluster) heal() {
+	c.faultsStopped = true
+	c.healNetwork()
+	c.net.reliable = true
+	for _, from := range c.members {
+		for _, to := range c.members {
+			c.net.reconnect(from.id, to.id) // new messages don't queue behind delayed ones
 		}
 	}
-	for _, member := range w.members {
+	for _, member := range c.members {
 		member.disk.stalledUntil = 0
-		if member.frozen {
-			member.frozen = false
-			w.scheduleTurn(member)
+		if member.paused {
+			member.paused = false
+			c.scheduleIteration(member)
 		}
 		if member.node == nil && !member.lost && !member.retired {
-			w.start(member)
+			c.start(member)
 		}
 	}
 }
--- a/internal/raft/model_harness_test.go
+++ b/internal/raft/model_harness_test.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// The harness of the model test: members, clocks, and the loop that drives a Node, all
-// from one seed. It uses the exported interface only, in the order in which the event
-// loop of the package server does.
+// The harness of the model test: members, clocks, and the event loop that drives a Node. All
+// behavior is determined by one seed. The event loop uses only the exported methods of Node,
+// in the same order as the event loop of package server.
 
-// modelMember is one daemon: a disk, and a Node while it runs.
+// modelMember is one daemon: a disk, and a Node while the daemon is running.
 type modelMember struct {
-	id                string
-	node              *Node // nil while it is down
-	incarnation       int   // counts starts and crashes; events of an earlier one are void
-	clockRate         float64
-	clockOffset       time.Duration
-	frozen            bool
-	lost              bool // its disk is lost
-	idle              bool // runs, and is no voter as far as the operator knows
-	retired           bool // was voted out, and ended
-	inbox             []input
-	turnScheduled     bool
-	timerID           int // of the newest timer; earlier ones are void
-	disk              modelDisk
-	writesInFlight    int // writes that the disk has not reported
-	state             stateMachine
-	proposals         map[uint64]proposal
-	commands          []string // commands for the next turn
-	lastSnapshotIndex uint64
-	lastOperatedAt    time.Duration // when the operator last looked, as leader
+	id                 string
+	node               *Node // nil while the daemon is down
+	incarnation        int   // number of starts and crashes; events of an earlier incarnation are ignored
+	clockRate          float64
+	clockOffset        time.Duration
+	paused             bool
+	lost               bool // its disk was lost
+	idle               bool // running, but not a voter as far as the operator knows
+	retired            bool // was removed from the voters and stopped
+	inbox              []input
+	iterationScheduled bool
+	timerID            int // of the latest timer; earlier ones are ignored
+	disk               modelDisk
+	writesInFlight     int // number of writes whose completion the disk hasn't reported
+	state              stateMachine
+	proposals          map[uint64]proposal
+	commands           []string // to be proposed in the current iteration
+	lastSnapshotIndex  uint64
+	lastReconciledAt   time.Duration // when it last ran reconcileMembership as leader
 }
 
-// input is one thing that a member's loop handles; one field is set.
+// input is an input of a member's event loop. Exactly one field is set.
 type input struct {
 	message  *Message
 	written  []diskWrite
@@ -44,23 +44,24 @@
 	snapshot bool
 }
 
-// proposal is a command that waits for its commit.
+// proposal is a proposed command that isn't applied yet.
 type proposal struct {
 	term uint64
 	data string
 }
 
-// clientRead is a client's read: it must see the state at the floor or a later one.
-type clientRead struct{ floor uint64 }
+// clientRead is a read request of a client. It must see the state at minIndex or a later one.
+type clientRead struct{ minIndex uint64 }
 
-// voterChange is what the operator wants done to the voters.
+// voterChange is a change of the voters requested by the operator. An empty ID means that no
+// voter is removed or added.
 type voterChange struct {
 	outgoing, incoming string
 	proposed           bool // by a leader
 }
 
-// modelWorld is one walk.
-type modelWorld struct {
+// modelCluster is a simulated cluster with its clients and faults. It runs one walk.
+type modelCluster struct {
 	seed             int64
 	random           *rand.Rand
 	profile          walkProfile
@@ -78,75 +79,75 @@
 	faultsStopped    bool
 	trace            []string
 	tracing          bool
-	digest           uint64 // of all that happened: two walks of one seed are equal
+	digest           uint64 // of all events; equal for two walks with the same seed
 	counts           map[string]int
-	lastAckedIndex   uint64 // index of the newest acknowledged command
+	lastAckedIndex   uint64 // index of the last acknowledged command
 	lastAckedCommand string
-	recovered        time.Duration // from the end of all faults to the end of the walk
+	recovered        time.Duration // time from the end of all faults to the end of the walk
 }
 
-func newModelWorld(seed int64, mutation mutation, only check) *modelWorld {
-	w := &modelWorld{
+func newModelCluster(seed int64, mutation mutation, onlyCheck check) *modelCluster {
+	c := &modelCluster{
 		seed:     seed,
 		random:   rand.New(rand.NewSource(seed)),
 		byID:     map[string]*modelMember{},
 		mutation: mutation,
 		counts:   map[string]int{},
 	}
-	w.profile = randomProfile(w.random)
+	c.profile = randomProfile(c.random)
 	if mutation.profile != nil {
-		mutation.profile(&w.profile)
+		mutation.profile(&c.profile)
 	}
-	w.checks = newChecker(w, only)
-	w.net = modelNetwork{world: w, links: map[string]*modelLink{}}
+	c.checks = newChecker(c, onlyCheck)
+	c.net = modelNetwork{cluster: c, links: map[string]*modelLink{}}
 	var voters []Member
-	for i := 0; i < w.profile.voters; i++ {
-		voters = append(voters, testMember(w.addMember().id))
+	for i := 0; i < c.profile.voters; i++ {
+		voters = append(voters, testMember(c.addMember().id))
 	}
 	first := Snapshot{Index: 1, Voters: voters, Data: stateMachine{index: 1}.encode()}
-	w.checks.bootstrap(first)
-	for _, m := range w.members {
+	c.checks.bootstrap(first)
+	for _, m := range c.members {
 		m.disk.snapshot = first
-		w.start(m)
+		c.start(m)
 	}
-	w.schedule(w.randomDelay(w.profile.meanFaultGap), w.injectFault)
-	w.schedule(time.Millisecond, w.runClients)
-	return w
+	c.schedule(c.randomDelay(c.profile.meanFaultGap), c.injectFault)
+	c.schedule(time.Millisecond, c.runClients)
+	return c
 }
 
-func (w *modelWorld) addMember() *modelMember {
+func (c *modelCluster) addMember() *modelMember {
 	member := &modelMember{
-		id:          fmt.Sprintf("m%d", len(w.members)),
-		clockRate:   0.99 + 0.02*w.random.Float64(),
-		clockOffset: time.Duration(w.random.Intn(1e9)),
+		id:          fmt.Sprintf("m%d", len(c.members)),
+		clockRate:   0.99 + 0.02*c.random.Float64(),
+		clockOffset: time.Duration(c.random.Intn(1e9)),
 	}
-	w.members = append(w.members, member)
-	w.byID[member.id] = member
+	c.members = append(c.members, member)
+	c.byID[member.id] = member
 	return member
 }
 
-func (w *modelWorld) schedule(delay time.Duration, run func()) {
-	w.sequence++
-	heap.Push(&w.queue, event{w.now + delay, w.sequence, run})
+func (c *modelCluster) schedule(delay time.Duration, run func()) {
+	c.sequence++
+	heap.Push(&c.queue, event{c.now + delay, c.sequence, run})
 }
 
-// randomDelay draws a delay with the given mean.
-func (w *modelWorld) randomDelay(mean time.Duration) time.Duration {
-	return time.Duration(w.random.ExpFloat64()*float64(mean)) + time.Microsecond
+// randomDelay returns an exponentially distributed random delay with the given mean.
+func (c *modelCluster) randomDelay(mean time.Duration) time.Duration {
+	return time.Duration(c.random.ExpFloat64()*float64(mean)) + time.Microsecond
 }
 
-func (w *modelWorld) chance(probability float64) bool { return w.random.Float64() < probability }
+func (c *modelCluster) chance(probability float64) bool { return c.random.Float64() < probability }
 
-// note adds an event to the digest and, if it is on, to the trace.
-func (w *modelWorld) note(kind, id string, a, b uint64) {
+// recordEvent adds an event to the digest and, if tracing is enabled, to the trace.
+func (c *modelCluster) recordEvent(kind, id string, a, b uint64) {
 	for _, text := range []string{kind, id} {
 		for i := 0; i < len(text); i++ {
-			w.digest = (w.digest ^ uint64(text[i])) * 1099511628211
+			c.digest = (c.digest ^ uint64(text[i])) * 1099511628211
 		}
 	}
-	w.digest = (w.digest ^ a ^ b<<32 ^ uint64(w.now)) * 1099511628211
-	if w.tracing {
-		w.trace = append(w.trace, fmt.Sprintf("%6d %9.3fs %-4s %s %d %d", w.step, w.now.Seconds(), id, kind, a, b))
+	c.digest = (c.digest ^ a ^ b<<32 ^ uint64(c.now)) * 1099511628211
+	if c.tracing {
+		c.trace = append(c.trace, fmt.Sprintf("%6d %9.3fs %-4s %s %d %d", c.step, c.now.Seconds(), id, kind, a, b))
 	}
 }
 
@@ -154,35 +155,36 @@
 	return time.Unix(1000, 0).Add(m.clockOffset + time.Duration(float64(now)*m.clockRate))
 }
 
-func (w *modelWorld) start(member *modelMember) {
+func (c *modelCluster) start(member *modelMember) {
 	member.incarnation++
-	member.frozen, member.inbox, member.turnScheduled, member.writesInFlight, member.commands = false, nil, false, 0, nil
+	member.paused, member.inbox, member.iterationScheduled, member.writesInFlight, member.commands = false, nil, false, 0, nil
 	member.proposals = map[uint64]proposal{}
-	recovered := member.disk.open(w)
+	recovered := member.disk.recoverContents(c)
 	member.state = decodeStateMachine(recovered.snapshot.Data)
 	member.lastSnapshotIndex = recovered.snapshot.Index
-	w.checks.started(member, recovered)
-	w.note("start", member.id, recovered.hardState.Term, recovered.snapshot.Index)
-	member.node = New(member.id, recovered.hardState, recovered.snapshot, recovered.log, member.clock(w.now), w.profile.config, w.random.Int63())
+	c.checks.onStart(member, recovered)
+	c.recordEvent("start", member.id, recovered.hardState.Term, recovered.snapshot.Index)
+	member.node = New(member.id, recovered.hardState, recovered.snapshot, recovered.log, member.clock(c.now), c.profile.config, c.random.Int63())
 	member.node.RestoreCommit(recovered.commit)
 	node := member.node
-	node.SetSnapshotSource(func() *Snapshot { return w.snapshot(member) })
-	w.scheduleTurn(member)
+	node.SetSnapshotSource(func() *Snapshot { return c.snapshot(member) })
+	c.scheduleIteration(member)
 }
 
-// crash ends a process; with power, the machine loses what was not synced.
-func (w *modelWorld) crash(member *modelMember, power bool) {
+// crash kills a process. With powerLoss, writes that are not synced may be lost even if they
+// have reached the operating system.
+func (c *modelCluster) crash(member *modelMember, powerLoss bool) {
 	if member.node == nil {
 		return
 	}
-	w.note("crash", member.id, member.node.Term(), member.node.CommitIndex())
-	member.disk.crash(w, power)
+	c.recordEvent("crash", member.id, member.node.Term(), member.node.CommitIndex())
+	member.disk.crash(c, powerLoss)
 	member.node = nil
 	member.incarnation++
 }
 
-// snapshot returns the state of a member as the package server does.
-func (w *modelWorld) snapshot(member *modelMember) *Snapshot {
+// snapshot returns a snapshot of a member's state, as package server does.
+func (c *modelCluster) snapshot(member *modelMember) *Snapshot {
 	index := member.node.AppliedIndex()
 	term, _ := member.node.TermAt(index)
 	return &Snapshot{
@@ -194,172 +196,173 @@
 	}
 }
 
-// enqueue puts an input into a member's queue.
-func (w *modelWorld) enqueue(member *modelMember, in input) {
+// enqueue adds an input to a member's inbox.
+func (c *modelCluster) enqueue(member *modelMember, in input) {
 	member.inbox = append(member.inbox, in)
-	w.scheduleTurn(member)
+	c.scheduleIteration(member)
 }
 
-// scheduleTurn lets a member's loop run, sometimes only after a while, so that more
-// inputs wait.
-func (w *modelWorld) scheduleTurn(member *modelMember) {
-	if member.turnScheduled || member.node == nil {
+// scheduleIteration schedules an iteration of a member's event loop, sometimes with a delay,
+// so that several inputs queue up.
+func (c *modelCluster) scheduleIteration(member *modelMember) {
+	if member.iterationScheduled || member.node == nil {
 		return
 	}
-	member.turnScheduled = true
-	lag := time.Duration(0)
-	if w.chance(0.2) {
-		lag = time.Duration(w.random.Intn(20)) * time.Millisecond
+	member.iterationScheduled = true
+	delay := time.Duration(0)
+	if c.chance(0.2) {
+		delay = time.Duration(c.random.Intn(20)) * time.Millisecond
 	}
 	incarnation := member.incarnation
-	w.schedule(lag, func() {
+	c.schedule(delay, func() {
 		if member.incarnation == incarnation {
-			member.turnScheduled = false
-			w.runTurn(member)
+			member.iterationScheduled = false
+			c.runIteration(member)
 		}
 	})
 }
 
-// runTurn handles all inputs that wait, then what follows from them.
-func (w *modelWorld) runTurn(member *modelMember) {
-	if member.node == nil || member.frozen {
+// runIteration runs one iteration of a member's event loop: it handles all queued inputs,
+// then their consequences.
+func (c *modelCluster) runIteration(member *modelMember) {
+	if member.node == nil || member.paused {
 		return
 	}
-	now := member.clock(w.now)
-	waiting := member.inbox
+	now := member.clock(c.now)
+	inputs := member.inbox
 	member.inbox = nil
-	for _, in := range waiting {
-		w.handleInput(member, in, now)
-		w.checks.observe(member)
+	for _, in := range inputs {
+		c.handleInput(member, in, now)
+		c.checks.observe(member)
 	}
-	w.finishTurn(member, now)
-	w.checks.observe(member)
+	c.finishIteration(member, now)
+	c.checks.observe(member)
 }
 
-func (w *modelWorld) handleInput(member *modelMember, in input, now time.Time) {
+func (c *modelCluster) handleInput(member *modelMember, in input, now time.Time) {
 	switch {
 	case in.message != nil:
-		w.note(kindNames[in.message.Kind]+"<"+in.message.From, member.id, in.message.Term, in.message.Index)
+		c.recordEvent(kindNames[in.message.Kind]+"<"+in.message.From, member.id, in.message.Term, in.message.Index)
 		member.node.Step(*in.message, now)
 	case in.written != nil:
 		for _, write := range in.written {
 			member.writesInFlight--
-			w.writeCompleted(member, write)
+			c.writeCompleted(member, write)
 		}
 	case in.command != "":
 		member.commands = append(member.commands, in.command)
 	case in.read != nil:
 		if member.node.LeaderReady() && member.node.HasLease(now) {
-			w.counts["reads"]++
-			w.checks.read(member, *in.read)
+			c.counts["reads"]++
+			c.checks.read(member, *in.read)
 		}
 	case in.transfer:
 		if member.node.IsLeader() && member.node.TransferLeadership() == nil {
-			w.counts["transfers"]++
-			w.note("transfer", member.id, member.node.Term(), 0)
+			c.counts["transfers"]++
+			c.recordEvent("transfer", member.id, member.node.Term(), 0)
 		}
 	case in.snapshot:
 		member.lastSnapshotIndex = 0
 	}
 }
 
-func (w *modelWorld) writeCompleted(member *modelMember, write diskWrite) {
+func (c *modelCluster) writeCompleted(member *modelMember, write diskWrite) {
 	if write.ready.MustSync() {
 		member.node.WriteSynced(write.ready.WriteToken)
 	}
-	w.net.post(member, write.ready.MessagesAfterSync)
+	c.net.sendAll(member, write.ready.MessagesAfterSync)
 	if write.snapshot != nil {
-		member.node.Compact(write.snapshot.Index - min(write.snapshot.Index, w.profile.snapshotKeep))
+		member.node.Compact(write.snapshot.Index - min(write.snapshot.Index, c.profile.snapshotKeep))
 	}
 }
 
-// finishTurn ticks the node, proposes, does what is ready, and sets the next timer.
-func (w *modelWorld) finishTurn(member *modelMember, now time.Time) {
+// finishIteration ticks the node, proposes commands, processes Readys, and sets the next timer.
+func (c *modelCluster) finishIteration(member *modelMember, now time.Time) {
 	wake := member.node.Tick(now)
-	w.apply(member)
-	w.operateMembership(member)
-	w.propose(member)
+	c.apply(member)
+	c.reconcileMembership(member)
+	c.propose(member)
 	for i := 0; ; i++ {
 		ready := member.node.Ready()
 		if ready.IsEmpty() {
 			break
 		}
 		if i > 1000 {
-			w.checks.fail(checkLiveness, "%s: Ready is never empty", member.id)
+			c.checks.fail(checkLiveness, "%s: Ready not empty after 1000 calls", member.id)
 			break
 		}
-		w.handleReady(member, ready)
-		w.apply(member)
+		c.handleReady(member, ready)
+		c.apply(member)
 	}
-	isDue := member.node.AppliedIndex() >= member.lastSnapshotIndex+w.profile.snapshotEvery
+	isDue := member.node.AppliedIndex() >= member.lastSnapshotIndex+c.profile.snapshotEvery
 	isRequested := member.lastSnapshotIndex == 0 && member.node.AppliedIndex() > member.disk.snapshot.Index
 	if isDue || isRequested {
-		snapshot := w.snapshot(member)
+		snapshot := c.snapshot(member)
 		member.lastSnapshotIndex = snapshot.Index
-		w.counts["snapshots"]++
-		w.write(member, diskWrite{snapshot: snapshot})
+		c.counts["snapshots"]++
+		c.write(member, diskWrite{snapshot: snapshot})
 	}
 	if wake <= 0 {
 		wake = time.Second
 	}
 	member.timerID++
 	incarnation, timer := member.incarnation, member.timerID
-	w.schedule(time.Duration(float64(wake)/member.clockRate)+time.Duration(w.random.Intn(2000))*time.Microsecond, func() {
+	c.schedule(time.Duration(float64(wake)/member.clockRate)+time.Duration(c.random.Intn(2000))*time.Microsecond, func() {
 		if member.incarnation == incarnation && member.timerID == timer {
-			w.scheduleTurn(member)
+			c.scheduleIteration(member)
 		}
 	})
 }
 
-func (w *modelWorld) handleReady(member *modelMember, ready Ready) {
-	w.checks.appended(member, ready.Entries)
-	w.net.post(member, ready.Messages)
+func (c *modelCluster) handleReady(member *modelMember, ready Ready) {
+	c.checks.onAppend(member, ready.Entries)
+	c.net.sendAll(member, ready.Messages)
 	if ready.Snapshot != nil {
-		w.note("load", member.id, ready.Snapshot.Index, ready.Snapshot.Term)
-		w.counts["loads"]++
+		c.recordEvent("snapshot loaded", member.id, ready.Snapshot.Index, ready.Snapshot.Term)
+		c.counts["loads"]++
 		member.state = decodeStateMachine(ready.Snapshot.Data)
 		member.lastSnapshotIndex = ready.Snapshot.Index
-		w.checks.loaded(member, ready.Snapshot.Index)
+		c.checks.onSnapshotLoaded(member, ready.Snapshot.Index)
 	}
 	if ready.MustSync() || len(ready.MessagesAfterSync) > 0 && member.writesInFlight > 0 {
-		w.write(member, diskWrite{ready: ready})
+		c.write(member, diskWrite{ready: ready})
 	} else {
-		w.net.post(member, ready.MessagesAfterSync)
+		c.net.sendAll(member, ready.MessagesAfterSync)
 	}
 }
 
-func (w *modelWorld) write(member *modelMember, write diskWrite) {
+func (c *modelCluster) write(member *modelMember, write diskWrite) {
 	member.writesInFlight++
-	member.disk.add(w, member, write)
+	member.disk.queueWrite(c, member, write)
 }
 
-func (w *modelWorld) apply(member *modelMember) {
+func (c *modelCluster) apply(member *modelMember) {
 	for _, entry := range member.node.NextCommittedEntries() {
-		w.checks.applying(member, entry)
-		if w.mutation.name != mutationSkipEntry || entry.Kind != EntryNormal || !w.chance(0.05) {
+		c.checks.beforeApply(member, entry)
+		if c.mutation.name != mutationSkipEntry || entry.Kind != EntryNormal || !c.chance(0.05) {
 			member.state = member.state.apply(entry)
 		} else {
 			member.state.index = entry.Index
 		}
-		w.checks.applied(member, entry)
+		c.checks.afterApply(member, entry)
 		if proposed, ok := member.proposals[entry.Index]; ok {
 			delete(member.proposals, entry.Index)
 			if proposed.term == entry.Term {
-				w.counts["acks"]++
-				w.checks.acknowledged(member, entry, proposed)
-				w.lastAckedIndex, w.lastAckedCommand = entry.Index, proposed.data
+				c.counts["acks"]++
+				c.checks.onAcknowledged(member, entry, proposed)
+				c.lastAckedIndex, c.lastAckedCommand = entry.Index, proposed.data
 			}
 		}
 	}
 }
 
-func (w *modelWorld) propose(member *modelMember) {
+func (c *modelCluster) propose(member *modelMember) {
 	for _, command := range member.commands {
 		if !member.node.LeaderReady() {
 			continue
 		}
 		if index, err := member.node.Propose([]byte(command)); err == nil {
-			w.note("propose", member.id, index, member.node.Term())
+			c.recordEvent("propose", member.id, index, member.node.Term())
 			member.proposals[index] = proposal{member.node.Term(), command}
 		}
 	}
--- a/internal/raft/model_norace_test.go
+++ b/internal/raft/model_norace_test.go
@@ -3,6 +3,6 @@
 package raft
 
 const (
-	defaultSeeds  = 300
-	defaultDeeper = 0
+	defaultSeeds      = 300
+	defaultExtraDepth = 0
 )
--- a/internal/raft/model_profile_test.go
+++ b/internal/raft/model_profile_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// walkProfile is what a seed draws once for a whole walk.
+// walkProfile holds the random parameters of a walk.
 type walkProfile struct {
 	voters                    int
 	config                    Config
@@ -13,9 +13,9 @@
 	lossShare, duplicateShare float64       // shares of messages lost and duplicated
 	delayedShare              float64       // share of messages delayed
 	ordered                   bool          // messages of one connection keep their order
-	syncTime                  time.Duration // mean time of a write
-	snapshotEvery             uint64        // entries between two snapshots
-	snapshotKeep              uint64        // entries kept before a snapshot
+	syncTime                  time.Duration // mean duration of a write
+	snapshotEvery             uint64        // number of entries between two snapshots
+	snapshotKeep              uint64        // number of entries kept in the log before a snapshot
 }
 
 func randomProfile(random *rand.Rand) walkProfile {
--- a/internal/raft/model_race_test.go
+++ b/internal/raft/model_race_test.go
@@ -2,9 +2,10 @@
 
 package raft
 
-// The race detector makes the model some ten times slower and finds nothing in
-// it, since it has one task: fewer walks then, and a search one move less deep.
+// The race detector makes the model about ten times slower and can't find anything in it,
+// since it runs in a single goroutine. So there are fewer walks, and the search is less deep
+// by one transition.
 const (
-	defaultSeeds  = 100
-	defaultDeeper = -1
+	defaultSeeds      = 100
+	defaultExtraDepth = -1
 )
--- a/internal/raft/model_walk_test.go
+++ b/internal/raft/model_walk_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// The walk of the model test: events in the order of time, then the end of all faults.
+// The walk of the model test: events in chronological order, then the recovery after all faults
+// have ended.
 
-// event is something that happens at a set time; seq orders those of the same time.
+// event is a function to run at a simulated time. seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -33,72 +34,74 @@
 	return e
 }
 
-// run goes on for a number of steps, or until something fails.
-func (w *modelWorld) run(steps int, until func() bool) *failure {
-	for i := 0; i < steps && w.checks.failure == nil && len(w.queue) > 0; i++ {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
-		w.step++
-		w.runGuarded(next.run)
+// run processes events for a number of steps, until a check fails, or until() returns true.
+func (c *modelCluster) run(steps int, until func() bool) *failure {
+	for i := 0; i < steps && c.checks.failure == nil && len(c.queue) > 0; i++ {
+		next := heap.Pop(&c.queue).(event)
+		c.now = next.at
+		c.step++
+		c.runRecoveringPanic(next.run)
 		if until != nil && until() {
 			break
 		}
 	}
-	return w.checks.failure
+	return c.checks.failure
 }
 
-// runGuarded turns a panic into a failure.
-func (w *modelWorld) runGuarded(run func()) {
+// runRecoveringPanic runs a function and turns a panic into a failure.
+func (c *modelCluster) runRecoveringPanic(run func()) {
 	defer func() {
 		if r := recover(); r != nil {
-			w.checks.panicked(fmt.Sprintf("%v\n%s", r, debug.Stack()))
+			c.checks.onPanic(fmt.Sprintf("%v\n%s", r, debug.Stack()))
 		}
 	}()
 	run()
 }
 
-// recoverWithin bounds the time from the end of all faults until a command is committed
-// and applied by all voters, and an open configuration change is completed.
-const recoverWithin = 12 * time.Second
+// recoveryTimeout limits the time from the end of all faults until a new command is committed
+// and applied by all voters, and a pending configuration change is completed.
+const recoveryTimeout = 12 * time.Second
 
-// walk plays one seed: faults for a number of steps, then none, and a command must be
-// committed and applied by all voters within recoverWithin.
-func (w *modelWorld) walk(steps int) *failure {
-	// A call into the package that never returns can't be counted in steps.
-	hangTimer := time.AfterFunc(time.Minute, func() {
-		panic(fmt.Sprintf("model: seed %d, mutation %q: a call never returned at step %d", w.seed, w.mutation.name, w.step))
+// walk runs a walk: a number of steps with faults, then a phase without faults, in which a
+// command must be committed and applied by all voters within recoveryTimeout.
+func (c *modelCluster) walk(steps int) *failure {
+	// The number of steps doesn't limit a call into package raft that never returns.
+	watchdog := time.AfterFunc(time.Minute, func() {
+		panic(fmt.Sprintf("model: seed %d, mutation %q: a call did not return within a minute at step %d",
+			c.seed, c.mutation.name, c.step))
 	})
-	defer hangTimer.Stop()
-	if failed := w.run(steps, nil); failed != nil {
+	defer watchdog.Stop()
+	if failed := c.run(steps, nil); failed != nil {
 		return failed
 	}
-	w.heal()
-	lastCommand := w.commands
-	healed := w.now
+	c.heal()
+	lastCommand := c.commands
+	healed := c.now
 	recovered := false
-	failed := w.run(400_000, func() bool {
-		recovered = w.recoveredSince(lastCommand)
-		return recovered || w.now > healed+recoverWithin
+	failed := c.run(400_000, func() bool {
+		recovered = c.recoveredSince(lastCommand)
+		return recovered || c.now > healed+recoveryTimeout
 	})
 	if failed == nil && !recovered {
-		w.checks.fail(checkLiveness, "not within %v after all was healed: %s", recoverWithin, w.describe())
+		c.checks.fail(checkLiveness, "not within %v after the end of all faults: %s", recoveryTimeout, c.describe())
 	}
-	w.recovered = w.now - healed
-	return w.checks.failure
+	c.recovered = c.now - healed
+	return c.checks.failure
 }
 
-// recoveredSince reports whether a command after lastCommand is applied by all voters.
-func (w *modelWorld) recoveredSince(lastCommand int) bool {
+// recoveredSince reports whether a command after lastCommand is applied by all voters that have
+// a disk, and no configuration change is pending.
+func (c *modelCluster) recoveredSince(lastCommand int) bool {
 	var command int
-	if _, err := fmt.Sscanf(w.lastAckedCommand, "c%d", &command); err != nil || command <= lastCommand || w.change != nil {
+	if _, err := fmt.Sscanf(c.lastAckedCommand, "c%d", &command); err != nil || command <= lastCommand || c.change != nil {
 		return false
 	}
-	for _, member := range w.members {
-		if member.node == nil || !member.node.LeaderReady() || !member.node.HasLease(member.clock(w.now)) {
+	for _, member := range c.members {
+		if member.node == nil || !member.node.LeaderReady() || !member.node.HasLease(member.clock(c.now)) {
 			continue
 		}
 		for _, id := range allVoters(member.node) {
-			if voter := w.byID[id]; !voter.lost && (voter.node == nil || voter.node.AppliedIndex() < w.lastAckedIndex) {
+			if voter := c.byID[id]; !voter.lost && (voter.node == nil || voter.node.AppliedIndex() < c.lastAckedIndex) {
 				return false
 			}
 		}
@@ -107,20 +110,20 @@
 	return false
 }
 
-// describe tells what state each member is in.
-func (w *modelWorld) describe() string {
+// describe returns a description of the state of each member.
+func (c *modelCluster) describe() string {
 	var text strings.Builder
-	if w.change != nil {
-		fmt.Fprintf(&text, "change out=%q in=%q;", w.change.outgoing, w.change.incoming)
+	if c.change != nil {
+		fmt.Fprintf(&text, "change out=%q in=%q;", c.change.outgoing, c.change.incoming)
 	}
-	for _, member := range w.members {
+	for _, member := range c.members {
 		if member.node == nil {
 			fmt.Fprintf(&text, " %s: down (lost %v, retired %v);", member.id, member.lost, member.retired)
 			continue
 		}
 		node := member.node
 		fmt.Fprintf(&text, " %s: term %d is leader %v ready %v lease %v leader %q last %d commit %d applied %d conf %d %v;",
-			member.id, node.Term(), node.IsLeader(), node.LeaderReady(), node.HasLease(member.clock(w.now)), node.Leader(),
+			member.id, node.Term(), node.IsLeader(), node.LeaderReady(), node.HasLease(member.clock(c.now)), node.Leader(),
 			node.LastIndex(), node.CommitIndex(), node.AppliedIndex(), node.ConfIndex(), currentVoterSets(node))
 	}
 	return text.String()
@@ -138,7 +141,7 @@
 }
 
 // sortByReceiver makes the order of messages to different members deterministic, since a
-// Node iterates over maps. Those to one member keep their order.
+// Node iterates over maps. Messages to the same member keep their order.
 func sortByReceiver(messages []Message) {
 	sort.SliceStable(messages, func(i, j int) bool { return messages[i].To < messages[j].To })
 }
--- a/internal/raft/node_test.go
+++ b/internal/raft/node_test.go
@@ -20,7 +20,7 @@
 		c.commit("3")
 		c.start("d")
 		leader.AddLearner(Member{Node: "node-" + wiped, ID: "d", Addr: "d"})
-		c.until("caught up", func() bool { return leader.CaughtUp("d") })
+		c.waitUntil("the learner has caught up", func() bool { return leader.CaughtUp("d") })
 		var remaining []Member
 		for _, member := range leader.Voters() {
 			if member.ID != wiped {
@@ -30,13 +30,13 @@
 		if err := leader.ProposeConfChange(remaining); err != nil {
 			t.Fatal(err)
 		}
-		c.until("removed", func() bool { return leader.ConfIndex() <= leader.CommitIndex() })
+		c.waitUntil("the removal is committed", func() bool { return leader.ConfIndex() <= leader.CommitIndex() })
 		if leader.ProposeConfChange(append(remaining, Member{Node: "node-" + wiped, ID: "d", Addr: "d"})) != nil {
-			t.Fatal("second change refused")
+			t.Fatal("second configuration change not accepted")
 		}
-		c.until("added", func() bool { return leader.ConfIndex() <= leader.CommitIndex() && c.nodes["d"].IsVoter("d") })
+		c.waitUntil("the addition is committed", func() bool { return leader.ConfIndex() <= leader.CommitIndex() && c.nodes["d"].IsVoter("d") })
 		c.commit("4")
-		c.until("applied there", func() bool { return c.hasApplied("d", "4") && c.hasApplied("d", "1") })
+		c.waitUntil("the added member has applied all commands", func() bool { return c.hasApplied("d", "4") && c.hasApplied("d", "1") })
 	}
 }
 
@@ -52,7 +52,7 @@
 			t.Errorf("seed %d: %v without a leader", seed, gap)
 		}
 		c.start(killed)
-		c.until("back", func() bool { return c.hasApplied(killed, "2") })
+		c.waitUntil("the killed leader has caught up", func() bool { return c.hasApplied(killed, "2") })
 	}
 }
 
@@ -61,38 +61,38 @@
 		c := newTestCluster(t, seed, "a", "b", "c")
 		c.commit("1")
 		cutOff := c.leader().ID()
-		// Others hear the leader, it doesn't hear them.
+		// The leader's messages reach the others, but theirs don't reach the leader.
 		for _, id := range []string{"a", "b", "c"} {
-			c.cut[id+">"+cutOff] = true
+			c.cutLinks[id+">"+cutOff] = true
 		}
-		c.until("another leads", func() bool { leader := c.leader(); return leader != nil && leader.ID() != cutOff })
+		c.waitUntil("another member leads", func() bool { leader := c.leader(); return leader != nil && leader.ID() != cutOff })
 		c.commit("2")
 		for _, id := range []string{"a", "b", "c"} {
-			c.cut[id+">"+cutOff] = false
+			c.cutLinks[id+">"+cutOff] = false
 		}
-		c.until("one leader", func() bool { return !c.nodes[cutOff].IsLeader() && c.hasApplied(cutOff, "2") })
+		c.waitUntil("the old leader follows", func() bool { return !c.nodes[cutOff].IsLeader() && c.hasApplied(cutOff, "2") })
 	}
 }
 
-func TestFrozenLeaderHasNoLease(t *testing.T) {
+func TestPausedLeaderHasNoLease(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c")
 	c.commit("1")
 	old := c.leader()
-	frozen := c.nodes[old.ID()]
+	paused := c.nodes[old.ID()]
 	delete(c.nodes, old.ID())
-	c.until("another leads", func() bool { return c.leader() != nil })
-	if frozen.HasLease(c.now) {
-		t.Fatal("a leader that was paused trusts its lease")
+	c.waitUntil("another member leads", func() bool { return c.leader() != nil })
+	if paused.HasLease(c.now) {
+		t.Fatal("a paused leader still has its lease after another one was elected")
 	}
 	c.commit("2")
-	c.nodes[old.ID()] = frozen
-	c.until("it follows", func() bool { return !frozen.IsLeader() && c.hasApplied(old.ID(), "2") })
+	c.nodes[old.ID()] = paused
+	c.waitUntil("the paused leader follows", func() bool { return !paused.IsLeader() && c.hasApplied(old.ID(), "2") })
 }
 
 func TestLeaderWithStalledDiskStillCommits(t *testing.T) {
 	c := newTestCluster(t, 3, "a", "b", "c")
 	c.commit("1")
-	c.stalled[c.leader().ID()] = true
+	c.stalledDisks[c.leader().ID()] = true
 	c.commit("2")
 	c.commit("3")
 }
@@ -109,7 +109,7 @@
 		c.start(id)
 	}
 	c.commit("z")
-	c.until("all have all", func() bool {
+	c.waitUntil("all members have applied all commands", func() bool {
 		for _, id := range c.ids() {
 			if !c.hasApplied(id, "z") || !c.hasApplied(id, "8") {
 				return false
--- a/internal/raft/replication_test.go
+++ b/internal/raft/replication_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// others returns the IDs of the running members but for the leader, sorted.
+// others returns the sorted IDs of the running members except the leader.
 func (c *testCluster) others(leader *Node) []string {
 	return slices.DeleteFunc(c.ids(), func(id string) bool { return id == leader.ID() })
 }
 
-// untilAcknowledged waits until a follower has acknowledged the leader's whole log.
-func (c *testCluster) untilAcknowledged(leader *Node, follower string) {
+// waitForAcknowledgement waits until a follower has acknowledged the leader's whole log.
+func (c *testCluster) waitForAcknowledgement(leader *Node, follower string) {
 	c.t.Helper()
-	c.until("acknowledged", func() bool { return leader.peers[follower].match == leader.LastIndex() })
+	c.waitUntil("the follower has acknowledged the whole log", func() bool { return leader.peers[follower].match == leader.LastIndex() })
 }
 
-func TestMemberThatLostAcknowledgedEntriesIsNotCounted(t *testing.T) {
+func TestMemberThatLostAcknowledgedEntriesIsExcluded(t *testing.T) {
 	for seed := int64(0); seed < 10; seed++ {
 		c := newTestCluster(t, seed, "a", "b", "c")
 		c.commit("1")
@@ -26,22 +26,22 @@
 		earlierDisk := *c.disks[faulty]
 		c.commit("2")
 		c.commit("3")
-		c.until("all have it", func() bool { return c.hasApplied(faulty, "3") && c.hasApplied(third, "3") })
+		c.waitUntil("all members have applied 3", func() bool { return c.hasApplied(faulty, "3") && c.hasApplied(third, "3") })
 		c.kill(faulty)
 		c.disks[faulty] = &earlierDisk
 		c.start(faulty)
-		c.until("it is reported", func() bool { return slices.Equal(leader.FaultyPeers(), []string{faulty}) })
-		c.until("a lease from the third", func() bool { return leader.HasLease(c.now) })
-		c.cut[leader.ID()+">"+third] = true
+		c.waitUntil("the faulty member is reported", func() bool { return slices.Equal(leader.FaultyPeers(), []string{faulty}) })
+		c.waitUntil("a lease confirmed by the third member", func() bool { return leader.HasLease(c.now) })
+		c.cutLinks[leader.ID()+">"+third] = true
 		before := leader.CommitIndex()
 		mustPropose(t, leader, []byte("4"))
 		for range 30 {
 			c.step()
 		}
 		if leader.CommitIndex() > before {
-			t.Fatalf("seed %d: committed with the help of a member that lost entries", seed)
+			t.Fatalf("seed %d: committed with the acknowledgement of a member that lost entries", seed)
 		}
-		c.cut[leader.ID()+">"+third] = false
+		c.cutLinks[leader.ID()+">"+third] = false
 		c.commit("5")
 	}
 }
@@ -51,10 +51,10 @@
 	c.commit("1")
 	leader := c.leader()
 	follower := c.others(leader)[0]
-	c.untilAcknowledged(leader, follower)
+	c.waitForAcknowledgement(leader, follower)
 	first := leader.lastStamp
 	c.commit("2")
-	c.untilAcknowledged(leader, follower)
+	c.waitForAcknowledgement(leader, follower)
 	c.commit("3")
 	rejection := Message{
 		Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(),
@@ -63,11 +63,11 @@
 	for _, rejection.Commit = range []uint64{2, leader.LastIndex()} {
 		leader.Step(rejection, c.now)
 		if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
-			t.Fatalf("a stale rejection of index %d was taken for a new one", rejection.Commit)
+			t.Fatalf("stale rejection of index %d was not ignored", rejection.Commit)
 		}
 	}
-	// The append of a leader that was paused is rejected for its term, which says
-	// nothing of the log.
+	// An append of a leader of an older term is rejected because of its term, which says
+	// nothing about the log.
 	node := c.nodes[follower]
 	node.Ready()
 	node.Step(Message{
@@ -76,37 +76,37 @@
 	ready := node.Ready()
 	leader.Step(append(ready.Messages, ready.MessagesAfterSync...)[0], c.now)
 	if leader.peers[follower].probing || len(leader.FaultyPeers()) > 0 {
-		t.Fatal("the rejection of an older term was taken for one of this log")
+		t.Fatal("the rejection of an append of an older term was not ignored")
 	}
 }
 
-func TestStampsUseTheMonotonicClock(t *testing.T) {
+func TestStampsUseMonotonicClock(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c")
 	c.commit("1")
 	leader := c.leader()
 	leader.Tick(c.now.Add(testConfig.HeartbeatInterval))
 	for _, message := range leader.Ready().Messages {
 		if message.Kind == MsgAppend && message.SendStamp > int64(c.now.Add(time.Second).Sub(leader.startedAt)) {
-			t.Fatalf("stamp %d holds the time of day, which may jump", message.SendStamp)
+			t.Fatalf("stamp %d is based on the wall clock, which may jump", message.SendStamp)
 		}
 	}
 }
 
-// TestFollowerBehindCompactedLogGetsSnapshot: the entries that a member lacks are
-// compacted when it answers again. (This once never ended.)
+// TestFollowerBehindCompactedLogGetsSnapshot guards against an endless loop that occurred when
+// a member responded again after the entries that it lacks were compacted.
 func TestFollowerBehindCompactedLogGetsSnapshot(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c")
 	c.commit("1")
 	leader := c.leader()
 	follower := c.others(leader)[0]
-	c.untilAcknowledged(leader, follower)
-	c.cut[follower+">"+leader.ID()], c.cut[leader.ID()+">"+follower] = true, true
+	c.waitForAcknowledgement(leader, follower)
+	c.cutLinks[follower+">"+leader.ID()], c.cutLinks[leader.ID()+">"+follower] = true, true
 	for range 9 {
 		c.commit("2")
 	}
 	leader.Compact(leader.AppliedIndex())
 	peer := leader.peers[follower]
-	peer.next = peer.match + 2 // large entries: one in each append
+	peer.next = peer.match + 2 // as with large entries, of which each append contains one
 	leader.Step(Message{
 		Kind: MsgAppendResponse, From: follower, To: leader.ID(), Term: leader.Term(), Index: peer.match + 1, SendStamp: leader.lastStamp,
 	}, c.now)
@@ -115,12 +115,12 @@
 		sent = sent || message.Kind == MsgSnapshot && message.To == follower
 	}
 	if !sent {
-		t.Fatal("no snapshot for a member that lacks compacted entries")
+		t.Fatal("no snapshot sent to a member that lacks compacted entries")
 	}
 }
 
-// TestQuorumRoundTrip: it is the time within which a majority answers, the leader's own answer
-// included; without one it is not known.
+// TestQuorumRoundTrip checks that the round trip is the time within which a majority, including the
+// leader itself, has responded, and that it is unknown without responses.
 func TestQuorumRoundTrip(t *testing.T) {
 	c := newTestCluster(t, 1, "a", "b", "c", "d", "e")
 	c.commit("1")
@@ -129,12 +129,12 @@
 		leader.peers[id].lastAckedSend, leader.peers[id].roundTrip = leader.now, time.Duration(i+1)*time.Second
 	}
 	if got := leader.QuorumRoundTrip(); got != 2*time.Second {
-		t.Errorf("%v", got)
+		t.Errorf("quorum round trip %v, want 2s", got)
 	}
 	for _, peer := range leader.peers {
 		peer.lastAckedSend = time.Time{}
 	}
 	if got := leader.QuorumRoundTrip(); got < time.Hour {
-		t.Errorf("%v without any answer", got)
+		t.Errorf("quorum round trip %v without any response", got)
 	}
 }
