--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,8 +1,7 @@
-// Package admin answers operators' questions about a running cluster: its members,
-// a change's way through the daemons, SQL queries over the replicated state, and
+// Package admin implements the read-only queries of the command line to a running cluster: its
+// members, the trace of a change through the daemons, SQL queries over the replicated state, and
 // the record of deferrable jobs over several clusters.
 //
-// It is used by the command line, asks daemons by package rpc and only reads: it
-// changes nothing in a cluster, and a query is computed in the tool's own memory,
-// from the tables of one server.
+// It calls the daemons by package rpc and changes nothing in a cluster. An SQL query runs in the
+// memory of the tool, on a copy of one server's tables.
 package admin
--- a/internal/admin/jobrecord.go
+++ b/internal/admin/jobrecord.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/rpc"
 )
 
-// Names of tables, states and other values as servers give them; docs/queries.examples
-// shows some.
+// Names of tables, states and other values as servers return them. docs/queries.examples shows
+// some.
 const (
 	tableJobs  = "jobs"
 	tableMoves = "moves"
@@ -19,37 +19,37 @@
 	jobFailed    = "failed"
 	jobCancelled = "called_off"
 
-	moveOffered = "offered"
-	moveBack    = "home" // taken back by the cluster that the job was submitted to
+	moveOffered  = "offered"
+	moveReturned = "home" // returned to the cluster that the job was submitted to
 )
 
-// JobRecord is one deferrable job in the record of a day.
+// JobRecord is the record of one deferrable job.
 type JobRecord struct {
 	Job         string
-	Cluster     string // where it was submitted
-	RanOn       string // the cluster where it ran, or is
+	Cluster     string // cluster that it was submitted to
+	RanOn       string // cluster where it ran or is now
 	State       string
 	SubmittedMs int64  // on the clock of the cluster's state
-	EndedMs     int64  // the same; 0 while it has not ended
-	Fault       string // missing or doubled, and why; empty: it finished once
+	EndedMs     int64  // on the same clock; 0 while the job has not ended
+	Fault       string // why it counts as missing or doubled; empty if neither
 }
 
-// row is a table's row by its columns.
+// row is a row of a table, by column name.
 type row map[string]any
 
-// tableRows returns the rows of one table of a server; none if there is no such table.
+// tableRows returns the rows of a server's table; none if there is no such table.
 func tableRows(cluster rpc.ClusterState, name string) []row {
 	var rows []row
 	for _, table := range cluster.Tables {
 		if table.Name != name {
 			continue
 		}
-		for _, values := range table.Rows {
-			named := row{}
+		for _, cells := range table.Rows {
+			byColumn := row{}
 			for i, column := range table.Columns {
-				named[column] = values[i]
+				byColumn[column] = cells[i]
 			}
-			rows = append(rows, named)
+			rows = append(rows, byColumn)
 		}
 	}
 	return rows
@@ -58,7 +58,7 @@
 // text returns a column as text.
 func (r row) text(column string) string { return fmt.Sprint(r[column]) }
 
-// integer returns a column that holds an integer, 0 otherwise.
+// integer returns the value of an integer column, or 0 if it is not an integer.
 func (r row) integer(column string) int64 {
 	switch value := r[column].(type) {
 	case uint64:
@@ -69,12 +69,11 @@
 	return 0
 }
 
-// JobRecords joins the states of clusters, by name, into one record for each
-// deferrable job, sorted by their IDs: the jobs of the given queues, and all that
-// moved between clusters.
+// JobRecords merges the states of clusters, by name, into one record per deferrable job, sorted by
+// job ID. It includes the jobs of the given queues and all jobs that moved between clusters.
 func JobRecords(clusters map[string]rpc.ClusterState, queues []string) []JobRecord {
 	names := slices.Sorted(maps.Keys(clusters))
-	learnerContacts := guestsByJob(clusters, names)
+	transfers := transfersByJob(clusters, names)
 	var records []JobRecord
 	for _, name := range names {
 		moveOf := map[string]row{}
@@ -86,35 +85,36 @@
 			if move != nil && move["guest"] == true || move == nil && !slices.Contains(queues, job.text("inbox")) {
 				continue
 			}
-			records = append(records, newJobRecord(name, job, move, learnerContacts[job.text("id")]))
+			records = append(records, newJobRecord(name, job, move, transfers[job.text("id")]))
 		}
 	}
 	sort.Slice(records, func(a, b int) bool { return records[a].Job < records[b].Job })
 	return records
 }
 
-// guest is a job of another cluster, as the cluster that it moved to shows it.
-type guest struct {
+// transfer is the move of a job to a cluster, as that cluster shows it.
+type transfer struct {
 	cluster string
 	move    row
 }
 
-// guestsByJob returns the guests of all clusters by the ID of the job.
-func guestsByJob(clusters map[string]rpc.ClusterState, names []string) map[string][]guest {
-	learnerContacts := map[string][]guest{}
+// transfersByJob returns the transfers of all clusters, by job ID.
+func transfersByJob(clusters map[string]rpc.ClusterState, names []string) map[string][]transfer {
+	transfers := map[string][]transfer{}
 	for _, name := range names {
 		for _, move := range tableRows(clusters[name], tableMoves) {
 			if move["guest"] == true {
-				learnerContacts[move.text("job")] = append(learnerContacts[move.text("job")], guest{name, move})
+				transfers[move.text("job")] = append(transfers[move.text("job")], transfer{name, move})
 			}
 		}
 	}
-	return learnerContacts
+	return transfers
 }
 
-// newJobRecord builds the record of a job from its row in the cluster that it was
-// submitted to, its move from there (nil if it never moved) and its guests.
-func newJobRecord(cluster string, job, move row, learnerContacts []guest) JobRecord {
+// newJobRecord builds the record of a job from its row in the cluster that it was submitted to, its
+// move from there (nil if it never moved) and its transfers as shown by the clusters that it moved
+// to.
+func newJobRecord(cluster string, job, move row, transfers []transfer) JobRecord {
 	record := JobRecord{
 		Job:         job.text("id"),
 		Cluster:     cluster,
@@ -123,14 +123,14 @@
 		SubmittedMs: job.integer("born_ms"),
 		EndedMs:     job.integer("ended_ms"),
 	}
-	away := move != nil && move.text("state") != moveBack
-	if away {
+	ranElsewhere := move != nil && move.text("state") != moveReturned
+	if ranElsewhere {
 		record.RanOn = move.text("peer")
 	}
 	var doneAt []string
-	for _, guest := range learnerContacts {
-		if guest.move.text("job_state") == jobDone {
-			doneAt = append(doneAt, guest.cluster)
+	for _, transfer := range transfers {
+		if transfer.move.text("job_state") == jobDone {
+			doneAt = append(doneAt, transfer.cluster)
 		}
 	}
 	switch {
@@ -141,9 +141,9 @@
 		record.Fault = "missing: unclear who has it, " + move.text("peer") + " has not said"
 	case record.State != jobDone:
 		record.Fault = "missing: not finished yet"
-	case !away && len(doneAt) > 0:
+	case !ranElsewhere && len(doneAt) > 0:
 		record.Fault = fmt.Sprintf("doubled: done here and at %v", doneAt)
-	case away && len(doneAt) > 1:
+	case ranElsewhere && len(doneAt) > 1:
 		record.Fault = fmt.Sprintf("doubled: done at %v", doneAt)
 	}
 	return record
--- a/internal/admin/jobrecord_test.go
+++ b/internal/admin/jobrecord_test.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/rpc"
 )
 
-// testCluster returns the state of a cluster with these rows of jobs and moves.
+// testCluster returns the state of a cluster with the given rows of jobs and moves.
 func testCluster(jobs, moves [][]any) rpc.ClusterState {
 	return rpc.ClusterState{Tables: []rpc.Table{
 		{Name: "jobs", Columns: []string{"id", "inbox", "state", "born_ms", "ended_ms"}, Rows: jobs},
@@ -15,9 +15,9 @@
 	}}
 }
 
-// TestJobRecordsNameMissingAndDoubledJobs: a job that moved is in the record once,
-// and it is faulty unless it finished once over all clusters.
-func TestJobRecordsNameMissingAndDoubledJobs(t *testing.T) {
+// TestJobRecordsReportMissingAndDoubledJobs checks that a job that moved has one record, and that
+// the record has a fault unless the job finished exactly once over all clusters.
+func TestJobRecordsReportMissingAndDoubledJobs(t *testing.T) {
 	a := testCluster([][]any{
 		{"1", "slow", "done", uint64(1), uint64(9)}, {"2", "slow", "done", uint64(1), uint64(9)}, {"3", "slow", "pending", uint64(1), uint64(0)},
 		{"4", "slow", "done", uint64(1), uint64(9)}, {"5", "fast", "serving", uint64(1), uint64(0)}, {"6", "slow", "called_off", uint64(1), uint64(2)},
@@ -37,6 +37,6 @@
 		}
 	}
 	if _, ok := got["5"]; ok {
-		t.Error("a job of another queue is in the record")
+		t.Error("a job of another queue has a record")
 	}
 }
--- a/internal/admin/members.go
+++ b/internal/admin/members.go
@@ -13,59 +13,58 @@
 	"tealpond/internal/transport"
 )
 
-// RequestTimeout is how long a tool waits for one daemon.
+// RequestTimeout is how long a request to one daemon may take.
 const RequestTimeout = 2 * time.Second
 
 // Error is the class of errors of this package.
 var Error = errs.Class("fleet")
 
-// ErrUnreachable means that no daemon answered.
+// ErrUnreachable means that no daemon responded.
 var ErrUnreachable = Error.New("no daemon reachable")
 
-// ListMembers lists the addresses of the servers that the daemons at the given
-// addresses know of and, if there is a leader, all daemons whose membership is
-// valid. The error is ErrUnreachable if none of the given daemons answered.
+// ListMembers returns the addresses of the servers known to the daemons at the given addresses and,
+// if there is a leader, all daemons with a valid membership lease. The error is ErrUnreachable if
+// none of the given daemons responded.
 func ListMembers(ctx context.Context, addresses []string) (servers []string, members []rpc.MembershipLease, err error) {
-	servers, answered := listServers(ctx, addresses)
-	if !answered {
+	servers, responded := listServers(ctx, addresses)
+	if !responded {
 		return nil, nil, ErrUnreachable
 	}
 	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	client := discovery.NewClient(discovery.Options{Seeds: slices.Concat(addresses, servers)})
 	go client.Run(runCtx)
-	callCtx, done := context.WithTimeout(ctx, RequestTimeout)
-	defer done()
+	callCtx, cancel := context.WithTimeout(ctx, RequestTimeout)
+	defer cancel()
 	response := client.Call(callCtx, rpc.KindListMembers, struct{}{})
 	if response.Code != rpc.CodeOK || transport.Decode(response.Body, &members) != nil {
-		// Without a leader, or with one whose list can't be read, the servers are
-		// known all the same.
+		// The servers are known even if there is no leader or its list of members can't be read.
 		return servers, nil, nil
 	}
 	return servers, members, nil
 }
 
-// listServers asks the daemons at the addresses for the servers that they know of;
-// false if none answered.
-func listServers(ctx context.Context, addresses []string) (servers []string, answered bool) {
+// listServers returns the addresses of the servers known to the daemons at the given addresses;
+// false if none responded.
+func listServers(ctx context.Context, addresses []string) (servers []string, responded bool) {
 	for _, address := range addresses {
 		response, err := rpc.Call(ctx, address, rpc.KindLeader, nil, RequestTimeout)
 		var info rpc.LeaderInfo
 		if err != nil || transport.Decode(response.Body, &info) != nil {
 			continue
 		}
-		answered = true
+		responded = true
 		for _, server := range info.KnownServers {
 			if !slices.Contains(servers, server) {
 				servers = append(servers, server)
 			}
 		}
 	}
-	return servers, answered
+	return servers, responded
 }
 
-// callAll sends a request to many daemons at once and gives the responses by
-// address; those that failed are left out.
+// callAll sends a request to several daemons concurrently and returns the responses by address.
+// Failed calls are left out.
 func callAll(ctx context.Context, addresses []string, kind string, body []byte) map[string]rpc.Response {
 	responses := map[string]rpc.Response{}
 	var mu sync.Mutex
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -7,32 +7,31 @@
 	"fmt"
 	"strings"
 
-	_ "github.com/mattn/go-sqlite3" // the engine of queries, in the tool's memory
+	_ "github.com/mattn/go-sqlite3" // SQL engine for queries, in the tool's memory
 
 	"tealpond/internal/rpc"
 	"tealpond/internal/transport"
 )
 
-// Result is the answer to a query.
+// Result is the result of a query.
 type Result struct {
 	Columns []string
-	Rows    [][]string // as text, NULL as the empty text
-	// Truncated tells that there were more rows than asked for.
+	Rows    [][]string // as text; NULL is an empty string
+	// Truncated reports that the result had more rows than the limit.
 	Truncated bool
-	// PartialTables names the tables of which the server gave only a part.
+	// PartialTables are the names of the tables that the server returned only in part.
 	PartialTables []string
-	Server        string // the name of the machine whose state it is
+	Server        string // node name of the server whose state was queried
 }
 
-// FetchState takes the state of one server, a follower if one answers, so that a
-// query does not slow the leader's scheduling. The error is ErrUnreachable if no
-// server answered.
+// FetchState fetches the state of one server. It prefers a follower, so that a query does not slow
+// the leader's scheduling. The error is ErrUnreachable if no server responded.
 func FetchState(ctx context.Context, addresses []string) (rpc.ClusterState, error) {
 	return fetchState(ctx, addresses, false)
 }
 
-// FetchLeaderState takes the state of the leader, which alone knows the daemons and the
-// runners of a platform. The error is ErrUnreachable if it didn't answer.
+// FetchLeaderState fetches the state of the leader, the only server that knows the daemons and the
+// runners of a platform. The error is ErrUnreachable if the leader did not respond.
 func FetchLeaderState(ctx context.Context, addresses []string) (rpc.ClusterState, error) {
 	cluster, err := fetchState(ctx, addresses, true)
 	if err == nil && !cluster.IsLeader {
@@ -41,32 +40,32 @@
 	return cluster, err
 }
 
-// fetchState takes the state of the leader or of a follower, or else of any server that
-// answers.
-func fetchState(ctx context.Context, addresses []string, ofLeader bool) (rpc.ClusterState, error) {
+// fetchState fetches the state of the leader or of a follower, or of any server that responds if
+// there is none of that role.
+func fetchState(ctx context.Context, addresses []string, fromLeader bool) (rpc.ClusterState, error) {
 	servers, _, err := ListMembers(ctx, addresses)
 	if err != nil {
 		return rpc.ClusterState{}, err
 	}
-	var other *rpc.ClusterState
+	var fallback *rpc.ClusterState
 	for _, address := range servers {
 		response, err := rpc.Call(ctx, address, rpc.KindClusterState, nil, RequestTimeout)
 		var fetched rpc.ClusterState
 		if err != nil || transport.Decode(response.Body, &fetched) != nil {
 			continue
 		}
-		if fetched.IsLeader == ofLeader {
+		if fetched.IsLeader == fromLeader {
 			return fetched, nil
 		}
-		other = &fetched
+		fallback = &fetched
 	}
-	if other == nil {
+	if fallback == nil {
 		return rpc.ClusterState{}, ErrUnreachable
 	}
-	return *other, nil
+	return *fallback, nil
 }
 
-// columnType is the SQL type of a value; empty if it has none of its own.
+// columnType returns the SQL type of a value, or an empty string if it has none.
 func columnType(value any) string {
 	switch value.(type) {
 	case string:
@@ -77,8 +76,8 @@
 	return ""
 }
 
-// Query runs one SELECT over the tables of a server and gives at most limit rows. The
-// error is of class Error.
+// Query runs one SELECT over the tables of a server and returns at most limit rows. The error is of
+// class Error.
 func Query(ctx context.Context, cluster rpc.ClusterState, query string, limit int) (result Result, err error) {
 	db, err := sql.Open("sqlite3", ":memory:")
 	if err != nil {
@@ -95,11 +94,11 @@
 			return Result{}, err
 		}
 	}
-	// query_only stops writes; the first word is checked as well, since that gives
-	// a plainer error than the engine's.
-	word, _, _ := strings.Cut(strings.ToLower(strings.TrimSpace(query)), " ")
-	if word != "select" && word != "with" {
-		return Result{}, Error.New("only SELECT is answered, not %q", word)
+	// query_only rejects writes. The first word is checked as well, since that gives a plainer
+	// error than the engine's.
+	keyword, _, _ := strings.Cut(strings.ToLower(strings.TrimSpace(query)), " ")
+	if keyword != "select" && keyword != "with" {
+		return Result{}, Error.New("only SELECT is answered, not %q", keyword)
 	}
 	if _, err := db.ExecContext(ctx, "PRAGMA query_only = ON"); err != nil {
 		return Result{}, Error.Wrap(err)
@@ -115,7 +114,7 @@
 	return result, nil
 }
 
-// read takes at most limit rows into the result.
+// read reads at most limit rows into the result.
 func (r *Result) read(rows *sql.Rows, limit int) error {
 	var err error
 	if r.Columns, err = rows.Columns(); err != nil {
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// loadTable makes a table of the database from one of a server.
+// loadTable copies a server's table into the database.
 func loadTable(ctx context.Context, db *sql.DB, table rpc.Table) error {
 	columns := make([]string, len(table.Columns))
 	for i, column := range table.Columns {
--- a/internal/admin/query_test.go
+++ b/internal/admin/query_test.go
@@ -11,7 +11,7 @@
 	"tealpond/internal/rpc"
 )
 
-// sampleState is the state that the examples are about.
+// sampleState returns the state that the examples query.
 func sampleState() rpc.ClusterState {
 	return rpc.ClusterState{Node: "edge-1", Tables: []rpc.Table{
 		{Name: "workers", Columns: []string{"id", "cpu", "cpu_used", "draining"}, Rows: [][]any{
@@ -20,8 +20,8 @@
 	}}
 }
 
-// TestQueryAnswersTheExamples runs docs/queries.examples.
-func TestQueryAnswersTheExamples(t *testing.T) {
+// TestQueryExamples runs the examples in docs/queries.examples.
+func TestQueryExamples(t *testing.T) {
 	datadriven.RunTest(t, "../../docs/queries.examples", func(t *testing.T, example *datadriven.TestData) string {
 		limit := 100
 		example.MaybeScanArgs(t, "limit", &limit)
--- a/internal/admin/trace.go
+++ b/internal/admin/trace.go
@@ -11,45 +11,44 @@
 	"tealpond/internal/transport"
 )
 
-// TraceStep is one event of a change in one daemon.
+// TraceStep is one event of a change at one daemon.
 type TraceStep struct {
-	Node string // the machine's name
+	Node string // node name of the daemon
 	tracing.Event
 }
 
-// ChangeTrace is a change's way through the daemons.
+// ChangeTrace is the trace of a change through the daemons.
 type ChangeTrace struct {
-	Steps []TraceStep // in the order of the daemons' clocks
-	// Unreachable are the daemons that are known of but gave no answer.
+	Steps []TraceStep // ordered by the daemons' clocks
+	// Unreachable are the names of the known daemons that did not respond.
 	Unreachable []string
-	// RemembersSince holds, for each machine whose daemon has forgotten events, the
-	// time of day in ns from which on it remembers them.
+	// RemembersSince maps the node name of each daemon that has discarded events to the time from
+	// which it has kept them, in nanoseconds since the Unix epoch.
 	RemembersSince map[string]int64
 }
 
-// TraceChange asks all daemons for the events of a change, which is named by a job's
-// ID, a task's name or desired/VERSION. The error is ErrUnreachable if none of the
-// seeds answered.
+// TraceChange collects the events of a change from all daemons. The ID is a job's ID, a task's name
+// or desired/VERSION. The error is ErrUnreachable if none of the seeds responded.
 func TraceChange(ctx context.Context, seeds []string, id string) (ChangeTrace, error) {
 	servers, members, err := ListMembers(ctx, seeds)
 	if err != nil {
 		return ChangeTrace{}, err
 	}
-	nameOf := map[string]string{}
+	nodeNames := map[string]string{}
 	for _, address := range slices.Concat(seeds, servers) {
-		nameOf[address] = address
+		nodeNames[address] = address
 	}
 	for _, member := range members {
-		nameOf[member.Addr] = member.Node
+		nodeNames[member.Addr] = member.Node
 	}
-	addresses := slices.Sorted(maps.Keys(nameOf))
+	addresses := slices.Sorted(maps.Keys(nodeNames))
 	responses := callAll(ctx, addresses, rpc.KindTrace, []byte(id))
 	change := ChangeTrace{RemembersSince: map[string]int64{}}
 	for _, address := range addresses {
 		response, ok := responses[address]
 		var result rpc.TraceResult
 		if !ok || transport.Decode(response.Body, &result) != nil {
-			change.Unreachable = append(change.Unreachable, nameOf[address])
+			change.Unreachable = append(change.Unreachable, nodeNames[address])
 			continue
 		}
 		if result.Since > 0 {
