--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -6,16 +6,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Command changes the state. Nothing else does: a command is proposed by the
-// leader, committed to the log and applied by each replica in the log's order.
-// Apply must be deterministic. It reads the state and the command only, never
-// a clock, a setting or a map's order, since replicas must stay equal.
+// Command is a change of the state. The leader proposes it, and each replica applies
+// it in log order once it is committed. The state changes in no other way.
+// Apply must be deterministic so that replicas stay equal: it depends only on the
+// state and the command, never on a clock, a setting or the iteration order of a map.
 type Command interface {
 	Apply(s *Store) Outcome
 }
 
-// Names of commands in the log. They are older than the Go types' present names,
-// and never change: logs of earlier versions and messages between daemons of two
+// Names of commands in the log. They differ from the names of the Go types and must
+// never change: logs of earlier versions and messages between daemons of different
 // versions contain them.
 const (
 	CommandAcceptJob            = "accept"
@@ -49,7 +49,7 @@
 	CommandWithdrawOffer        = "void"
 )
 
-// commandConstructors makes an empty command of each name, to decode into.
+// commandConstructors returns an empty command to decode into, by command name.
 var commandConstructors = map[string]func() Command{
 	CommandAcceptJob:            func() Command { return &AcceptJob{} },
 	CommandAcquireLock:          func() Command { return &AcquireLock{} },
@@ -82,18 +82,18 @@
 	CommandWithdrawOffer:        func() Command { return &WithdrawOffer{} },
 }
 
-// EncodedCommand is a command as it stands in the log.
+// EncodedCommand is a command in its log encoding.
 type EncodedCommand struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 	Body []byte
 }
 
-// Batch is the content of one entry of the log: commands that are applied one
-// after the other, at the times that the leader gave them.
+// Batch is the content of one log entry: commands that are applied in order, at the
+// clock readings that the leader attached.
 type Batch struct {
 	_         struct{} `cbor:",toarray"`
-	Clock     int64    // ms, the leader's monotonic clock of the cluster
+	Clock     int64    // ms, the state clock as set by the leader
 	WallClock int64    // ms since 1970
 	Commands  []EncodedCommand
 }
@@ -111,8 +111,8 @@
 	return EncodedCommand{Name: name, Body: raw}
 }
 
-// decodeCommand decodes a command of the log. It panics if it can't: skipping the
-// command would make this replica's state differ from the others'.
+// decodeCommand decodes a command from the log. It panics if it cannot, since skipping
+// the command would make this replica's state diverge from the others.
 func decodeCommand(encoded EncodedCommand) Command {
 	create := commandConstructors[encoded.Name]
 	if create == nil {
@@ -120,19 +120,18 @@
 	}
 	command := create()
 	if err := cbor.Unmarshal(encoded.Body, command); err != nil {
-		panic("state: unreadable command " + encoded.Name + ": " + err.Error())
+		panic("state: cannot decode command " + encoded.Name + ": " + err.Error())
 	}
 	return command
 }
 
-// ApplyEntry applies one entry of the log and returns the outcomes of its
-// commands in order. It panics unless the entry is the one after the last that
-// was applied.
+// ApplyEntry applies one log entry and returns the outcomes of its commands in order.
+// It panics unless index directly follows the last applied index.
 func (s *Store) ApplyEntry(index uint64, data []byte) []Outcome {
 	s.advanceIndex(index)
 	var batch Batch
 	if err := cbor.Unmarshal(data, &batch); err != nil {
-		panic("state: unreadable entry: " + err.Error())
+		panic("state: cannot decode log entry: " + err.Error())
 	}
 	s.AdvanceClock(batch.Clock, batch.WallClock)
 	outcomes := make([]Outcome, len(batch.Commands))
@@ -143,18 +142,18 @@
 	return outcomes
 }
 
-// SkipEntry advances over an entry of the log that has no commands.
+// SkipEntry advances past a log entry that has no commands. It panics like ApplyEntry.
 func (s *Store) SkipEntry(index uint64) {
 	s.advanceIndex(index)
 	s.extendDigestChain(nil, nil)
 }
 
-// advanceIndex moves the state on to an entry, which must be the next. It
-// panics otherwise, since going on would answer from a state that no log
-// explains: this daemon must not lead, answer or save it.
+// advanceIndex sets the applied index to that of the next entry. It panics if index is
+// not the next one: the state would no longer be the result of any log, and this daemon
+// must not lead, answer requests or save snapshots with it.
 func (s *Store) advanceIndex(index uint64) {
 	if index != s.AppliedIndex+1 {
-		panic(fmt.Sprintf("state: entry %d does not follow the state, which has applied %d", index, s.AppliedIndex))
+		panic(fmt.Sprintf("state: cannot apply entry %d: the last applied entry is %d", index, s.AppliedIndex))
 	}
 	s.AppliedIndex = index
 }
--- a/internal/state/command_test.go
+++ b/internal/state/command_test.go
@@ -4,12 +4,13 @@
 	"testing"
 )
 
-// TestEntriesApplyOnlyInOrder: an entry that does not follow the state, and a
-// snapshot at another index than its state's, are never applied.
+// TestEntriesApplyOnlyInOrder checks that an entry that does not directly follow the last
+// applied one is refused, and that a snapshot is refused if its index differs from that
+// of its state.
 func TestEntriesApplyOnlyInOrder(t *testing.T) {
 	f := newFixture(t)
 	entry := encodeBatch(Batch{Commands: []EncodedCommand{EncodeCommand("sweep", &CollectGarbage{})}})
-	for name, act := range map[string]func(){
+	for name, applyEntry := range map[string]func(){
 		"again": func() { f.store.ApplyEntry(f.store.AppliedIndex, entry) },
 		"gap":   func() { f.store.ApplyEntry(f.store.AppliedIndex+2, entry) },
 		"skip":  func() { f.store.SkipEntry(f.store.AppliedIndex + 2) },
@@ -17,19 +18,19 @@
 		func() {
 			defer func() {
 				if recover() == nil {
-					t.Errorf("%s: applied", name)
+					t.Errorf("%s: the entry was applied, want a panic", name)
 				}
 			}()
-			act()
+			applyEntry()
 		}()
 	}
 	at := f.store.AppliedIndex
 	f.store.SkipEntry(at + 1)
-	c := f.restored().store
-	if c.BindSnapshotIndex(at+1) != nil || c.BindSnapshotIndex(at) == nil || c.BindSnapshotIndex(at+2) == nil {
-		t.Errorf("a state at %d is bound to another entry", c.AppliedIndex)
+	r := f.restored().store
+	if r.BindSnapshotIndex(at+1) != nil || r.BindSnapshotIndex(at) == nil || r.BindSnapshotIndex(at+2) == nil {
+		t.Errorf("state at index %d accepts a snapshot index other than its own, or refuses its own", r.AppliedIndex)
 	}
 	if n := New(Limits{}); n.BindSnapshotIndex(7) != nil || n.AppliedIndex != 7 {
-		t.Error("an empty state does not take its snapshot's index")
+		t.Error("an empty state does not adopt the index of its snapshot")
 	}
 }
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -6,21 +6,21 @@
 	"tealpond/internal/protocol"
 )
 
-// TestDigestChainTellsReplicasApart shows that chains differ by an entry, by an
-// outcome or by a number of rows, and are the same where nothing differs.
-func TestDigestChainTellsReplicasApart(t *testing.T) {
+// TestDigestChainDetectsDivergence checks that the chains of two replicas differ if an
+// entry, an outcome, a counter or a number of rows differs, and are equal otherwise.
+func TestDigestChainDetectsDivergence(t *testing.T) {
 	build := func() *fixture {
 		f := newFixture(t)
 		f.addWorker("a", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 		if f.store.DigestChain != 0 {
-			t.Fatal("a chain before the log began one")
+			t.Fatal("the chain has started before SetLimits was applied")
 		}
 		f.apply(&SetLimits{Limits: f.store.Limits})
 		return f
 	}
 	for name, c := range map[string]struct {
 		change    func(f *fixture)
-		unhealthy bool // the entry that follows is another
+		unhealthy bool // makes the following entry differ
 		same      bool
 	}{
 		"nothing":  {func(*fixture) {}, false, true},
@@ -32,24 +32,24 @@
 		"a row":    {func(f *fixture) { f.store.Allocations[9] = &Allocation{} }, false, false},
 		"position": {func(f *fixture) { f.store.SkipEntry(f.store.AppliedIndex + 1) }, false, false},
 	} {
-		x, y := build(), build()
-		c.change(y)
-		x.apply(&SetEligibility{ID: "a"})
-		y.apply(&SetEligibility{ID: "a", Unhealthy: c.unhealthy})
-		if x.store.DigestChain == 0 || (x.store.DigestChain == y.store.DigestChain) != c.same {
-			t.Errorf("%s: chains %x and %x", name, x.store.DigestChain, y.store.DigestChain)
+		expected, changed := build(), build()
+		c.change(changed)
+		expected.apply(&SetEligibility{ID: "a"})
+		changed.apply(&SetEligibility{ID: "a", Unhealthy: c.unhealthy})
+		if expected.store.DigestChain == 0 || (expected.store.DigestChain == changed.store.DigestChain) != c.same {
+			t.Errorf("%s: unexpected chains %x and %x", name, expected.store.DigestChain, changed.store.DigestChain)
 		}
 	}
 }
 
-// TestDigestChainBeginsOnce: the limits of a later leader don't begin the chain
-// anew, or what differed before would be forgotten.
-func TestDigestChainBeginsOnce(t *testing.T) {
+// TestDigestChainStartsOnce checks that the limits of a later leader do not restart the
+// chain: an earlier divergence would no longer be detected.
+func TestDigestChainStartsOnce(t *testing.T) {
 	f := newFixture(t)
 	f.apply(&SetLimits{})
 	from, chain := f.store.DigestChainFrom, f.store.DigestChain
 	f.apply(&SetLimits{})
 	if from == 0 || f.store.DigestChainFrom != from || f.store.DigestChain == chain {
-		t.Errorf("the chain began at %d, then at %d", from, f.store.DigestChainFrom)
+		t.Errorf("the chain started at index %d, then at %d", from, f.store.DigestChainFrom)
 	}
 }
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -2,17 +2,17 @@
 // allocations, jobs, loans and configuration, and the commands that change
 // them. Each command has a file of its own; command.go lists them all.
 //
-// The same commands in the same order give the same state, byte for byte, on
-// each replica. So nothing here reads a clock, a setting of its process, a
-// random number or the order of a map, nothing does I/O, and nothing is safe
-// for use by several goroutines: the owner of a Store applies entries and reads
-// tables from one goroutine, and gives other goroutines a Snapshot.
+// Replicas that apply the same commands in the same order reach the same state,
+// byte for byte. So this package does no I/O, and nothing in it depends on a clock,
+// a setting of the process, a random number or the iteration order of a map. It is
+// not safe for concurrent use: the owner of a Store applies entries and reads tables
+// from one goroutine, and passes a Snapshot to other goroutines.
 //
-// Two clocks are in use, both set by the leader with each entry. The state clock
-// (Store.Clock) is monotonic and has no relation to the date: times in rows are in
-// its milliseconds unless their comment says otherwise. The wall clock
-// (Store.WallClock) is in milliseconds since 1970 and serves periodic jobs and
-// the record of demand only.
+// There are two clocks. The leader sets both with each log entry. The state clock
+// (Store.Clock) is monotonic and unrelated to the date. Times in rows are readings
+// of it in milliseconds, unless their comment says otherwise. The wall clock
+// (Store.WallClock) is in milliseconds since 1970; only periodic jobs and the
+// demand records use it.
 //
-// CPU is counted in thousandths of a core, memory in megabytes.
+// CPU is measured in thousandths of a core, memory in megabytes.
 package state
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -5,50 +5,49 @@
 	"slices"
 )
 
-// Snapshot is a copy of the state as it was at one entry. Another goroutine may
-// encode it while commands go on changing the state.
+// Snapshot is a copy of the state at one log index. Another goroutine may encode it
+// while further commands change the state.
 type Snapshot struct {
 	store            *Store
 	buildLargeTables []func() // each builds the map of one large table
 }
 
-// Snapshot copies the state. No command can be applied meanwhile, so it is made to
-// cost a fraction of encoding: rows are copied in bulk, with only those nested lists
-// that commands modify in place, and the maps of the large tables are built by
-// Encode.
+// Snapshot copies the state. No command can be applied during the copy, so it must cost
+// only a fraction of encoding: rows are copied in bulk, nested lists are copied only if
+// commands modify them in place, and Encode builds the maps of the large tables.
 func (s *Store) Snapshot() *Snapshot {
-	frozen := *s
-	frozen.derived = derived{}
-	frozen.ConfigurationHistory.Accepted = slices.Clone(s.ConfigurationHistory.Accepted)
-	frozen.ConfigurationHistory.Refused = slices.Clone(s.ConfigurationHistory.Refused)
-	frozen.Routes = copyRows(s.Routes).build()
-	frozen.Services = maps.Clone(s.Services)
-	frozen.ServiceUsages = copyRows(s.ServiceUsages).build()
-	frozen.Peers = copyRows(s.Peers).build()
-	frozen.WithdrawnOffers = maps.Clone(s.WithdrawnOffers)
-	frozen.Loans = copyRows(s.Loans).build()
-	frozen.Demand = maps.Clone(s.Demand)
-	for route, buckets := range frozen.Demand {
-		frozen.Demand[route] = maps.Clone(buckets)
+	copied := *s
+	copied.derived = derived{}
+	copied.ConfigurationHistory.Accepted = slices.Clone(s.ConfigurationHistory.Accepted)
+	copied.ConfigurationHistory.Refused = slices.Clone(s.ConfigurationHistory.Refused)
+	copied.Routes = copyRows(s.Routes).build()
+	copied.Services = maps.Clone(s.Services)
+	copied.ServiceUsages = copyRows(s.ServiceUsages).build()
+	copied.Peers = copyRows(s.Peers).build()
+	copied.WithdrawnOffers = maps.Clone(s.WithdrawnOffers)
+	copied.Loans = copyRows(s.Loans).build()
+	copied.Demand = maps.Clone(s.Demand)
+	for route, buckets := range copied.Demand {
+		copied.Demand[route] = maps.Clone(buckets)
 	}
-	frozen.Aggregators = maps.Clone(s.Aggregators)
-	frozen.CrashBackoffs = maps.Clone(s.CrashBackoffs)
-	frozen.Quotas = maps.Clone(s.Quotas)
-	frozen.JobTenants = maps.Clone(s.JobTenants)
-	frozen.GoneWorkers = maps.Clone(s.GoneWorkers)
-	frozen.Evacuations = maps.Clone(s.Evacuations)
-	frozen.Coordination = s.Coordination.Clone()
+	copied.Aggregators = maps.Clone(s.Aggregators)
+	copied.CrashBackoffs = maps.Clone(s.CrashBackoffs)
+	copied.Quotas = maps.Clone(s.Quotas)
+	copied.JobTenants = maps.Clone(s.JobTenants)
+	copied.GoneWorkers = maps.Clone(s.GoneWorkers)
+	copied.Evacuations = maps.Clone(s.Evacuations)
+	copied.Coordination = s.Coordination.Clone()
 	workers, devices, allocations, jobs := copyRows(s.Workers), copyDevices(s.Devices), copyRows(s.Allocations), copyJobs(s.Jobs)
-	return &Snapshot{&frozen, []func(){
-		func() { frozen.Workers = workers.build() },
-		func() { frozen.Devices = devices.build() },
-		func() { frozen.Allocations = allocations.build() },
-		func() { frozen.Jobs = jobs.build() },
+	return &Snapshot{&copied, []func(){
+		func() { copied.Workers = workers.build() },
+		func() { copied.Devices = devices.build() },
+		func() { copied.Allocations = allocations.build() },
+		func() { copied.Jobs = jobs.build() },
 	}}
 }
 
-// Encode encodes the copy, to the bytes that Store.EncodeSnapshot would have
-// given when it was made.
+// Encode returns the bytes that Store.EncodeSnapshot would have returned when the
+// snapshot was made.
 func (s *Snapshot) Encode() []byte {
 	for _, build := range s.buildLargeTables {
 		build()
@@ -57,14 +56,14 @@
 	return s.store.EncodeSnapshot()
 }
 
-// tableCopy is a copy of a table as two lists of one length.
+// tableCopy is a copy of a table as two lists of the same length.
 type tableCopy[K comparable, V any] struct {
 	keys  []K
 	rows  []V
-	isNil bool // there was no table at all
+	isNil bool // the table was a nil map
 }
 
-// copyRows copies a table; all its rows share one allocation of memory.
+// copyRows copies a table. Its rows share one memory allocation.
 func copyRows[K comparable, V any](table map[K]*V) *tableCopy[K, V] {
 	c := &tableCopy[K, V]{make([]K, 0, len(table)), make([]V, 0, len(table)), table == nil}
 	for key, row := range table {
@@ -74,7 +73,7 @@
 	return c
 }
 
-// build makes the table of the copy.
+// build returns the copy as a table.
 func (c *tableCopy[K, V]) build() map[K]*V {
 	if c.isNil {
 		return nil
@@ -86,7 +85,8 @@
 	return table
 }
 
-// copyDevices copies reservations too, which are dropped in place.
+// copyDevices copies the devices and their reservations, since commands remove
+// reservations in place.
 func copyDevices(table map[string]*Device) *tableCopy[string, Device] {
 	c := copyRows(table)
 	count := 0
@@ -104,9 +104,9 @@
 	return c
 }
 
-// copyJobs copies instances, steps and tasks too. The steps as they were
-// submitted, and the lists of a task's allocations, are replaced and never
-// written in place.
+// copyJobs copies the jobs with their instances, step states and tasks. The submitted
+// steps and the allocation lists of tasks are shared, since they are only ever replaced
+// and not modified in place.
 func copyJobs(table map[string]*Job) *tableCopy[string, Job] {
 	c := copyRows(table)
 	for i := range c.rows {
--- a/internal/state/snapshot_encoding.go
+++ b/internal/state/snapshot_encoding.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxSnapshotElements is the number of rows of one table in a snapshot, far above the planned
-	// cluster size.
+	// maxSnapshotElements is the maximum number of rows of one table in a snapshot, far above the
+	// planned cluster size.
 	maxSnapshotElements = 1 << 22
-	// maxSnapshotNesting is how deep a snapshot may be nested, in levels.
+	// maxSnapshotNesting is the maximum nesting depth of a snapshot, in levels.
 	maxSnapshotNesting = 16
 )
 
-// snapshotEncoding is canonical: it sorts the keys of maps, so that equal
-// states give the same bytes and their digests can be compared.
+// snapshotEncoding is canonical: it sorts the keys of maps, so that equal states have
+// the same encoding and their digests can be compared.
 var snapshotEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Sort: cbor.SortCoreDeterministic}.EncMode()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return mode
 }()
 
-// snapshotDecoding allows for larger tables than the library's own bound of
-// 131,072 rows, with which a state could be saved and never be loaded again.
+// snapshotDecoding allows larger tables than the library's default limit of 131,072
+// rows. With that limit a larger state could be saved but not loaded again.
 var snapshotDecoding = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxSnapshotElements,
@@ -39,7 +39,7 @@
 	return mode
 }()
 
-// EncodeSnapshot encodes the whole state. Equal states give the same bytes.
+// EncodeSnapshot encodes the complete state. Equal states have the same encoding.
 func (s *Store) EncodeSnapshot() []byte {
 	raw, err := snapshotEncoding.Marshal(s)
 	if err != nil {
@@ -48,17 +48,17 @@
 	return raw
 }
 
-// DecodeSnapshot reads a state that EncodeSnapshot wrote; no bytes are an empty
-// state. The limits are the default for a state that has none, because it is empty
-// or was saved before they were part of it. A snapshot that can't be read, or whose
-// tables contradict one another, is an error.
+// DecodeSnapshot decodes a state that EncodeSnapshot encoded; an empty slice is an empty
+// state. The limits are the default for a state without limits: an empty one, or one
+// saved before they were part of it. DecodeSnapshot returns an error if the snapshot
+// cannot be decoded or its tables are inconsistent with each other.
 func DecodeSnapshot(raw []byte, limits Limits) (*Store, error) {
 	s := New(limits)
 	if len(raw) == 0 {
 		return s, nil
 	}
 	if err := snapshotDecoding.Unmarshal(raw, s); err != nil {
-		return nil, fmt.Errorf("state: unreadable snapshot: %w", err)
+		return nil, fmt.Errorf("state: cannot decode snapshot: %w", err)
 	}
 	if err := s.deriveFromUntrusted(); err != nil {
 		return nil, err
@@ -66,27 +66,27 @@
 	return s, nil
 }
 
-// deriveFromUntrusted is derive for tables that may be damaged: rows that refer to
-// rows that don't exist are an error, not a panic.
+// deriveFromUntrusted is derive for tables that may be corrupt: a row that refers to a
+// missing row is an error, not a panic.
 func (s *Store) deriveFromUntrusted() (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("state: the tables of a snapshot contradict one another: %v", r)
+			err = fmt.Errorf("state: inconsistent tables in snapshot: %v", r)
 		}
 	}()
 	s.derive()
 	return nil
 }
 
-// BindSnapshotIndex checks that a state is of the log's index that its snapshot
-// names. A state without an index, because it is new or was saved before indexes
-// were part of it, gets this one; for any other a different index is an error.
+// BindSnapshotIndex checks that the state has the log index of the snapshot that it was
+// loaded from. A state without an index, because it is new or was saved before the index
+// was part of it, gets that index. For any other state a different index is an error.
 func (s *Store) BindSnapshotIndex(index uint64) error {
 	if s.AppliedIndex == 0 {
 		s.AppliedIndex = index
 	}
 	if s.AppliedIndex != index {
-		return fmt.Errorf("state: the state has applied entry %d, its snapshot stands for %d", s.AppliedIndex, index)
+		return fmt.Errorf("state: snapshot contains state at index %d, expected index %d", s.AppliedIndex, index)
 	}
 	return nil
 }
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSnapshotCopiesEachTable shows which table or list a snapshot shares with
-// the state: one that is added to the state must be copied too.
+// TestSnapshotCopiesEachTable fails for each table or list that a snapshot shares with the
+// state. A table that is added to the state must be copied by Store.Snapshot.
 func TestSnapshotCopiesEachTable(t *testing.T) {
 	s := New(Limits{})
 	fillTables(reflect.ValueOf(s).Elem())
@@ -15,7 +15,7 @@
 	checkNotShared(t, "", reflect.ValueOf(s).Elem(), reflect.ValueOf(snapshot.store).Elem())
 }
 
-// fillTables puts something into each table and list of a part of the state.
+// fillTables sets each table and list of a struct of the state to a non-nil value.
 func fillTables(v reflect.Value) {
 	for i := range v.NumField() {
 		switch field := v.Field(i); {
@@ -33,28 +33,29 @@
 	}
 }
 
-// checkNotShared finds what a state and its snapshot both write to.
-func checkNotShared(t *testing.T, path string, v, frozen reflect.Value) {
+// checkNotShared fails the test for each map, slice and pointer that a state shares with its
+// snapshot.
+func checkNotShared(t *testing.T, path string, v, copied reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
 		field := v.Type().Field(i)
-		// A configuration in force is replaced whole, never written. It is known by
-		// the name under which it is stored.
+		// A configuration is only ever replaced as a whole, so it may be shared. It is
+		// identified by the name under which it is stored.
 		if !field.IsExported() || field.Tag.Get("cbor") == "Desired" {
 			continue
 		}
 		switch field.Type.Kind() {
 		case reflect.Map, reflect.Slice:
-			if v.Field(i).Pointer() == frozen.Field(i).Pointer() {
+			if v.Field(i).Pointer() == copied.Field(i).Pointer() {
 				t.Errorf("%s%s is shared with the snapshot: copy it in Store.Snapshot", path, field.Name)
 			}
 		case reflect.Struct:
-			checkNotShared(t, path+field.Name+".", v.Field(i), frozen.Field(i))
+			checkNotShared(t, path+field.Name+".", v.Field(i), copied.Field(i))
 		case reflect.Pointer:
-			if v.Field(i).Pointer() == frozen.Field(i).Pointer() {
+			if v.Field(i).Pointer() == copied.Field(i).Pointer() {
 				t.Errorf("%s%s is shared with the snapshot: copy it in Store.Snapshot", path, field.Name)
 			}
-			checkNotShared(t, path+field.Name+".", v.Field(i).Elem(), frozen.Field(i).Elem())
+			checkNotShared(t, path+field.Name+".", v.Field(i).Elem(), copied.Field(i).Elem())
 		}
 	}
 }
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -9,76 +9,78 @@
 )
 
 // FormatVersion is the version of the state: of its tables, its commands and
-// what they do. It is raised with any change of these, so that the digests of
-// replicas that run different versions aren't compared.
+// their effects. Raise it with any change of these, so that digests of replicas
+// that run different versions are not compared.
 const FormatVersion = 8
 
-// Limits are figures of the operators' settings that commands need. They are
-// part of the state and come by a command, since the settings of two machines
-// may differ and what a command does must not.
+// Limits are the operator settings that commands depend on. They are part of the
+// state and are set by a command, since settings may differ between machines while
+// the effect of a command must not.
 type Limits struct {
 	_              struct{} `cbor:",toarray"`
-	JobRetentionMs int64    // how long a job is kept after its end; 0: for ever
-	MaxReplans     int      // of one plan, see ApplyPlans
-	RemoteFactor   float64  // how many times as long a task takes away from its data
+	JobRetentionMs int64    // how long a job is kept after it has ended; 0: forever
+	MaxReplans     int      // per plan, see ApplyPlans
+	RemoteFactor   float64  // run time of a task away from its data, relative to one beside its data
 }
 
-// Store is the whole state. Its exported fields are what replicas agree on and
-// snapshots contain, under the names of their tags. The tags stay when a field is
-// renamed, since snapshots of earlier versions use them. Snapshot copies each
-// field. Other packages read the tables; only commands change them.
+// Store is the complete state. Its exported fields are replicated, and are stored in
+// snapshots under the names in their tags. A tag must not change when its field is
+// renamed, since snapshots of earlier versions use it. Snapshot must copy each field.
+// Other packages may read the tables; only commands change them.
 type Store struct {
-	AppliedIndex         uint64                           `cbor:"Applied"` // of the last entry of the log that was applied
-	Clock                int64                            `cbor:"Clock"`   // ms, see the package's comment
+	AppliedIndex         uint64                           `cbor:"Applied"` // index of the last applied log entry
+	Clock                int64                            `cbor:"Clock"`   // ms, see the package comment
 	WallClock            int64                            `cbor:"Wall"`    // ms since 1970
-	Configuration        clusterconfig.Config             `cbor:"Desired"` // version 0: there is none yet
+	Configuration        clusterconfig.Config             `cbor:"Desired"` // version 0: none yet
 	ConfigurationHistory ConfigurationHistory             `cbor:"Taken"`
-	Origin               uint64                           `cbor:"Origin"`   // not in use
-	Routes               map[string]*clusterconfig.Route  `cbor:"Lanes"`    // by name, with those of earlier configurations
-	Services             map[string]clusterconfig.Service `cbor:"Services"` // by name, with those of earlier configurations
+	Origin               uint64                           `cbor:"Origin"`   // unused
+	Routes               map[string]*clusterconfig.Route  `cbor:"Lanes"`    // by name; also of earlier configurations
+	Services             map[string]clusterconfig.Service `cbor:"Services"` // by name; also of earlier configurations
 	Workers              map[string]*Worker               `cbor:"Workers"`
 	Devices              map[string]*Device               `cbor:"Devices"`
 	Allocations          map[uint64]*Allocation           `cbor:"Allocs"`
 	Jobs                 map[string]*Job                  `cbor:"Jobs"`
 	ServiceUsages        map[string]*ServiceUsage         `cbor:"Rollups"` // by service
-	LastID               uint64                           `cbor:"Last"`    // of allocations, fences, offers and loans, in one sequence
-	LastJobSequence      int64                            `cbor:"LastSeq"`
-	Epoch                string                           `cbor:"Epoch"` // see SetEpoch
-	Peers                map[string]*PeerProgress         `cbor:"Peers"`
-	WithdrawnOffers      map[string]int64                 `cbor:"Voids"` // by peer and job, the newest
-	Loans                map[string]*Loan                 `cbor:"Loans"`
-	Demand               map[string]map[int64]float64     `cbor:"Demand"` // submitted work in cores times ms, by route and bucket
-	Aggregators          map[string]ZoneAggregator        `cbor:"Duties"` // by zone
-	CrashBackoffs        map[string]CrashBackoff          `cbor:"Flaps"`  // by node
-	Limits               Limits                           `cbor:"Limits"`
-	Quotas               map[string]Quota                 `cbor:"Quotas,omitempty"`  // by tenant, with those of earlier configurations
-	JobTenants           map[string]JobTenant             `cbor:"Tenants,omitempty"` // by job
-	GoneWorkers          map[string]int64                 `cbor:"Gone,omitempty"`    // when ForgetUnused first saw that a worker is gone, by ID
-	// Coordination is the applications' locks, counters and keys; nil until the first.
+	// LastID is the newest ID. Allocations, fences, offers and loans share one sequence.
+	LastID          uint64                       `cbor:"Last"`
+	LastJobSequence int64                        `cbor:"LastSeq"`
+	Epoch           string                       `cbor:"Epoch"` // see SetEpoch
+	Peers           map[string]*PeerProgress     `cbor:"Peers"`
+	WithdrawnOffers map[string]int64             `cbor:"Voids"` // newest withdrawn offer ID, by peer and job
+	Loans           map[string]*Loan             `cbor:"Loans"`
+	Demand          map[string]map[int64]float64 `cbor:"Demand"` // submitted core-ms, by route and time bucket
+	Aggregators     map[string]ZoneAggregator    `cbor:"Duties"` // by zone
+	CrashBackoffs   map[string]CrashBackoff      `cbor:"Flaps"`  // by node
+	Limits          Limits                       `cbor:"Limits"`
+	Quotas          map[string]Quota             `cbor:"Quotas,omitempty"`  // by tenant; also of earlier configurations
+	JobTenants      map[string]JobTenant         `cbor:"Tenants,omitempty"` // by job
+	GoneWorkers     map[string]int64             `cbor:"Gone,omitempty"`    // when ForgetUnused first found it gone, by ID
+	// Coordination holds the applications' locks, counters and keys. It is nil until the
+	// first operation on them.
 	Coordination *coordination.Tables `cbor:"Coordination,omitempty"`
-	// Evacuations has the zones about which there was an order.
+	// Evacuations has a row for each zone that EvacuateZone was ever applied to.
 	Evacuations map[string]ZoneEvacuation `cbor:"Evacuations,omitempty"`
-	// DigestChain covers all entries from DigestChainFrom on, see digest.go. It
-	// hasn't begun while that is 0.
+	// DigestChain covers all entries from DigestChainFrom on, see digest.go. The chain
+	// has not started while DigestChainFrom is 0.
 	DigestChain     uint64 `cbor:"Chain"`
 	DigestChainFrom uint64 `cbor:"ChainFrom"`
 
 	derived
 }
 
-// derived is what can be computed from the tables, and lists of changes that wait
-// for the owner of the state to take them. It is not in snapshots.
+// derived holds indexes that are computed from the tables, and queues of changes that
+// the owner of the Store has not taken yet. It is not part of snapshots.
 type derived struct {
 	routeTable          *clusterconfig.RouteTable
 	keyTable            *clusterconfig.KeyTable
 	openJobs            map[string]*Job
-	periodicJobs        map[string]*Job // that have instances to come
+	periodicJobs        map[string]*Job // open periodic jobs with further instances
 	allocationsByWorker map[string]map[uint64]*Allocation
 	changedRuns         []uint64
 	endedJobs           []*Job
 	confirmedDigests    []ConfirmDigest
 	closedRuns          []ClosedRun
-	undoLog             *[]func() // of the innermost savepoint; nil: none is open
+	undoLog             *[]func() // of the innermost open savepoint; nil if none is open
 	index               schedulingIndex
 }
 
@@ -98,8 +100,8 @@
 	return s
 }
 
-// derive computes the indexes from the tables. It panics if they contradict one
-// another.
+// derive computes the indexes from the tables. It panics if the tables are
+// inconsistent with each other.
 func (s *Store) derive() {
 	s.Configuration.RestoreTenants()
 	s.routeTable = clusterconfig.NewRouteTable(&s.Configuration)
@@ -133,8 +135,8 @@
 	allocations[allocation.ID] = allocation
 }
 
-// AdvanceClock moves the clocks to the times of an entry, in ms; the state clock
-// never goes back. Periodic jobs whose next instances are due get them.
+// AdvanceClock sets the clocks to the times of a log entry, in ms. The state clock
+// never goes backwards. Instances of periodic jobs that have fallen due are added.
 func (s *Store) AdvanceClock(clock, wall int64) {
 	s.Clock = max(s.Clock, clock)
 	s.WallClock = wall
@@ -158,8 +160,8 @@
 	}
 }
 
-// NextDueAt is when the next instance of a periodic job falls due, on the wall
-// clock; 0 if none is to come.
+// NextDueAt returns the wall-clock time at which the next instance of a periodic job
+// falls due, or 0 if no further instance is due.
 func (s *Store) NextDueAt() int64 {
 	next := int64(0)
 	for _, job := range s.periodicJobs {
@@ -170,14 +172,14 @@
 	return next
 }
 
-// RemoteFactor is how many times as long a task takes away from its data, at least
-// 1.
+// RemoteFactor returns the factor by which a task runs longer away from its data than
+// beside it, at least 1.
 func (s *Store) RemoteFactor() float64 { return max(s.Limits.RemoteFactor, 1) }
 
-// RouteTable finds the routes of the configuration in force.
+// RouteTable returns the lookup table for the routes of the current configuration.
 func (s *Store) RouteTable() *clusterconfig.RouteTable { return s.routeTable }
 
-// OpenJobs lists the jobs that haven't ended, in the order of acceptance.
+// OpenJobs returns the jobs that have not ended, in the order of acceptance.
 func (s *Store) OpenJobs() []*Job {
 	jobs := make([]*Job, 0, len(s.openJobs))
 	for _, job := range s.openJobs {
@@ -191,8 +193,8 @@
 	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.Sequence, b.Sequence) })
 }
 
-// JobStatus is a job's status as clients see it; false if there is no such
-// job.
+// JobStatus returns a job's status as shown to clients, or false if the job does not
+// exist.
 func (s *Store) JobStatus(id string) (string, bool) {
 	job := s.Jobs[id]
 	if job == nil {
@@ -201,7 +203,7 @@
 	return job.Status(), true
 }
 
-// PendingJobs counts the jobs of a route of which nothing has run yet.
+// PendingJobs returns the number of open jobs of a route that have status StatusPending.
 func (s *Store) PendingJobs(route string) int {
 	count := 0
 	for _, job := range s.openJobs {
@@ -212,7 +214,7 @@
 	return count
 }
 
-// AllocationsOn lists the allocations on a worker by ID, the oldest first.
+// AllocationsOn returns the allocations on a worker, sorted by ID, oldest first.
 func (s *Store) AllocationsOn(worker string) []*Allocation {
 	allocations := make([]*Allocation, 0, len(s.allocationsByWorker[worker]))
 	for _, allocation := range s.allocationsByWorker[worker] {
@@ -222,14 +224,15 @@
 	return allocations
 }
 
-// TakeChangedRuns returns the IDs of the allocations that were added, or marked
-// as stopping, since the last call.
+// TakeChangedRuns returns the IDs of the allocations whose agents must be notified:
+// those that were added, were marked as stopping, or are in a zone that was evacuated,
+// since the last call.
 func (s *Store) TakeChangedRuns() []uint64 { return take(&s.changedRuns) }
 
 // TakeEndedJobs returns the jobs that ended since the last call.
 func (s *Store) TakeEndedJobs() []*Job { return take(&s.endedJobs) }
 
-// take empties a list and returns its elements.
+// take returns the elements of a list and empties it.
 func take[T any](list *[]T) []T {
 	taken := *list
 	*list = nil
