--- a/internal/state/appoint_aggregator.go
+++ b/internal/state/appoint_aggregator.go
@@ -1,19 +1,19 @@
 package state
 
-// ZoneAggregator names the daemon that batches the requests of a zone's agents.
-// Agents connect to it, so that the load is spread; safety doesn't depend on it.
+// ZoneAggregator is the daemon that batches the requests of a zone's agents. Agents
+// connect to it to spread the load; safety does not depend on it.
 type ZoneAggregator struct {
 	_        struct{} `cbor:",toarray"`
 	Zone     string
-	Revision uint64 // rises with each change
-	Member   string // the appointed member's ID; empty: agents connect to the leader
+	Revision uint64 // increases with each change
+	Member   string // ID of the appointed member; empty: agents connect to the leader
 	Address  string
-	// Standby is the member that the appointed one names when it leaves.
+	// Standby is the member that the aggregator names as its successor when it leaves.
 	Standby        string
 	StandbyAddress string
 }
 
-// AppointAggregator changes a zone's aggregator if its revision is still
+// AppointAggregator sets a zone's aggregator if the revision of its row is still
 // BaseRevision.
 type AppointAggregator struct {
 	_            struct{} `cbor:",toarray"`
@@ -21,9 +21,9 @@
 	BaseRevision uint64
 }
 
-// Apply makes the change; the outcome's Value is its revision. Of two changes based
-// on the same revision only the first is made: for the other the outcome is
-// CodePreconditionFailed, with the present revision as its Value.
+// Apply sets the aggregator; the outcome's Value is the new revision. Of two commands
+// with the same BaseRevision only the first takes effect. The other is refused with
+// CodePreconditionFailed, and its Value is the current revision.
 func (c *AppointAggregator) Apply(s *Store) Outcome {
 	current := s.Aggregators[c.Aggregator.Zone]
 	if current.Revision != c.BaseRevision {
--- a/internal/state/appoint_aggregator_test.go
+++ b/internal/state/appoint_aggregator_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestAppointmentOnAnOlderRevisionIsRefused: of two writers that saw the same
+// TestAppointmentAtStaleRevisionIsRefused checks that of two writers that read the same
 // revision of a zone only the first changes it.
-func TestAppointmentOnAnOlderRevisionIsRefused(t *testing.T) {
+func TestAppointmentAtStaleRevisionIsRefused(t *testing.T) {
 	f := newEmptyFixture(t, Limits{})
 	for _, c := range []struct {
 		zone, member string
@@ -20,10 +20,10 @@
 	} {
 		aggregator := ZoneAggregator{Zone: c.zone, Member: c.member}
 		if o := f.apply(&AppointAggregator{Aggregator: aggregator, BaseRevision: c.base}); o.Code != c.code || o.Value != c.value {
-			t.Errorf("%s to %s on %d: %+v", c.zone, c.member, c.base, o)
+			t.Errorf("zone %s, member %s, base revision %d: unexpected outcome %+v", c.zone, c.member, c.base, o)
 		}
 	}
 	if z1, z2 := f.store.Aggregators["z1"], f.store.Aggregators["z2"]; z1.Member != "c" || z2.Member != "b" {
-		t.Errorf("appointed are %s and %s", z1.Member, z2.Member)
+		t.Errorf("aggregators are %s and %s, want c and b", z1.Member, z2.Member)
 	}
 }
--- a/internal/state/change_configuration_test.go
+++ b/internal/state/change_configuration_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestChangesAndReplacementsShareOneHistory: of two updates on one version, of whatever
-// kind, the first in the log is accepted; either gets the same answer again.
+// TestChangesAndReplacementsShareOneHistory checks that of two updates with the same base,
+// of either kind, the first in the log is accepted, and that a resent update has the same
+// outcome again.
 func TestChangesAndReplacementsShareOneHistory(t *testing.T) {
 	f := newFixture(t)
 	change := func(version string) *ChangeConfiguration {
@@ -17,22 +18,22 @@
 		code    Code
 	}{
 		{"a version that isn't above", change("1"), CodeInvalid},
-		{"no change", &ChangeConfiguration{BaseVersion: 1, Raw: []byte(`{`)}, CodeInvalid},
+		{"a malformed change", &ChangeConfiguration{BaseVersion: 1, Raw: []byte(`{`)}, CodeInvalid},
 		{"an unknown service", &ChangeConfiguration{BaseVersion: 1, Raw: []byte(`{"configVersion":5,"remove":{"serviceList":["s"]}}`)}, CodeInvalid},
 		{"the change", change("5"), CodeOK},
-		{"the same again", change("5"), CodeOK},
-		{"another on that version", change("6"), CodePreconditionFailed},
-		{"a replacement on that version", replace, CodePreconditionFailed},
-		{"on a version to come", &ChangeConfiguration{BaseVersion: 9, Raw: []byte(`{"configVersion":10}`)}, CodePreconditionFailed},
+		{"the change resent", change("5"), CodeOK},
+		{"another change on the same base", change("6"), CodePreconditionFailed},
+		{"a replacement on the same base", replace, CodePreconditionFailed},
+		{"a change on a future version", &ChangeConfiguration{BaseVersion: 9, Raw: []byte(`{"configVersion":10}`)}, CodePreconditionFailed},
 	} {
 		if outcome := f.apply(step.command); outcome.Code != step.code {
-			t.Errorf("%s: %v, want code %d", step.name, outcome, step.code)
+			t.Errorf("%s: outcome %v, want code %d", step.name, outcome, step.code)
 		}
 	}
 	if config := f.store.Configuration; config.Version != 5 || len(config.Routes) != 2 {
-		t.Errorf("version %d with %d routes is in force", config.Version, len(config.Routes))
+		t.Errorf("version %d with %d routes is in force, want version 5 with 2", config.Version, len(config.Routes))
 	}
 	if route, _ := f.restored().store.RouteTable().Find("h", "/b/x"); route == nil {
-		t.Error("the new route is not in a snapshot")
+		t.Error("the new route is missing after a restore from a snapshot")
 	}
 }
--- a/internal/state/coordinate.go
+++ b/internal/state/coordinate.go
@@ -6,31 +6,33 @@
 	"tealpond/internal/coordination"
 )
 
-// The commands of applications: each puts one operation of package coordination into the
-// log. They read the state's clock, which stands in the entry.
+// The commands on applications' locks, counters and keys. Each replicates one operation
+// of package coordination. They use the state clock, which is part of the log entry.
 
-// AcquireLock asks for a lock. The outcome's Value is the fence; CodeConflict if another
-// holds it.
+// AcquireLock acquires a lock. The outcome's Value is the fencing token. The outcome is
+// CodeConflict if another holder has the lock.
 type AcquireLock coordination.Acquire
 
-// RenewLock asks for more time; CodeConflict if the lock was lost.
+// RenewLock extends the lease on a lock. The outcome is CodeConflict if the lock was
+// lost.
 type RenewLock coordination.Renew
 
-// ReleaseLock gives a lock back, if it is held so.
+// ReleaseLock releases a lock if its holder and fence match.
 type ReleaseLock coordination.Release
 
-// NextNumber asks for a number above all that were given under its name; it is the
-// outcome's Value.
+// NextNumber increments the counter of a name. The outcome's Value is the new number,
+// which is above all numbers returned for that name before.
 type NextNumber struct {
 	_    struct{} `cbor:",toarray"`
 	Name string
 }
 
-// PutKey sets a key. The outcome's Value is the new revision, or, with
-// CodePreconditionFailed, that of the key.
+// PutKey sets a key. The outcome's Value is the new revision, or the key's current
+// revision if the outcome is CodePreconditionFailed.
 type PutKey coordination.Put
 
-// coordination returns the applications' tables, to change them.
+// coordination returns the applications' tables for modification, and creates them if
+// there are none.
 func (s *Store) coordination() *coordination.Tables {
 	if s.Coordination == nil {
 		s.Coordination = coordination.New()
@@ -55,7 +57,7 @@
 	return Outcome{Code: CodeOK}
 }
 
-// Apply returns the number.
+// Apply increments the counter.
 func (c *NextNumber) Apply(s *Store) Outcome {
 	return coordinationOutcome(s.coordination().NextNumber(c.Name))
 }
@@ -66,14 +68,14 @@
 	return coordinationOutcome(revision, err)
 }
 
-// coordinationOutcome is the outcome of an operation.
+// coordinationOutcome converts the result of a coordination operation to an outcome.
 func coordinationOutcome(value int64, err error) Outcome {
 	var mismatch *coordination.RevisionError
 	switch {
 	case err == nil:
 		return Outcome{Code: CodeOK, Value: value}
 	case errors.Is(err, coordination.ErrFull):
-		// No promise: a copy of the call may find room.
+		// The refusal is not final: a copy of the command may find room.
 		return Outcome{Code: CodeUnknown, Text: err.Error()}
 	case errors.As(err, &mismatch):
 		return Outcome{Code: CodePreconditionFailed, Text: mismatch.Error(), Value: mismatch.Revision}
--- a/internal/state/evacuate_zone.go
+++ b/internal/state/evacuate_zone.go
@@ -1,15 +1,15 @@
 package state
 
-// ZoneEvacuation says whether a zone's workers get new work.
+// ZoneEvacuation records whether a zone is evacuated: its workers get no new work then.
 type ZoneEvacuation struct {
 	_         struct{} `cbor:",toarray"`
-	Revision  int64    // rises with each order about the zone
+	Revision  int64    // increases with each EvacuateZone command for the zone
 	Evacuated bool
-	ChangedAt int64 // on the state's clock, in ms
+	ChangedAt int64 // on the state clock, in ms
 }
 
-// EvacuateZone has a zone's workers get no new work, or takes that back, if no other order
-// about the zone has come since BaseRevision.
+// EvacuateZone begins or ends the evacuation of a zone, if the revision of the zone's row is
+// still BaseRevision.
 type EvacuateZone struct {
 	_            struct{} `cbor:",toarray"`
 	Zone         string
@@ -17,10 +17,10 @@
 	BaseRevision int64
 }
 
-// Apply writes the zone's row; the outcome's Value is its revision. An order raises it also
-// where it changes nothing else, so that a copy of an earlier order that comes late is
-// refused with CodePreconditionFailed. What runs in the zone goes on; placements there that
-// were planned before are refused, since the workers' versions rise.
+// Apply writes the zone's row; the outcome's Value is its revision. The revision increases
+// even if nothing else changes, so that a delayed duplicate of an earlier command is refused
+// with CodePreconditionFailed. Tasks that run in the zone continue. Placements there that
+// were planned before are refused, since the versions of the workers increase.
 func (c *EvacuateZone) Apply(s *Store) Outcome {
 	current := s.Evacuations[c.Zone]
 	if current.Revision != c.BaseRevision {
@@ -40,8 +40,9 @@
 	return Outcome{Code: CodeOK, Value: next.Revision}
 }
 
-// reindexZone takes over the evacuation of a zone, or its end, to the rows of its workers.
-// Agents are notified again of the runs there: those that have not started must not start late.
+// reindexZone updates the workers of a zone after its evacuation has begun or ended. When it
+// has begun, agents are notified again of the runs there: those that have not started must
+// not start later.
 func (s *Store) reindexZone(zone string) {
 	for _, worker := range s.Workers {
 		if worker.Zone != zone || worker.Dead {
@@ -58,8 +59,8 @@
 	}
 }
 
-// IsEvacuated reports whether a zone's workers get no new work, and since when, on the state's
-// clock.
+// IsEvacuated reports whether a zone is evacuated, and since when on the state clock. For a
+// zone that is not, since is the end of its last evacuation, or 0.
 func (s *Store) IsEvacuated(zone string) (since int64, evacuated bool) {
 	evacuation := s.Evacuations[zone]
 	return evacuation.ChangedAt, evacuation.Evacuated
--- a/internal/state/evacuate_zone_test.go
+++ b/internal/state/evacuate_zone_test.go
@@ -6,8 +6,9 @@
 	"tealpond/internal/protocol"
 )
 
-// TestEvacuatedZoneGetsNoNewWork: its workers are not schedulable, plans that were made
-// before are refused, and agents are told again of what runs there.
+// TestEvacuatedZoneGetsNoNewWork checks that the workers of an evacuated zone are not
+// schedulable, that their versions change so that earlier plans are refused, and that
+// agents are notified again of the runs there.
 func TestEvacuatedZoneGetsNoNewWork(t *testing.T) {
 	s := New(Limits{})
 	for _, id := range []string{"here", "there"} {
@@ -20,18 +21,19 @@
 		return (&EvacuateZone{Zone: "zone-here", Evacuated: evacuated, BaseRevision: base}).Apply(s)
 	}
 	if outcome := order(true, 0); outcome.Code != CodeOK || outcome.Value != 1 {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("evacuation: outcome %+v, want CodeOK and value 1", outcome)
 	}
 	if s.Workers["here"].Schedulable() || !s.Workers["there"].Schedulable() || s.Workers["here"].Version == version {
-		t.Errorf("%+v, %+v", s.Workers["here"], s.Workers["there"])
+		t.Errorf("after the evacuation of zone-here: workers %+v, %+v", s.Workers["here"], s.Workers["there"])
 	}
 	if _, workers := s.SchedulableCapacity("s"); workers != 1 {
-		t.Errorf("%d workers count as schedulable", workers)
+		t.Errorf("%d workers are schedulable, want 1", workers)
 	}
 	if changed := s.TakeChangedRuns(); len(changed) != 1 || changed[0] != 7 {
-		t.Errorf("agents are told of %v", changed)
+		t.Errorf("agents are notified of runs %v, want [7]", changed)
 	}
-	// A worker that registers meanwhile gets nothing either, nor after a restart.
+	// A worker that registers during the evacuation is not schedulable either, also after
+	// a restore from a snapshot.
 	(&RegisterWorker{ID: "late", Node: "late", Service: "s", Zone: "zone-here", Labels: []string{"rack"}, Capacity: protocol.Resources{CPUUnits: 10}}).Apply(s)
 	restored, err := DecodeSnapshot(s.EncodeSnapshot(), Limits{})
 	if err != nil {
@@ -43,22 +45,23 @@
 		}
 	}
 	if outcome := order(false, 1); outcome.Code != CodeOK || !s.Workers["here"].Schedulable() || !s.Workers["late"].Schedulable() {
-		t.Errorf("%+v", outcome)
+		t.Errorf("end of the evacuation: outcome %+v, want CodeOK and schedulable workers", outcome)
 	}
 }
 
-// TestLateCopyOfAnEvacuationIsRefused: each order names the one that it follows, and raises
-// the revision also where it changes nothing.
-func TestLateCopyOfAnEvacuationIsRefused(t *testing.T) {
+// TestDelayedDuplicateOfEvacuationIsRefused checks that EvacuateZone increases the revision
+// even if it changes nothing else, so that a delayed duplicate of an earlier command, with
+// an older BaseRevision, is refused.
+func TestDelayedDuplicateOfEvacuationIsRefused(t *testing.T) {
 	s := New(Limits{})
 	begin, finish := &EvacuateZone{Zone: "z", Evacuated: true}, &EvacuateZone{Zone: "z"}
 	if outcome := finish.Apply(s); outcome.Code != CodeOK || outcome.Value != 1 {
-		t.Fatalf("%+v", outcome)
+		t.Fatalf("end of an evacuation: outcome %+v, want CodeOK and value 1", outcome)
 	}
 	if outcome := begin.Apply(s); outcome.Code != CodePreconditionFailed || outcome.Value != 1 {
-		t.Errorf("a late copy: %+v", outcome)
+		t.Errorf("delayed duplicate: outcome %+v, want CodePreconditionFailed and value 1", outcome)
 	}
 	if _, evacuated := s.IsEvacuated("z"); evacuated {
-		t.Error("the zone is evacuated by a late copy")
+		t.Error("a delayed duplicate evacuated the zone")
 	}
 }
--- a/internal/state/forget_unused.go
+++ b/internal/state/forget_unused.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// goneWorkerRetention is how long the row of a worker is kept that is dead, or announced its end
-// and left; late heartbeats are refused meanwhile.
+// goneWorkerRetention is how long the row of a worker is kept after the worker has died or has
+// left as announced. Late heartbeats are refused by it during that time.
 const goneWorkerRetention = 10 * time.Minute
 
-// ForgetUnused removes what nothing refers to any more: workers that are gone, rows of
-// earlier configurations, and records of demand that are too old. It is a command beside
-// CollectGarbage, which logs of earlier versions contain: what they do stays as it was.
+// ForgetUnused removes rows that are no longer referenced: workers that are gone, rows of
+// earlier configurations, and outdated demand records. It is separate from CollectGarbage
+// because logs of earlier versions contain that command, whose effect must not change.
 type ForgetUnused struct {
 	_ struct{} `cbor:",toarray"`
 }
 
 // Apply removes the rows. The outcome is always CodeOK.
 func (c *ForgetUnused) Apply(s *Store) Outcome {
-	s.forgetGoneWorkers()
-	s.forgetOldDemand()
-	s.forgetEarlierConfigurations()
+	s.removeGoneWorkers()
+	s.removeOldDemand()
+	s.removeEarlierConfigurations()
 	return Outcome{Code: CodeOK}
 }
 
-// forgetGoneWorkers removes the rows of workers that have been gone for
-// goneWorkerRetention: each restart of a runner leaves one. After that time a
-// late heartbeat can't bring the worker back, since its agent asks the runner which
-// incarnation is the present one (RegisterWorker.ReplacesFence).
-func (s *Store) forgetGoneWorkers() {
+// removeGoneWorkers removes the rows of workers that have been gone for
+// goneWorkerRetention. Each restart of a runner leaves such a row. Once the row is
+// removed, a late heartbeat cannot bring the worker back, since its agent asks the
+// runner for its current incarnation (RegisterWorker.ReplacesFence).
+func (s *Store) removeGoneWorkers() {
 	for id := range s.GoneWorkers {
 		if worker := s.Workers[id]; worker == nil || !worker.gone(s.Clock) {
 			delete(s.GoneWorkers, id)
@@ -38,9 +38,9 @@
 		if !worker.gone(s.Clock) || len(s.allocationsByWorker[id]) > 0 {
 			continue
 		}
-		since, noted := s.GoneWorkers[id]
+		since, recorded := s.GoneWorkers[id]
 		switch {
-		case !noted:
+		case !recorded:
 			if s.GoneWorkers == nil {
 				s.GoneWorkers = map[string]int64{}
 			}
@@ -51,16 +51,16 @@
 	}
 }
 
-// gone reports whether the worker is never used again: its runner crashed or was
-// replaced, or it announced when it leaves, that time is over, and nothing can run
-// there any more.
+// gone reports whether the worker is never used again: either its runner crashed or was
+// replaced, or the worker announced when it would leave, that time has passed, and its
+// lease has expired, so that nothing can run there any more.
 func (w *Worker) gone(clock int64) bool {
 	left := w.Draining && w.LeavesAt > 0 && w.LeavesAt <= clock && w.LeaseExpired
 	return w.Dead || left
 }
 
-// removeWorker removes the row of a worker on which nothing runs, and its devices. The
-// scheduling index doesn't have it, since a worker that is gone isn't schedulable.
+// removeWorker removes a worker without allocations, and its GPU devices. The scheduling
+// index does not contain the worker, since a worker that is gone is not schedulable.
 func (s *Store) removeWorker(worker *Worker) {
 	for i := range worker.Capacity.GPUs {
 		delete(s.Devices, gpuDeviceID(worker.ID, i))
@@ -69,10 +69,10 @@
 	delete(s.GoneWorkers, worker.ID)
 }
 
-// forgetEarlierConfigurations removes routes, services and quotas that the
-// configuration in force doesn't name and that nothing refers to. Routes with a record
-// of demand stay as long as that, for forecasts.
-func (s *Store) forgetEarlierConfigurations() {
+// removeEarlierConfigurations removes routes, services and quotas that the current
+// configuration does not contain and that nothing refers to. Routes are kept as long as
+// their demand records, which forecasts use.
+func (s *Store) removeEarlierConfigurations() {
 	routes, services, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range s.Configuration.Routes {
 		routes[s.Configuration.Routes[i].Name] = true
@@ -94,19 +94,19 @@
 	for _, worker := range s.Workers {
 		services[worker.Service] = true
 	}
-	keepOnly(s.Routes, routes)
-	keepOnly(s.Services, services)
-	keepOnly(s.Quotas, tenants)
+	removeUnused(s.Routes, routes)
+	removeUnused(s.Services, services)
+	removeUnused(s.Quotas, tenants)
 }
 
-// keepOnly removes the rows of a table whose names aren't in use.
-func keepOnly[V any](table map[string]V, used map[string]bool) {
+// removeUnused removes the rows of a table whose names are not in use.
+func removeUnused[V any](table map[string]V, used map[string]bool) {
 	maps.DeleteFunc(table, func(name string, _ V) bool { return !used[name] })
 }
 
-// forgetOldDemand removes the records of routes for which no work was submitted in
-// the span that is kept.
-func (s *Store) forgetOldDemand() {
+// removeOldDemand removes demand records that are more than demandBuckets older than the
+// newest bucket of any route, and routes that have no record left.
+func (s *Store) removeOldDemand() {
 	newest := int64(0)
 	for _, buckets := range s.Demand {
 		for bucket := range buckets {
--- a/internal/state/forget_unused_test.go
+++ b/internal/state/forget_unused_test.go
@@ -8,12 +8,13 @@
 	"tealpond/internal/protocol"
 )
 
-// retentionMs is how long the row of a worker that is gone is kept.
-var retentionMs = goneWorkerRetention.Milliseconds()
+// goneWorkerRetentionMs is goneWorkerRetention in milliseconds.
+var goneWorkerRetentionMs = goneWorkerRetention.Milliseconds()
 
-// TestGoneWorkersAreForgotten: the row of a worker that can't come back goes after the
-// retention, one that may come back stays, and so does one whose run isn't over.
-func TestGoneWorkersAreForgotten(t *testing.T) {
+// TestGoneWorkersAreRemoved checks that the row of a worker that cannot come back is
+// removed after the retention period, and that the row of a worker that may come back,
+// or that has announced to leave but still holds its lease, is kept.
+func TestGoneWorkersAreRemoved(t *testing.T) {
 	capacity := protocol.Resources{CPUUnits: 100, MemoryMB: 100, GPUs: 2}
 	restart := func(f *fixture) {
 		f.apply(&RegisterWorker{ID: "b", Node: "n-a", Service: "s", Capacity: capacity, LeavesInMs: -1, ReplacesFence: f.store.Workers["a"].Fence})
@@ -30,19 +31,19 @@
 		afterMs int64
 		kept    bool
 	}{
-		{"in use", func(*fixture) {}, 2 * retentionMs, true},
-		{"replaced", restart, retentionMs, false},
-		{"replaced just now", restart, retentionMs - 100, true},
-		{"silent", expire, 2 * retentionMs, true},
-		{"leaving", drain, 2 * retentionMs, true},
-		{"left", func(f *fixture) { drain(f); expire(f) }, 2 * retentionMs, false},
+		{"in use", func(*fixture) {}, 2 * goneWorkerRetentionMs, true},
+		{"replaced", restart, goneWorkerRetentionMs, false},
+		{"replaced just now", restart, goneWorkerRetentionMs - 100, true},
+		{"lease expired", expire, 2 * goneWorkerRetentionMs, true},
+		{"leaving", drain, 2 * goneWorkerRetentionMs, true},
+		{"left", func(f *fixture) { drain(f); expire(f) }, 2 * goneWorkerRetentionMs, false},
 		{"left and registered again", func(f *fixture) {
 			drain(f)
 			expire(f)
 			f.now += 1000
 			f.apply(&ForgetUnused{})
 			f.addWorker("a", capacity)
-		}, 2 * retentionMs, true},
+		}, 2 * goneWorkerRetentionMs, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -54,10 +55,10 @@
 			f.apply(&ForgetUnused{})
 			checkInvariants(t, f.store)
 			if kept := f.store.Workers["a"] != nil; kept != c.kept {
-				t.Errorf("kept: %v", kept)
+				t.Errorf("row kept: %v, want the opposite", kept)
 			}
-			if _, noted := f.store.GoneWorkers["a"]; !c.kept && noted {
-				t.Error("it is still noted as gone")
+			if _, recorded := f.store.GoneWorkers["a"]; !c.kept && recorded {
+				t.Error("the removed worker is still recorded as gone")
 			}
 			for id, device := range f.store.Devices {
 				if device.Class == ClassGPU && f.store.Workers[device.Worker] == nil {
@@ -68,36 +69,38 @@
 	}
 }
 
-// TestForgottenWorkerIsRefusedByTheNewerFence: a registration of a worker that was
-// forgotten, which an agent sent without knowledge of the newer one, changes nothing.
-func TestForgottenWorkerIsRefusedByTheNewerFence(t *testing.T) {
+// TestRemovedWorkerCannotRegisterWithStaleFence checks that a late registration of a
+// removed worker, sent by an agent that does not know of the newer incarnation, changes
+// nothing.
+func TestRemovedWorkerCannotRegisterWithStaleFence(t *testing.T) {
 	f := newFixture(t)
 	first := f.addWorker("a", protocol.Resources{CPUUnits: 100})
 	fence := first.Fence
 	f.apply(&RegisterWorker{ID: "b", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: fence})
 	for range 2 {
-		f.now += retentionMs
+		f.now += goneWorkerRetentionMs
 		f.apply(&ForgetUnused{})
 	}
 	if f.store.Workers["a"] != nil {
-		t.Fatal("the worker was not forgotten")
+		t.Fatal("the worker was not removed")
 	}
 	late := f.apply(&RegisterWorker{ID: "a", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: fence})
 	if late.Code != CodePreconditionFailed || f.store.Workers["b"].Dead {
-		t.Errorf("the late registration was answered %v; the present worker is dead: %v", late, f.store.Workers["b"].Dead)
+		t.Errorf("late registration: outcome %v; the current worker is dead: %v", late, f.store.Workers["b"].Dead)
 	}
 }
 
-// configurationOf is a configuration with one route, service and tenant of a name.
+// configurationOf returns a configuration with one route, one service and one tenant that
+// are named after name.
 func configurationOf(version int64, name string) []byte {
 	text := strings.NewReplacer(`"name":"a"`, `"name":"r-`+name+`"`, `"s"`, `"s-`+name+`"`, `"hostName"`, `"public":true,"hostName"`).
 		Replace(fmt.Sprintf(testConfiguration, version))
 	return []byte(strings.TrimSuffix(text, "}") + `,"tenantList":[{"name":"t-` + name + `","apiKeys":["k-` + name + `"],"upperLimit":{"cpuUnits":100}}]}`)
 }
 
-// TestEarlierConfigurationsAreForgotten: rows of earlier configurations go unless a job
-// or a worker refers to them.
-func TestEarlierConfigurationsAreForgotten(t *testing.T) {
+// TestEarlierConfigurationsAreRemoved checks that rows of earlier configurations are
+// removed unless a job refers to them.
+func TestEarlierConfigurationsAreRemoved(t *testing.T) {
 	f := newFixture(t)
 	replace := func(base, version int64, name string) {
 		t.Helper()
@@ -136,10 +139,10 @@
 	requireRows("present", true)
 }
 
-// TestStateOfAMonthIsNoLargerThanThatOfADay plays restarts of runners, jobs and changes
-// of the configuration, in the proportions of the planned size, and compares the encoded
-// state after the first part of the time with that after thirty times as long.
-func TestStateOfAMonthIsNoLargerThanThatOfADay(t *testing.T) {
+// TestStateSizeIsBounded guards against rows that are never removed. It runs restarts of
+// runners, jobs and configuration updates in the proportions of the planned cluster size,
+// and compares the size of the encoded state after one day with that after 30 days.
+func TestStateSizeIsBounded(t *testing.T) {
 	const (
 		nodes         = 40 // of 4,000
 		restartsADay  = 11 // of 1,100
@@ -160,24 +163,24 @@
 	for node := range nodes {
 		register(node, 0)
 	}
-	version, number := int64(1), 0
+	version, updates := int64(1), 0
 	size := func() int {
 		f.store.ConfigurationHistory.Accepted = lastRecords(f.store.ConfigurationHistory.Accepted, 8)
 		return len(f.store.EncodeSnapshot())
 	}
 	playDay := func() {
 		for range roundsADay {
-			node := (number * 7) % nodes
+			node := (updates * 7) % nodes
 			fence := f.store.Workers[workerID(node)].Fence
 			incarnation[node]++
 			register(node, fence)
 			for range changesADay / roundsADay {
-				number++
-				f.apply(&ReplaceConfiguration{BaseVersion: version, Raw: configurationOf(version+1, fmt.Sprint(number))})
+				updates++
+				f.apply(&ReplaceConfiguration{BaseVersion: version, Raw: configurationOf(version+1, fmt.Sprint(updates))})
 				version++
 			}
 			for job := range jobsADay / roundsADay {
-				id := fmt.Sprintf("j%d.%d", number, job)
+				id := fmt.Sprintf("j%d.%d", updates, job)
 				f.submit(id, protocol.Step{TaskCount: 2})
 				f.apply(&CancelJob{ID: id})
 			}
@@ -196,12 +199,13 @@
 	last := size()
 	checkInvariants(t, f.store)
 	if len(f.store.Workers) > nodes+restartsADay || float64(last) > growthAllowed*float64(first) {
-		t.Errorf("%d workers for %d nodes; the state has %d bytes after a day and %d after %d", len(f.store.Workers), nodes, first, last, days)
+		t.Errorf("%d workers for %d nodes; %d bytes of state after one day, %d after %d days", len(f.store.Workers), nodes, first, last, days)
 	}
 }
 
-// TestRollupsOfServicesWithoutWorkersGo: at the next time that the rollups are rebuilt.
-func TestRollupsOfServicesWithoutWorkersGo(t *testing.T) {
+// TestUsageOfServicesWithoutWorkersIsRemoved checks that the usage row of a service without
+// workers is removed when the usage is next rebuilt.
+func TestUsageOfServicesWithoutWorkersIsRemoved(t *testing.T) {
 	f := newFixture(t)
 	for n := range 30 {
 		id := fmt.Sprint("worker-", n)
@@ -211,11 +215,11 @@
 		f.now += 1000
 		f.apply(&ExpireLeases{Workers: []FencedWorker{{ID: id, Fence: f.store.Workers[id].Fence}}})
 		f.apply(&ForgetUnused{})
-		f.now += retentionMs
+		f.now += goneWorkerRetentionMs
 		f.apply(&ForgetUnused{})
 		f.apply(&CollectGarbage{RebuildUsage: true})
 		if len(f.store.ServiceUsages) > 0 {
-			t.Fatalf("after worker %d: %d rollups", n, len(f.store.ServiceUsages))
+			t.Fatalf("after the removal of worker %d: %d service usage rows, want none", n, len(f.store.ServiceUsages))
 		}
 	}
 }
--- a/internal/state/quota.go
+++ b/internal/state/quota.go
@@ -5,21 +5,21 @@
 	"tealpond/internal/protocol"
 )
 
-// Quota bounds what a tenant has running on all workers together. A bound of 0 means
-// that there is none of that kind.
+// Quota limits the resources that a tenant's runs hold on all workers together. A value
+// of 0 means that the resource is not limited.
 type Quota struct {
 	_        struct{} `cbor:",toarray"`
 	MilliCPU int64
 	MemoryMB int64
 	GPUs     int
-	// MilliShare is the number of jobs that the tenant is served in 1000 s once
-	// everything is full.
+	// MilliShare is the number of the tenant's jobs that are served in 1000 s when the
+	// cluster is full.
 	MilliShare int64
 }
 
-// TenantUse is what a tenant holds of its quota. Each run counts from when its plan
-// is applied until its end is known: also a copy, and one that is being stopped or
-// that may still be started.
+// TenantUse is the amount of a tenant's quota that is in use. Each run counts from when
+// its plan is applied until its end is reported. This includes speculative copies, and
+// runs that are being stopped or that have not started yet.
 type TenantUse struct {
 	Runs     int
 	MilliCPU int64
@@ -27,7 +27,7 @@
 	GPUs     int
 }
 
-// Plus is the use with n more runs of a step's tasks; n may be negative.
+// Plus returns the use with n more runs of a step's tasks; n may be negative.
 func (u TenantUse) Plus(spec *protocol.Step, n int) TenantUse {
 	return TenantUse{
 		Runs:     u.Runs + n,
@@ -37,8 +37,8 @@
 	}
 }
 
-// TasksWithin is how many tasks of a step may be started beside what is in use, wanted
-// at most. A task that is wider than the quota itself may run alone.
+// TasksWithin returns how many tasks of a step may be started in addition to the current
+// use, at most wanted. A single task that exceeds the quota may still run alone.
 func (q Quota) TasksWithin(use TenantUse, spec *protocol.Step, wanted int) int {
 	n := wanted
 	limit := func(bound, used, size int64) {
@@ -55,16 +55,16 @@
 	return n
 }
 
-// milli is the factor between a number and its thousandths.
+// milli is the number of thousandths in one.
 const milli = 1000
 
-// MilliShare is the number of jobs that a tenant is served in 1000 s once everything is
-// full.
+// MilliShare returns the number of a tenant's jobs that are served in 1000 s when the
+// cluster is full.
 func MilliShare(tenant clusterconfig.Tenant) int64 { return int64(tenant.Share * milli) }
 
-// adoptQuotas takes over the limits of a configuration's tenants. Those of tenants
-// that it no longer names stay, since their jobs go on.
-func (s *Store) adoptQuotas(tenants []clusterconfig.Tenant) {
+// updateQuotas sets the quotas of a configuration's tenants. Quotas of tenants that the
+// configuration no longer contains are kept, since their jobs continue.
+func (s *Store) updateQuotas(tenants []clusterconfig.Tenant) {
 	for _, tenant := range tenants {
 		if s.Quotas == nil {
 			s.Quotas = map[string]Quota{}
@@ -78,26 +78,27 @@
 	}
 }
 
-// TenantPriority is a tenant and a priority, by which use is summed up.
+// TenantPriority is a key for the total use of a tenant's runs of one priority.
 type TenantPriority struct {
 	Tenant   string
 	Priority int
 }
 
-// TenantUse is what the runs of a tenant's jobs hold.
+// TenantUse returns the resources that the runs of a tenant's jobs hold.
 func (s *Store) TenantUse(tenant string) TenantUse { return s.index.tenantUse[tenant] }
 
-// TenantPriorityUse is what the runs of a tenant's jobs of one priority hold.
+// TenantPriorityUse returns the resources that the runs of a tenant's jobs of one
+// priority hold.
 func (s *Store) TenantPriorityUse(of TenantPriority) TenantUse { return s.index.tenantPriorityUse[of] }
 
-// withinQuota reports whether one more task of a step may be started by the quota of its
-// job's tenant.
+// withinQuota reports whether the quota of the job's tenant allows one more task of a
+// step to be started.
 func (s *Store) withinQuota(job *Job, spec *protocol.Step) bool {
 	quota, bounded := s.Quotas[job.Tenant()]
 	return !bounded || quota.TasksWithin(s.TenantUse(job.Tenant()), spec, 1) == 1
 }
 
-// adjustTenantUse adds a run to its tenant's use, or takes it off if sign is -1.
+// adjustTenantUse adds a run to its tenant's use, or subtracts it if sign is -1.
 func (s *Store) adjustTenantUse(allocation *Allocation, sign int) {
 	if allocation.tenant == "" {
 		return
@@ -107,11 +108,11 @@
 	adjustUse(s.index.tenantPriorityUse, TenantPriority{allocation.tenant, allocation.servicePriority.Priority}, run, sign)
 }
 
-// adjustUse adds n runs to an entry of a map, and drops it when nothing is left.
-func adjustUse[K comparable](uses map[K]TenantUse, of K, run *protocol.Step, n int) {
-	if use := uses[of].Plus(run, n); use != (TenantUse{}) {
-		uses[of] = use
+// adjustUse adds n runs to the entry of a key, and deletes the entry if it becomes zero.
+func adjustUse[K comparable](uses map[K]TenantUse, key K, run *protocol.Step, n int) {
+	if use := uses[key].Plus(run, n); use != (TenantUse{}) {
+		uses[key] = use
 	} else {
-		delete(uses, of)
+		delete(uses, key)
 	}
 }
--- a/internal/state/quota_test.go
+++ b/internal/state/quota_test.go
@@ -8,14 +8,15 @@
 	"tealpond/internal/protocol"
 )
 
-// tenantConfiguration has a route for tenants, a public one, and the limit of tenant t.
+// tenantConfiguration is a configuration with a route for tenants, a public route, and
+// limits for tenant t.
 const tenantConfiguration = `{"configVersion":%d,"routeList":[` +
 	`{"name":"a","hostName":"h","pathPrefix":"/p/","timeoutMs":1000,"targetService":"s","maxTries":2},` +
 	`{"name":"b","hostName":"h","pathPrefix":"/open/","timeoutMs":1000,"targetService":"s","maxTries":2,"public":true}],` +
 	`"serviceList":[{"name":"s","guards":true}],` +
 	`"tenantList":[{"name":"t","apiKeys":["key-t"],"upperLimit":{"cpuUnits":%d,"memMb":%d,"gpus":%d}},{"name":"u","apiKeys":["key-u"]}]}`
 
-// tenantFixture is a fixture whose tenant t has a limit.
+// tenantFixture is a fixture whose tenant t has a quota.
 type tenantFixture struct {
 	*fixture
 	version int64
@@ -28,7 +29,7 @@
 	return f
 }
 
-// configure puts a configuration with another limit in force.
+// configure puts a configuration with another quota for tenant t into force.
 func (f *tenantFixture) configure(limit Quota) {
 	f.t.Helper()
 	raw := fmt.Sprintf(tenantConfiguration, f.version+1, limit.MilliCPU, limit.MemoryMB, limit.GPUs)
@@ -38,15 +39,15 @@
 	f.version++
 }
 
-// submitAs submits a job of a tenant, by the configuration in force.
+// submitAs submits a job of a tenant under the current configuration.
 func (f *tenantFixture) submitAs(tenant, id string, steps ...protocol.Step) Outcome {
 	f.t.Helper()
 	return f.apply(&SubmitTenantJob{Tenant: tenant, ConfigVersion: f.version,
 		Submit: SubmitJob{Host: "h", Path: "/p/" + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}})
 }
 
-// TestTasksWithinQuota: as many tasks may start as the scarcest resource allows, and
-// one that is wider than the quota may run alone.
+// TestTasksWithinQuota checks that as many tasks may start as the scarcest resource allows,
+// and that a task that exceeds the quota may run alone.
 func TestTasksWithinQuota(t *testing.T) {
 	spec := &protocol.Step{CPUUnits: 10, MemoryMB: 20, GPUs: 1}
 	for name, c := range map[string]struct {
@@ -54,15 +55,15 @@
 		use   TenantUse
 		want  int
 	}{
-		"no bound":               {Quota{}, TenantUse{Runs: 3, MilliCPU: 1000}, 9},
-		"processor":              {Quota{MilliCPU: 55}, TenantUse{Runs: 1, MilliCPU: 10}, 4},
-		"memory":                 {Quota{MilliCPU: 1000, MemoryMB: 100}, TenantUse{Runs: 1, MemoryMB: 35}, 3},
-		"accelerators":           {Quota{GPUs: 3}, TenantUse{Runs: 1, GPUs: 1}, 2},
-		"used up":                {Quota{MilliCPU: 50}, TenantUse{Runs: 5, MilliCPU: 50}, 0},
-		"above a lowered limit":  {Quota{MilliCPU: 50}, TenantUse{Runs: 9, MilliCPU: 90}, 0},
-		"wider than the quota":   {Quota{MilliCPU: 5}, TenantUse{}, 1},
-		"wider beside others":    {Quota{MilliCPU: 5}, TenantUse{Runs: 1, MilliCPU: 1}, 0},
-		"a bound it doesn't use": {Quota{MilliCPU: 1000, GPUs: 1}, TenantUse{Runs: 1}, 1},
+		"no limit":                    {Quota{}, TenantUse{Runs: 3, MilliCPU: 1000}, 9},
+		"CPU":                         {Quota{MilliCPU: 55}, TenantUse{Runs: 1, MilliCPU: 10}, 4},
+		"memory":                      {Quota{MilliCPU: 1000, MemoryMB: 100}, TenantUse{Runs: 1, MemoryMB: 35}, 3},
+		"GPUs":                        {Quota{GPUs: 3}, TenantUse{Runs: 1, GPUs: 1}, 2},
+		"used up":                     {Quota{MilliCPU: 50}, TenantUse{Runs: 5, MilliCPU: 50}, 0},
+		"above a lowered limit":       {Quota{MilliCPU: 50}, TenantUse{Runs: 9, MilliCPU: 90}, 0},
+		"larger than the quota":       {Quota{MilliCPU: 5}, TenantUse{}, 1},
+		"larger, with another run":    {Quota{MilliCPU: 5}, TenantUse{Runs: 1, MilliCPU: 1}, 0},
+		"limit of an unused resource": {Quota{MilliCPU: 1000, GPUs: 1}, TenantUse{Runs: 1}, 1},
 	} {
 		if got := c.quota.TasksWithin(c.use, spec, 9); got != c.want {
 			t.Errorf("%s: %d tasks, want %d", name, got, c.want)
@@ -70,60 +71,61 @@
 	}
 }
 
-// TestRunsAreChargedToTheirTenant: a run beyond the quota is refused, whatever room
-// its worker has; the end of another makes place for it.
-func TestRunsAreChargedToTheirTenant(t *testing.T) {
+// TestRunsCountAgainstTenantQuota checks that a run beyond the quota is refused even if its
+// worker has free capacity, and that it is accepted after another run has ended.
+func TestRunsCountAgainstTenantQuota(t *testing.T) {
 	f := newTenantFixture(t, Quota{MilliCPU: 25})
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submitAs("t", "j", protocol.Step{TaskCount: 3, CPUUnits: 10})
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 0), placementOn(worker, 1), placementOn(worker, 2)); refused != 1 {
-		t.Fatalf("%d plans were refused, want one", refused)
+		t.Fatalf("%d plans were refused, want 1", refused)
 	}
 	if use := f.store.TenantUse("t"); use != (TenantUse{Runs: 2, MilliCPU: 20}) {
-		t.Fatalf("the tenant uses %+v", use)
+		t.Fatalf("the tenant uses %+v, want 2 runs and 20 thousandths of a core", use)
 	}
 	f.submitAs("u", "k", protocol.Step{TaskCount: 1, CPUUnits: 10})
 	if refused := f.applyPlan("k", 0, false, placementOn(worker, 0)); refused != 0 {
-		t.Error("another tenant was refused")
+		t.Error("a plan of another tenant was refused")
 	}
 	f.complete("w", TaskName("j", 0, 0, 0), 1, ResultDone)
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 2)); refused != 0 {
-		t.Error("refused though another run has ended")
+		t.Error("the plan was refused although another run has ended")
 	}
 	if use := f.restored().store.TenantUse("t"); use != f.store.TenantUse("t") {
-		t.Errorf("a snapshot has %+v in use, want %+v", use, f.store.TenantUse("t"))
+		t.Errorf("use after a restore from a snapshot is %+v, want %+v", use, f.store.TenantUse("t"))
 	}
 }
 
-// TestStoppingRunsKeepTheirQuota: a run that is being stopped counts until its end.
-func TestStoppingRunsKeepTheirQuota(t *testing.T) {
+// TestStoppingRunsCountAgainstQuota checks that a run that is being stopped counts until
+// its end.
+func TestStoppingRunsCountAgainstQuota(t *testing.T) {
 	f := newTenantFixture(t, Quota{MilliCPU: 10})
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submitAs("t", "j", protocol.Step{TaskCount: 2, CPUUnits: 10})
 	f.applyPlan("j", 0, false, placementOn(worker, 0))
 	f.apply(&StopRuns{Allocations: []uint64{f.store.LastID}, Reason: "pushed out"})
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 1)); refused != 1 {
-		t.Error("another was started while one is being stopped")
+		t.Error("a run beyond the quota was accepted while another is still stopping")
 	}
 }
 
-// TestGangIsChargedWhole: a gang that doesn't fit under the quota leaves nothing
-// behind.
-func TestGangIsChargedWhole(t *testing.T) {
+// TestGangOverQuotaLeavesNoAllocations checks that a gang that exceeds the quota is refused
+// as a whole and leaves neither use nor allocations behind.
+func TestGangOverQuotaLeavesNoAllocations(t *testing.T) {
 	f := newTenantFixture(t, Quota{MilliCPU: 25})
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submitAs("t", "j", protocol.Step{TaskCount: 3, CPUUnits: 10, Gang: true})
 	if refused := f.applyPlan("j", 0, true, placementOn(worker, 0), placementOn(worker, 1), placementOn(worker, 2)); refused != 1 {
-		t.Error("a gang wider than the quota was started")
+		t.Error("a gang that exceeds the quota was accepted")
 	}
 	if use := f.store.TenantUse("t"); use != (TenantUse{}) || len(f.store.Allocations) != 0 {
-		t.Errorf("%+v is in use, %d runs are allocated", use, len(f.store.Allocations))
+		t.Errorf("%+v is in use with %d allocations, want none", use, len(f.store.Allocations))
 	}
 }
 
-// TestLoweredLimitStopsNothing: what runs goes on, and nothing starts until enough has
-// ended; a raised limit counts at once.
-func TestLoweredLimitStopsNothing(t *testing.T) {
+// TestLoweredQuotaStopsNoRuns checks that runs continue under a lowered quota, that no run
+// starts until enough have ended, and that a raised quota takes effect at once.
+func TestLoweredQuotaStopsNoRuns(t *testing.T) {
 	f := newTenantFixture(t, Quota{MilliCPU: 30})
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submitAs("t", "j", protocol.Step{TaskCount: 4, CPUUnits: 10})
@@ -131,29 +133,30 @@
 	f.configure(Quota{MilliCPU: 10})
 	f.complete("w", TaskName("j", 0, 0, 0), 1, ResultDone)
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 3)); refused != 1 || len(f.store.Allocations) != 2 {
-		t.Errorf("%d refused, %d run; want one refused and two to run on", refused, len(f.store.Allocations))
+		t.Errorf("%d plans refused and %d allocations, want 1 refused and 2 allocations", refused, len(f.store.Allocations))
 	}
 	f.configure(Quota{MilliCPU: 30})
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 3)); refused != 0 {
-		t.Error("refused under the raised limit")
+		t.Error("the plan was refused under the raised quota")
 	}
 }
 
-// TestQuotaOfTenantThatLeftStays: its jobs go on under its last limit.
-func TestQuotaOfTenantThatLeftStays(t *testing.T) {
+// TestQuotaOfRemovedTenantStaysInForce checks that jobs of a tenant that the configuration
+// no longer contains continue under its last quota.
+func TestQuotaOfRemovedTenantStaysInForce(t *testing.T) {
 	f := newTenantFixture(t, Quota{MilliCPU: 10})
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 100, MemoryMB: 100})
 	f.submitAs("t", "j", protocol.Step{TaskCount: 2, CPUUnits: 10})
 	f.version++
 	f.apply(&ReplaceConfiguration{BaseVersion: f.version - 1, Raw: []byte(fmt.Sprintf(testConfiguration, f.version))})
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 0), placementOn(worker, 1)); refused != 1 || len(f.store.Allocations) != 1 {
-		t.Errorf("%d refused, %d run; want one each", refused, len(f.store.Allocations))
+		t.Errorf("%d plans refused and %d allocations, want 1 of each", refused, len(f.store.Allocations))
 	}
 }
 
-// TestRandomPlansKeepQuotas: whatever plans, ends, stops and changed limits come, no
-// run is added beyond the limit, and the use is that of the runs.
-func TestRandomPlansKeepQuotas(t *testing.T) {
+// TestRandomPlansRespectQuotas applies random plans, completions and quota changes. No run
+// may be added beyond the quota, and the recorded use must match the runs.
+func TestRandomPlansRespectQuotas(t *testing.T) {
 	for seed := range int64(20) {
 		random := rand.New(rand.NewSource(seed))
 		f := newTenantFixture(t, Quota{MilliCPU: 100, MemoryMB: 100})
@@ -179,7 +182,7 @@
 				}
 			default:
 				if len(jobs) > 0 {
-					f.planAnything(random, jobs[random.Intn(len(jobs))])
+					f.applyRandomPlan(random, jobs[random.Intn(len(jobs))])
 				}
 			}
 			checkInvariants(t, f.store)
@@ -188,8 +191,8 @@
 	}
 }
 
-// planAnything plans all tasks of a job on workers by lot.
-func (f *tenantFixture) planAnything(random *rand.Rand, id string) {
+// applyRandomPlan plans all tasks of the first step of a job on random workers.
+func (f *tenantFixture) applyRandomPlan(random *rand.Rand, id string) {
 	f.t.Helper()
 	var placements []Placement
 	for i := range f.store.Jobs[id].Steps[0].TaskCount {
@@ -198,13 +201,13 @@
 	f.applyPlan(id, 0, f.store.Jobs[id].IsGang(0), placements...)
 }
 
-// checkQuota holds a grown use against the limit; a single run may be wider.
+// checkQuota fails the test if the use has grown beyond the quota. A single run may exceed it.
 func (f *tenantFixture) checkQuota(before TenantUse) {
 	f.t.Helper()
 	use, quota := f.store.TenantUse("t"), f.store.Quotas["t"]
-	over := func(bound, used, was int64) bool { return bound > 0 && used > bound && used > was && use.Runs > 1 }
+	over := func(bound, used, old int64) bool { return bound > 0 && used > bound && used > old && use.Runs > 1 }
 	if over(quota.MilliCPU, use.MilliCPU, before.MilliCPU) || over(quota.MemoryMB, use.MemoryMB, before.MemoryMB) ||
 		over(int64(quota.GPUs), int64(use.GPUs), int64(before.GPUs)) {
-		f.t.Fatalf("%+v is in use of %+v, %+v was before", use, quota, before)
+		f.t.Fatalf("use %+v exceeds quota %+v; it was %+v before", use, quota, before)
 	}
 }
--- a/internal/state/tenant.go
+++ b/internal/state/tenant.go
@@ -2,9 +2,10 @@
 
 import "tealpond/internal/clusterconfig"
 
-// Authenticate tells which tenant makes a call on a route, by the key that the call
-// bears; false if it may not be made. Calls on public routes may be made by nobody
-// known, whose tenant is empty, as all calls are where no tenants are configured.
+// Authenticate returns the tenant that an API key belongs to, and whether a call with
+// that key is allowed on a route. On public routes calls without a known key are allowed
+// and have an empty tenant. If no tenants are configured, all calls are allowed and have
+// an empty tenant.
 func (s *Store) Authenticate(route *clusterconfig.Route, key string) (string, bool) {
 	if len(s.Configuration.Tenants()) == 0 {
 		return "", true
@@ -13,27 +14,27 @@
 	return tenant, known || route.Public
 }
 
-// JobTenant tells whose job it is.
+// JobTenant is the tenant that a job belongs to.
 type JobTenant struct {
 	_      struct{} `cbor:",toarray"`
 	Tenant string
-	// BeyondShare: the tenant had submitted more than its share when it submitted
-	// this job, which therefore comes after those of tenants within theirs.
+	// BeyondShare is set if the tenant had exceeded its share when it submitted this job.
+	// The job is then scheduled after those of tenants within their share.
 	BeyondShare bool
 }
 
-// Tenant is the name of the tenant that submitted the job; empty for none.
+// Tenant returns the name of the tenant that submitted the job, or an empty string.
 func (j *Job) Tenant() string { return j.tenant.Tenant }
 
 // BeyondShare reports whether the job was submitted beyond its tenant's share.
 func (j *Job) BeyondShare() bool { return j.tenant.BeyondShare }
 
-// VisibleTo reports whether a tenant may ask for the job and cancel it. The job belongs
-// to its tenant and not to a key, since keys change while it runs. One that was
-// submitted without a tenant is everybody's.
+// VisibleTo reports whether a tenant may query and cancel the job. A job belongs to a
+// tenant rather than to an API key, since keys may change while it runs. A job that was
+// submitted without a tenant is visible to all.
 func (j *Job) VisibleTo(tenant string) bool { return j.Tenant() == "" || j.Tenant() == tenant }
 
-// setTenant notes whose job it is.
+// setTenant records the tenant of a job.
 func (s *Store) setTenant(job *Job, tenant JobTenant) {
 	job.tenant = tenant
 	if tenant.Tenant == "" {
