--- a/internal/state/export_test.go
+++ b/internal/state/export_test.go
@@ -1,7 +1,6 @@
 package state
 
-// CommandNames lists the names of the registered commands, for tests outside
-// the package.
+// CommandNames returns the names of the registered commands, in no particular order.
 func CommandNames() []string {
 	var names []string
 	for name := range commandConstructors {
@@ -10,5 +9,5 @@
 	return names
 }
 
-// GoneWorkerRetention is goneWorkerRetention.
+// GoneWorkerRetention exports goneWorkerRetention for tests in package state_test.
 const GoneWorkerRetention = goneWorkerRetention
--- a/internal/state/fixture_test.go
+++ b/internal/state/fixture_test.go
@@ -10,20 +10,20 @@
 	"tealpond/internal/protocol"
 )
 
-// testConfiguration is a configuration of a given version with one route.
+// testConfiguration is the format of a configuration with one route; its argument is the version.
 const testConfiguration = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/",` +
 	`"kind":"writing","timeoutMs":1000,"targetMs":100,"priority":0,"targetService":"s","maxTries":2,"stretch":1.5}],` +
 	`"serviceList":[{"name":"s","guards":true}]}`
 
-// fixture is a state that commands reach through the log's own encoding.
+// fixture is a state to which commands are applied in their log encoding.
 type fixture struct {
 	t     *testing.T
 	store *Store
 	now   int64 // both clocks
 }
 
-// newFixture makes a state with a configuration. Plans of which a placement is
-// refused are not replanned, though other tests link the scheduler in.
+// newFixture returns a state with a configuration. Plans with a refused placement are not
+// replanned, although other tests of the package link in the scheduler.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	replan := Replan
@@ -34,12 +34,12 @@
 	return f
 }
 
-// newEmptyFixture makes a state without a configuration.
+// newEmptyFixture returns a state without a configuration.
 func newEmptyFixture(t *testing.T, limits Limits) *fixture {
 	return &fixture{t: t, store: New(limits)}
 }
 
-// restored is a replica that takes the state from a snapshot.
+// restored returns a replica that is restored from a snapshot of the state.
 func (f *fixture) restored() *fixture {
 	f.t.Helper()
 	s, err := DecodeSnapshot(f.store.EncodeSnapshot(), f.store.Limits)
@@ -49,7 +49,7 @@
 	return &fixture{t: f.t, store: s, now: f.now}
 }
 
-// apply applies an entry of one command, 10 ms after the one before.
+// apply applies an entry with one command, 10 ms after the previous entry.
 func (f *fixture) apply(c Command) Outcome {
 	f.t.Helper()
 	f.now += 10
@@ -57,7 +57,7 @@
 	return f.store.ApplyEntry(f.store.AppliedIndex+1, encodeBatch(batch))[0]
 }
 
-// commandName is the name that a command is registered under.
+// commandName returns the name under which a command is registered.
 func (f *fixture) commandName(c Command) string {
 	f.t.Helper()
 	for name, create := range commandConstructors {
@@ -84,7 +84,7 @@
 	return f.store.Workers[id]
 }
 
-// submit has a job accepted.
+// submit submits a job and fails the test unless it is accepted.
 func (f *fixture) submit(id string, steps ...protocol.Step) {
 	f.t.Helper()
 	if o := f.apply(&SubmitJob{Host: "h", Path: "/p/" + id, ID: id, Job: protocol.Job{Spec: "x", Steps: steps}}); o.Code != CodeOK {
@@ -92,26 +92,27 @@
 	}
 }
 
-// placementOn places a task of the given index on a worker as it is now.
+// placementOn returns a placement of the task with the given index on the current version of
+// a worker.
 func placementOn(worker *Worker, index int) Placement {
 	return Placement{TaskIndex: index, Worker: worker.ID, WorkerVersion: worker.Version}
 }
 
-// applyPlan applies a plan for a step of a job's first instance; it returns the
-// number of plans that were refused.
+// applyPlan applies a plan for a step of a job's first instance, and returns the number of
+// plans that were refused.
 func (f *fixture) applyPlan(job string, step int, allOrNothing bool, placements ...Placement) int64 {
 	f.t.Helper()
 	return f.apply(&ApplyPlans{Plans: []Plan{{Job: job, Step: step, AllOrNothing: allOrNothing, Placements: placements}}}).Value
 }
 
-// complete reports the first completion of a worker.
+// complete reports the completion of a run as the first completion of a worker.
 func (f *fixture) complete(worker, task string, run int, result string) {
 	f.t.Helper()
 	completions := []protocol.Completion{{Sequence: 1, Task: task, Run: run, Result: result}}
 	f.apply(&ReportCompletions{Worker: worker, Fence: f.store.Workers[worker].Fence, Completions: completions})
 }
 
-// status is the status of job j, or empty if there is no such job.
+// status returns the status of job j, or an empty string if the job does not exist.
 func (f *fixture) status() string {
 	status, _ := f.store.JobStatus("j")
 	return status
--- a/internal/state/fuzz_test.go
+++ b/internal/state/fuzz_test.go
@@ -7,9 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzDecodeSnapshot: a snapshot that was changed on its way is an error or a
-// state, but never a panic. A state that is decoded can be encoded and decoded
-// again.
+// FuzzDecodeSnapshot checks that decoding a corrupted snapshot returns an error or a state
+// and never panics, and that a decoded state can be encoded and decoded again.
 func FuzzDecodeSnapshot(f *testing.F) {
 	s := New(Limits{JobRetentionMs: 1000, MaxReplans: 2, RemoteFactor: 1})
 	f.Add(s.EncodeSnapshot())
@@ -28,22 +27,22 @@
 		f.Add(raw)
 	}
 	f.Add([]byte{0xa1, 0x64, 'J', 'o', 'b', 's', 0xf6})
-	f.Add([]byte{0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}) // a table of 2^64 rows
+	f.Add([]byte{0xbb, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff}) // a map that claims 2^64-1 entries
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		s, err := DecodeSnapshot(raw, Limits{})
 		if err != nil {
 			return
 		}
 		if _, err := DecodeSnapshot(s.EncodeSnapshot(), Limits{}); err != nil {
-			t.Fatalf("what was decoded and encoded can't be decoded: %v", err)
+			t.Fatalf("cannot decode the encoding of a decoded state: %v", err)
 		}
 	})
 }
 
-// TestLargeTablesAreDecodedAgain: a state of more rows than the library's own bound
-// was saved and then never loaded again, at a restart or by a member that was
-// sent it.
-func TestLargeTablesAreDecodedAgain(t *testing.T) {
+// TestLargeTablesAreDecoded guards against a state with more rows than the library's default
+// limit that is saved but cannot be loaded again, neither after a restart nor by a member
+// that receives the snapshot.
+func TestLargeTablesAreDecoded(t *testing.T) {
 	const rows = 140_000
 	s := New(Limits{})
 	s.WithdrawnOffers = map[string]int64{}
--- a/internal/state/generator_test.go
+++ b/internal/state/generator_test.go
@@ -14,8 +14,8 @@
 	"tealpond/internal/state"
 )
 
-// generator makes commands by lot. Most of them are sensible against the state,
-// as those of a leader are.
+// generator generates random commands. Most of them are plausible for the current state,
+// like those of a leader.
 type generator struct {
 	*rand.Rand
 	store   *state.Store
@@ -26,7 +26,7 @@
 
 const nodeCount, routeCount, tenantCount = 5, 3, 3
 
-func (g *generator) oneOf(of ...string) string { return of[g.Intn(len(of))] }
+func (g *generator) oneOf(choices ...string) string { return choices[g.Intn(len(choices))] }
 
 func (g *generator) jobID() string { return fmt.Sprintf("%016x", 1+g.Intn(g.jobs+2)) }
 
@@ -34,7 +34,7 @@
 
 func (g *generator) route() string { return fmt.Sprint("l", g.Intn(routeCount+1)) }
 
-// worker is one that the state knows; seldom one that is dead.
+// worker returns a random worker of the state, rarely a dead one.
 func (g *generator) worker() *state.Worker {
 	var ids []string
 	for id, w := range g.store.Workers {
@@ -49,7 +49,7 @@
 	return g.store.Workers[ids[g.Intn(len(ids))]]
 }
 
-// allocation is one that the state knows.
+// allocation returns a random allocation of the state.
 func (g *generator) allocation() *state.Allocation {
 	var ids []uint64
 	for id := range g.store.Allocations {
@@ -63,19 +63,19 @@
 }
 
 func (g *generator) labels() protocol.Labels {
-	var out protocol.Labels
-	for _, l := range []string{"fast", "r1", "r2"} {
+	var chosen protocol.Labels
+	for _, label := range []string{"fast", "r1", "r2"} {
 		if g.Intn(4) == 0 {
-			out = append(out, l)
+			chosen = append(chosen, label)
 		}
 	}
-	return out
+	return chosen
 }
 
 func (g *generator) job() protocol.Job {
 	j := protocol.Job{Spec: fmt.Sprint("spec", g.Intn(100))}
 	for i := range 1 + g.Intn(3) {
-		st := protocol.Step{
+		step := protocol.Step{
 			TaskCount:    1 + g.Intn(3),
 			CPUUnits:     int64(g.Intn(60)),
 			MemoryMB:     int64(g.Intn(40)),
@@ -89,17 +89,17 @@
 			LongRunning:  g.Intn(12) == 0,
 		}
 		if g.Intn(5) == 0 {
-			st.RequiredLabels = g.labels()
+			step.RequiredLabels = g.labels()
 		}
 		if g.Intn(3) == 0 {
-			st.PreferredRack = g.oneOf("r1", "r2")
+			step.PreferredRack = g.oneOf("r1", "r2")
 		}
 		for d := range i {
 			if g.Intn(2) == 0 {
-				st.DependsOn = append(st.DependsOn, d)
+				step.DependsOn = append(step.DependsOn, d)
 			}
 		}
-		j.Steps = append(j.Steps, st)
+		j.Steps = append(j.Steps, step)
 	}
 	if g.Intn(6) == 0 {
 		j.PeriodicInstances, j.FirstRunMs, j.IntervalMs = 1+g.Intn(4), g.store.WallClock+int64(g.Intn(500)), int64(1+g.Intn(300))
@@ -148,7 +148,7 @@
 	return raw
 }
 
-// submission is a client's job.
+// submission returns a client's submission of a random job.
 func (g *generator) submission() *state.SubmitJob {
 	g.jobs++
 	c := &state.SubmitJob{
@@ -163,12 +163,12 @@
 	return c
 }
 
-// plan places the tasks of a step on workers by lot, some of them on an older
-// version.
+// plan returns a plan that places the tasks of a step on random workers, some of them on an
+// outdated worker version.
 func (g *generator) plan() state.Plan {
 	var ids []string
-	for id, j := range g.store.Jobs {
-		if j.EndedAt == 0 && len(j.Instances) > 0 {
+	for id, job := range g.store.Jobs {
+		if job.EndedAt == 0 && len(job.Instances) > 0 {
 			ids = append(ids, id)
 		}
 	}
@@ -176,33 +176,33 @@
 		return state.Plan{Job: "none"}
 	}
 	sort.Strings(ids)
-	j := g.store.Jobs[ids[g.Intn(len(ids))]]
-	step := g.Intn(len(j.Steps))
-	p := state.Plan{Job: j.ID, Instance: g.Intn(len(j.Instances)), Step: step, AllOrNothing: j.IsGang(step)}
-	for x := range j.Steps[step].TaskCount {
+	job := g.store.Jobs[ids[g.Intn(len(ids))]]
+	step := g.Intn(len(job.Steps))
+	p := state.Plan{Job: job.ID, Instance: g.Intn(len(job.Instances)), Step: step, AllOrNothing: job.IsGang(step)}
+	for index := range job.Steps[step].TaskCount {
 		w := g.worker()
-		p.Placements = append(p.Placements, state.Placement{TaskIndex: x, Worker: w.ID, WorkerVersion: w.Version - uint64(g.Intn(4)/3)})
-		if j.Steps[step].Speculative && g.Intn(2) == 0 {
+		p.Placements = append(p.Placements, state.Placement{TaskIndex: index, Worker: w.ID, WorkerVersion: w.Version - uint64(g.Intn(4)/3)})
+		if job.Steps[step].Speculative && g.Intn(2) == 0 {
 			o := g.worker()
-			p.Placements = append(p.Placements, state.Placement{TaskIndex: x, Copy: 1, Worker: o.ID, WorkerVersion: o.Version})
+			p.Placements = append(p.Placements, state.Placement{TaskIndex: index, Copy: 1, Worker: o.ID, WorkerVersion: o.Version})
 		}
 	}
 	return p
 }
 
-// offer is that of a job's transfer, or seldom another: its peer and its ID.
+// offer returns the peer and the offer ID of a job's transfer, or rarely random ones.
 func (g *generator) offer(job string) (string, int64) {
-	if j := g.store.Jobs[job]; j != nil && j.Transfer.OfferID > 0 && g.Intn(5) > 0 {
-		return j.Transfer.Peer, j.Transfer.OfferID
+	if record := g.store.Jobs[job]; record != nil && record.Transfer.OfferID > 0 && g.Intn(5) > 0 {
+		return record.Transfer.Peer, record.Transfer.OfferID
 	}
 	return g.oneOf("p1", "p2"), int64(g.Intn(30))
 }
 
-// commandMakers has a maker for each registered command, and how often it comes
-// by.
-var commandMakers = map[string]struct {
-	often int
-	make  func(g *generator) state.Command
+// commandGenerators has a generator for each registered command, and the weight with which
+// it is chosen.
+var commandGenerators = map[string]struct {
+	weight   int
+	generate func(g *generator) state.Command
 }{
 	state.CommandReplaceConfiguration: {2, func(g *generator) state.Command {
 		return &state.ReplaceConfiguration{BaseVersion: g.store.Configuration.Version - int64(g.Intn(8)/7), Raw: g.configuration()}
@@ -380,22 +380,22 @@
 	}},
 }
 
-// entry makes one entry of the log, of some commands.
-func (g *generator) entry(clock, wall int64, count map[string]int) []byte {
-	var lot []string
-	for _, k := range state.CommandNames() {
-		for range commandMakers[k].often {
-			lot = append(lot, k)
+// entry returns a log entry with one to four random commands, and counts them by name.
+func (g *generator) entry(clock, wall int64, counts map[string]int) []byte {
+	var weighted []string
+	for _, name := range state.CommandNames() {
+		for range commandGenerators[name].weight {
+			weighted = append(weighted, name)
 		}
 	}
-	sort.Strings(lot)
-	b := state.Batch{Clock: clock, WallClock: wall}
+	sort.Strings(weighted)
+	batch := state.Batch{Clock: clock, WallClock: wall}
 	for range 1 + g.Intn(4) {
-		k := g.oneOf(lot...)
-		count[k]++
-		b.Commands = append(b.Commands, state.EncodeCommand(k, commandMakers[k].make(g)))
+		name := g.oneOf(weighted...)
+		counts[name]++
+		batch.Commands = append(batch.Commands, state.EncodeCommand(name, commandGenerators[name].generate(g)))
 	}
-	raw, err := cbor.Marshal(b)
+	raw, err := cbor.Marshal(batch)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -17,18 +17,18 @@
 	"tealpond/internal/protocol"
 )
 
-// rows encodes commands and the rows of tables.
-var rows = golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}
+// rowCodec encodes commands and rowCodec of tables.
+var rowCodec = golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}
 
-// filledJob returns a job, as clients send it, whose fields differ.
+// filledJob returns a job as clients send it, with a distinct value in each numeric field.
 func filledJob() protocol.Job {
 	return protocol.Job{Spec: "spec", PeriodicInstances: 101, FirstRunMs: 102, IntervalMs: 103, Steps: []protocol.Step{{
 		TaskCount: 1, CPUUnits: 112, MemoryMB: 113, GPUs: 114, EstimateMs: 115, DependsOn: []int{116}, Checkpoints: true, SameRack: true,
 		RequiredLabels: protocol.Labels{"label"}, PreferredRack: "rack", MaxPerWorker: 117, LongRunning: true}}}
 }
 
-// filledCommands returns commands whose fields differ, by their registered names;
-// what follows a slash tells several of one name apart.
+// filledCommands returns commands with distinct values in their fields, by registered name.
+// A suffix after a slash distinguishes several cases of one command.
 func filledCommands() []golden.Case {
 	job, resources := filledJob(), protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123}
 	return []golden.Case{
@@ -68,48 +68,48 @@
 	}
 }
 
-// TestCommandBytes compares each registered command with the golden bytes.
+// TestCommandBytes compares the encoding of each registered command with the golden file.
 func TestCommandBytes(t *testing.T) {
 	commands := filledCommands()
-	golden.Check(t, "commands.txt", rows, commands)
+	golden.Check(t, "commands.txt", rowCodec, commands)
 	covered := map[string]bool{}
 	for _, c := range commands {
 		name, _, _ := strings.Cut(c.Name, "/")
 		covered[name] = true
 		if commandConstructors[name] == nil || reflect.TypeOf(commandConstructors[name]()) != reflect.TypeOf(c.Value) {
-			t.Errorf("%T is not what is registered as %s", c.Value, name)
+			t.Errorf("%T is not the command registered as %s", c.Value, name)
 		}
 	}
 	for _, name := range CommandNames() {
 		if !covered[name] {
-			t.Errorf("no bytes of the command %s", name)
+			t.Errorf("no golden case for command %s", name)
 		}
 	}
 }
 
-// TestCommandNames compares the names of commands in the log, and the version of the
-// state, with the golden list.
+// TestCommandNames compares the names of commands in the log, and the format version of the
+// state, with the golden file.
 func TestCommandNames(t *testing.T) {
 	names := CommandNames()
 	slices.Sort(names)
 	golden.Text(t, "names.txt", fmt.Sprintf("version %d\ncommand %s\n", FormatVersion, strings.Join(names, "\ncommand ")))
 }
 
-// TestEntryBytes compares an entry of the log with all commands, and an outcome,
-// with the golden bytes.
+// TestEntryBytes compares the encodings of a log entry with all commands, and of an outcome,
+// with the golden file.
 func TestEntryBytes(t *testing.T) {
 	entry := Batch{Clock: 1, WallClock: 2}
 	for _, c := range filledCommands() {
 		name, _, _ := strings.Cut(c.Name, "/")
 		entry.Commands = append(entry.Commands, EncodeCommand(name, c.Value.(Command)))
 	}
-	golden.Check(t, "entries.txt", rows, []golden.Case{
+	golden.Check(t, "entries.txt", rowCodec, []golden.Case{
 		{Name: "entry", Value: &entry},
 		{Name: "outcome", Value: &Outcome{Code: 200, Text: "text", Value: 1}},
 	})
 }
 
-// TestRowBytes compares the rows of the tables with the golden bytes.
+// TestRowBytes compares the encodings of rows of the tables with the golden file.
 func TestRowBytes(t *testing.T) {
 	worker := func(set func(*Worker)) *Worker {
 		w := &Worker{ID: "id", Node: "node", Service: "service", Zone: "zone", Labels: []string{"label"}, Capacity: protocol.Resources{CPUUnits: 121, MemoryMB: 122, GPUs: 123},
@@ -126,7 +126,7 @@
 		set(j)
 		return j
 	}
-	golden.Check(t, "rows.txt", rows, []golden.Case{
+	golden.Check(t, "rows.txt", rowCodec, []golden.Case{
 		{Name: "worker-draining", Value: worker(func(w *Worker) { w.Draining = true })},
 		{Name: "worker-sick", Value: worker(func(w *Worker) { w.Unhealthy = true })},
 		{Name: "worker-lost", Value: worker(func(w *Worker) { w.LeaseExpired = true })},
@@ -147,8 +147,8 @@
 	})
 }
 
-// TestStateBytes compares a saved state, with a row in each table, with the golden
-// bytes, and reads it again.
+// TestStateBytes compares the snapshot of a state with a row in each table with the golden
+// file, and checks that the state is unchanged by encoding and decoding.
 func TestStateBytes(t *testing.T) {
 	s := New(Limits{JobRetentionMs: 1, MaxReplans: 2, RemoteFactor: 3.5})
 	s.AppliedIndex, s.Clock, s.WallClock, s.Origin, s.LastID, s.LastJobSequence, s.Epoch, s.DigestChain, s.DigestChainFrom = 11, 12, 13, 14, 15, 16, "epoch", 17, 18
@@ -180,7 +180,7 @@
 	tables := reflect.ValueOf(*s)
 	for i := range tables.NumField() {
 		if field := tables.Type().Field(i); field.IsExported() && tables.Field(i).IsZero() {
-			t.Errorf("%s is empty", field.Name)
+			t.Errorf("field %s is empty; set it so that its encoding is compared", field.Name)
 		}
 	}
 	saved := s.EncodeSnapshot()
@@ -190,13 +190,13 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(loaded.EncodeSnapshot(), saved) {
-		t.Error("what was saved and loaded is not saved alike")
+		t.Error("encoding the decoded snapshot gives different bytes")
 	}
 }
 
-// TestStoredWords compares the numbers and words that rows contain with the golden
-// list.
-func TestStoredWords(t *testing.T) {
+// TestStoredConstants compares the names and numbers that rows contain with the golden
+// file.
+func TestStoredConstants(t *testing.T) {
 	golden.Text(t, "words.txt", fmt.Sprintf(`device gpu %s
 device turn %s
 device loan %s
--- a/internal/state/invariants_test.go
+++ b/internal/state/invariants_test.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/protocol"
 )
 
-// checkInvariants fails the test if a state breaks an invariant.
+// checkInvariants fails the test if the state violates an invariant.
 func checkInvariants(t *testing.T, s *Store) {
 	t.Helper()
 	if fault := invariantFault(s); fault != "" {
@@ -15,9 +15,10 @@
 	}
 }
 
-// invariantFault tells which invariant a state breaks, or nothing.
+// invariantFault describes the first invariant that the state violates, or returns an empty
+// string.
 func invariantFault(s *Store) string {
-	for _, check := range []func(*Store) string{taskRunsTwice, usedResourcesFault, reservationFault, schedulingIndexFault, serviceUsageFault} {
+	for _, check := range []func(*Store) string{duplicateFault, usedResourcesFault, reservationFault, schedulingIndexFault, serviceUsageFault} {
 		if fault := check(s); fault != "" {
 			return fault
 		}
@@ -25,22 +26,22 @@
 	return ""
 }
 
-// taskRunsTwice finds a task, or a copy of one, that runs more than once.
-func taskRunsTwice(s *Store) string {
+// duplicateFault finds a task, or a copy of one, that has more than one allocation.
+func duplicateFault(s *Store) string {
 	runs := map[string]int{}
 	for _, a := range s.Allocations {
 		runs[fmt.Sprint(a.TaskName(), "#", a.Copy)]++
 	}
 	for task, n := range runs {
 		if n > 1 {
-			return fmt.Sprintf("%s runs %d times", task, n)
+			return fmt.Sprintf("%s has %d allocations, want at most 1", task, n)
 		}
 	}
 	return ""
 }
 
-// usedResourcesFault compares what workers count as used with their allocations
-// and their capacity.
+// usedResourcesFault compares the used resources in the rows of workers with the sum of
+// their allocations and with their capacity.
 func usedResourcesFault(s *Store) string {
 	used := map[string]Resources{}
 	for _, a := range s.Allocations {
@@ -49,22 +50,22 @@
 	for id, worker := range s.Workers {
 		counted := Resources{worker.UsedMilliCPU, worker.UsedMemoryMB}
 		if counted != used[id] || counted.MilliCPU > worker.Capacity.CPUUnits || counted.MemoryMB > worker.Capacity.MemoryMB {
-			return fmt.Sprintf("%s counts %v of %v as used, its allocations hold %v", id, counted, worker.Capacity, used[id])
+			return fmt.Sprintf("worker %s: used %v of %v, its allocations hold %v", id, counted, worker.Capacity, used[id])
 		}
 	}
 	return ""
 }
 
-// reservationFault finds a reservation of no allocation, or two that overlap.
+// reservationFault finds a reservation without an allocation, or two that overlap.
 func reservationFault(s *Store) string {
 	for id, device := range s.Devices {
 		for i, x := range device.Reservations {
 			if s.Allocations[x.Allocation] == nil {
-				return fmt.Sprintf("%s is reserved for nobody", id)
+				return fmt.Sprintf("device %s has a reservation without an allocation", id)
 			}
 			for _, y := range device.Reservations[i+1:] {
 				if x.From < y.To && y.From < x.To {
-					return fmt.Sprintf("%s: two reservations overlap", id)
+					return fmt.Sprintf("device %s: two reservations overlap", id)
 				}
 			}
 		}
@@ -72,25 +73,26 @@
 	return ""
 }
 
-// serviceUsageFault compares the rollups, as commands updated them, with rebuilt ones.
+// serviceUsageFault compares the usage of services, as commands have updated it, with
+// usage rebuilt from the tables.
 func serviceUsageFault(s *Store) string {
-	kept := map[string]ServiceUsage{}
+	recorded := map[string]ServiceUsage{}
 	for service, serviceUsage := range s.ServiceUsages {
-		kept[service] = *serviceUsage
+		recorded[service] = *serviceUsage
 	}
 	s.RebuildUsage()
 	for service, rebuilt := range s.ServiceUsages {
-		if k := kept[service]; k.UsedMilliCPU != rebuilt.UsedMilliCPU || k.UsedMemoryMB != rebuilt.UsedMemoryMB || k.UsedGPUs != rebuilt.UsedGPUs {
-			return fmt.Sprintf("rollup of %s is kept up as %+v, rebuilt as %+v", service, k, *rebuilt)
+		if old := recorded[service]; old.UsedMilliCPU != rebuilt.UsedMilliCPU || old.UsedMemoryMB != rebuilt.UsedMemoryMB || old.UsedGPUs != rebuilt.UsedGPUs {
+			return fmt.Sprintf("usage of service %s is recorded as %+v, rebuilt as %+v", service, old, *rebuilt)
 		}
 	}
 	return ""
 }
 
-// TestInvariantFaultCatchesPlantedBreaks shows that each part of the checker can
-// fail.
-func TestInvariantFaultCatchesPlantedBreaks(t *testing.T) {
-	for name, plant := range map[string]func(*fixture){
+// TestInvariantFaultDetectsViolations checks that invariantFault detects a violation of each
+// kind.
+func TestInvariantFaultDetectsViolations(t *testing.T) {
+	for name, corrupt := range map[string]func(*fixture){
 		"counter": func(f *fixture) { f.store.Workers["a"].UsedMilliCPU = 5 },
 		"overlap": func(f *fixture) {
 			for _, d := range f.store.Devices {
@@ -98,7 +100,7 @@
 			}
 		},
 		"orphan": func(f *fixture) { delete(f.store.Allocations, f.store.LastID) },
-		"rollup": func(f *fixture) { f.store.serviceUsage("s").UsedMilliCPU++ },
+		"usage":  func(f *fixture) { f.store.serviceUsage("s").UsedMilliCPU++ },
 		"twice": func(f *fixture) {
 			a := *f.store.Allocations[f.store.LastID]
 			a.ID++
@@ -111,9 +113,9 @@
 			f.submit("j", protocol.Step{TaskCount: 1, CPUUnits: 10})
 			f.applyPlan("j", 0, false, placementOn(a, 0))
 			checkInvariants(t, f.store)
-			plant(f)
+			corrupt(f)
 			if invariantFault(f.store) == "" {
-				t.Error("the planted break was not caught")
+				t.Error("the violation was not detected")
 			}
 		})
 	}
--- a/internal/state/quota_commands_test.go
+++ b/internal/state/quota_commands_test.go
@@ -13,8 +13,8 @@
 	"tealpond/internal/state"
 )
 
-// recountTenantUse sums up what tenants' runs hold, from the tables alone: TenantUse is
-// kept up by the commands, and rebuilt with the index.
+// recountTenantUse sums up the resources that tenants' runs hold from the tables alone.
+// Store.TenantUse in contrast is updated by commands and rebuilt with the index.
 func recountTenantUse(s *state.Store) map[string]state.TenantUse {
 	uses := map[string]state.TenantUse{}
 	for _, allocation := range s.Allocations {
@@ -32,9 +32,10 @@
 	return uses
 }
 
-// quotaFault holds the runs that a command has added against their tenant's limit, each by
-// itself, in the order in which they were added: none may take more of a kind than is left,
-// but for one that is wider than the limit and runs alone. known are the runs of before.
+// quotaFault checks the runs that a command has added against their tenant's quota, one by
+// one in the order in which they were added. None may take more of a resource than is left,
+// except for a run that exceeds the quota and runs alone. known holds the allocations from
+// before the command.
 func quotaFault(s *state.Store, tenant string, known map[uint64]bool) string {
 	quota := s.Quotas[tenant]
 	var use state.TenantUse
@@ -53,24 +54,25 @@
 	for _, run := range added {
 		if over(quota.MilliCPU, use.MilliCPU, run.MilliCPU) || over(quota.MemoryMB, use.MemoryMB, run.MemoryMB) ||
 			over(int64(quota.GPUs), int64(use.GPUs), int64(len(run.GPUs))) {
-			return fmt.Sprintf("%+v was added to %+v, the limit is %+v", run, use, quota)
+			return fmt.Sprintf("run %+v was added to use %+v, the quota is %+v", run, use, quota)
 		}
 		use = use.Plus(stepOf(run), 1)
 	}
 	return ""
 }
 
-// stepOf returns a step whose tasks take what a run holds.
+// stepOf returns a step whose tasks take the resources that a run holds.
 func stepOf(run *state.Allocation) *protocol.Step {
 	return &protocol.Step{CPUUnits: run.MilliCPU, MemoryMB: run.MemoryMB, GPUs: len(run.GPUs)}
 }
 
-// TestQuotasHoldUnderAllCommands applies all commands by lot, one at a time: leases that
-// expire, runners that crash and are registered again, moves, cancels, configurations that
-// drop a tenant or change its limit, and a reload from a snapshot now and then. What
-// tenants use is recounted after each, and none grows beyond its limit.
+// TestQuotasHoldUnderAllCommands applies random commands of all kinds one at a time,
+// including expired leases, runners that crash and register again, transfers, cancellations,
+// and configurations that drop a tenant or change its quota. Every 20 entries it reloads the
+// state from a snapshot. After each command it recounts the use of each tenant and checks
+// that no run was added beyond the quota.
 func TestQuotasHoldUnderAllCommands(t *testing.T) {
-	commands, grown, bounded := map[string]int{}, 0, 0
+	commands, additions, overHalf := map[string]int{}, 0, 0
 	for seed := range int64(*replicaSeeds) {
 		test := newReplicaTest(t, seed)
 		replica := test.replicas[0]
@@ -78,7 +80,7 @@
 			test.generator.store = replica.store
 			test.clock += int64(test.generator.Intn(40))
 			test.wall += int64(test.generator.Intn(60) - 10)
-			for _, single := range singleCommands(t, test.generator.entry(test.clock, test.wall, commands)) {
+			for _, single := range splitEntry(t, test.generator.entry(test.clock, test.wall, commands)) {
 				before, limits := recountTenantUse(replica.store), maps.Clone(replica.store.Quotas)
 				known := map[uint64]bool{}
 				for id := range replica.store.Allocations {
@@ -88,21 +90,21 @@
 				after := recountTenantUse(replica.store)
 				for i := range tenantCount {
 					tenant := fmt.Sprint("tenant", i)
-					if kept := replica.store.TenantUse(tenant); kept != after[tenant] {
-						t.Fatalf("seed %d, entry %d: %s is kept up as %+v, its runs hold %+v", seed, entry, tenant, kept, after[tenant])
+					if recorded := replica.store.TenantUse(tenant); recorded != after[tenant] {
+						t.Fatalf("seed %d, entry %d: use of %s is %+v, its runs hold %+v", seed, entry, tenant, recorded, after[tenant])
 					}
 					quota, limited := replica.store.Quotas[tenant]
 					if _, wasLimited := limits[tenant]; wasLimited && !limited && after[tenant].Runs > 0 {
-						t.Fatalf("seed %d, entry %d: the limit of %s was forgotten, its jobs go on", seed, entry, tenant)
+						t.Fatalf("seed %d, entry %d: the quota of %s was removed while it has runs", seed, entry, tenant)
 					}
 					if fault := quotaFault(replica.store, tenant, known); fault != "" {
 						t.Fatalf("seed %d, entry %d: %s: %s", seed, entry, tenant, fault)
 					}
 					if after[tenant].Runs > before[tenant].Runs {
-						grown++
+						additions++
 					}
 					if quota.MilliCPU > 0 && after[tenant].MilliCPU > quota.MilliCPU/2 {
-						bounded++
+						overHalf++
 					}
 				}
 			}
@@ -111,19 +113,19 @@
 			}
 		}
 	}
-	t.Logf("%d commands added runs of tenants, %d times over half of a limit was in use", grown, bounded)
+	t.Logf("use of a tenant grew %d times, was above half of its CPU quota %d times", additions, overHalf)
 	for _, name := range state.CommandNames() {
 		if commands[name] == 0 {
-			t.Errorf("%s never came by", name)
+			t.Errorf("command %s was never generated", name)
 		}
 	}
-	if grown < 100 || bounded < 100 {
-		t.Error("too little of it was about tenants")
+	if additions < 100 || overHalf < 100 {
+		t.Error("use of a tenant grew, or was above half of its CPU quota, fewer than 100 times")
 	}
 }
 
-// singleCommands returns an entry for each command of an entry.
-func singleCommands(t *testing.T, entry []byte) [][]byte {
+// splitEntry returns one entry for each command of an entry.
+func splitEntry(t *testing.T, entry []byte) [][]byte {
 	t.Helper()
 	var batch state.Batch
 	if err := cbor.Unmarshal(entry, &batch); err != nil {
--- a/internal/state/random_commands_test.go
+++ b/internal/state/random_commands_test.go
@@ -11,29 +11,29 @@
 	"tealpond/internal/protocol"
 )
 
-// randomDriver drives a state of four workers with commands by lot.
+// randomDriver applies random commands to a state with driverWorkers workers.
 type randomDriver struct {
 	*fixture
 	random *rand.Rand
 	jobs   []string
 }
 
-const driverWorkers = 4
+const driverWorkerCount = 4
 
 func newRandomDriver(t *testing.T, seed int64) *randomDriver {
 	t.Helper()
 	d := &randomDriver{fixture: newFixture(t), random: rand.New(rand.NewSource(seed))}
-	for i := range driverWorkers {
+	for i := range driverWorkerCount {
 		d.addWorker(fmt.Sprint("w", i), protocol.Resources{CPUUnits: 100, MemoryMB: 100, GPUs: i % 3})
 	}
 	return d
 }
 
 func (d *randomDriver) worker() *Worker {
-	return d.store.Workers[fmt.Sprint("w", d.random.Intn(driverWorkers))]
+	return d.store.Workers[fmt.Sprint("w", d.random.Intn(driverWorkerCount))]
 }
 
-// step applies one command by lot, or none.
+// step applies at most one random command; a worker whose lease expires also registers again.
 func (d *randomDriver) step(number int) {
 	worker := d.worker()
 	switch d.random.Intn(8) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// submitJob submits a job of two steps.
+// submitJob submits a random job of two steps.
 func (d *randomDriver) submitJob(id string) {
 	r := d.random
 	first := protocol.Step{
@@ -76,7 +76,7 @@
 	d.jobs = append(d.jobs, id)
 }
 
-// planStep plans all tasks of a step, half of them on an older version.
+// planStep plans all tasks of a step, about half of them on an outdated worker version.
 func (d *randomDriver) planStep(id string, step int) {
 	job := d.store.Jobs[id]
 	var placements []Placement
@@ -92,8 +92,8 @@
 	d.applyPlan(id, step, job.IsGang(step), placements...)
 }
 
-// TestRandomCommandsKeepInvariants checks the invariants after each of many
-// commands, and on a copy from a snapshot, which must be the same state.
+// TestRandomCommandsKeepInvariants checks the invariants after each of many random commands,
+// and on a copy restored from a snapshot, which must equal the state.
 func TestRandomCommandsKeepInvariants(t *testing.T) {
 	for seed := range int64(30) {
 		d := newRandomDriver(t, seed)
@@ -104,13 +104,13 @@
 		restored := d.restored().store
 		checkInvariants(t, restored)
 		if !bytes.Equal(canonicalState(restored), canonicalState(d.store)) {
-			t.Fatal("a snapshot changes the state")
+			t.Fatal("the state restored from a snapshot differs")
 		}
 	}
 }
 
-// canonicalState encodes a state, with the keys of maps sorted, apart from the
-// encoding that is tested.
+// canonicalState encodes a state with sorted map keys, independently of the encoding under
+// test.
 func canonicalState(s *Store) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
--- a/internal/state/replica_test.go
+++ b/internal/state/replica_test.go
@@ -14,15 +14,15 @@
 	"tealpond/internal/state"
 )
 
-var replicaSeeds = flag.Int("replica.seeds", 40, "sequences of commands that the replicas are compared over")
+var replicaSeeds = flag.Int("replica.seeds", 40, "number of random command sequences over which replicas are compared")
 
-// replica is a copy of the state; its settings are its own.
+// replica is a copy of the state with settings of its own.
 type replica struct {
 	store  *state.Store
 	limits state.Limits
 }
 
-// reload goes on from a snapshot of the state, as after a restart.
+// reload replaces the state by one decoded from a snapshot, as after a restart.
 func (r *replica) reload(t *testing.T, from []byte) {
 	t.Helper()
 	s, err := state.DecodeSnapshot(from, r.limits)
@@ -30,53 +30,53 @@
 		t.Fatal(err)
 	}
 	if again := s.EncodeSnapshot(); !bytes.Equal(again, from) {
-		t.Fatalf("at %d: saved, loaded and saved again gives another state:\n%s", s.AppliedIndex, difference(from, again))
+		t.Fatalf("index %d: state differs after a snapshot round trip:\n%s", s.AppliedIndex, difference(from, again))
 	}
 	r.store = s
 }
 
-// difference names the tables and rows of two snapshots that are unlike.
-func difference(a, b []byte) string {
+// difference describes the tables and rows in which two snapshots differ.
+func difference(leftSnapshot, rightSnapshot []byte) string {
 	var left, right map[string]any
-	if cbor.Unmarshal(a, &left) != nil || cbor.Unmarshal(b, &right) != nil {
+	if cbor.Unmarshal(leftSnapshot, &left) != nil || cbor.Unmarshal(rightSnapshot, &right) != nil {
 		return "unreadable"
 	}
-	out := ""
-	for k := range left {
-		if reflect.DeepEqual(left[k], right[k]) {
+	differences := ""
+	for table := range left {
+		if reflect.DeepEqual(left[table], right[table]) {
 			continue
 		}
-		out += k + ": "
-		m, ok := left[k].(map[any]any)
-		n, ok2 := right[k].(map[any]any)
-		if !ok || !ok2 {
-			out += fmt.Sprintf("%v, %v\n", left[k], right[k])
+		differences += table + ": "
+		leftRows, ok := left[table].(map[any]any)
+		rightRows, rightOK := right[table].(map[any]any)
+		if !ok || !rightOK {
+			differences += fmt.Sprintf("%v, %v\n", left[table], right[table])
 			continue
 		}
-		for i := range m {
-			if !reflect.DeepEqual(m[i], n[i]) {
-				out += fmt.Sprintf("%v: %v, %v\n", i, m[i], n[i])
+		for key := range leftRows {
+			if !reflect.DeepEqual(leftRows[key], rightRows[key]) {
+				differences += fmt.Sprintf("%v: %v, %v\n", key, leftRows[key], rightRows[key])
 			}
 		}
-		for i := range n {
-			if _, ok := m[i]; !ok {
-				out += fmt.Sprintf("%v: missing, %v\n", i, n[i])
+		for key := range rightRows {
+			if _, ok := leftRows[key]; !ok {
+				differences += fmt.Sprintf("%v: missing, %v\n", key, rightRows[key])
 			}
 		}
 	}
-	return out
+	return differences
 }
 
-// replicaTest drives replicas with the same log: one that applies all of it, one
-// that now and then goes on from its own snapshot, one that does so from the
-// first one's. Their settings differ.
+// replicaTest applies the same log to three replicas with different settings. The first
+// applies all entries, the second is reloaded from its own snapshot at random, and the
+// third from the first replica's snapshot.
 type replicaTest struct {
 	*testing.T
 	generator   *generator
 	replicas    []*replica
 	clock, wall int64
-	// A snapshot of the first replica is encoded beside the commands that follow.
-	// Its bytes must be those that the state had when it was made.
+	// A snapshot of the first replica is encoded concurrently with the commands that
+	// follow. Its bytes must equal expected, the encoding of the state when it was made.
 	snapshots chan []byte
 	expected  []byte
 }
@@ -105,17 +105,18 @@
 func (t *replicaTest) checkSnapshot() {
 	t.Helper()
 	if snapshot := <-t.snapshots; !bytes.Equal(snapshot, t.expected) {
-		t.Fatalf("a snapshot changed:\n%s", difference(t.expected, snapshot))
+		t.Fatalf("the snapshot differs from the state it was made of:\n%s", difference(t.expected, snapshot))
 	}
 }
 
-// applyEntry applies an entry by lot; it counts the commands and the outcomes.
+// applyEntry applies a random entry to all replicas, compares their outcomes, and counts
+// commands and outcome codes.
 func (t *replicaTest) applyEntry(commands map[string]int, codes map[state.Code]int) {
 	t.Helper()
 	t.generator.store = t.replicas[0].store
 	t.clock += int64(t.generator.Intn(40))
 	if t.generator.Intn(100) == 0 {
-		t.clock += state.GoneWorkerRetention.Milliseconds() // a quiet time, after which rows are forgotten
+		t.clock += state.GoneWorkerRetention.Milliseconds() // long enough for rows of gone workers to be removed
 	}
 	t.wall += int64(t.generator.Intn(60) - 10)
 	entry := t.generator.entry(t.clock, t.wall, commands)
@@ -130,8 +131,8 @@
 	}
 }
 
-// compareStates compares the replicas' states byte for byte, and has some go on
-// from a snapshot.
+// compareStates compares the replicas' states byte for byte, and reloads some replicas from
+// a snapshot at random.
 func (t *replicaTest) compareStates() {
 	t.Helper()
 	first := t.replicas[0].store.EncodeSnapshot()
@@ -148,13 +149,13 @@
 	}
 }
 
-// TestReplicasStayEqual compares outcomes and states, byte for byte, of replicas
-// that apply the same entries by lot, and snapshots with the states that they
-// were made of.
+// TestReplicasStayEqual applies the same random entries to several replicas and compares
+// their outcomes and, byte for byte, their states. It also compares snapshots with the
+// states that they were made of.
 func TestReplicasStayEqual(t *testing.T) {
 	for _, name := range state.CommandNames() {
-		if commandMakers[name].often == 0 {
-			t.Errorf("no maker for the command %q: add one", name)
+		if commandGenerators[name].weight == 0 {
+			t.Errorf("no generator for command %q: add one to commandGenerators", name)
 		}
 	}
 	commands, codes := map[string]int{}, map[state.Code]int{}
@@ -178,7 +179,7 @@
 	t.Logf("commands %v, outcomes %v", commands, codes)
 	for _, name := range state.CommandNames() {
 		if commands[name] == 0 {
-			t.Errorf("%s never came by", name)
+			t.Errorf("command %s was never generated", name)
 		}
 	}
 }
