--- a/internal/tally/comparison.go
+++ b/internal/tally/comparison.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// Comparison is the part of a message by which two replicas with equal vectors and different
-// contents find the adds that differ. The one that has noticed asks for the digests of all
-// origins, and then for the adds of those that differ, in order.
+// Comparison is the part of a message by which two replicas with equal vectors but different
+// contents find the adds that differ. The replica that detects the difference requests the content
+// digests of all origins, and then the adds of each origin whose digests differ, in order.
 type Comparison struct {
 	_ struct{} `cbor:",toarray"`
-	// AskOrigins asks for Origins: the digest of the contents of each origin.
+	// AskOrigins requests Origins: the content digest of each origin.
 	AskOrigins bool
 	Origins    map[string]uint64
-	// AskFrom asks for the adds of an origin from a number on; no number asks for nothing.
+	// AskFrom requests the adds of an origin starting at a number; number 0 requests nothing.
 	AskFrom Position
-	// Answered is the position that was asked for, Run the adds from there on.
+	// Answered is the requested position, Run the adds starting there.
 	Answered Position
 	Run      Run
 }
 
-// comparing is the comparison with a peer that is under way.
-type comparing struct {
-	peer       string
-	origins    []string // whose adds are still to be compared; the first is under way
-	question   Comparison
-	askedAt    time.Time
-	answeredAt time.Time // or begun
+// activeComparison is the comparison with a peer that is in progress.
+type activeComparison struct {
+	peer             string
+	remainingOrigins []string // whose adds are still to be compared; the first is in progress
+	request          Comparison
+	requestedAt      time.Time
+	lastResponseAt   time.Time // or when the comparison started
 }
 
-// Differences counts what was found to differ from other replicas since the start.
+// Differences counts the differences from other replicas that were found since the start.
 type Differences struct {
 	// Noticed is how often the contents of a peer differed under an equal vector.
 	Noticed uint64
-	// Moved is how many adds got a new position since another one prevailed at theirs.
+	// Moved is how many adds got a new position because another add took precedence at theirs.
 	Moved uint64
 }
 
-// Differences tells what was found to differ from other replicas since the start.
+// Differences returns the differences from other replicas that were found since the start.
 func (r *Replica) Differences() Differences { return r.differences }
 
-// compareWith begins to compare the contents of a peer, unless a comparison is under way.
-func (r *Replica) compareWith(peer string, now time.Time) {
-	if r.comparing != nil {
+// startComparison starts to compare contents with a peer, unless a comparison is in progress.
+func (r *Replica) startComparison(peer string, now time.Time) {
+	if r.activeComparison != nil {
 		return
 	}
 	r.differences.Noticed++
-	r.comparing = &comparing{peer: peer, answeredAt: now}
-	r.askPeer(Comparison{AskOrigins: true}, now)
+	r.activeComparison = &activeComparison{peer: peer, lastResponseAt: now}
+	r.sendComparisonRequest(Comparison{AskOrigins: true}, now)
 }
 
-// askPeer asks the peer of the comparison that is under way.
-func (r *Replica) askPeer(question Comparison, now time.Time) {
-	r.comparing.question, r.comparing.askedAt = question, now
-	r.send(r.comparing.peer, Message{Comparison: &question})
+// sendComparisonRequest sends a request to the peer of the active comparison.
+func (r *Replica) sendComparisonRequest(request Comparison, now time.Time) {
+	r.activeComparison.request, r.activeComparison.requestedAt = request, now
+	r.send(r.activeComparison.peer, Message{Comparison: &request})
 }
 
-// tickComparison asks again, and gives a comparison up whose peer doesn't answer.
+// tickComparison repeats an unanswered request, and cancels a comparison whose peer doesn't answer
+// within PeerTimeout.
 func (r *Replica) tickComparison(now time.Time) {
 	switch {
-	case r.comparing == nil:
-	case r.peers[r.comparing.peer] == nil || now.Sub(r.comparing.answeredAt) >= r.config.PeerTimeout:
-		r.comparing = nil
-	case now.Sub(r.comparing.askedAt) >= r.config.RepeatInterval:
-		r.askPeer(r.comparing.question, now)
+	case r.activeComparison == nil:
+	case r.peers[r.activeComparison.peer] == nil || now.Sub(r.activeComparison.lastResponseAt) >= r.config.PeerTimeout:
+		r.activeComparison = nil
+	case now.Sub(r.activeComparison.requestedAt) >= r.config.RepeatInterval:
+		r.sendComparisonRequest(r.activeComparison.request, now)
 	}
 }
 
-// receiveComparison answers what a peer asks, and goes on with what it answers.
-func (r *Replica) receiveComparison(from string, comparison *Comparison, now time.Time) {
-	underWay := r.comparing != nil && r.comparing.peer == from
+// handleComparison answers a peer's request, or continues the active comparison with a peer's
+// response.
+func (r *Replica) handleComparison(from string, comparison *Comparison, now time.Time) {
+	inProgress := r.activeComparison != nil && r.activeComparison.peer == from
 	switch {
 	case comparison.AskOrigins:
 		r.send(from, Message{Comparison: &Comparison{Origins: r.set.ContentsByOrigin()}})
 	case comparison.AskFrom.Number > 0:
 		asked := comparison.AskFrom
-		run := r.set.MissingOf(asked.Origin, asked.Number-1, r.config.MaxMessageAdds)
+		run := r.set.OriginAddsAfter(asked.Origin, asked.Number-1, r.config.MaxMessageAdds)
 		r.send(from, Message{Comparison: &Comparison{Answered: asked, Run: run}})
-	case underWay && comparison.Origins != nil && r.comparing.question.AskOrigins:
-		r.comparing.origins = r.differingOrigins(comparison.Origins)
-		r.askForAdds(1, now)
-	case underWay && comparison.Answered.Number > 0:
-		r.compareAdds(comparison, now)
+	case inProgress && comparison.Origins != nil && r.activeComparison.request.AskOrigins:
+		r.activeComparison.remainingOrigins = r.differingOrigins(comparison.Origins)
+		r.requestAdds(1, now)
+	case inProgress && comparison.Answered.Number > 0:
+		r.reconcileAdds(comparison, now)
 	}
 }
 
-// differingOrigins returns the origins whose contents differ from a peer's, in order.
+// differingOrigins returns the names of the origins whose contents differ from the peer's, sorted.
 func (r *Replica) differingOrigins(theirs map[string]uint64) []string {
 	var differing []string
 	for name, contents := range r.set.ContentsByOrigin() {
@@ -97,40 +99,42 @@
 	return differing
 }
 
-// askForAdds asks for the adds of the first origin from a number on, or ends the comparison if no
-// origin is left.
-func (r *Replica) askForAdds(next uint64, now time.Time) {
-	if len(r.comparing.origins) == 0 {
-		r.comparing = nil
+// requestAdds requests the adds of the first remaining origin starting at a number, or ends the
+// comparison if no origin remains.
+func (r *Replica) requestAdds(next uint64, now time.Time) {
+	if len(r.activeComparison.remainingOrigins) == 0 {
+		r.activeComparison = nil
 		return
 	}
-	r.comparing.answeredAt = now
-	r.askPeer(Comparison{AskFrom: Position{Origin: r.comparing.origins[0], Number: next}}, now)
+	r.activeComparison.lastResponseAt = now
+	r.sendComparisonRequest(
+		Comparison{AskFrom: Position{Origin: r.activeComparison.remainingOrigins[0], Number: next}}, now)
 }
 
-// compareAdds takes over the adds of a peer that prevail over those here.
-func (r *Replica) compareAdds(comparison *Comparison, now time.Time) {
+// reconcileAdds replaces adds here by the peer's adds that take precedence.
+func (r *Replica) reconcileAdds(comparison *Comparison, now time.Time) {
 	switch {
-	case comparison.Answered != r.comparing.question.AskFrom:
-		return // a repeated answer
+	case comparison.Answered != r.activeComparison.request.AskFrom:
+		return // a duplicate response
 	case r.isRolledBack():
-		r.comparing = nil // no number can be given now; the contents are compared again later
+		r.activeComparison = nil // no number can be assigned now; the contents are compared again later
 		return
 	}
-	for _, run := range r.set.Differing(comparison.Run) {
-		r.replace(run)
+	for _, run := range r.set.Replacements(comparison.Run) {
+		r.replaceAdd(run)
 	}
 	if len(comparison.Run.Adds) == 0 {
-		r.comparing.origins = r.comparing.origins[1:]
-		r.askForAdds(1, now)
+		r.activeComparison.remainingOrigins = r.activeComparison.remainingOrigins[1:]
+		r.requestAdds(1, now)
 		return
 	}
-	r.askForAdds(comparison.Run.Last()+1, now)
+	r.requestAdds(comparison.Run.Last()+1, now)
 }
 
-// replace has another add written at a position, and the one that stands there, which may have
-// been acknowledged, at a new position. Both are in one write, so that neither can be missing.
-func (r *Replica) replace(run Run) {
+// replaceAdd schedules the write of another add at a position, and of the add stored there, which
+// may have been acknowledged, at a new position. Both are in one write, so that neither can be
+// lost.
+func (r *Replica) replaceAdd(run Run) {
 	position, add := Position{Origin: run.Origin, Number: run.First}, run.Adds[0]
 	if r.replacing[position] {
 		return
@@ -139,17 +143,16 @@
 	if before := r.set.addAt(position); before.ID != add.ID {
 		r.differences.Moved++
 		moved := r.append(before)
-		for i := range r.changes {
-			if r.changes[i].position == position {
-				r.changes[i].position = moved
+		for i := range r.pendingChanges {
+			if r.pendingChanges[i].position == position {
+				r.pendingChanges[i].position = moved
 			}
 		}
 	}
 	r.toWrite = append(r.toWrite, run)
 }
 
-// markWritten records that a run is on the disk: adds that are new, or one that replaces
-// another.
+// markWritten records that a run is on the disk: new adds, or one that replaces another.
 func (r *Replica) markWritten(run Run) {
 	position := Position{Origin: run.Origin, Number: run.First}
 	if !r.replacing[position] {
--- a/internal/tally/comparison_test.go
+++ b/internal/tally/comparison_test.go
@@ -6,54 +6,55 @@
 	"testing"
 )
 
-// putBack gives a machine an older copy of its file, starts it and hands it an add before it
-// hears a peer.
-func (w *world) putBack(machine int, id string) {
-	m := w.machines[machine]
-	m.disk, m.writing = m.disk[:w.random.Intn(len(m.disk)+1)], nil
+// restoreOldFile truncates a machine's file to an older copy of itself, restarts the machine and
+// makes an add there before it hears from a peer.
+func (c *cluster) restoreOldFile(machine int, id string) {
+	m := c.machines[machine]
+	m.disk, m.writing = m.disk[:c.random.Intn(len(m.disk)+1)], nil
 	if len(m.disk) == 0 {
-		return // an empty disk has a new origin
+		return // a replica with an empty disk gets a new origin
 	}
-	w.start(machine)
-	w.add(machine, id)
+	c.start(machine)
+	c.add(machine, id)
 }
 
-// TestNumbersGivenTwice: machines whose files are put back from copies give numbers again. All
-// machines come to hold the same adds, and of both adds of a number none is lost or counts twice.
-func TestNumbersGivenTwice(t *testing.T) {
+// TestDuplicateNumbersConverge checks that all machines converge to the same adds after machines
+// whose files were restored from older copies have assigned numbers twice, and that no add with a
+// duplicate number is lost or counted twice.
+func TestDuplicateNumbersConverge(t *testing.T) {
 	moved := uint64(0)
-	for seed := range *troubleSeeds {
-		w := newWorld(seed, 4)
-		w.mayDiffer = true
+	for seed := range *faultSeeds {
+		c := newCluster(seed, 4)
+		c.allowsDuplicateNumbers = true
 		for n := range 15 {
 			for range 100 {
-				w.add(w.random.Intn(len(w.machines)), fmt.Sprint(w.random.Intn(1000)))
-				w.step()
+				c.add(c.random.Intn(len(c.machines)), fmt.Sprint(c.random.Intn(1000)))
+				c.step()
 			}
 			for range 400 {
-				w.step()
+				c.step()
 			}
-			w.putBack(w.random.Intn(len(w.machines)), fmt.Sprint("again", n))
-			for _, m := range w.machines {
+			c.restoreOldFile(c.random.Intn(len(c.machines)), fmt.Sprint("again", n))
+			for _, m := range c.machines {
 				moved += m.replica.Differences().Moved
 			}
 		}
-		// A comparison takes a round trip for each 50 adds: 3 to 4 s for all of them here, and
-		// the adds that it moves may have to be compared again.
+		// A comparison takes a round trip for each 50 adds: 3 to 4 s for all adds here. The adds
+		// that it moves may have to be compared again.
 		for range 800 {
-			w.step()
+			c.step()
 		}
-		if err := w.checkKept(); err != nil {
+		if err := c.checkConverged(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 	if moved == 0 {
-		t.Error("no number was given twice")
+		t.Error("no number was assigned twice")
 	}
 }
 
-// TestReplacedAddsCountOnce: whatever stands at a position, the sums are those of a set that
-// held the new adds from the start.
+// TestReplacedAddsCountOnce checks that after any replacements the totals and the digest equal
+// those of a set built from the final adds.
 func TestReplacedAddsCountOnce(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -73,11 +74,11 @@
 		}
 		for _, tally := range []string{"t0", "t1"} {
 			if set.Total(tally) != want.Total(tally) {
-				t.Fatalf("seed %d: %s is %d, counted anew %d", seed, tally, set.Total(tally), want.Total(tally))
+				t.Fatalf("seed %d: total of %s is %d, want %d", seed, tally, set.Total(tally), want.Total(tally))
 			}
 		}
 		if set.Contents() != want.Contents() {
-			t.Fatalf("seed %d: the digest of the contents is not that of a new set", seed)
+			t.Fatalf("seed %d: contents digest differs from that of a new set with the same adds", seed)
 		}
 	}
 }
--- a/internal/tally/replica_test.go
+++ b/internal/tally/replica_test.go
@@ -9,118 +9,122 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// troubleSeeds is how many days of troubles are played.
-var troubleSeeds = flag.Int64("tally.seeds", 12, "seeds of TestTalliesUnderTroubles")
+// faultSeeds is the number of seeds that the fault tests run.
+var faultSeeds = flag.Int64("tally.seeds", 12, "number of seeds of TestReplicasUnderFaults")
 
 var testStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func testConfig(origin string) Config {
 	return Config{Origin: origin, Copies: 2, PeerTimeout: 1200 * time.Millisecond, AnswerTimeout: 400 * time.Millisecond,
-		ExchangeInterval: 500 * time.Millisecond, RepeatInterval: 250 * time.Millisecond, StartupTimeout: 1500 * time.Millisecond, MaxBytes: 1 << 20, MaxMessageAdds: 50}
+		ExchangeInterval: 500 * time.Millisecond, RepeatInterval: 250 * time.Millisecond,
+		StartupTimeout: 1500 * time.Millisecond, MaxBytes: 1 << 20, MaxMessageAdds: 50}
 }
 
-// TestTalliesUnderTroubles: nothing acknowledged is lost, nothing counts twice, and three
-// seconds after the last trouble all show the same and hold the same.
-func TestTalliesUnderTroubles(t *testing.T) {
-	for seed := range *troubleSeeds {
-		if err := newWorld(seed, 5).playTroubles(); err != nil {
+// TestReplicasUnderFaults checks that no acknowledged add is lost, none counts twice, and all
+// replicas show and hold the same adds three seconds after the last fault.
+func TestReplicasUnderFaults(t *testing.T) {
+	for seed := range *faultSeeds {
+		if err := newCluster(seed, 5).runWithFaults(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-// TestAddsSentBeforeTheirWriteAreFound: replicas that tell of adds that are not on their disks
-// come to hold different adds under one number, which the check of the contents finds.
-func TestAddsSentBeforeTheirWriteAreFound(t *testing.T) {
-	for seed := range *troubleSeeds {
-		w := newWorld(seed, 5)
-		w.sendsUnwritten = true
-		if w.playTroubles() != nil {
+// TestSendingBeforeWriteIsDetected checks that the contents check detects replicas that send adds
+// before they are on their disks, and so come to hold different adds under one number.
+func TestSendingBeforeWriteIsDetected(t *testing.T) {
+	for seed := range *faultSeeds {
+		c := newCluster(seed, 5)
+		c.sendsBeforeWrite = true
+		if c.runWithFaults() != nil {
 			return
 		}
 	}
-	t.Error("not found by any seed")
+	t.Error("not detected with any seed")
 }
 
-// TestSlowIsNotCutOff: an add is not acknowledged while the others that are needed answer,
-// and have it not on their disks yet; it is once they are silent.
-func TestSlowIsNotCutOff(t *testing.T) {
-	w := newWorld(1, 3)
+// TestSlowPeerIsNotUnresponsive checks that an add is not acknowledged while the peers that are
+// needed respond but have not written it yet, and that it is acknowledged once they are
+// unresponsive.
+func TestSlowPeerIsNotUnresponsive(t *testing.T) {
+	c := newCluster(1, 3)
 	for range 100 {
-		w.step()
+		c.step()
 	}
-	w.machines[1].stalled, w.machines[2].stalled = true, true
-	w.add(0, "slow")
+	c.machines[1].diskStalled, c.machines[2].diskStalled = true, true
+	c.add(0, "slow")
 	for range 85 {
-		w.step()
+		c.step()
 	}
-	if w.kept["slow"] {
-		t.Fatal("acknowledged, and on one disk")
+	if c.acknowledgedIDs["slow"] {
+		t.Fatal("acknowledged while on one disk only")
 	}
-	w.machines[1].stalled = false
-	w.add(0, "slow") // the caller tries again
+	c.machines[1].diskStalled = false
+	c.add(0, "slow") // the caller retries
 	for range 30 {
-		w.step()
+		c.step()
 	}
-	if !w.kept["slow"] {
-		t.Fatal("on two disks, and not acknowledged")
+	if !c.acknowledgedIDs["slow"] {
+		t.Fatal("not acknowledged while on two disks")
 	}
-	w.cut[[2]int{0, 1}], w.cut[[2]int{1, 0}], w.cut[[2]int{0, 2}], w.cut[[2]int{2, 0}] = true, true, true, true
-	w.add(0, "alone")
-	begin := w.now
-	for !w.kept["alone"] && w.now.Sub(begin) < 2*time.Second {
-		w.step()
+	c.blocked[[2]int{0, 1}], c.blocked[[2]int{1, 0}], c.blocked[[2]int{0, 2}], c.blocked[[2]int{2, 0}] =
+		true, true, true, true
+	c.add(0, "alone")
+	begin := c.now
+	for !c.acknowledgedIDs["alone"] && c.now.Sub(begin) < 2*time.Second {
+		c.step()
 	}
-	if took := w.now.Sub(begin); took < 400*time.Millisecond || took > 800*time.Millisecond {
-		t.Errorf("acknowledged after %v of a partition", took)
+	if took := c.now.Sub(begin); took < 400*time.Millisecond || took > 800*time.Millisecond {
+		t.Errorf("acknowledged %v after the partition began, want 400 to 800 ms", took)
 	}
 	for range 100 {
-		w.step()
+		c.step()
 	}
-	w.add(0, "soon")
+	c.add(0, "soon")
 	for range 3 {
-		w.step()
+		c.step()
 	}
-	if !w.kept["soon"] {
-		t.Error("in a partition that is known an add waits")
+	if !c.acknowledgedIDs["soon"] {
+		t.Error("add waits although the peers are known to be unresponsive")
 	}
 }
 
-// TestPlantedBreaksAreFound: a replica that acknowledges too early, and one that counts an
-// ID twice, break what the checks hold.
-func TestPlantedBreaksAreFound(t *testing.T) {
-	w := newWorld(1, 3)
+// TestInjectedDefectsAreDetected checks that a replica that acknowledges too early, and one that
+// counts an ID twice, violate the properties that the other tests check.
+func TestInjectedDefectsAreDetected(t *testing.T) {
+	c := newCluster(1, 3)
 	for range 100 {
-		w.step()
+		c.step()
 	}
-	w.machines[0].replica.config.Copies = 1
-	w.add(0, "x")
+	c.machines[0].replica.config.Copies = 1
+	c.add(0, "x")
 	for range 2 {
-		w.step()
-		w.inFlight = nil
+		c.step()
+		c.inFlight = nil
 	}
-	if !w.kept["x"] {
+	if !c.acknowledgedIDs["x"] {
 		t.Fatal("not acknowledged")
 	}
-	w.machines[0].disk, w.machines[0].writing = nil, nil
-	w.start(0)
+	c.machines[0].disk, c.machines[0].writing = nil, nil
+	c.start(0)
 	for range 300 {
-		w.step()
+		c.step()
 	}
-	if total, _ := w.machines[1].replica.Read("t", nil, w.now); total >= w.sent["x"] {
-		t.Error("an add that was on one disk alone is still there")
+	if total, _ := c.machines[1].replica.Read("t", nil, c.now); total >= c.sentAmounts["x"] {
+		t.Error("add that was on one lost disk only is still there")
 	}
 	double := NewSet()
 	merge(double, Run{Origin: "a", First: 1, Adds: []Add{testAdd("t", "x", 3)}})
-	double.entries = map[ID]place{} // it forgets what has counted
+	double.positionByID = map[ID]location{} // forgets what has counted
 	merge(double, Run{Origin: "b", First: 1, Adds: []Add{testAdd("t", "x", 3)}})
 	if double.Total("t") != 6 {
-		t.Error("the planted break doesn't double")
+		t.Error("the injected defect doesn't count the ID twice")
 	}
 }
 
-// TestReadsOfWhatACallerKnows: a replica that lacks it says so.
-func TestReadsOfWhatACallerKnows(t *testing.T) {
+// TestReadAfterVector checks that a replica that lacks adds of the caller's vector refuses the
+// read, and that a replica with peers refuses reads until StartupTimeout.
+func TestReadAfterVector(t *testing.T) {
 	replica := NewReplica(testConfig("a"), []Run{{Origin: "b", First: 1, Adds: []Add{testAdd("t", "1", 4)}}}, 1, testStart)
 	for _, c := range []struct {
 		after Vector
@@ -131,17 +135,17 @@
 		}
 	}
 	replica.SetPeers([]string{"other"})
-	if _, result := replica.Read("t", nil, testStart); result != ResultStarted {
-		t.Errorf("just started: %v", result)
+	if _, result := replica.Read("t", nil, testStart); result != ResultStarting {
+		t.Errorf("right after start: %v, want ResultStarting", result)
 	}
 	if _, result := replica.Read("t", nil, testStart.Add(2*time.Second)); result != ResultOK {
-		t.Errorf("alone for long: %v", result)
+		t.Errorf("after StartupTimeout without peers: %v, want ResultOK", result)
 	}
 }
 
-// TestNoRoom: beyond the bound adds are refused, those that have counted are not, and what
-// other replicas bring is taken.
-func TestNoRoom(t *testing.T) {
+// TestFullFileRefusesNewAdds checks that a full file refuses new adds, but neither repeated IDs nor
+// adds from other replicas.
+func TestFullFileRefusesNewAdds(t *testing.T) {
 	config := testConfig("a")
 	config.MaxBytes = 100
 	replica := NewReplica(config, nil, 0, testStart)
@@ -154,60 +158,62 @@
 		replica.Receive("other", Message{Vector: Vector{"a": 1}, Whole: true, Digest: digestOf(Vector{"a": 1})}, testStart)
 	}
 	if len(results) != 3 || results[0] != ResultOK || results[1] != ResultFull || results[2] != ResultOK {
-		t.Errorf("%v", results)
+		t.Errorf("results: %v", results)
 	}
 	replica.Receive("other", Message{Runs: []Run{{Origin: "b", First: 1, Adds: []Add{testAdd("t", "3", 1)}}}}, testStart)
 	if writes := replica.TakeWrites(); len(writes) != 1 {
-		t.Errorf("%v is written of what another replica has", writes)
+		t.Errorf("writes for an add of another replica: %v, want one", writes)
 	}
 }
 
-// TestOlderCopyOfAFile: a replica whose file is an older copy of itself gives no number until
-// the others have brought back what it lacks, and then goes on behind it.
-func TestOlderCopyOfAFile(t *testing.T) {
-	w := newWorld(5, 3)
+// TestRestoredOlderFile checks that a replica whose file is an older copy of itself assigns no
+// number until its peers have sent back the missing adds, and then continues after them.
+func TestRestoredOlderFile(t *testing.T) {
+	c := newCluster(5, 3)
 	for range 100 {
-		w.step()
+		c.step()
 	}
 	older := 0
 	for n := range 6 {
-		w.add(0, fmt.Sprint("a", n))
+		c.add(0, fmt.Sprint("a", n))
 		for range 20 {
-			w.step()
+			c.step()
 		}
 		if n == 2 {
-			older = len(w.machines[0].disk)
+			older = len(c.machines[0].disk)
 		}
 	}
-	w.machines[0].disk = w.machines[0].disk[:older]
-	w.start(0)
-	w.machines[0].replica.Receive("m1", Message{Whole: true, Vector: w.machines[1].replica.set.Vector(), Digest: w.machines[1].replica.set.Digest()}, w.now)
+	c.machines[0].disk = c.machines[0].disk[:older]
+	c.start(0)
+	c.machines[0].replica.Receive("m1", Message{Whole: true, Vector: c.machines[1].replica.set.Vector(),
+		Digest: c.machines[1].replica.set.Digest()}, c.now)
 	refused := ResultOK
-	w.machines[0].replica.Change(testAdd("t", "b", 1), w.now, func(result Result, _ Position) { refused = result })
+	c.machines[0].replica.Change(testAdd("t", "b", 1), c.now, func(result Result, _ Position) { refused = result })
 	if refused != ResultBehind {
-		t.Errorf("an add is taken: %v", refused)
+		t.Errorf("change returned %v, want ResultBehind", refused)
 	}
 	for range 200 {
-		w.step()
+		c.step()
 	}
-	w.add(0, "c")
+	c.add(0, "c")
 	for range 100 {
-		w.step()
+		c.step()
 	}
-	if !w.kept["c"] {
-		t.Error("no add is taken once all is back")
+	if !c.acknowledgedIDs["c"] {
+		t.Error("add not acknowledged after the missing adds are back")
 	}
-	if err := w.checkKept(); err != nil {
+	if err := c.checkConverged(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestMonthOfRestarts: what replicas keep and tell doesn't grow with restarts and lost disks,
-// but for the adds themselves and one number for each file there ever was.
-func TestMonthOfRestarts(t *testing.T) {
-	w := newWorld(3, 5)
+// TestRestartsDoNotGrowState checks that the state and the messages of replicas don't grow with
+// restarts and lost disks, except for the adds themselves and one number for each file that ever
+// existed.
+func TestRestartsDoNotGrowState(t *testing.T) {
+	c := newCluster(3, 5)
 	size, calm := 0, false
-	w.onMessage = func(message Message) {
+	c.onMessage = func(message Message) {
 		raw, err := cbor.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
@@ -216,39 +222,39 @@
 			size = max(size, len(raw))
 		}
 	}
-	for life := range 300 { // ten restarts a day of five servers, of which one loses its disk
-		victim := life % 5
-		if life%10 == 0 {
-			w.machines[victim].disk, w.machines[victim].writing = nil, nil
+	for restart := range 300 { // ten restarts a day of five servers; each tenth one loses its disk
+		victim := restart % 5
+		if restart%10 == 0 {
+			c.machines[victim].disk, c.machines[victim].writing = nil, nil
 		}
-		w.start(victim)
+		c.start(victim)
 		for range 70 {
-			w.step()
+			c.step()
 		}
-		w.add(victim, fmt.Sprint("id", life))
+		c.add(victim, fmt.Sprint("id", restart))
 		for range 40 {
-			w.step()
+			c.step()
 		}
 	}
 	for range 400 {
-		w.step()
+		c.step()
 	}
-	if err := w.checkKept(); err != nil {
+	if err := c.checkConverged(); err != nil {
 		t.Fatal(err)
 	}
 	most := 0
-	for _, m := range w.machines {
+	for _, m := range c.machines {
 		most = max(most, len(m.replica.set.Vector()))
 	}
-	if files := 5 + 30; most > files {
-		t.Errorf("%d origins of %d files", most, files)
+	if fileCount := 5 + 30; most > fileCount {
+		t.Errorf("%d origins for %d files", most, fileCount)
 	}
 	calm = true
 	for range 200 {
-		w.step()
+		c.step()
 	}
 	if size > 60 {
-		t.Errorf("a message of a calm time has %d bytes", size)
+		t.Errorf("message without faults has %d bytes, want at most 60", size)
 	}
-	t.Logf("%d origins after 300 lives and 30 lost disks, %d bytes for the largest message of a calm time", most, size)
+	t.Logf("%d origins after 300 restarts and 30 lost disks, %d bytes for the largest message without faults", most, size)
 }
--- a/internal/tally/set_test.go
+++ b/internal/tally/set_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// testAdd is an add with a caller's ID.
+// testAdd returns an add with a caller's ID.
 func testAdd(name, id string, amount int64) Add {
 	return Add{Tally: name, ID: NewID(name, id), Amount: amount}
 }
 
-// merge stages a run and takes it as written at once; it gives how many adds were new.
+// merge stages a run, marks it written and returns how many adds were new.
 func merge(s *Set, run Run) int {
 	taken := s.Stage(run)
 	s.MarkWritten(taken)
 	return len(taken.Adds)
 }
 
-// randomRuns draws adds of some origins, of which some IDs come twice, as runs of one add.
+// randomRuns returns random adds of three origins as runs of one add; some IDs repeat.
 func randomRuns(random *rand.Rand) []Run {
 	var runs []Run
 	for origin := range 3 {
@@ -32,9 +32,9 @@
 	return runs
 }
 
-// TestMergeIsAUnion: the same adds give the same sums and the same vector in any order, with
-// any repeats and by way of any replicas.
-func TestMergeIsAUnion(t *testing.T) {
+// TestMergeIsUnion checks that the same adds give the same totals and the same vector in any order,
+// with any repetitions and by way of any replicas.
+func TestMergeIsUnion(t *testing.T) {
 	for seed := range int64(300) {
 		random := rand.New(rand.NewSource(seed))
 		runs := randomRuns(random)
@@ -55,7 +55,7 @@
 		sets := []*Set{NewSet(), NewSet(), NewSet()}
 		for step := 0; !maps.Equal(sets[0].Vector(), want.Vector()) || !maps.Equal(sets[1].Vector(), want.Vector()); step++ {
 			if step > 10000 {
-				t.Fatalf("seed %d: the sets don't meet", seed)
+				t.Fatalf("seed %d: the sets don't converge", seed)
 			}
 			to, from := sets[random.Intn(3)], sets[random.Intn(3)]
 			if random.Intn(2) == 0 {
@@ -64,9 +64,9 @@
 			}
 			vector := to.Vector()
 			if random.Intn(3) == 0 {
-				vector = Vector{} // what it has comes again
+				vector = Vector{} // adds that it has are sent again
 			}
-			for _, run := range from.Missing(vector, 1+random.Intn(5)) {
+			for _, run := range from.AddsAfter(vector, 1+random.Intn(5)) {
 				merge(to, run)
 			}
 		}
@@ -78,8 +78,9 @@
 	}
 }
 
-// TestGapsAreNotTaken: what an acknowledgement by a number covers has no gap.
-func TestGapsAreNotTaken(t *testing.T) {
+// TestStageRejectsGaps checks that Stage accepts no add after a gap, since an acknowledgement by
+// number covers all lower numbers.
+func TestStageRejectsGaps(t *testing.T) {
 	add := func(id string) Add { return testAdd("t", id, 1) }
 	for _, c := range []struct {
 		run   Run
@@ -101,13 +102,13 @@
 		}
 		before := set.Vector()["a"]
 		if taken := merge(set, c.run); taken != c.taken || set.Vector()["a"] != before+uint64(taken) {
-			t.Errorf("%+v: %d taken, the vector is %v", c.run, taken, set.Vector())
+			t.Errorf("%+v: %d adds staged, vector %v", c.run, taken, set.Vector())
 		}
 	}
 }
 
-// TestLargerAmountCounts: of two amounts for one ID the larger counts in any order, and only
-// what is written counts.
+// TestLargerAmountCounts checks that of two amounts for one ID the larger counts in any order, and
+// that only written adds count.
 func TestLargerAmountCounts(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -118,7 +119,8 @@
 			origin, id := fmt.Sprint("o", random.Intn(3)), fmt.Sprint(random.Intn(4))
 			if random.Intn(2) == 0 {
 				add := testAdd("t", id, int64(1+random.Intn(9)))
-				staged[origin] = append(staged[origin], set.Stage(Run{Origin: origin, First: set.Newest(origin) + 1, Adds: []Add{add}}))
+				staged[origin] = append(staged[origin],
+					set.Stage(Run{Origin: origin, First: set.LastNumber(origin) + 1, Adds: []Add{add}}))
 			} else if len(staged[origin]) > 0 {
 				set.MarkWritten(staged[origin][0])
 				staged[origin] = staged[origin][1:]
@@ -129,7 +131,7 @@
 				set.MarkWritten(run)
 			}
 		}
-		for _, run := range set.Missing(nil, 1000) {
+		for _, run := range set.AddsAfter(nil, 1000) {
 			for _, add := range run.Adds {
 				largest[string(add.ID[:])] = max(largest[string(add.ID[:])], add.Amount)
 			}
@@ -138,8 +140,9 @@
 		for _, amount := range largest {
 			want += amount
 		}
-		if set.Total("t") != want || len(set.superseded) != 0 {
-			t.Fatalf("seed %d: %d, want %d, with %d left over", seed, set.Total("t"), want, len(set.superseded))
+		if set.Total("t") != want || len(set.supersededAmounts) != 0 {
+			t.Fatalf("seed %d: total %d, want %d, %d superseded amounts left",
+				seed, set.Total("t"), want, len(set.supersededAmounts))
 		}
 	}
 }
