--- a/internal/aggregator/batcher.go
+++ b/internal/aggregator/batcher.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// renewalInterval is how long an aggregator collects lease renewals before it sends them.
+	// renewalInterval is how long the aggregator collects lease renewals before it sends them.
 	renewalInterval = 150 * time.Millisecond
-	// batchInterval is the least time between two batches of requests other than renewals.
+	// batchInterval is the minimum time between two batches of requests other than renewals.
 	batchInterval = 5 * time.Millisecond
-	// queueLength is the number of requests that may wait in an aggregator.
+	// queueLength is the maximum number of unsent requests in the aggregator, renewals excluded.
 	queueLength = 4096
 )
 
-// Reply carries the response back to one agent; it is called once.
+// Reply sends the response to the agent; it is called once.
 type Reply = func(rpc.Response)
 
 // Batch is one message to the leader, with either Renewals or Requests.
@@ -26,33 +26,33 @@
 	Requests *rpc.Batch
 }
 
-// pendingRequest is a request that waits for its batch, or for the response to it.
+// pendingRequest is a request that is to be sent with a batch, or waits for the response to it.
 type pendingRequest struct {
 	request rpc.Request
 	reply   Reply
 }
 
-// Batcher is the aggregator of one zone. It isn't safe for concurrent use.
+// Batcher is the aggregator of one zone. It is not safe for concurrent use.
 type Batcher struct {
-	disk string // the identity of this aggregator's disk, by which the leader knows it
+	disk string // identifies the disk of this aggregator to the leader
 
-	renewals         map[string]pendingRenewal // by worker
-	renewalsSince    time.Time                 // when the first of them came
-	members          []rpc.BatchMember         // the present set
+	renewals         map[string]pendingRenewal // not sent yet, by worker
+	renewalsSince    time.Time                 // when the first of them was received
+	members          []rpc.BatchMember         // the current set
 	setNumber        uint64
-	leaderHasSet     bool             // the leader is known to hold this set
-	missedBatches    map[string]int   // batches in a row without this member
-	reportedRuntimes map[string]int64 // in percent, as the leader was sent them
+	leaderHasSet     bool             // the leader is known to have the current set
+	missedBatches    map[string]int   // by worker, consecutive batches without a renewal of this member
+	reportedRuntimes map[string]int64 // by worker, last runtime sent to the leader, in percent
 	renewalsInFlight map[uint64]sentRenewals
 
-	requests         []pendingRequest
-	requestsSentAt   time.Time // when the last batch of them was sent
+	requests         []pendingRequest // not sent yet
+	requestsSentAt   time.Time        // when the last batch of requests was sent
 	requestsInFlight map[uint64][]pendingRequest
 
 	lastBatchID uint64
 }
 
-// New builds the aggregator of the server whose disk has this identity.
+// New returns the aggregator of the server with the given disk identity.
 func New(disk string) *Batcher {
 	return &Batcher{
 		disk:             disk,
@@ -64,20 +64,19 @@
 	}
 }
 
-// Enqueue takes any request but the renewal of a lease; false if too many wait
-// already.
+// Enqueue accepts any request except a lease renewal; it returns false if the queue is full.
 func (b *Batcher) Enqueue(request rpc.Request, reply Reply) bool {
 	if len(b.requests) >= queueLength {
-		// The new one is refused: older ones hold completions that jobs wait for,
-		// and its agent tries again.
+		// The new request is refused: older ones contain completions that jobs wait for, and the
+		// agent of the new one retries.
 		return false
 	}
 	b.requests = append(b.requests, pendingRequest{request, reply})
 	return true
 }
 
-// DueBatches returns the batches that are due, and after which time it must be
-// called again, 0 for never.
+// DueBatches returns the batches that are due, and the time until it must be called again; 0 if
+// there is nothing to send.
 func (b *Batcher) DueBatches(now time.Time) ([]Batch, time.Duration) {
 	var batches []Batch
 	wake := time.Duration(0)
@@ -104,7 +103,7 @@
 	return batches, wake
 }
 
-// requestBatch takes all waiting requests into a batch.
+// requestBatch moves all unsent requests into a batch.
 func (b *Batcher) requestBatch() Batch {
 	b.lastBatchID++
 	batch := &rpc.Batch{}
@@ -116,47 +115,46 @@
 	return Batch{ID: b.lastBatchID, Requests: batch}
 }
 
-// HandleResponses takes the leader's response to a batch of requests: each holds
-// those to the requests, in their order; if they are too few, the rest get the
+// HandleResponses handles the leader's response to a batch of requests. responses holds the
+// responses to the single requests, in order; if there are too few, the remaining requests get the
 // response to the whole batch.
-func (b *Batcher) HandleResponses(batchID uint64, response rpc.Response, each []rpc.Response) {
+func (b *Batcher) HandleResponses(batchID uint64, response rpc.Response, responses []rpc.Response) {
 	sent := b.requestsInFlight[batchID]
 	delete(b.requestsInFlight, batchID)
 	for i, waiting := range sent {
-		own := response
-		own.Body = nil
-		if i < len(each) {
-			own = each[i]
-			own.AppliedIndex, own.ConfigVersion = response.AppliedIndex, response.ConfigVersion
+		result := response
+		result.Body = nil
+		if i < len(responses) {
+			result = responses[i]
+			result.AppliedIndex, result.ConfigVersion = response.AppliedIndex, response.ConfigVersion
 		} else if response.Code == rpc.CodeOK {
-			own.Code = rpc.CodeLeadershipLost
+			result.Code = rpc.CodeLeadershipLost
 		}
-		waiting.reply(own)
+		waiting.reply(result)
 	}
 }
 
-// FailAll gives a response to all that was not sent: this server can't aggregate
-// for its zone any more.
+// FailAll sends a response to all unsent requests, when this server can no longer aggregate for its
+// zone.
 func (b *Batcher) FailAll(response rpc.Response) {
 	for _, unsent := range b.TakeUnsent() {
 		unsent.Reply(response)
 	}
 }
 
-// Outstanding counts the requests without a response, where a batch counts as one.
+// Outstanding returns the number of requests without a response; a batch in flight counts as one.
 func (b *Batcher) Outstanding() int {
 	return len(b.renewals) + len(b.requests) + len(b.renewalsInFlight) + len(b.requestsInFlight)
 }
 
-// Unsent is a request that was not sent to the leader, with the way back to its
-// agent.
+// Unsent is a request that was not sent to the leader, with the function that replies to its agent.
 type Unsent struct {
 	Request rpc.Request
 	Reply   Reply
 }
 
-// TakeUnsent removes and returns what was not sent: this server leads now, and
-// handles it itself.
+// TakeUnsent removes and returns all unsent requests, when this server has become the leader and
+// handles them itself.
 func (b *Batcher) TakeUnsent() []Unsent {
 	var unsent []Unsent
 	for _, waiting := range b.renewals {
--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -10,8 +10,8 @@
 	"tealpond/internal/transport"
 )
 
-// leaderModel is a plain model of the leader: it renews the leases of those that ask
-// under the right fence, and counts them.
+// leaderModel is a simple model of the leader: it renews the leases of workers that request it
+// under the correct fence, and counts the renewals.
 type leaderModel struct {
 	setNumber uint64
 	members   []rpc.BatchMember
@@ -20,8 +20,8 @@
 	now       time.Time
 }
 
-// handle returns the response to a batch: to renewals with the refusals, to requests
-// with one response each.
+// handle returns the response to a batch: for renewals with the refusals, for requests with one
+// response each.
 func (l *leaderModel) handle(batch Batch) (rpc.Response, []rpc.MemberRefusal, []rpc.Response) {
 	if batch.Requests != nil {
 		var responses []rpc.Response
@@ -51,41 +51,41 @@
 	return rpc.Response{Code: rpc.CodeOK, Value: 3500}, refusals, nil
 }
 
-// respond handles a batch and hands the response to its aggregator.
+// respond handles a batch and passes the response to its aggregator.
 func (l *leaderModel) respond(batcher *Batcher, batch Batch) {
-	response, refusals, each := l.handle(batch)
+	response, refusals, responses := l.handle(batch)
 	if batch.Renewals != nil {
 		batcher.HandleRenewals(batch.ID, response, refusals, l.now)
 	} else {
-		batcher.HandleResponses(batch.ID, response, each)
+		batcher.HandleResponses(batch.ID, response, responses)
 	}
 }
 
-// checkRenewals checks the counts by worker: the leader renews no more often than it
-// was asked, and no agent hears of more renewals than the leader made.
+// checkRenewals checks the counts by worker: the leader makes no more renewals than were requested,
+// and no agent is told of more renewals than the leader made.
 func checkRenewals(t *testing.T, granted, requested, answered map[string]int) {
 	t.Helper()
 	for worker, n := range granted {
 		if n > requested[worker] {
-			t.Fatalf("%s was renewed %d times and asked %d times", worker, n, requested[worker])
+			t.Fatalf("%s: %d renewals for %d requests", worker, n, requested[worker])
 		}
 	}
 	for worker, n := range answered {
 		if n > granted[worker] {
-			t.Fatalf("%s heard of %d renewals, the leader made %d", worker, n, granted[worker])
+			t.Fatalf("%s: %d renewals reported to the agent, but only %d made by the leader", worker, n, granted[worker])
 		}
 	}
 }
 
-// TestLeasesAreGrantedOnlyToRequesters holds the rule on which leases rest: a worker
-// that sent no request since its last renewal gets none, whatever set it is in,
-// while batches are lost, new leaders know no set, and fences rise.
+// TestLeasesAreGrantedOnlyToRequesters checks the rule that makes aggregated leases safe: a worker
+// that sent no request since its last renewal gets none, whatever set it is in, while batches are
+// lost, new leaders know no set, and fences rise.
 func TestLeasesAreGrantedOnlyToRequesters(t *testing.T) {
 	random := rand.New(rand.NewSource(5))
 	batcher := New("d")
 	leader := &leaderModel{fences: map[string]int64{}, granted: map[string]int{}, now: time.Unix(1000, 0)}
 	requested, answered, waiting := map[string]int{}, map[string]int{}, map[string]int{}
-	var late []Batch
+	var delayed []Batch
 	for range 5000 {
 		leader.now = leader.now.Add(time.Duration(random.Intn(60)) * time.Millisecond)
 		worker := fmt.Sprint("w", random.Intn(40))
@@ -107,10 +107,10 @@
 		batches, _ := batcher.DueBatches(leader.now)
 		for _, batch := range batches {
 			switch random.Intn(12) {
-			case 0: // never answered in time
+			case 0: // no response within the time-out
 				batcher.HandleRenewals(batch.ID, rpc.Response{Code: rpc.CodeNotLeader}, nil, leader.now)
-			case 1: // answered later, after newer ones
-				late = append(late, batch)
+			case 1: // response after those to newer batches
+				delayed = append(delayed, batch)
 			case 2: // a new leader knows no set
 				leader.setNumber, leader.members = 0, nil
 				leader.respond(batcher, batch)
@@ -118,29 +118,29 @@
 				leader.respond(batcher, batch)
 			}
 		}
-		if len(late) > 2 {
-			leader.respond(batcher, late[0])
-			late = late[1:]
+		if len(delayed) > 2 {
+			leader.respond(batcher, delayed[0])
+			delayed = delayed[1:]
 		}
 		checkRenewals(t, leader.granted, requested, answered)
 	}
-	for _, batch := range late {
+	for _, batch := range delayed {
 		leader.respond(batcher, batch)
 	}
 	batcher.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
 	for worker, n := range waiting {
 		if n != 0 {
-			t.Errorf("%s: %d requests without a response", worker, n)
+			t.Errorf("%s: %d requests without a response, want none", worker, n)
 		}
 	}
 	if batcher.Outstanding() != 0 {
-		t.Errorf("%d still wait", batcher.Outstanding())
+		t.Errorf("%d requests outstanding, want none", batcher.Outstanding())
 	}
 }
 
-// TestSteadyMembersAreSentOnce: a batch does not repeat what the leader knows; more
-// members cost a bit each.
-func TestSteadyMembersAreSentOnce(t *testing.T) {
+// TestMembersAreSentOnce: a batch does not repeat members that the leader knows; each additional
+// member costs one bit.
+func TestMembersAreSentOnce(t *testing.T) {
 	size := func(n int) int {
 		batcher := New("0123456789abcdef01234567")
 		leader := &leaderModel{fences: map[string]int64{}, granted: map[string]int{}, now: time.Unix(1000, 0)}
@@ -162,16 +162,17 @@
 		}
 		return last
 	}
-	small, large := size(10), size(450)
-	t.Logf("a batch: %d bytes for 10 members, %d for 450", small, large)
-	if large > small+450/8+8 {
-		t.Errorf("%d bytes for 10 members, %d for 450", small, large)
+	smallSize, largeSize := size(10), size(450)
+	t.Logf("batch: %d bytes for 10 members, %d for 450", smallSize, largeSize)
+	if largeSize > smallSize+450/8+8 {
+		t.Errorf("batch has %d bytes for 10 members and %d for 450, want about one more bit per member",
+			smallSize, largeSize)
 	}
 }
 
-// TestRequestsKeepOrderAndPace: requests that come close together are one batch, each
-// gets its own response, and a batch without responses fails whole.
-func TestRequestsKeepOrderAndPace(t *testing.T) {
+// TestRequestBatches: requests that arrive within batchInterval are sent as one batch in order,
+// each gets its own response, and a batch without responses fails as a whole.
+func TestRequestBatches(t *testing.T) {
 	batcher := New("d")
 	leader := &leaderModel{now: time.Unix(1000, 0)}
 	got := map[string]rpc.Response{}
@@ -185,7 +186,7 @@
 	enqueue("2")
 	enqueue("3")
 	if batches, wake := batcher.DueBatches(leader.now); len(batches) != 0 || wake <= 0 || wake > batchInterval {
-		t.Fatalf("%d batches, back in %v", len(batches), wake)
+		t.Fatalf("%d batches, next call in %v", len(batches), wake)
 	}
 	leader.now = leader.now.Add(batchInterval)
 	second, _ := batcher.DueBatches(leader.now)
@@ -205,6 +206,6 @@
 		}
 	}
 	if batcher.Enqueue(rpc.Request{}, func(rpc.Response) {}) {
-		t.Error("more than the queue holds was taken")
+		t.Error("request accepted although the queue is full")
 	}
 }
--- a/internal/aggregator/renewals.go
+++ b/internal/aggregator/renewals.go
@@ -7,37 +7,38 @@
 	"tealpond/internal/rpc"
 )
 
-// maxMissedBatches is the number of consecutive batches that a member may miss before it is left
-// out of the next member list.
+// maxMissedBatches is the number of consecutive batches without a renewal of a member after which
+// the member is left out of the next set.
 const maxMissedBatches = 20
 
-// pendingRenewal is a renewal of a lease that waits for its batch.
+// pendingRenewal is a lease renewal that is to be sent with a batch, or waits for the response to
+// it.
 type pendingRenewal struct {
 	request rpc.LeaseRenewal
 	reply   Reply
 }
 
-// sentRenewals is a batch of renewals without a response yet.
+// sentRenewals is a batch of renewals that has no response yet.
 type sentRenewals struct {
 	members  []rpc.BatchMember
 	renewals map[string]pendingRenewal
 }
 
-// Renew takes the renewal of a lease. A second one of the same worker takes the
-// place of the first: its clock was read later.
+// Renew accepts a lease renewal. A newer renewal of the same worker replaces the older one, since
+// its clock was read later.
 func (b *Batcher) Renew(request rpc.LeaseRenewal, reply Reply, now time.Time) {
 	if len(b.renewals) == 0 {
 		b.renewalsSince = now
 	}
 	if old, ok := b.renewals[request.Worker]; ok {
-		// It gets its response at once, since it will be in no batch.
+		// The older renewal is answered at once, since it will be in no batch.
 		old.reply(rpc.Response{Code: rpc.CodeNotLeader})
 	}
 	b.renewals[request.Worker] = pendingRenewal{request, reply}
 }
 
-// renewalBatch names the steady members by the number of their set, and says by
-// one bit each which of them ask for a renewal this time.
+// renewalBatch moves all unsent renewals into a batch. It identifies the members by the number of
+// their set, and marks with one bit each which of them request a renewal in this batch.
 func (b *Batcher) renewalBatch() Batch {
 	matching := 0
 	for _, member := range b.members {
@@ -61,7 +62,7 @@
 			continue
 		}
 		batch.Requested[i>>3] |= 1 << (i & 7)
-		if runtime := waiting.request.RuntimePercent; differsByATenth(runtime, b.reportedRuntimes[member.Worker]) {
+		if runtime := waiting.request.RuntimePercent; differsByOverTenth(runtime, b.reportedRuntimes[member.Worker]) {
 			b.reportedRuntimes[member.Worker] = runtime
 			batch.Runtimes = append(batch.Runtimes, rpc.MemberRuntime{Member: i, RuntimePercent: runtime})
 		}
@@ -72,15 +73,15 @@
 	return Batch{ID: b.lastBatchID, Renewals: batch}
 }
 
-// differsByATenth reports whether a runtime is worth reporting, since the scheduler
-// uses rough values: whether it differs from the reported one by over a tenth.
-func differsByATenth(runtime, reported int64) bool {
+// differsByOverTenth reports whether a runtime differs from the reported one by more than a tenth.
+// Smaller changes are not reported, since the scheduler uses approximate values.
+func differsByOverTenth(runtime, reported int64) bool {
 	change := runtime - reported
 	return change*change*100 > runtime*runtime
 }
 
-// renumberSet makes a new set: the workers that ask now, and those of the old set
-// that asked lately.
+// renumberSet starts a new set: the workers that request a renewal now, and the members of the old
+// set that did so within maxMissedBatches.
 func (b *Batcher) renumberSet() {
 	var members []rpc.BatchMember
 	missed := map[string]int{}
@@ -98,9 +99,9 @@
 	b.setNumber++
 }
 
-// HandleRenewals takes the leader's response to a batch of renewals, with the
-// members that were refused. With rpc.CodeUnknownSet the renewals go into the next
-// batch, which names the members of the set.
+// HandleRenewals handles the leader's response to a batch of renewals, with the members that were
+// refused. After rpc.CodeUnknownSet the renewals are sent again with the next batch, which lists
+// the members of the set.
 func (b *Batcher) HandleRenewals(batchID uint64, response rpc.Response, refusals []rpc.MemberRefusal, now time.Time) {
 	sent, ok := b.renewalsInFlight[batchID]
 	if !ok {
@@ -122,19 +123,18 @@
 		}
 	}
 	for worker, waiting := range sent.renewals {
-		own := response
-		own.Body = nil
+		result := response
+		result.Body = nil
 		if code := codes[worker]; code != 0 && response.Code == rpc.CodeOK {
-			own.Code = code
+			result.Code = code
 		}
-		waiting.reply(own)
+		waiting.reply(result)
 	}
 }
 
-// requeue puts renewals that the leader did not decide into the next batch, which
-// is due at once. The agents read their clocks before they sent the renewals, so a
-// lease that is renewed by a later batch still ends no later at the agent than at the
-// leader.
+// requeue adds renewals that the leader did not decide to the next batch, which is due at once. The
+// agents read their clocks before they sent the renewals, so a lease that is renewed by a later
+// batch still ends no later at the agent than at the leader.
 func (b *Batcher) requeue(renewals map[string]pendingRenewal, now time.Time) {
 	for worker, waiting := range renewals {
 		if _, ok := b.renewals[worker]; ok {
@@ -146,7 +146,7 @@
 	}
 }
 
-// sameSlice reports whether two sets are one slice, not merely equal ones.
+// sameSlice reports whether two sets are the same slice, not merely equal.
 func sameSlice(x, y []rpc.BatchMember) bool {
 	return len(x) == len(y) && (len(x) == 0 || &x[0] == &y[0])
 }
