--- a/internal/clusterconfig/bench_test.go
+++ b/internal/clusterconfig/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// configOfRoutes is a configuration with a number of routes, each as long as an
-// operator's.
+// configOfRoutes returns a configuration with the given number of routes, each of
+// the size that operators use.
 func configOfRoutes(routes int) []byte {
 	service := map[string]any{
 		"name": "huvo11a", "healthPath": "/health", "maxConns": 64, "protocol": "h1", "tls": false, "guards": true,
--- a/internal/clusterconfig/change.go
+++ b/internal/clusterconfig/change.go
@@ -5,44 +5,46 @@
 	"strings"
 )
 
-// listNames are the lists of a configuration whose items a change may name.
+// listNames are the lists of a configuration whose items a change can upsert or
+// remove.
 var listNames = []string{"routeList", "serviceList", "tenantList"}
 
-// change is a change of single items of a configuration, as operators send it.
+// change upserts and removes single items of a configuration, in the format that
+// operators submit.
 type change struct {
 	Version int64                      `json:"configVersion"`
 	Upsert  map[string]json.RawMessage `json:"upsert"`
 	Remove  map[string][]string        `json:"remove"`
 }
 
-// ApplyChange makes the text of the configuration that a change turns another one into:
-// items are added, replaced or removed by their names, and all else stays as it was. The
-// result is still to be parsed. The error is of class Error.
+// ApplyChange applies a change to the configuration base and returns the JSON text of
+// the result. Items are added, replaced or removed by name; everything else is kept. The
+// caller must still parse the result. The error is of class Error.
 func ApplyChange(base, raw []byte) ([]byte, error) {
 	var c change
 	if err := json.Unmarshal(raw, &c); err != nil {
 		return nil, Error.New("the change cannot be read whole: %v", err)
 	}
-	whole := map[string]json.RawMessage{}
+	config := map[string]json.RawMessage{}
 	if len(base) > 0 {
-		if err := json.Unmarshal(base, &whole); err != nil {
+		if err := json.Unmarshal(base, &config); err != nil {
 			return nil, Error.New("the configuration in force cannot be read: %v", err)
 		}
 	}
-	if whole == nil {
+	if config == nil {
 		return nil, Error.New("no configuration is in force")
 	}
 	for _, name := range listNames {
-		list, err := changeList(whole[name], c.Upsert[name], c.Remove[name])
+		list, err := changeList(config[name], c.Upsert[name], c.Remove[name])
 		if err != nil {
 			return nil, Error.New("%s: %v", name, err)
 		}
 		if list != nil {
-			whole[name] = list
+			config[name] = list
 		}
 	}
 	if limits, ok := c.Upsert["limits"]; ok {
-		whole["limits"] = limits
+		config["limits"] = limits
 	}
 	if problems := unknownLists(&c); len(problems) > 0 {
 		return nil, Error.New("%s", strings.Join(problems, "; "))
@@ -51,12 +53,13 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	whole["configVersion"] = version
-	text, err := json.Marshal(whole)
+	config["configVersion"] = version
+	text, err := json.Marshal(config)
 	return text, Error.Wrap(err)
 }
 
-// unknownLists names the lists of a change that no configuration has.
+// unknownLists returns a problem for each list of a change that is not part of a
+// configuration.
 func unknownLists(c *change) []string {
 	known := map[string]bool{"limits": true}
 	for _, name := range listNames {
@@ -76,7 +79,8 @@
 	return problems
 }
 
-// changeList changes the items of one list; nil if there is nothing to change.
+// changeList applies upserts and removals to one list. It returns nil if there are
+// none.
 func changeList(list, upsert json.RawMessage, remove []string) (json.RawMessage, error) {
 	if len(upsert) == 0 && len(remove) == 0 {
 		return nil, nil
@@ -85,13 +89,13 @@
 	if err != nil {
 		return nil, err
 	}
-	changed, err := namedItems(upsert)
+	upserts, err := namedItems(upsert)
 	if err != nil {
 		return nil, err
 	}
-	replaced := map[string]json.RawMessage{}
-	for _, item := range changed {
-		replaced[item.name] = item.raw
+	pending := map[string]json.RawMessage{}
+	for _, item := range upserts {
+		pending[item.name] = item.raw
 	}
 	removed := map[string]bool{}
 	for _, name := range remove {
@@ -102,28 +106,28 @@
 		if removed[item.name] {
 			continue
 		}
-		if raw, ok := replaced[item.name]; ok {
+		if raw, ok := pending[item.name]; ok {
 			item.raw = raw
-			delete(replaced, item.name)
+			delete(pending, item.name)
 		}
 		result = append(result, item.raw)
 	}
-	for _, item := range changed {
-		if raw, ok := replaced[item.name]; ok {
+	for _, item := range upserts {
+		if raw, ok := pending[item.name]; ok {
 			result = append(result, raw)
-			delete(replaced, item.name)
+			delete(pending, item.name)
 		}
 	}
 	return json.Marshal(result)
 }
 
-// namedItem is an item of a list with its name.
+// namedItem is a list item with the value of its "name" field.
 type namedItem struct {
 	name string
 	raw  json.RawMessage
 }
 
-// namedItems splits a list into its items; no text is an empty list.
+// namedItems decodes a list into its items. An empty text counts as an empty list.
 func namedItems(list json.RawMessage) ([]namedItem, error) {
 	if len(list) == 0 {
 		return nil, nil
--- a/internal/clusterconfig/change_test.go
+++ b/internal/clusterconfig/change_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-const baseOfChanges = `{"configVersion":7,"other":{"kept":1},"routeList":[{"name":"a","hostName":"h","pathPrefix":"/a/","timeoutMs":1,"targetService":"s","unknown":5},` +
+const baseConfig = `{"configVersion":7,"other":{"kept":1},"routeList":[{"name":"a","hostName":"h","pathPrefix":"/a/","timeoutMs":1,"targetService":"s","unknown":5},` +
 	`{"name":"b","hostName":"h","pathPrefix":"/b/","timeoutMs":1,"targetService":"s"}],"serviceList":[{"name":"s"}]}`
 
-// TestChangeOfItems: items are replaced, added and removed by name; all else stays, also
-// what isn't known here.
-func TestChangeOfItems(t *testing.T) {
+// TestApplyChangeByItemName checks that items are replaced, added and removed by name,
+// and that everything else is kept, including unknown fields.
+func TestApplyChangeByItemName(t *testing.T) {
 	change := `{"configVersion":9,"upsert":{"routeList":[{"name":"b","hostName":"h","pathPrefix":"/b2/","timeoutMs":2,"trafficSplit":[{"targetService":"s","share":9},{"targetService":"t","share":1}]},` +
 		`{"name":"c","hostName":"h","pathPrefix":"/c/","timeoutMs":1,"targetService":"t"}],"serviceList":[{"name":"t"}]},"remove":{"routeList":["x"]}}`
-	text, err := ApplyChange([]byte(baseOfChanges), []byte(change))
+	text, err := ApplyChange([]byte(baseConfig), []byte(change))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	}
 	for _, kept := range []string{`"unknown":5`, `"kept":1`} {
 		if !strings.Contains(string(text), kept) {
-			t.Errorf("%s is lost in %s", kept, text)
+			t.Errorf("%s is missing from %s", kept, text)
 		}
 	}
 	if text, err = ApplyChange(text, []byte(`{"configVersion":10,"remove":{"routeList":["a","c"]}}`)); err != nil {
@@ -44,8 +44,9 @@
 	}
 }
 
-// TestFaultyChanges are refused as a whole.
-func TestFaultyChanges(t *testing.T) {
+// TestInvalidChangesAreRejected checks that an invalid change gives an error that names
+// the problem.
+func TestInvalidChangesAreRejected(t *testing.T) {
 	for change, problem := range map[string]string{
 		`{"configVersion":9,"upsert":{"routeList":[`:         "cannot be read whole",
 		`{"configVersion":9,"upsert":{"roadList":[]}}`:       "upsert.roadList: no such list",
@@ -56,7 +57,7 @@
 		`{"configVersion":9,"upsert":{"routeList":[{"name":"a","hostName":"h","pathPrefix":"/a/","timeoutMs":1,"trafficSplit":[{"targetService":"s","share":0}]}]}}`: "add up to 0",
 		`{"configVersion":9,"upsert":{"routeList":[{"name":"a","hostName":"h","pathPrefix":"/a/","timeoutMs":1,"trafficSplit":[{"targetService":"x","share":1}]}]}}`: `"x" is not in serviceList`,
 	} {
-		text, err := ApplyChange([]byte(baseOfChanges), []byte(change))
+		text, err := ApplyChange([]byte(baseConfig), []byte(change))
 		if err == nil {
 			_, err = Parse(text)
 		}
@@ -66,8 +67,9 @@
 	}
 }
 
-// TestSplitKeepsItsShares: parts are drawn by their shares, those of 0 never.
-func TestSplitKeepsItsShares(t *testing.T) {
+// TestTrafficSplitFollowsShares checks that services are chosen in proportion to their
+// shares, and one with a share of 0 never.
+func TestTrafficSplitFollowsShares(t *testing.T) {
 	route := &Route{TargetService: "x", Split: []SplitPart{{"a", 90}, {"none", 0}, {"b", 10}}}
 	random, counts := rand.New(rand.NewSource(1)), map[string]int{}
 	for range 10000 {
@@ -77,16 +79,17 @@
 		t.Errorf("%v of 10000", counts)
 	}
 	if last := route.ServiceFor(0.9999999999); last != "b" {
-		t.Errorf("the end of the range is of %q", last)
+		t.Errorf("a draw at the end of the range chose %q, want \"b\"", last)
 	}
 	if (&Route{TargetService: "x"}).ServiceFor(0.5) != "x" {
-		t.Error("a route without parts has another service")
+		t.Error("a route without a traffic split did not choose its targetService")
 	}
 }
 
-// FuzzApplyChange: no text makes it fail, and what it gives can be read.
+// FuzzApplyChange checks that no input makes ApplyChange panic, and that its result is
+// valid JSON.
 func FuzzApplyChange(f *testing.F) {
-	f.Add([]byte(baseOfChanges), []byte(`{"configVersion":9,"upsert":{"routeList":[{"name":"c"}]}}`))
+	f.Add([]byte(baseConfig), []byte(`{"configVersion":9,"upsert":{"routeList":[{"name":"c"}]}}`))
 	f.Add([]byte(""), []byte(`{}`))
 	f.Add([]byte("null"), []byte(`null`))
 	f.Fuzz(func(t *testing.T, base, change []byte) {
--- a/internal/clusterconfig/config.go
+++ b/internal/clusterconfig/config.go
@@ -9,44 +9,44 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of all errors of a configuration; their texts name the field.
+// Error is the class of all configuration errors. Their messages name the field.
 var Error = errs.Class("configuration")
 
-// Route directs the jobs or requests of one host and path prefix to a service.
+// Route directs the jobs or requests for one host and path prefix to a service.
 type Route struct {
 	Name          string `json:"name"`
-	HostName      string `json:"hostName"` // the case of letters doesn't matter
+	HostName      string `json:"hostName"` // matched case-insensitively
 	PathPrefix    string `json:"pathPrefix"`
 	Kind          string `json:"kind"`
 	TimeoutMs     int64  `json:"timeoutMs"`
 	TargetMs      int64  `json:"targetMs"` // see Stretch
-	Priority      int    `json:"priority"` // 0 goes first
+	Priority      int    `json:"priority"` // 0 is the highest
 	TargetService string `json:"targetService"`
-	MaxAttempts   int    `json:"maxTries"` // a job fails when one of its tasks has failed so many times
-	// Stretch: a job should be done in Stretch times the sum of the estimates on
-	// its critical path, plus TargetMs.
+	MaxAttempts   int    `json:"maxTries"` // a job fails once one of its tasks has failed this many times
+	// Stretch sets the target completion time of a job: Stretch times the sum of
+	// the estimates on its critical path, plus TargetMs.
 	Stretch float64 `json:"stretch"`
-	// Public routes are served without a tenant's key.
+	// Public routes need no tenant's API key.
 	Public bool `json:"public,omitempty"`
-	// Split shares the requests out among several services, instead of TargetService.
+	// Split distributes the requests among several services; it replaces TargetService.
 	Split []SplitPart `json:"trafficSplit,omitempty"`
 }
 
-// SplitPart is a service's part of a route's requests.
+// SplitPart is one service of a traffic split.
 type SplitPart struct {
 	TargetService string  `json:"targetService"`
-	Share         float64 `json:"share"` // against the sum of all parts
+	Share         float64 `json:"share"` // weight relative to the sum over all parts
 }
 
-// Service is a kind of runner.
+// Service is a type of runner.
 type Service struct {
 	Name string `json:"name"`
-	// EnforcesResources: its runners refuse a run for which they lack resources;
-	// the others start every run that they get.
+	// EnforcesResources reports whether runners of the service reject a run for
+	// which they lack resources. Runners of other services start every run.
 	EnforcesResources bool `json:"guards"`
 }
 
-// Limits bound what clients may send; 0: the default.
+// Limits bounds the size and timing of client requests; 0 selects the default.
 type Limits struct {
 	MaxHeaderBytes  int   `json:"maxHeaderBytes"`
 	MaxBodyBytes    int64 `json:"maxBodyBytes"`
@@ -54,21 +54,21 @@
 	IdleTimeoutMs   int64 `json:"idleTimeoutMs"`
 }
 
-// Config is one configuration.
+// Config is a parsed configuration.
 type Config struct {
 	Version  int64     `json:"configVersion"`
 	Routes   []Route   `json:"routeList"`
 	Services []Service `json:"serviceList"`
 	Limits   Limits    `json:"limits"`
-	Raw      []byte    `json:"-" cbor:"raw"` // the text as it was sent
+	Raw      []byte    `json:"-" cbor:"raw"` // the JSON text as submitted
 
-	// tenants are not stored beside the text, which has their keys already: see
-	// RestoreTenants.
+	// tenants is not stored, because Raw already contains the tenants and their
+	// keys; see RestoreTenants.
 	tenants []Tenant
 }
 
-// Parse decodes a configuration and checks that its parts are consistent with one
-// another. The text of the error, which is of class Error, lists all problems.
+// Parse decodes a configuration and checks that its sections are consistent with one
+// another. The error is of class Error, and its message lists all problems.
 func Parse(raw []byte) (*Config, error) {
 	var text struct {
 		Config
@@ -85,8 +85,9 @@
 	return &config, nil
 }
 
-// VersionOf returns the version of a configuration's text without parsing all of it,
-// for traces; 0 if there is none or the text before it can't be parsed.
+// VersionOf returns the version of a configuration without parsing all of its text. It
+// is used for traces. It returns 0 if there is no version or the text before it can't be
+// parsed.
 func VersionOf(raw []byte) int64 {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	if token, err := decoder.Token(); err != nil || token != json.Delim('{') {
@@ -112,7 +113,8 @@
 	return 0
 }
 
-// inconsistencies lists the contradictions between the parts of a configuration.
+// inconsistencies returns the problems within and between the sections of a
+// configuration.
 func inconsistencies(config *Config) []string {
 	var problems []string
 	if config.Version <= 0 {
@@ -128,7 +130,7 @@
 		}
 		serviceNames[service.Name] = true
 	}
-	prefixOwner, routeNames := map[string]string{}, map[string]bool{}
+	routeByPrefix, routeNames := map[string]string{}, map[string]bool{}
 	for i, route := range config.Routes {
 		report := func(field, why string) {
 			problems = append(problems, fmt.Sprintf("routeList[%d].%s: %s", i, field, why))
@@ -157,10 +159,10 @@
 			report("targetService", fmt.Sprintf("%q is not in serviceList", route.TargetService))
 		}
 		key := strings.ToLower(route.HostName) + " " + route.PathPrefix
-		if owner, ok := prefixOwner[key]; ok {
+		if owner, ok := routeByPrefix[key]; ok {
 			report("pathPrefix", fmt.Sprintf("same host and prefix as %q", owner))
 		}
-		prefixOwner[key] = route.Name
+		routeByPrefix[key] = route.Name
 	}
 	return append(problems, tenantProblems(config.tenants)...)
 }
--- a/internal/clusterconfig/config_test.go
+++ b/internal/clusterconfig/config_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestConfigurationExamples runs the examples of docs/desired.examples.
+// TestConfigurationExamples runs the documented examples in docs/desired.examples.
 func TestConfigurationExamples(t *testing.T) {
 	datadriven.RunTest(t, "../../docs/desired.examples", func(t *testing.T, d *datadriven.TestData) string {
 		config, err := Parse([]byte(d.Input))
--- a/internal/clusterconfig/diff.go
+++ b/internal/clusterconfig/diff.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Diff makes a change, as ApplyChange takes it, that turns one configuration into another;
-// false if no change of items can, and the other must be told whole.
+// Diff returns a change that ApplyChange can apply to base to get next. It returns false
+// if changes of single items can't express the difference; next must then be sent whole.
 func Diff(base, next []byte) ([]byte, bool) {
 	var from, to map[string]json.RawMessage
 	if json.Unmarshal(base, &from) != nil || json.Unmarshal(next, &to) != nil {
@@ -46,8 +46,9 @@
 	return text, err == nil
 }
 
-// diffList returns the items of a list that are new or other than before, as a list, and the
-// names of those that are gone; false for a list whose items have no names of their own.
+// diffList returns the added and modified items of a list, as a JSON list, and the names of
+// the removed items. It returns false if a list can't be decoded or if names are not unique
+// in the old one.
 func diffList(from, to json.RawMessage) (changed json.RawMessage, removed []string, ok bool) {
 	before, err := namedItems(from)
 	if err != nil {
@@ -64,18 +65,18 @@
 	if len(known) != len(before) {
 		return nil, nil, false
 	}
-	var other []json.RawMessage
-	left := maps.Clone(known)
+	var modified []json.RawMessage
+	missing := maps.Clone(known)
 	for _, item := range after {
-		raw, was := known[item.name]
-		if !was || !bytes.Equal(raw, item.raw) {
-			other = append(other, item.raw)
+		raw, existed := known[item.name]
+		if !existed || !bytes.Equal(raw, item.raw) {
+			modified = append(modified, item.raw)
 		}
-		delete(left, item.name)
+		delete(missing, item.name)
 	}
-	removed = slices.Sorted(maps.Keys(left))
-	if len(other) > 0 {
-		if changed, err = json.Marshal(other); err != nil {
+	removed = slices.Sorted(maps.Keys(missing))
+	if len(modified) > 0 {
+		if changed, err = json.Marshal(modified); err != nil {
 			return nil, nil, false
 		}
 	}
--- a/internal/clusterconfig/diff_test.go
+++ b/internal/clusterconfig/diff_test.go
@@ -9,30 +9,31 @@
 	"testing"
 )
 
-// TestDiffLeadsToTheSameConfiguration: over changes by lot, a daemon that is told changes
-// has the routes, services, tenants and limits of one that is told the whole.
-func TestDiffLeadsToTheSameConfiguration(t *testing.T) {
+// TestApplyingDiffsGivesTheNextConfiguration checks, over random changes, that a daemon
+// that receives changes gets the same routes, services, tenants and limits as one that
+// receives whole configurations.
+func TestApplyingDiffsGivesTheNextConfiguration(t *testing.T) {
 	for seed := range int64(40) {
 		random := rand.New(rand.NewSource(seed))
 		text := randomConfiguration(random, 1)
-		told := text
+		applied := text
 		for version := 2; version < 30; version++ {
 			next := randomConfiguration(random, version)
 			change, ok := Diff(text, next)
 			if !ok {
-				t.Fatalf("seed %d: no change leads from\n%s to\n%s", seed, text, next)
+				t.Fatalf("seed %d: no diff from\n%s to\n%s", seed, text, next)
 			}
-			whole, err := ApplyChange(told, change)
+			changed, err := ApplyChange(applied, change)
 			if err != nil {
 				t.Fatal(err)
 			}
-			requireSameItems(t, whole, next)
-			text, told = next, whole
+			requireSameItems(t, changed, next)
+			text, applied = next, changed
 		}
 	}
 }
 
-// randomConfiguration has routes, services and tenants by lot.
+// randomConfiguration returns a configuration with random routes, services and tenants.
 func randomConfiguration(random *rand.Rand, version int) []byte {
 	config := map[string]any{"configVersion": version, "other": "kept", "limits": Limits{MaxBodyBytes: int64(random.Intn(3))}}
 	for _, list := range listNames {
@@ -56,7 +57,7 @@
 	return raw
 }
 
-// requireSameItems compares two configurations, whatever the order of items.
+// requireSameItems compares two configurations regardless of the order of their items.
 func requireSameItems(t *testing.T, got, want []byte) {
 	t.Helper()
 	var a, b map[string]any
@@ -74,8 +75,9 @@
 	}
 }
 
-// TestDiffThatIsNone: what no change of items can express is told whole.
-func TestDiffThatIsNone(t *testing.T) {
+// TestDiffRejectsInexpressibleChanges checks that Diff returns false where changes of
+// single items can't express the difference.
+func TestDiffRejectsInexpressibleChanges(t *testing.T) {
 	base := `{"configVersion":1,"routeList":[{"name":"a"}],"other":1}`
 	for _, next := range []string{
 		`{"configVersion":2,"routeList":[{"name":"a"}],"other":2}`,
@@ -83,10 +85,10 @@
 		`{`,
 	} {
 		if change, ok := Diff([]byte(base), []byte(next)); ok {
-			t.Errorf("%s by %s", next, change)
+			t.Errorf("%s: got change %s, want none", next, change)
 		}
 	}
 	if _, ok := Diff([]byte(`{"routeList":[{"name":"a"},{"name":"a"}]}`), []byte(`{"routeList":[{"name":"a"}]}`)); ok {
-		t.Error("a change of items whose names are not their own")
+		t.Error("got a change for a list with duplicate names, want none")
 	}
 }
--- a/internal/clusterconfig/doc.go
+++ b/internal/clusterconfig/doc.go
@@ -1,7 +1,8 @@
-// Package clusterconfig reads and checks the configurations that operators send,
-// and finds the route of a request in one.
+// Package clusterconfig parses and validates the configurations that operators
+// submit, and matches requests to their routes.
 //
-// A configuration passes two checks: Validate checks each field against a schema,
-// and Parse that the parts are consistent with one another. The package never
-// changes a configuration and stores none: the state has the text as it was sent.
+// A configuration must pass two checks: Validate checks each field against a
+// schema, and Parse checks that the sections are consistent with one another. The
+// package stores no configuration; the state keeps the JSON text as it was
+// submitted.
 package clusterconfig
--- a/internal/clusterconfig/fuzz_test.go
+++ b/internal/clusterconfig/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse: no text makes the readers fail, and each route of one that they
-// accept is found by its own host and prefix.
+// FuzzParse checks that no input makes VersionOf, Parse or Validate panic, and that each
+// route of an accepted configuration is found by its own host and prefix.
 func FuzzParse(f *testing.F) {
 	f.Add(configOfRoutes(2))
 	for _, text := range []string{"", "{", "[]", "null", `{"configVersion":1e3}`, `{"routeList":[],"configVersion":7}`,
@@ -24,13 +24,13 @@
 			return
 		}
 		if _, err := Parse(config.Raw); err != nil {
-			t.Errorf("what was accepted doesn't read again: %v", err)
+			t.Errorf("accepted text was rejected by a second Parse: %v", err)
 		}
 		table := NewRouteTable(config)
 		for i := range config.Routes {
 			route := &config.Routes[i]
 			if strings.ContainsRune(route.HostName, ':') {
-				continue // a port, which calls are matched without
+				continue // requests are matched without their port
 			}
 			if found, rest := table.Find(route.HostName, route.PathPrefix); found != route || rest != "" {
 				t.Errorf("%q finds %v, rest %q", route.Name, found, rest)
@@ -39,7 +39,7 @@
 	})
 }
 
-// configOfTwoRoutes is a configuration of two routes.
+// configOfTwoRoutes returns a configuration with two routes.
 func configOfTwoRoutes(host1, prefix1, host2, prefix2 string) string {
 	route := func(name, host, prefix string) string {
 		return `{"name":"` + name + `","hostName":"` + host + `","pathPrefix":"` + prefix + `","timeoutMs":1,"targetService":"s"}`
--- a/internal/clusterconfig/golden_test.go
+++ b/internal/clusterconfig/golden_test.go
@@ -10,8 +10,8 @@
 	"tealpond/internal/golden"
 )
 
-// filledState returns a configuration whose fields differ.
-func filledState() Config {
+// filledConfig returns a configuration in which each field has a distinct value.
+func filledConfig() Config {
 	return Config{
 		Version: 11,
 		Routes: []Route{{Name: "route", HostName: "host", PathPrefix: "/path/", Kind: "kind", TimeoutMs: 21, TargetMs: 22, Priority: 23,
@@ -21,10 +21,10 @@
 	}
 }
 
-// TestConfigurationText holds a configuration with all its keys, as operators
-// send it, against the golden text.
+// TestConfigurationText compares the JSON text of a configuration with all its keys,
+// as operators submit it, with the golden file.
 func TestConfigurationText(t *testing.T) {
-	text, err := json.Marshal(filledState())
+	text, err := json.Marshal(filledConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,15 +33,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := filledState()
+	want := filledConfig()
 	want.Raw = text
 	if !reflect.DeepEqual(*got, want) {
-		t.Errorf("the text reads as\n%+v, want\n%+v", *got, want)
+		t.Errorf("the text was decoded as\n%+v, want\n%+v", *got, want)
 	}
 }
 
-// TestTenantText holds a tenant with all its keys, as operators send it, against the
-// golden text.
+// TestTenantText compares the JSON text of a tenant with all its keys, as operators
+// submit it, with the golden file.
 func TestTenantText(t *testing.T) {
 	want := Tenant{Name: "tenant", APIKeys: []string{"key-a", "key-b"}, Share: 2.25, UpperLimit: UpperLimit{CPUUnits: 41, MemoryMB: 42, GPUs: 43}}
 	text, err := json.Marshal(want)
@@ -54,14 +54,14 @@
 		t.Fatal(err)
 	}
 	if got := config.Tenants(); len(got) != 1 || !reflect.DeepEqual(got[0], want) {
-		t.Errorf("the text reads as\n%+v, want\n%+v", got, want)
+		t.Errorf("the text was decoded as\n%+v, want\n%+v", got, want)
 	}
 }
 
-// TestStoredBytes holds a configuration as the state stores it against the
-// golden bytes.
+// TestStoredBytes compares the stored encoding of a configuration with the golden
+// file.
 func TestStoredBytes(t *testing.T) {
-	stored := filledState()
+	stored := filledConfig()
 	stored.Raw = []byte("text")
 	golden.Check(t, "stored.txt", golden.Codec{Encode: cbor.Marshal, Decode: cbor.Unmarshal}, []golden.Case{{Name: "configuration", Value: &stored}})
 }
--- a/internal/clusterconfig/route_table.go
+++ b/internal/clusterconfig/route_table.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// RouteTable finds the route of a request. It is safe for concurrent use, since it
-// never changes.
+// RouteTable finds the route of a request. It is immutable and therefore safe for
+// concurrent use.
 type RouteTable struct {
-	byHost map[string][]*Route // in lower case; longest prefix first
+	byHost map[string][]*Route // keyed by lower-case host; longest prefix first
 }
 
 // NewRouteTable indexes the routes of a configuration.
@@ -25,8 +25,8 @@
 	return table
 }
 
-// Find returns the route of a request and what follows its prefix in the path; nil
-// where no route matches. A port in the host is left out.
+// Find returns the route of a request and the rest of the path after the route's
+// prefix. The route is nil if none matches. A port in the host is ignored.
 func (t *RouteTable) Find(host, path string) (*Route, string) {
 	host = strings.ToLower(host)
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.Contains(host[i:], "]") {
@@ -37,7 +37,7 @@
 			return route, path[len(route.PathPrefix):]
 		}
 	}
-	// The path of the route itself may lack the slash that ends its prefix.
+	// A path that equals the prefix may lack the trailing slash.
 	for _, route := range t.byHost[host] {
 		if path+"/" == route.PathPrefix {
 			return route, ""
--- a/internal/clusterconfig/schema.go
+++ b/internal/clusterconfig/schema.go
@@ -9,8 +9,8 @@
 	cuejson "cuelang.org/go/encoding/json"
 )
 
-// schema describes the fields of a configuration, in CUE. #Lane is a Route: the name
-// stays, since error texts contain it.
+// schema is the CUE schema of a configuration. #Lane defines a Route; the name is kept
+// because error messages contain it.
 const schema = `
 #Name: string & !=""
 #Lane: {
@@ -72,7 +72,7 @@
 // use.
 var schemaMu sync.Mutex
 
-// Validate checks a configuration against the schema; an error is of class Error.
+// Validate checks a configuration against the schema. The error is of class Error.
 func Validate(raw []byte) error {
 	schemaMu.Lock()
 	defer schemaMu.Unlock()
--- a/internal/clusterconfig/split.go
+++ b/internal/clusterconfig/split.go
@@ -5,7 +5,7 @@
 	"iter"
 )
 
-// splitProblems lists the contradictions of a route's parts, by the field.
+// splitProblems yields each problem of a traffic split with the field it concerns.
 func splitProblems(parts []SplitPart, serviceNames map[string]bool) iter.Seq2[string, string] {
 	return func(yield func(field, problem string) bool) {
 		sum := 0.0
@@ -25,7 +25,8 @@
 	}
 }
 
-// ServiceFor returns the service of one request, for a number drawn evenly from 0 to 1.
+// ServiceFor returns the service that gets a request. The draw is a random number,
+// uniformly distributed between 0 and 1.
 func (r *Route) ServiceFor(draw float64) string {
 	if len(r.Split) == 0 {
 		return r.TargetService
@@ -34,16 +35,16 @@
 	for _, part := range r.Split {
 		sum += part.Share
 	}
-	left, last := draw*sum, r.Split[0].TargetService
+	remaining, last := draw*sum, r.Split[0].TargetService
 	for _, part := range r.Split {
 		if part.Share <= 0 {
 			continue
 		}
 		last = part.TargetService
-		if left < part.Share {
+		if remaining < part.Share {
 			break
 		}
-		left -= part.Share
+		remaining -= part.Share
 	}
 	return last
 }
--- a/internal/clusterconfig/tenants.go
+++ b/internal/clusterconfig/tenants.go
@@ -6,31 +6,32 @@
 	"fmt"
 )
 
-// Tenant is a customer of the operators: its requests bear one of its keys, and what
-// it may use is bounded.
+// Tenant is a customer of the operators. Its requests carry one of its API keys, and
+// its resource usage is limited.
 type Tenant struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"apiKeys"`
-	// Share is the number of jobs a second that the tenant is served once
-	// everything is full; 0: none was agreed.
+	// Share is the guaranteed rate, in jobs per second, at which the tenant is
+	// served when the cluster is at capacity; 0: no rate was agreed.
 	Share float64 `json:"share"`
-	// RatePerS is the number of requests a second that the tenant may make at gateways,
-	// and Burst what it may make above that at once; a rate of 0: no limit.
+	// RatePerS is the number of requests per second that the tenant may make at
+	// gateways, and Burst the number that it may make at once beyond that. A rate of 0
+	// means no limit.
 	RatePerS float64 `json:"ratePerS,omitempty"`
 	Burst    float64 `json:"burst,omitempty"`
-	// UpperLimit bounds what the tenant has running on all runners together.
+	// UpperLimit bounds the resources of the tenant's runs on all runners together.
 	UpperLimit UpperLimit `json:"upperLimit"`
 }
 
-// UpperLimit is an amount of resources; 0: that kind has no limit.
+// UpperLimit bounds each type of resource; 0 means no limit.
 type UpperLimit struct {
-	CPUUnits int64 `json:"cpuUnits"` // in thousandths of a core
+	CPUUnits int64 `json:"cpuUnits"` // thousandths of a CPU core
 	MemoryMB int64 `json:"memMb"`
 	GPUs     int   `json:"gpus"`
 }
 
-// tenantProblems lists the contradictions between tenants. Keys are secret: a
-// problem names a key by its place only.
+// tenantProblems returns the problems within and between tenants. Keys are secret, so
+// a problem identifies a key by its index only.
 func tenantProblems(tenants []Tenant) []string {
 	var problems []string
 	names, keyOwners := map[string]bool{}, map[string]string{}
@@ -71,11 +72,11 @@
 	return problems
 }
 
-// Tenants are the tenants in the order of the text.
+// Tenants returns the tenants in the order of the JSON text.
 func (c *Config) Tenants() []Tenant { return c.tenants }
 
-// RestoreTenants reads the tenants of a configuration that was stored from its text
-// again. A text that can't be read has none: Parse would not have accepted it.
+// RestoreTenants decodes the tenants of a stored configuration from Raw. It leaves the
+// tenants unset if Raw can't be decoded; Parse would have rejected such a text.
 func (c *Config) RestoreTenants() {
 	var text struct {
 		Tenants []Tenant `json:"tenantList"`
@@ -85,20 +86,21 @@
 	}
 }
 
-// KeyTable finds the tenant of a key. It is safe for concurrent use, since it never
-// changes. It holds digests of the keys: how long a search takes tells nothing of
-// how much of a key was right.
+// KeyTable finds the tenant of an API key. It is immutable and therefore safe for
+// concurrent use. It is indexed by digests, so that the duration of a lookup does not
+// reveal how much of a key was correct.
 type KeyTable struct {
 	tenants map[KeyDigest]string
 }
 
-// KeyDigest stands for a key where the key itself must not.
+// KeyDigest is the SHA-256 digest of an API key. It replaces the key where the key
+// itself must not appear.
 type KeyDigest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// NewKeyTable indexes the keys of a configuration's tenants.
+// NewKeyTable indexes the API keys of a configuration's tenants.
 func NewKeyTable(config *Config) *KeyTable {
 	table := &KeyTable{tenants: map[KeyDigest]string{}}
 	for _, tenant := range config.tenants {
@@ -109,7 +111,8 @@
 	return table
 }
 
-// Tenant returns the name of the tenant that has a key; false if there is none.
+// Tenant returns the name of the tenant with the given key, and false if there is
+// none.
 func (t *KeyTable) Tenant(key string) (string, bool) {
 	if key == "" {
 		return "", false
