--- a/internal/settings/checks.go
+++ b/internal/settings/checks.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// FieldError is a fault of one field of a settings file.
+// FieldError reports an invalid field of a settings file.
 type FieldError struct {
-	Path  string // of the file
-	Field string // its key, with that of its table before it
-	Fault string // what is wrong with it
+	Path  string // path of the settings file
+	Field string // key, prefixed with that of its table
+	Fault string // why the value is invalid
 }
 
-// Error names the file, the field and the fault.
+// Error returns a message that names the file, the field and the fault.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: field %s: %s", e.Path, e.Field, e.Fault) }
 
-// fieldCheck gives the fault of one field, empty if it is in order.
+// fieldCheck validates one field. Its function returns the fault, or "" if the field is
+// valid.
 type fieldCheck struct {
 	field string
 	fault func(*File) string
 }
 
-// faultUnless returns the reason as the fault of a field that is not in order.
+// faultUnless returns the reason as the fault if ok is false, and "" otherwise.
 func faultUnless(ok bool, reason string) string {
 	if ok {
 		return ""
@@ -30,23 +31,25 @@
 	return reason
 }
 
-// isAddress reports whether a text has the form HOST:PORT.
+// isAddress reports whether an address has the form HOST:PORT.
 func isAddress(address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	return err == nil && port != ""
 }
 
-// serves reports whether the role serves one kind of callers.
-func (f *File) serves(callers string) bool { return slices.Contains(f.Serves, callers) }
+// serves reports whether the role serves the given endpoint: edge, control or side.
+func (f *File) serves(endpoint string) bool { return slices.Contains(f.Serves, endpoint) }
 
-// fieldChecks hold the rules of the file; the first that is broken is reported.
+// fieldChecks are the validation rules of a settings file. Only the first violation is
+// reported.
 var fieldChecks = []fieldCheck{
 	{"nodeName", func(f *File) string { return faultUnless(f.NodeName != "", "is missing") }},
 	{"ipAddress", func(f *File) string {
-		return faultUnless(net.ParseIP(f.IPAddress) != nil, "is missing or no address")
+		return faultUnless(net.ParseIP(f.IPAddress) != nil, "is missing or not an IP address")
 	}},
 	{"innerPortRange", func(f *File) string {
-		return faultUnless(len(f.InnerPortRange) == 2 && f.InnerPortRange[0] > 0 && f.InnerPortRange[1] >= f.InnerPortRange[0], "wants two ports, the first not above the second")
+		return faultUnless(len(f.InnerPortRange) == 2 && f.InnerPortRange[0] > 0 && f.InnerPortRange[1] >= f.InnerPortRange[0],
+			"must have two ports above 0, the first not above the second")
 	}},
 	{"seedNodes", func(f *File) string {
 		if len(f.SeedNodes) == 0 {
@@ -54,15 +57,16 @@
 		}
 		for _, seed := range f.SeedNodes {
 			if !isAddress(seed) {
-				return fmt.Sprintf("%q is no address", seed)
+				return fmt.Sprintf("%q is not an address of the form HOST:PORT", seed)
 			}
 		}
 		return ""
 	}},
 	{"orders", func(f *File) string {
-		// The other exchange that the operators' pages name is refused, since they
-		// don't describe it.
-		return faultUnless(f.AssignmentProtocol == "" || f.AssignmentProtocol == "duty_call", fmt.Sprintf("%q is not supported, only duty_call is", f.AssignmentProtocol))
+		// The operators' documentation names a second protocol but doesn't describe
+		// it, so that one is rejected.
+		return faultUnless(f.AssignmentProtocol == "" || f.AssignmentProtocol == "duty_call",
+			fmt.Sprintf("%q is not supported; the only supported value is duty_call", f.AssignmentProtocol))
 	}},
 	{"listenAddrs.frontHttp", func(f *File) string {
 		return faultUnless(!f.serves("edge") || isAddress(f.ListenAddresses.FrontHTTP), "is missing for a role that serves edge")
@@ -77,11 +81,13 @@
 		return faultUnless(!f.serves("side") || isAddress(f.RunnerAddress), "is missing for a role that serves side")
 	}},
 	{"bounds.maxHoldMs", func(f *File) string {
-		return faultUnless(!f.RunsJobs() || f.Bounds.MaxLeaseMs > 0, "is missing or not above 0 where jobs run")
+		return faultUnless(!f.RunsJobs() || f.Bounds.MaxLeaseMs > 0,
+			"is missing or not above 0, but the deployment runs jobs")
 	}},
 	{"cloudApi.address", func(f *File) string {
 		needed := f.Deployment == DeploymentAPI && f.Discovery == DiscoveryPlatform
-		return faultUnless(!needed || isAddress(f.Platform.Address), "is missing though the platform lists the runners")
+		return faultUnless(!needed || isAddress(f.Platform.Address),
+			"is missing or not HOST:PORT, but discovery is cloud_api")
 	}},
 	{"bounds.historyS", func(f *File) string { return faultUnless(f.Bounds.HistoryS >= 0, "is below 0") }},
 	{"bounds.freeAfterMs", func(f *File) string { return faultUnless(f.Bounds.FreeAfterMs >= 0, "is below 0") }},
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzParse: any text is a whole file of settings, or gives an error of one line
-// that names the file.
+// FuzzParse checks that any input either gives a usable settings file or a one-line
+// error that names the file.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validFile))
 	f.Add([]byte(strings.Replace(validFile, "[limits]", "[[limits]]", 1)))
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -11,8 +11,8 @@
 	"tealpond/internal/golden"
 )
 
-// TestSettingsFile holds a daemon's settings file with all its keys against the
-// golden text, read and written.
+// TestSettingsFile compares a daemon's settings file with all its keys with the golden
+// file, both encoded and decoded.
 func TestSettingsFile(t *testing.T) {
 	want := File{
 		NodeName: "node", Role: "role", Serves: []string{"edge", "control", "side"}, IPAddress: "10.1.0.10", Zone: "zone", Zones: map[string]string{"zone": "region"},
@@ -31,6 +31,6 @@
 	golden.Text(t, "settings.toml", text.String())
 	got, err := Load(filepath.Join("testdata", "settings.toml"))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("the file reads as\n%+v, %v, want\n%+v", got, err, want)
+		t.Errorf("the file was decoded as\n%+v, %v, want\n%+v", got, err, want)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// validFile is in order, and holds a key that is not known.
+// validFile is a valid settings file that also has an unknown key.
 const validFile = `nodeName = "e1"
 role = "x"
 serves = ["edge","control"]
@@ -28,9 +28,9 @@
 maxHoldMs = 6000
 `
 
-// TestFaultsNameFileAndField: each fault is reported in one line that an operator can
-// act on.
-func TestFaultsNameFileAndField(t *testing.T) {
+// TestErrorsNameFileAndField checks that each invalid field gives a one-line error that
+// names the file and the field.
+func TestErrorsNameFileAndField(t *testing.T) {
 	if file, err := Parse("f.toml", []byte(validFile)); err != nil || file.SeedAddresses()[0] != "10.1.0.10:7720" {
 		t.Fatalf("%v %v", file.SeedAddresses(), err)
 	}
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestSettingsOfJobsAreNeededWhereJobsRun: a gateway's file has none of them.
-func TestSettingsOfJobsAreNeededWhereJobsRun(t *testing.T) {
+// TestJobSettingsAreRequiredOnlyWhereJobsRun checks that bounds.maxHoldMs is optional in
+// a gateway's file and required in a scheduler's.
+func TestJobSettingsAreRequiredOnlyWhereJobsRun(t *testing.T) {
 	withoutLease := strings.Replace(validFile, "maxHoldMs = 6000", "", 1)
 	gateway := strings.Replace(withoutLease, `orders = "duty_call"`, `contracts = ["base","retry"]`+"\ndeployment = \"api\"", 1)
 	if file, err := Parse("f.toml", []byte(gateway)); err != nil || file.RunsJobs() || file.Deployment != DeploymentAPI {
@@ -64,13 +65,13 @@
 	}
 	jobs := strings.Replace(withoutLease, `orders = "duty_call"`, `contracts = ["base","sched"]`, 1)
 	if _, err := Parse("f.toml", []byte(jobs)); err == nil || !strings.Contains(err.Error(), "field bounds.maxHoldMs") {
-		t.Errorf("a scheduler's file without it: %v", err)
+		t.Errorf("a scheduler's file without maxHoldMs: %v", err)
 	}
 }
 
-// TestFieldFaultsAreTyped: callers can tell a fault of a field from a file that can't
-// be read.
-func TestFieldFaultsAreTyped(t *testing.T) {
+// TestFieldErrorsAreTyped checks that callers can distinguish an invalid field from a
+// file that can't be read.
+func TestFieldErrorsAreTyped(t *testing.T) {
 	var fault *FieldError
 	_, err := Parse("f.toml", []byte(strings.Replace(validFile, "memoryMb = 284", "memoryMb = 0", 1)))
 	if !errors.As(err, &fault) || fault.Field != "limits.memoryMb" || fault.Path != "f.toml" {
@@ -82,21 +83,22 @@
 	}
 }
 
-// TestDerivedAddressesAndLease: ports are the same on all machines, the two processes
-// of one machine share its range, and a lease is no longer than its limit.
+// TestDerivedAddressesAndLease checks that addresses use the same ports on all machines,
+// that the server and the agent of a machine share its port range, and that a lease is
+// no longer than its limit.
 func TestDerivedAddressesAndLease(t *testing.T) {
 	file := File{IPAddress: "10.1.0.10", InnerPortRange: []int{7720, 7735}, SeedNodes: []string{"10.1.0.11:8166", "10.1.0.12:8166"}, Bounds: Bounds{MaxLeaseMs: 6000}}
 	if got := file.InternalAddress(); got != "10.1.0.10:7720" {
 		t.Errorf("internal address: %s", got)
 	}
 	if got := file.AgentAddress(); got != "10.1.0.10:7721" {
-		t.Errorf("agent's address: %s", got)
+		t.Errorf("agent address: %s", got)
 	}
 	if got := file.SeedAddresses(); !slices.Equal(got, []string{"10.1.0.11:7720", "10.1.0.12:7720"}) {
 		t.Errorf("seeds: %v", got)
 	}
 	if file.InnerPortRange = []int{7720, 7720}; file.AgentAddress() != "10.1.0.10:7720" {
-		t.Errorf("agent's address in a range of one port: %s", file.AgentAddress())
+		t.Errorf("agent address with a range of one port: %s", file.AgentAddress())
 	}
 	if long, short := file.LeaseDuration(time.Minute), file.LeaseDuration(time.Second); long != 6*time.Second || short != time.Second {
 		t.Errorf("leases: %v, %v", long, short)
