--- a/internal/monitoring/doc.go
+++ b/internal/monitoring/doc.go
@@ -1,6 +1,6 @@
-// Package monitoring serves the figures of a daemon in the text format of Prometheus.
+// Package monitoring serves the metrics of a daemon in the Prometheus text format.
 //
-// The figures are read when they are asked for, and cost nothing in between. The
-// package knows none of them itself: the role writes its own, and the library adds
-// those of the process. It keeps no history and pushes nothing.
+// Metrics are collected on each scrape and cost nothing in between. The package
+// defines no metrics itself: the role writes its own, and the metrics library adds
+// those of the process. It keeps no history and does not push metrics.
 package monitoring
--- a/internal/monitoring/gauges.go
+++ b/internal/monitoring/gauges.go
@@ -6,20 +6,21 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Gauge is a figure that may rise and fall. Its name ends with its unit.
+// Gauge is a metric whose value can rise and fall. Its name ends with its unit, if it
+// has one.
 type Gauge struct {
 	Name  string
 	Value float64
 }
 
-// WriteGauges writes gauges in the order given.
+// WriteGauges writes gauges in the given order.
 func WriteGauges(w io.Writer, gauges []Gauge) {
 	for _, gauge := range gauges {
 		metrics.WriteGaugeFloat64(w, gauge.Name, gauge.Value)
 	}
 }
 
-// Flag is 1 for true and 0 for false, as a gauge.
+// Flag returns the gauge value of a boolean: 1 for true and 0 for false.
 func Flag(on bool) float64 {
 	if on {
 		return 1
--- a/internal/monitoring/server.go
+++ b/internal/monitoring/server.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// contentType is the media type of the text format.
+	// contentType is the media type of the Prometheus text format.
 	contentType = "text/plain; version=0.0.4; charset=utf-8"
-	// requestTimeout bounds one request, the reading of the figures included.
+	// requestTimeout bounds one request, including the collection of the metrics.
 	requestTimeout = 2 * time.Second
 	// maxPort is the highest TCP port.
 	maxPort = 65535
 )
 
-// ErrEndpoint is the error for an endpoint that is not PORT/PATH.
+// ErrEndpoint reports that an endpoint does not have the form PORT/PATH.
 var ErrEndpoint = errors.New("want PORT/PATH, such as 9464/metrics")
 
-// Source writes the figures of a role. Errors of the writer are its reader's matter.
+// Source writes the metrics of a role. It ignores errors of the writer; a failed scrape is
+// detected by the client.
 type Source interface {
 	WriteMetrics(ctx context.Context, w io.Writer)
 }
 
-// Endpoint is where the figures of a daemon are served.
+// Endpoint is the port and path at which a daemon serves its metrics.
 type Endpoint struct {
 	Port string
-	Path string // with its leading slash
+	Path string // with a leading slash
 }
 
-// ParseEndpoint reads PORT/PATH. The error is ErrEndpoint.
+// ParseEndpoint parses PORT/PATH. The error is ErrEndpoint.
 func ParseEndpoint(text string) (Endpoint, error) {
 	port, path, found := strings.Cut(text, "/")
 	number, err := strconv.Atoi(port)
@@ -46,8 +47,8 @@
 	return Endpoint{Port: port, Path: "/" + path}, nil
 }
 
-// Serve serves the figures of a source at an IP address, until ctx ends. It returns
-// once it listens.
+// Serve serves the metrics of a source on an IP address until ctx ends. It returns as
+// soon as it listens.
 func Serve(ctx context.Context, ip string, endpoint Endpoint, source Source) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", net.JoinHostPort(ip, endpoint.Port))
@@ -57,12 +58,12 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET "+endpoint.Path, handler(source))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout}
-	go func() { _ = server.Serve(listener) }() // until it is closed below
+	go func() { _ = server.Serve(listener) }() // returns once the server is closed below
 	context.AfterFunc(ctx, func() { _ = server.Close() })
 	return nil
 }
 
-// handler answers with the figures of the source and of the process.
+// handler responds with the metrics of the source and of the process.
 func handler(source Source) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		ctx, cancel := context.WithTimeout(request.Context(), requestTimeout)
--- a/internal/monitoring/server_test.go
+++ b/internal/monitoring/server_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// sourceFunc is a Source that is one function.
+// sourceFunc adapts a function to Source.
 type sourceFunc func(w io.Writer)
 
 func (f sourceFunc) WriteMetrics(_ context.Context, w io.Writer) { f(w) }
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestFiguresAreServed: those of the role and of the process, at that path alone, until
-// the context ends.
-func TestFiguresAreServed(t *testing.T) {
+// TestMetricsAreServed checks that the metrics of the role and of the process are served,
+// only at the configured path, until the context ends.
+func TestMetricsAreServed(t *testing.T) {
 	const ip = "127.0.0.1"
 	free, err := net.Listen("tcp", ip+":0")
 	if err != nil {
@@ -57,14 +57,14 @@
 	status, text := get("/metrics")
 	for _, line := range []string{"tealpond_leader 1\n", "tealpond_follower 0\n", "tealpond_wait_seconds 1.5\n", "go_goroutines "} {
 		if !strings.Contains(text, line) {
-			t.Errorf("%d, without %q:\n%s", status, line, text)
+			t.Errorf("status %d, response lacks %q:\n%s", status, line, text)
 		}
 	}
 	if status, _ := get("/other"); status != http.StatusNotFound {
-		t.Errorf("another path gets %d", status)
+		t.Errorf("another path: status %d, want 404", status)
 	}
 	if err := Serve(ctx, ip, Endpoint{port, "/metrics"}, source); err == nil {
-		t.Error("a second server at the same port")
+		t.Error("a second server could listen on the same port")
 	}
 	cancel()
 	for status != 0 {
