--- a/internal/tracing/ring.go
+++ b/internal/tracing/ring.go
@@ -1,6 +1,6 @@
-// Package tracing keeps, in each daemon, a bounded record of what happened to a
-// change: a job, a run of a task, or a version of the configuration. The records of
-// all daemons together show the path of a change; nothing else depends on them.
+// Package tracing records, in each daemon, the most recent events of changes: of jobs,
+// runs of tasks and versions of the configuration. The records of all daemons together
+// show the path of a change through the cluster. They serve diagnosis only.
 package tracing
 
 import (
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// Event is one thing that happened to a change in one daemon. It is sent as an array:
-// fields must not be moved.
+// Event is one event of a change in one daemon. It is encoded as an array, so the order
+// of the fields must not change.
 type Event struct {
 	_       struct{} `cbor:",toarray"`
-	TimeNs  int64    // time of day, ns since 1970
+	TimeNs  int64    // wall-clock time, ns since 1970
 	Subject string   // ID of the job, name of the task, or version of the configuration
 	Action  string
-	Value   int64 // number of the run, status code or index; see where the action is recorded
+	Value   int64 // run number, status code or index, depending on the action
 	Detail  string
 }
 
-// Ring holds the newest events of a daemon in bounded memory. It is safe for
-// concurrent use.
+// Ring is a ring buffer of the newest events of a daemon. It is safe for concurrent
+// use.
 type Ring struct {
 	mu     sync.Mutex
 	events []Event
-	next   int  // place of the next event
+	next   int  // index of the next event
 	full   bool // the next event replaces the oldest
 }
 
 // NewRing returns a ring that holds up to capacity events, at least 1.
 func NewRing(capacity int) *Ring { return &Ring{events: make([]Event, capacity)} }
 
-// Record adds an event with the present time. On a nil ring it does nothing.
+// Record adds an event with the current time. It does nothing on a nil ring.
 func (r *Ring) Record(subject, action string, value int64, detail string) {
 	if r == nil {
 		return
@@ -46,8 +46,8 @@
 }
 
 // History returns the events of a subject and of its parts (the tasks of a job),
-// oldest first. It also returns the time from which on the ring has forgotten
-// nothing, in ns since 1970, or 0 if it never has.
+// oldest first. It also returns the time since which the ring has all events, in ns
+// since 1970, or 0 if no event was overwritten yet.
 func (r *Ring) History(subject string) ([]Event, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/tracing/ring_test.go
+++ b/internal/tracing/ring_test.go
@@ -18,7 +18,7 @@
 		ring.Record("c", fmt.Sprint(i), 0, "")
 	}
 	if got, since = ring.History("a"); len(got) != 0 || since == 0 {
-		t.Fatalf("the ring does not report that it forgot: %d, %d", len(got), since)
+		t.Fatalf("the ring does not report that events were overwritten: %d events since %d", len(got), since)
 	}
 	if got, _ = ring.History("c"); len(got) != 4 || got[0].Action != "0" || got[3].Action != "3" {
 		t.Fatalf("order: %v", got)
