--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon is what all daemons of tealpond share: the registry of the roles
-// that a process can run, what a role is built from, and the event loop. It knows no
-// role itself: roles register themselves, and the command line starts one of them.
+// Package daemon is the common base of tealpond's daemons: the registry of the roles
+// that a process can run, the environment that a role gets, and the event loop. It
+// imports no roles: they register themselves, and the command line starts one of them.
 package daemon
 
 import (
@@ -15,40 +15,40 @@
 	"tealpond/internal/tracing"
 )
 
-// ErrKilled is the cause of a context that ends as if the process had been killed:
-// a role then ends at once, and leaves nothing in order.
+// ErrKilled is the cancellation cause of a context that simulates a killed process: the
+// role then stops at once, without a graceful shutdown.
 var ErrKilled = errors.New("killed")
 
-// Role is the part of a daemon that a process runs.
+// Role is the function that a daemon has in the cluster.
 type Role interface {
-	// Run runs the role until ctx ends. An error is one that the role can't go on
-	// with.
+	// Run runs the role until ctx ends. It returns an error only if the role can't
+	// continue.
 	Run(ctx context.Context) error
 }
 
-// Environment is what a role is built from.
+// Environment holds the dependencies of a role.
 type Environment struct {
 	Settings settings.File
 	Log      log.Logger
-	// ProcessID is another one each time that a daemon is started; it is not the
-	// operating system's.
+	// ProcessID is a new random ID for each start of a daemon. It is unrelated to the
+	// process ID of the operating system.
 	ProcessID string
-	// Reload carries the settings whenever their file has changed.
+	// Reload receives the new settings whenever the settings file has changed.
 	Reload chan settings.File
 	Trace  *tracing.Ring
-	// Debug reports whether lines of that level are kept at all.
+	// Debug reports whether log lines of level debug are written.
 	Debug bool
-	// FederationFile is the path of the file that turns federation on; empty if
-	// there is none.
+	// FederationFile is the path of the file that enables federation; empty if
+	// federation is off.
 	FederationFile string
-	// AfterSync is called after each sync of a server's storage, before it counts; nil for
-	// nothing. Simulations have slow disks by it.
+	// AfterSync, if not nil, is called after each sync of a server's storage, before the
+	// sync is reported as complete. Simulations use it to model slow disks.
 	AfterSync func()
 }
 
-// RoleSpec describes a role and builds it.
+// RoleSpec describes a role and how to create it.
 type RoleSpec struct {
-	Name                  string // of the subcommand, too
+	Name                  string // also the name of the subcommand
 	Description           string // for the help text
 	AcceptsFederationFile bool
 	New                   func(Environment) (Role, error)
@@ -56,8 +56,8 @@
 
 var roleSpecs = map[string]RoleSpec{}
 
-// Register adds a role. It is called by init functions only, and panics if there is
-// a role of that name already.
+// Register adds a role. It must only be called by init functions. It panics if a role
+// of that name is already registered.
 func Register(spec RoleSpec) {
 	if _, ok := roleSpecs[spec.Name]; ok {
 		panic("daemon: role registered twice: " + spec.Name)
@@ -65,7 +65,7 @@
 	roleSpecs[spec.Name] = spec
 }
 
-// Roles lists what was registered, by name.
+// Roles returns the registered roles, sorted by name.
 func Roles() []RoleSpec {
 	var specs []RoleSpec
 	for _, name := range slices.Sorted(maps.Keys(roleSpecs)) {
@@ -74,7 +74,7 @@
 	return specs
 }
 
-// FindRole returns the role of a name; false if there is none.
+// FindRole returns the role with the given name, and false if there is none.
 func FindRole(name string) (RoleSpec, bool) {
 	spec, ok := roleSpecs[name]
 	return spec, ok
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// idleWait is how long a loop waits that has nothing to do.
+// idleWait is how long a loop waits for an event if afterBatch sets no limit.
 const idleWait = time.Hour
 
-// Loop is the event loop of a role. It hands an event to handle, then all that wait
-// behind it, then calls afterBatch once, so that many events share a write. What
-// afterBatch returns is the longest wait for the next event; 0 for any. Both run in
-// the goroutine of Loop, which returns when ctx ends or events is closed.
+// Loop is the event loop of a role. It passes an event and all further queued events to
+// handle, then calls afterBatch once, so that a batch of events shares one write.
+// afterBatch returns the maximum wait for the next event; 0 means no limit. Both
+// functions run in the goroutine of Loop, which returns when ctx ends or events is
+// closed.
 func Loop[T any](ctx context.Context, events <-chan T, handle func(T), afterBatch func(now time.Time) time.Duration) {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -37,7 +38,7 @@
 	}
 }
 
-// drain hands all waiting events to handle; false if events is closed.
+// drain passes all queued events to handle. It returns false if events is closed.
 func drain[T any](events <-chan T, handle func(T)) bool {
 	for {
 		select {
@@ -52,7 +53,7 @@
 	}
 }
 
-// Pause waits for a time, or until ctx ends.
+// Pause waits for the given duration or until ctx ends.
 func Pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/daemon/loop_test.go
+++ b/internal/daemon/loop_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// TestLoopHandlesWaitingEventsInOneBatch: however many wait, afterBatch is called once
-// for all of them, and again after the wait that it returned.
-func TestLoopHandlesWaitingEventsInOneBatch(t *testing.T) {
+// TestLoopHandlesQueuedEventsInOneBatch checks that afterBatch is called once for all
+// queued events, and again after the wait that it returned.
+func TestLoopHandlesQueuedEventsInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		events, done := make(chan int, 10), make(chan struct{})
@@ -40,23 +40,25 @@
 	})
 }
 
-// TestLoopEndsWithItsEvents: once they are closed, after the last was handled.
-func TestLoopEndsWithItsEvents(t *testing.T) {
-	for _, waiting := range []int{0, 1, 3} {
+// TestLoopReturnsWhenEventsAreClosed checks that Loop returns once events is closed and
+// the last event was handled.
+func TestLoopReturnsWhenEventsAreClosed(t *testing.T) {
+	for _, queued := range []int{0, 1, 3} {
 		events := make(chan int, 3)
-		for event := range waiting {
+		for event := range queued {
 			events <- event
 		}
 		close(events)
 		handled, batches := 0, 0
 		Loop(t.Context(), events, func(int) { handled++ }, func(time.Time) time.Duration { batches++; return 0 })
-		if handled != waiting || batches != 1 {
-			t.Errorf("%d events: %d handled, %d batches", waiting, handled, batches)
+		if handled != queued || batches != 1 {
+			t.Errorf("%d events: %d handled, %d batches", queued, handled, batches)
 		}
 	}
 }
 
-// TestRolesAreFoundByName: and a second one of a name is a fault of the program.
+// TestRolesAreFoundByName also checks that registering a second role of the same name
+// panics.
 func TestRolesAreFoundByName(t *testing.T) {
 	defer func(before map[string]RoleSpec) { roleSpecs = before }(roleSpecs)
 	roleSpecs = map[string]RoleSpec{}
@@ -73,7 +75,7 @@
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("a second role of the name was taken")
+			t.Error("a second role of the same name was registered without a panic")
 		}
 	}()
 	Register(RoleSpec{Name: "a"})
