--- a/internal/shutdown/machine.go
+++ b/internal/shutdown/machine.go
@@ -1,6 +1,7 @@
-// Package shutdown says in which order a daemon ends that was told to: what it still takes,
-// until when it answers, and when it has ended. It is a pure state machine, the same for all
-// roles; package httpserver carries it out for a daemon's listeners.
+// Package shutdown defines the phases of a daemon's graceful shutdown: until when it accepts
+// connections and requests, until when it responds, and when the process may exit. It is a
+// pure state machine, the same for all roles; package httpserver applies it to a daemon's
+// listeners.
 package shutdown
 
 import (
@@ -10,41 +11,45 @@
 )
 
 const (
-	// refuseFraction is the part of graceS after which a draining daemon begins no request any more.
+	// refuseFraction is the fraction of graceS after which a draining daemon starts no new request.
 	refuseFraction = 0.45
-	// answerFraction is the part of graceS within which requests are answered; the process must be
-	// gone before all of it is over.
+	// answerFraction is the fraction of graceS within which open requests are answered. It is below
+	// 1 because the process must exit before graceS is over.
 	answerFraction = 0.92
-	// cutFraction is the part of graceS that handlers have for a last answer after answerFraction.
+	// cutFraction is the fraction of graceS that handlers have for a final response after
+	// answerFraction.
 	cutFraction = 0.03
 )
 
-// Phase is a part of the end of a daemon.
+// Phase is a phase of a daemon's shutdown.
 type Phase int
 
-// The phases, in their order.
+// The phases, in order.
 const (
-	// Announcing: the daemon is not ready any more and takes all that comes. Each answer
-	// that can be the last of its connection is, so that clients go elsewhere.
+	// Announcing means that the daemon is no longer ready, but still accepts connections
+	// and requests. Each response closes its connection where possible, so that clients
+	// connect to another daemon.
 	Announcing Phase = iota
-	// Closing: no connection is accepted, and those that wait for a request are closed.
-	// What was taken is answered.
+	// Closing means that no connection is accepted and idle connections are closed.
+	// Requests that were accepted are answered.
 	Closing
-	// Cutting: it is the latest moment. What is still open gets a last answer.
+	// Cutting means that the time for open requests is over. Those that are still open get
+	// a final response.
 	Cutting
-	// Ended: the process may end.
+	// Ended means that the process may exit.
 	Ended
 )
 
-// Times are how long the phases may last.
+// Times are the time limits of the phases.
 type Times struct {
-	Notice  time.Duration // the least time of Announcing
-	Refuse  time.Duration // after the signal, from when on no request is begun
-	Answers time.Duration // after the signal, by when requests must be answered
-	Cut     time.Duration // the most time of Cutting
+	Notice  time.Duration // minimum duration of Announcing
+	Refuse  time.Duration // time after the signal from which on no request is started
+	Answers time.Duration // time after the signal by which requests must be answered
+	Cut     time.Duration // maximum duration of Cutting
 }
 
-// TimesOf divides the grace time that operators give a daemon.
+// TimesOf derives the time limits from the grace period that operators give a daemon and
+// the notice period. The notice is limited to a fraction of the grace period.
 func TimesOf(grace, notice time.Duration) Times {
 	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
 	return Times{
@@ -55,42 +60,45 @@
 	}
 }
 
-// Status is what a daemon has open.
+// Status is the current load of a daemon that is shutting down.
 type Status struct {
-	// HandedOver: the others can do without this daemon, which may close its listeners.
+	// HandedOver reports whether the other daemons no longer depend on this one, so that
+	// it may close its listeners.
 	HandedOver bool
-	// Open is how many connections are open, or may still be accepted. Those that wait for a
-	// request count too: it may come in at any moment.
+	// Open is the number of connections that are open or may still be accepted. Idle
+	// connections count as well, since a request may arrive on them at any time.
 	Open int
 }
 
-// Machine is the end of one daemon.
+// Machine is the state machine of one daemon's shutdown.
 type Machine struct {
-	begunAt time.Time
-	times   Times
-	phase   Phase
+	startedAt time.Time
+	times     Times
+	phase     Phase
 }
 
-// NewMachine begins an end.
+// NewMachine returns the state machine of a shutdown that starts now.
 func NewMachine(now time.Time, times Times) *Machine {
-	return &Machine{begunAt: now, times: times}
+	return &Machine{startedAt: now, times: times}
 }
 
-// RefusesFrom is from when on no request is begun: it might not be answered in time.
-func (m *Machine) RefusesFrom() time.Time { return m.begunAt.Add(m.times.Refuse) }
+// RefusesFrom returns the time from which on no request is started, because it might not
+// be answered in time.
+func (m *Machine) RefusesFrom() time.Time { return m.startedAt.Add(m.times.Refuse) }
 
-// Advance returns the phase at a time, given what is open. Phases never go back.
+// Advance returns the phase at the given time and status. A phase never returns to an
+// earlier one.
 func (m *Machine) Advance(now time.Time, status Status) Phase {
-	since := now.Sub(m.begunAt)
-	if m.phase == Announcing && since >= m.times.Notice && status.HandedOver {
+	elapsed := now.Sub(m.startedAt)
+	if m.phase == Announcing && elapsed >= m.times.Notice && status.HandedOver {
 		m.phase = Closing
 	}
-	// The latest moment comes whatever is handed over.
-	if m.phase < Cutting && since >= m.times.Answers {
+	// The time limit for responses holds even if nothing was handed over.
+	if m.phase < Cutting && elapsed >= m.times.Answers {
 		m.phase = Cutting
 	}
 	done := m.phase == Closing && status.Open == 0
-	cut := m.phase == Cutting && (status.Open == 0 || since >= m.times.Answers+m.times.Cut)
+	cut := m.phase == Cutting && (status.Open == 0 || elapsed >= m.times.Answers+m.times.Cut)
 	if done || cut {
 		m.phase = Ended
 	}
