--- a/cmd/tealpond/coordination_test.go
+++ b/cmd/tealpond/coordination_test.go
@@ -11,12 +11,12 @@
 	"tealpond/internal/rpc"
 )
 
-// TestKeysAreReadAndWatched at the first daemon that answers; a watch goes on from where
-// the last answer ended.
+// TestKeysAreReadAndWatched checks that the first daemon that answers is used, and that a
+// watch resumes from the revision of the last response.
 func TestKeysAreReadAndWatched(t *testing.T) {
-	asked := []string{}
+	requested := []string{}
 	daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = append(asked, r.URL.String())
+		requested = append(requested, r.URL.String())
 		switch {
 		case strings.HasPrefix(r.URL.Path, "/-/watch/") && r.URL.Query().Get("dependsOn") == "5":
 			_, _ = w.Write([]byte(`{"events":[{"name":"g.a","value":"v","revision":6}],"revision":6}`))
@@ -29,11 +29,12 @@
 		}
 	}))
 	defer daemon.Close()
-	broken := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	unavailable := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		http.Error(w, "no leader", http.StatusServiceUnavailable)
 	}))
-	defer broken.Close()
-	addresses := []string{"--control", strings.TrimPrefix(broken.URL, "http://"), "--control", strings.TrimPrefix(daemon.URL, "http://")}
+	defer unavailable.Close()
+	addresses := []string{"--control", strings.TrimPrefix(unavailable.URL, "http://"), "--control",
+		strings.TrimPrefix(daemon.URL, "http://")}
 	for _, test := range []struct {
 		args []string
 		code int
@@ -48,17 +49,18 @@
 			t.Errorf("%v: %d, %q", test.args, code, out.String())
 		}
 	}
-	if last := asked[len(asked)-1]; !strings.Contains(last, "dependsOn=6") {
-		t.Errorf("the watch goes on with %s", last)
+	if last := requested[len(requested)-1]; !strings.Contains(last, "dependsOn=6") {
+		t.Errorf("the watch resumes with %s, want dependsOn=6", last)
 	}
 }
 
-// TestTalliesAreWatched: a tally is printed when it is new and whenever its sum has changed.
+// TestTalliesAreWatched checks that a tally is printed when it is new and whenever its total
+// has changed.
 func TestTalliesAreWatched(t *testing.T) {
-	answers := [][][]any{{{"a", 1}, {"b", 5}}, {{"a", 1}, {"b", 5}}, {{"a", 2}, {"b", 5}}, {{"a", 2}, {"b", 4}}}
+	results := [][][]any{{{"a", 1}, {"b", 5}}, {{"a", 1}, {"b", 5}}, {{"a", 2}, {"b", 5}}, {{"a", 2}, {"b", 4}}}
 	fetch := func(context.Context, []string) (rpc.ClusterState, error) {
-		rows := answers[0]
-		answers = answers[1:]
+		rows := results[0]
+		results = results[1:]
 		return rpc.ClusterState{Tables: []rpc.Table{{Name: "tallies", Columns: []string{"name", "total"}, Rows: rows}}}, nil
 	}
 	var out bytes.Buffer
--- a/cmd/tealpond/daemon.go
+++ b/cmd/tealpond/daemon.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// gcPercent is how much the heap grows between two garbage collections, in percent; heaps are
-	// small and memory has a price.
+	// gcPercent is the heap growth between two garbage collections, in percent. It is below Go's
+	// default because heaps are small and memory is costly.
 	gcPercent = 25
-	// memoryLimitFraction is the part of the setting memoryMb that becomes the memory limit of the Go
-	// runtime.
+	// memoryLimitFraction is the fraction of the setting memoryMb that becomes the memory limit of
+	// the Go runtime.
 	memoryLimitFraction = 0.7
-	// settingsPollInterval is the time between two checks of the settings file for changes.
+	// settingsPollInterval is the interval at which the settings file is checked for changes.
 	settingsPollInterval = 2 * time.Second
-	// traceRingLength is the number of trace marks that each daemon keeps: about a quarter of a
-	// megabyte, and some seconds of a busy day.
+	// traceRingLength is the number of trace events that each daemon keeps: about a quarter of a
+	// megabyte, which covers some seconds under high load.
 	traceRingLength = 2048
 )
 
@@ -35,16 +35,16 @@
 	processIDBytes = 6
 )
 
-// daemonFlags are the flags of a role's command.
+// daemonFlags are the command-line flags of a role's command.
 type daemonFlags struct {
 	settingsPath   string
 	logLevel       string
-	federationFile string // empty: federation is off
-	metrics        string // PORT/PATH; empty: no figures are served
+	federationFile string // empty: federation is disabled
+	metrics        string // PORT/PATH; empty: metrics are not served
 }
 
-// runDaemon runs a role until SIGTERM or SIGINT, and returns the exit code. Settings
-// or flags with a fault end it before it has opened anything.
+// runDaemon runs a role until SIGTERM or SIGINT and returns the exit code. It returns
+// before it opens any resource if the settings or flags are invalid.
 func (p *program) runDaemon(role daemon.RoleSpec, flags daemonFlags) int {
 	var endpoint monitoring.Endpoint
 	if flags.metrics != "" {
@@ -95,8 +95,8 @@
 	return exitOK
 }
 
-// serveMetrics serves the figures of a role; a daemon goes on without them, since
-// another process may use the port.
+// serveMetrics serves the metrics of a role. A failure is only logged and the daemon
+// continues without metrics, since another process may use the port.
 func serveMetrics(ctx context.Context, ip string, endpoint monitoring.Endpoint, process daemon.Role, logger log.Logger) {
 	source, ok := process.(monitoring.Source)
 	if !ok {
@@ -107,16 +107,16 @@
 	}
 }
 
-// newProcessID draws a random ID for this process; see daemon.Environment.ProcessID.
+// newProcessID returns a random ID for this process; see daemon.Environment.ProcessID.
 func newProcessID() string {
 	var id [processIDBytes]byte
-	_, _ = rand.Read(id[:]) // it never fails, as its package says
+	_, _ = rand.Read(id[:]) // crypto/rand documents that Read never fails
 	return hex.EncodeToString(id[:])
 }
 
-// watchSettings sends a changed settings file to reload, after a SIGHUP, which hangups tells,
-// or when the file's time has changed, until ctx ends. A file with a fault is logged and
-// ignored.
+// watchSettings loads the settings file again after each SIGHUP, which hangups signals, and
+// when its modification time has changed, and sends the settings to reload, until ctx ends. An
+// invalid file is logged and ignored.
 func watchSettings(ctx context.Context, path string, hangups <-chan struct{}, reload chan<- settings.File, logger log.Logger) {
 	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
@@ -145,7 +145,7 @@
 	}
 }
 
-// modTime is when a file was changed, in ns since 1970; 0 if that is unknown.
+// modTime returns the modification time of a file, in ns since 1970, or 0 if it is unknown.
 func modTime(path string) int64 {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/cmd/tealpond/logging_test.go
+++ b/cmd/tealpond/logging_test.go
@@ -7,8 +7,8 @@
 	"github.com/go-kit/log"
 )
 
-// TestLevelFilterDropsLinesUnderItsLevel, and keeps those that have no level.
-func TestLevelFilterDropsLinesUnderItsLevel(t *testing.T) {
+// TestLevelFilterDropsLinesBelowMinimum also checks that lines without a level are kept.
+func TestLevelFilterDropsLinesBelowMinimum(t *testing.T) {
 	for level, want := range map[string]string{
 		"debug": "level=debug\nlevel=info\nlevel=warn\nlevel=error\nevent=x\n",
 		"warn":  "level=warn\nlevel=error\nevent=x\n",
--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -1,5 +1,5 @@
-// Command tealpond is a cluster scheduler for jobs: it runs the daemons of a cluster,
-// one role a process, and the tools of its operators.
+// Command tealpond is a cluster scheduler for jobs. It runs the daemons of a cluster,
+// one role per process, and the operators' tools.
 package main
 
 import (
@@ -22,26 +22,27 @@
 const (
 	exitOK           = 0
 	exitFault        = 1 // the daemon or the tool failed
-	exitUsage        = 2 // the command line is not understood
-	exitUnknown      = 3 // nothing is known of what was asked for
+	exitUsage        = 2 // the command line is invalid
+	exitUnknown      = 3 // the requested item is not known
 	exitUnreachable  = 4 // no daemon answered
-	exitInconsistent = 5 // a job is missing or doubled
+	exitInconsistent = 5 // a job is missing or duplicated
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// program is one call of the command line.
+// program is one invocation of the command.
 type program struct {
 	signals        *processSignals
 	stdout, stderr io.Writer
-	commands       map[string]func() int // by name; each returns the exit code
-	daemons        map[string]bool       // names of the commands that run a daemon
+	commands       map[string]func() int // by command name; each returns the exit code
+	daemons        map[string]bool       // names of commands that run a daemon
 }
 
-// run carries out a command line and returns the exit code.
+// run executes a command line and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
-	// First of all, since a signal that comes before has its default effect.
-	p := &program{signals: takeSignals(), stdout: stdout, stderr: stderr, commands: map[string]func() int{}, daemons: map[string]bool{}}
+	// Signals are captured first, since an earlier signal has its default effect.
+	p := &program{signals: captureSignals(), stdout: stdout, stderr: stderr, commands: map[string]func() int{},
+		daemons: map[string]bool{}}
 	app := kingpin.New("tealpond", "A cluster scheduler for jobs.")
 	app.UsageWriter(stdout)
 	app.ErrorWriter(stderr)
@@ -69,12 +70,11 @@
 	return p.commands[name]()
 }
 
-// parserExit is how kingpin leaves the parser when it has done all itself, such as
-// printing the help.
+// parserExit is the panic value with which kingpin leaves the parser when nothing is left
+// to do, such as after printing the help.
 type parserExit struct{}
 
-// parse returns the name of the command that the arguments call; empty if nothing is
-// left to do.
+// parse returns the name of the command to run, or "" if nothing is left to do.
 func parse(app *kingpin.Application, args []string) (name string, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -86,28 +86,30 @@
 	return app.Parse(args)
 }
 
-// addRoles adds a command for each role that a daemon can have.
+// addRoles adds a command for each registered role.
 func (p *program) addRoles(app *kingpin.Application) {
 	for _, role := range daemon.Roles() {
 		command := app.Command(role.Name, "Run the role: "+role.Description+".")
 		path := command.Flag("settings", "The settings file.").Envar(settings.PathEnvVar).String()
-		level := command.Flag("log", "The least level that is logged: debug, info, warn or error.").
+		level := command.Flag("log", "Minimum log level: debug, info, warn or error.").
 			Default("info").Enum("debug", "info", "warn", "error")
-		endpoint := command.Flag("metrics", "PORT/PATH at which the daemon serves its figures as text (docs/operate.md); off without it.").String()
+		endpoint := command.Flag("metrics",
+			"PORT/PATH at which the daemon serves its metrics as text (docs/operate.md); off by default.").String()
 		federation := new(string)
 		if role.AcceptsFederationFile {
-			federation = command.Flag("moves", "The file that turns moving jobs between clusters on (docs/forecast.md); off without it.").String()
+			federation = command.Flag("moves",
+				"The file that enables moving jobs between clusters (docs/forecast.md); off by default.").String()
 		}
 		p.daemons[command.FullCommand()] = true
 		p.commands[command.FullCommand()] = func() int { return p.runDaemon(role, daemonFlags{*path, *level, *federation, *endpoint}) }
 	}
 }
 
-// printf writes to the standard output. Its errors are dropped, as there is nowhere
-// left to report them.
+// printf writes to standard output. Errors are ignored, since they can't be reported
+// anywhere.
 func (p *program) printf(format string, args ...any) { _, _ = fmt.Fprintf(p.stdout, format, args...) }
 
-// reportf writes one line to the standard error, as printf does.
+// reportf writes one line to standard error. Errors are ignored, as in printf.
 func (p *program) reportf(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.stderr, "tealpond: "+format+"\n", args...)
 }
--- a/cmd/tealpond/main_test.go
+++ b/cmd/tealpond/main_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestCommandLineExitCodes: each way in which a command line ends has its code and
-// says why.
+// TestCommandLineExitCodes checks the exit code and the output of successful, invalid and
+// failing command lines.
 func TestCommandLineExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	if err := os.WriteFile(bad, []byte("nodeName = \"\"\n"), 0o600); err != nil {
--- a/cmd/tealpond/signals_test.go
+++ b/cmd/tealpond/signals_test.go
@@ -16,37 +16,37 @@
 	"time"
 )
 
-// The incident: a rolling restart with settings that change, played on the operators'
-// bench and by real processes, lost answers of gateways. The daemon's log stopped without
-// daemon.stopped, and its process had ended with "signal: hangup", some 0.2 s after a
-// SIGTERM: the watcher of SIGHUP ended with the first SIGTERM, and the signal's default, the
-// end of the process, was in force again while open requests were being answered. The same
-// held from the start of the process until the watcher had begun.
+// The tests in this file guard against a SIGHUP that kills a daemon. During a rolling restart
+// with changing settings, gateways lost responses: the process exited with "signal: hangup"
+// about 0.2 s after SIGTERM and did not log daemon.stopped. The SIGHUP handler stopped at the
+// first SIGTERM, which restored the signal's default effect, killing the process, while open
+// requests were still being answered. The same applied between the start of the process and
+// the start of the handler.
 
-// daemonEnvironment is the variable of a test process that runs the program itself.
-const daemonEnvironment = "TEALPOND_RUN_PROGRAM"
+// runProgramEnvVar is the environment variable that makes the test binary run the program.
+const runProgramEnvVar = "TEALPOND_RUN_PROGRAM"
 
-// TestMain runs the program in place of the tests where a test started it so.
+// TestMain runs the program instead of the tests in processes started by startDaemon.
 func TestMain(m *testing.M) {
-	if os.Getenv(daemonEnvironment) != "" {
+	if os.Getenv(runProgramEnvVar) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// testDaemon is a daemon in a process of its own.
+// testDaemon is a daemon that runs in a separate process.
 type testDaemon struct {
 	t       *testing.T
 	command *exec.Cmd
-	lines   chan string // of its log; closed at its end
+	lines   chan string // log lines; closed at the end of the log
 }
 
-// startDaemon starts a gateway with a settings file.
+// startDaemon starts a gateway with the given settings file.
 func startDaemon(t *testing.T, settingsPath string) *testDaemon {
 	t.Helper()
 	command := exec.Command(os.Args[0], "gateway", "--settings", settingsPath)
-	command.Env = append(os.Environ(), daemonEnvironment+"=1")
+	command.Env = append(os.Environ(), runProgramEnvVar+"=1")
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := command.StderrPipe()
 	if err != nil {
@@ -66,7 +66,7 @@
 	return d
 }
 
-// signal sends a signal.
+// signal sends a signal to the daemon.
 func (d *testDaemon) signal(signal syscall.Signal) {
 	d.t.Helper()
 	if err := d.command.Process.Signal(signal); err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// await reads the log up to an event; false if the process ends before.
-func (d *testDaemon) await(event string) bool {
+// awaitEvent reads the log up to an event. It returns false if the process exits first.
+func (d *testDaemon) awaitEvent(event string) bool {
 	for line := range d.lines {
 		d.t.Log(line)
 		if strings.Contains(line, "event="+event+" ") || strings.HasSuffix(line, "event="+event) {
@@ -85,18 +85,19 @@
 	return false
 }
 
-// wantOrderlyEnd waits for the end of the process, which must be in order.
-func (d *testDaemon) wantOrderlyEnd() {
+// expectCleanExit waits for the process to exit, which it must do without an error and after
+// logging daemon.stopped.
+func (d *testDaemon) expectCleanExit() {
 	d.t.Helper()
-	if !d.await("daemon.stopped") {
-		d.t.Error("the process does not say that it has ended in order")
+	if !d.awaitEvent("daemon.stopped") {
+		d.t.Error("the process did not log daemon.stopped")
 	}
 	if err := d.command.Wait(); err != nil {
-		d.t.Errorf("the process ended with %v", err)
+		d.t.Errorf("the process exited with %v", err)
 	}
 }
 
-// gatewaySettings are the settings of a gateway without a disk that finds no leader.
+// gatewaySettings returns the settings of a gateway that has no disk and finds no leader.
 func gatewaySettings(t *testing.T, ip string) (text, clientAddress string) {
 	t.Helper()
 	var ports []int
@@ -130,45 +131,45 @@
 `, ip, ports[0], address(1), address(2), address(3)), address(2)
 }
 
-// TestSignalsEndDaemonsInOrder: whenever signals come, a SIGHUP ends no daemon, and a
-// SIGTERM ends it in order.
-func TestSignalsEndDaemonsInOrder(t *testing.T) {
-	t.Run("SIGHUP while it leaves", testHangupWhileLeaving)
-	t.Run("while settings are read", testSignalsWhileSettingsAreRead)
+// TestSignalsShutDownGracefully checks that at any time SIGHUP does not stop a daemon and
+// SIGTERM shuts it down gracefully.
+func TestSignalsShutDownGracefully(t *testing.T) {
+	t.Run("SIGHUP during shutdown", testHangupDuringShutdown)
+	t.Run("while settings are loaded", testSignalsWhileSettingsAreLoaded)
 }
 
-// testHangupWhileLeaving: the open request is answered all the same.
-func testHangupWhileLeaving(t *testing.T) {
+// testHangupDuringShutdown checks that an open request is answered despite SIGHUP.
+func testHangupDuringShutdown(t *testing.T) {
 	text, clientAddress := gatewaySettings(t, "127.0.0.1")
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d := startDaemon(t, path)
-	if !d.await("daemon.started") {
-		t.Fatal("the daemon has not started")
+	if !d.awaitEvent("daemon.started") {
+		t.Fatal("the daemon did not log daemon.started")
 	}
-	// Without a configuration a request waits for one, and is refused after a while. Once
-	// the first one is answered, the daemon has the second one for certain.
+	// A request waits while there is no configuration, and is rejected after some time.
+	// Once the first request is answered, the daemon has received the second.
 	conn := dialDaemon(t, clientAddress)
 	request := "GET /x HTTP/1.1\r\nHost: h\r\nX-Tealpond-Time-Left: 200\r\n\r\n"
 	if _, err := io.WriteString(conn, request+request); err != nil {
 		t.Fatal(err)
 	}
-	answers := bufio.NewReader(conn)
-	wantRefusal(t, answers)
+	responses := bufio.NewReader(conn)
+	expectUnavailable(t, responses)
 	d.signal(syscall.SIGTERM)
-	if !d.await("shutdown.begun") {
-		t.Error("the daemon does not begin to leave")
+	if !d.awaitEvent("shutdown.begun") {
+		t.Error("the daemon did not log shutdown.begun")
 	}
 	for range 5 {
 		d.signal(syscall.SIGHUP)
 	}
-	wantRefusal(t, answers)
-	d.wantOrderlyEnd()
+	expectUnavailable(t, responses)
+	d.expectCleanExit()
 }
 
-// dialDaemon connects to a port as soon as it accepts connections.
+// dialDaemon connects to an address as soon as it accepts connections.
 func dialDaemon(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for {
@@ -183,28 +184,30 @@
 	}
 }
 
-// wantRefusal reads an answer, which must say that there is no configuration yet.
-func wantRefusal(t *testing.T, answers *bufio.Reader) {
+// expectUnavailable reads a response, which must have status 503 because there is no
+// configuration yet.
+func expectUnavailable(t *testing.T, responses *bufio.Reader) {
 	t.Helper()
-	response, err := http.ReadResponse(answers, nil)
+	response, err := http.ReadResponse(responses, nil)
 	if err != nil {
-		t.Errorf("no answer: %v", err)
+		t.Errorf("no response: %v", err)
 		return
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answered with %d, %v", response.StatusCode, err)
+		t.Errorf("status %d, want 503; body: %v", response.StatusCode, err)
 	}
 }
 
-// testSignalsWhileSettingsAreRead: the daemon has opened its first file, and no more.
-func testSignalsWhileSettingsAreRead(t *testing.T) {
+// testSignalsWhileSettingsAreLoaded sends the signals when the daemon has opened its settings
+// file and nothing else.
+func testSignalsWhileSettingsAreLoaded(t *testing.T) {
 	text, _ := gatewaySettings(t, "127.0.0.1")
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	d := startDaemon(t, path)
-	// The pipe opens once the daemon opens it to read.
+	// Opening the pipe blocks until the daemon opens it for reading.
 	pipe, err := os.OpenFile(path, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -217,5 +220,5 @@
 	if err := pipe.Close(); err != nil {
 		t.Error(err)
 	}
-	d.wantOrderlyEnd()
+	d.expectCleanExit()
 }
--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -19,50 +19,55 @@
 	"tealpond/internal/settings"
 )
 
-// toolTotalTimeout is how long a tool may take in all.
+// toolTotalTimeout bounds the total duration of a tool's requests.
 const toolTotalTimeout = 15 * time.Second
 
-// addTools adds the commands that are no daemons.
+// addTools adds the operators' tools, which run no daemon.
 func (p *program) addTools(app *kingpin.Application) {
-	checkCommand := app.Command("check", "Check a settings file (TOML) or a configuration (JSON); each fault is printed with its place.")
+	checkCommand := app.Command("check",
+		"Check a settings file (TOML) or a configuration (JSON), and print faults with their fields.")
 	file := checkCommand.Arg("file", "The file.").Required().String()
 	p.commands[checkCommand.FullCommand()] = func() int { return p.checkFile(*file) }
 
-	traceCommand := app.Command("trace", "Follow one change through all daemons.")
+	traceCommand := app.Command("trace", "Show the events of one change on all daemons.")
 	traceID := traceCommand.Arg("id", "A job's ID, a task's name, or desired/VERSION.").Required().String()
 	traceAddresses := traceCommand.
 		Flag("at", "A daemon's address for daemons (HOST:PORT, the first inner port); may be repeated.").
 		Required().Strings()
 	p.commands[traceCommand.FullCommand()] = func() int { return p.traceChange(*traceAddresses, *traceID) }
 
-	recordCommand := app.Command("record", "Show each deferrable job: where it ran, when, and that it finished once.")
-	clusters := recordCommand.Flag("cluster", "NAME=HOST:PORT of a daemon of each cluster; repeated.").Required().StringMap()
-	queues := recordCommand.Flag("inbox", "A queue whose jobs are deferrable; repeated. Jobs that moved are always shown.").Strings()
+	recordCommand := app.Command("record",
+		"Show each deferrable job: where and when it ran, and whether it finished exactly once.")
+	clusters := recordCommand.Flag("cluster",
+		"NAME=HOST:PORT of a daemon in each cluster; may be repeated.").Required().StringMap()
+	queues := recordCommand.Flag("inbox",
+		"A queue whose jobs are deferrable; may be repeated. Jobs that moved are always shown.").Strings()
 	p.commands[recordCommand.FullCommand()] = func() int { return p.showRecords(*clusters, *queues) }
 
-	tenantsCommand := app.Command("tenants", "Show each tenant's limit, what it uses of it, and what waits.")
+	tenantsCommand := app.Command("tenants", "Show the limit, usage and waiting work of each tenant.")
 	tenantsAddresses := tenantsCommand.Flag("at", "A daemon's address for daemons; may be repeated.").Required().Strings()
-	asJSON := tenantsCommand.Flag("json", "Print one JSON object a line.").Bool()
+	asJSON := tenantsCommand.Flag("json", "Print one JSON object per line.").Bool()
 	p.commands[tenantsCommand.FullCommand()] = func() int {
 		return p.showTable(admin.FetchState, *tenantsAddresses, tenantsQuery, *asJSON)
 	}
 	p.addCoordinationTools(app)
 
-	queryCommand := app.Command("query", "Answer one SELECT over daemons, runners, workers, devices, bookings, allocs, inboxes, jobs, tenants, rollups, locks, numbers, keys, zones, tallies and tally_peers.")
+	queryCommand := app.Command("query",
+		"Run one SELECT statement over daemons, runners, workers, devices, bookings, allocs, inboxes, jobs, tenants, rollups, locks, numbers, keys, zones, tallies and tally_peers.")
 	text := queryCommand.Arg("sql", "The query.").Required().String()
 	queryAddresses := queryCommand.Flag("at", "A daemon's address for daemons; may be repeated.").Required().Strings()
-	limit := queryCommand.Flag("limit", "The most rows that are printed.").Default("1000").Int()
-	ofLeader := queryCommand.Flag("leader", "Ask the leader, which alone knows daemons and runners.").Bool()
+	limit := queryCommand.Flag("limit", "Maximum number of rows to print.").Default("1000").Int()
+	askLeader := queryCommand.Flag("leader", "Query the leader; only it knows daemons and runners.").Bool()
 	p.commands[queryCommand.FullCommand()] = func() int {
 		fetch := admin.FetchState
-		if *ofLeader {
+		if *askLeader {
 			fetch = admin.FetchLeaderState
 		}
 		return p.runQuery(fetch, *queryAddresses, *text, *limit)
 	}
 }
 
-// fail reports an error and returns the exit code for it.
+// fail reports an error and returns its exit code.
 func (p *program) fail(err error) int {
 	p.reportf("%v", err)
 	if errors.Is(err, admin.ErrUnreachable) {
@@ -71,7 +76,7 @@
 	return exitFault
 }
 
-// checkFile checks a settings file, or a configuration if it opens with a brace.
+// checkFile validates a settings file, or a configuration if the file starts with a brace.
 func (p *program) checkFile(file string) int {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -91,7 +96,8 @@
 	return exitOK
 }
 
-// traceChange prints the events of a change, and what is missing of them.
+// traceChange prints the events of a change. It reports daemons whose events are missing or
+// incomplete.
 func (p *program) traceChange(addresses []string, id string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), toolTotalTimeout)
 	defer cancel()
@@ -104,20 +110,21 @@
 		p.printf("at=%s node=%s id=%s what=%q n=%d text=%q\n", at, step.Node, step.Subject, step.Action, step.Value, step.Detail)
 	}
 	for _, node := range change.Unreachable {
-		p.reportf("%s did not answer: its part is missing", node)
+		p.reportf("%s did not answer; its events are missing", node)
 	}
 	for _, node := range slices.Sorted(maps.Keys(change.RemembersSince)) {
-		p.reportf("%s remembers since %s only", node, time.Unix(0, change.RemembersSince[node]).UTC().Format("15:04:05.000"))
+		p.reportf("%s has kept only the events since %s", node,
+			time.Unix(0, change.RemembersSince[node]).UTC().Format("15:04:05.000"))
 	}
 	if len(change.Steps) == 0 {
-		p.reportf("nothing is known of %s", id)
+		p.reportf("no events are known for %s", id)
 		return exitUnknown
 	}
 	return exitOK
 }
 
-// showRecords prints the record of the deferrable jobs of some clusters, which are
-// given by name with the address of a daemon each.
+// showRecords prints the deferrable jobs of the given clusters. The map has the address of
+// one daemon for each cluster name.
 func (p *program) showRecords(addresses map[string]string, queues []string) int {
 	ctx, cancel := context.WithTimeout(context.Background(), toolTotalTimeout)
 	defer cancel()
@@ -143,11 +150,11 @@
 	return code
 }
 
-// tenantsQuery selects what the command tenants prints.
+// tenantsQuery is the query of the tenants command.
 const tenantsQuery = "SELECT * FROM tenants ORDER BY name"
 
-// showTable prints the answer to a query as a table, or as one JSON object a line.
-func (p *program) showTable(fetch fetchState, addresses []string, query string, asJSON bool) int {
+// showTable prints the result of a query as a table or as one JSON object per line.
+func (p *program) showTable(fetch stateFetcher, addresses []string, query string, asJSON bool) int {
 	if !asJSON {
 		return p.runQuery(fetch, addresses, query, rpc.MaxQueryRows)
 	}
@@ -163,8 +170,8 @@
 	return exitOK
 }
 
-// queryRows returns the rows of a query's answer, each by its columns.
-func queryRows(fetch fetchState, addresses []string, query string) ([]map[string]string, error) {
+// queryRows returns the rows of a query's result, each as a map from column to value.
+func queryRows(fetch stateFetcher, addresses []string, query string) ([]map[string]string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), toolTotalTimeout)
 	defer cancel()
 	cluster, err := fetch(ctx, addresses)
@@ -185,38 +192,38 @@
 	return rows, nil
 }
 
-// watchRows prints the rows of a query's answer that are new or have changed, one JSON object
-// a line, each interval until so many were printed; 0 is no bound.
-func (p *program) watchRows(fetch fetchState, addresses []string, query string, interval time.Duration, most int) int {
-	seen := map[string]bool{}
+// watchRows runs a query at an interval and prints the rows that are new or have changed, one
+// JSON object per line, until maxRows rows were printed; 0 means no maximum.
+func (p *program) watchRows(fetch stateFetcher, addresses []string, query string, interval time.Duration, maxRows int) int {
+	previous := map[string]bool{}
 	for printed := 0; ; time.Sleep(interval) {
 		rows, err := queryRows(fetch, addresses, query)
 		if err != nil {
 			return p.fail(err)
 		}
-		now := map[string]bool{}
+		current := map[string]bool{}
 		for _, row := range rows {
 			text := fmt.Sprint(row) // in the order of the columns' names
-			now[text] = true
-			if seen[text] {
+			current[text] = true
+			if previous[text] {
 				continue
 			}
 			if code := p.printJSON(row); code != exitOK {
 				return code
 			}
-			if printed++; most > 0 && printed >= most {
+			if printed++; maxRows > 0 && printed >= maxRows {
 				return exitOK
 			}
 		}
-		seen = now
+		previous = current
 	}
 }
 
-// fetchState takes a server's state for a query.
-type fetchState func(ctx context.Context, addresses []string) (rpc.ClusterState, error)
+// stateFetcher fetches the state of a server for a query.
+type stateFetcher func(ctx context.Context, addresses []string) (rpc.ClusterState, error)
 
-// runQuery prints the answer to an SQL query.
-func (p *program) runQuery(fetch fetchState, addresses []string, query string, limit int) int {
+// runQuery prints the result of an SQL query as a table.
+func (p *program) runQuery(fetch stateFetcher, addresses []string, query string, limit int) int {
 	ctx, cancel := context.WithTimeout(context.Background(), toolTotalTimeout)
 	defer cancel()
 	cluster, err := fetch(ctx, addresses)
@@ -234,7 +241,7 @@
 		p.reportf("only the first %d rows are printed", limit)
 	}
 	if len(result.PartialTables) > 0 {
-		p.reportf("%s gave only a part of: %s", result.Server, strings.Join(result.PartialTables, ", "))
+		p.reportf("%s returned only a part of these tables: %s", result.Server, strings.Join(result.PartialTables, ", "))
 	}
 	return exitOK
 }
--- a/cmd/tealpond/trial.go
+++ b/cmd/tealpond/trial.go
@@ -13,14 +13,16 @@
 	"tealpond/internal/trial"
 )
 
-// trialTime bounds a trial that doesn't stay up.
-const trialTime = 5 * time.Minute
+// trialTimeout bounds the duration of a trial without --keep.
+const trialTimeout = 5 * time.Minute
 
-// addTrial adds the command that shows a cluster at work on this machine.
+// addTrial adds the command that demonstrates a cluster on this machine.
 func (p *program) addTrial(app *kingpin.Application) {
-	command := app.Command("trial", "Start a small cluster on this machine, run jobs, use a lock and a key, and lose the leader.")
-	directory := command.Flag("data", "An empty directory for settings, data and logs; a temporary one without it. It is removed at the end.").String()
-	keep := command.Flag("keep", "Leave the cluster up until ctrl-C.").Bool()
+	command := app.Command("trial",
+		"Start a small cluster on this machine, run jobs, use a lock and a key, and kill the leader.")
+	directory := command.Flag("data",
+		"An empty directory for settings, data and logs; by default a temporary one. It is removed at the end.").String()
+	keep := command.Flag("keep", "Keep the cluster running until ctrl-C.").Bool()
 	p.commands[command.FullCommand()] = func() int { return p.runTrial(*directory, *keep) }
 }
 
@@ -30,7 +32,7 @@
 	defer stop()
 	if !keep {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, trialTime)
+		ctx, cancel = context.WithTimeout(ctx, trialTimeout)
 		defer cancel()
 	}
 	executable, err := os.Executable()
@@ -47,11 +49,11 @@
 	return exitOK
 }
 
-// errNotEmpty: the directory for a trial has something in it.
-var errNotEmpty = errors.New("the directory is not empty")
+// errNotEmpty reports that the directory for a trial is not empty.
+var errNotEmpty = errors.New("trial directory is not empty")
 
-// trialDirectory returns the directory of a trial: the one that is named, which must be empty
-// or not exist, or a temporary one.
+// trialDirectory returns the directory of a trial: the named one, which must be empty or not
+// exist, or a new temporary one if the name is empty.
 func trialDirectory(named string) (string, error) {
 	if named == "" {
 		return os.MkdirTemp("", "tealpond-trial-")
