--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// latencySmoothing is the weight of a new latency in a runner's average.
+	// latencySmoothing is the weight of a new sample in a runner's average latency.
 	latencySmoothing = 0.2
-	// leavingSuspicion is for how long a runner is left out that closes its connection after an
-	// answer, until the list says whether it drains.
-	leavingSuspicion = 1500 * time.Millisecond
-	// ejectionFailures is the number of failures in a row that eject a runner.
+	// suspectedDrainTime is how long a runner that closed its connection after a response is
+	// skipped, until the list shows whether it is draining.
+	suspectedDrainTime = 1500 * time.Millisecond
+	// ejectionFailures is the number of consecutive failures that eject a runner.
 	ejectionFailures = 2
-	// ejectionTime is for how long a runner is ejected first; it doubles each time, up to
-	// maxEjectionTime.
+	// ejectionTime is the duration of the first ejection of a runner. It doubles each time, up
+	// to maxEjectionTime.
 	ejectionTime = 500 * time.Millisecond
-	// maxEjectionTime is the longest ejectionTime.
+	// maxEjectionTime is the longest ejection.
 	maxEjectionTime = 8 * time.Second
-	// maxEjectedFraction is the part of a service's runners that may be ejected.
+	// maxEjectedFraction is the largest fraction of a service's runners that may be ejected.
 	maxEjectedFraction = 0.5
 )
 
-// runnerState is what this daemon knows of one runner by its own requests.
+// runnerState is what this daemon knows about a runner from its own requests.
 type runnerState struct {
 	registry.Runner
-	outstanding int
-	latency     time.Duration        // smoothed; 0: not known yet
-	failures    int                  // in a row
-	ejections   int                  // in a row
-	ejectedTill time.Time            // by its failures, or since it seems to leave
-	slowTill    time.Time            // it has started lately
-	servedAt    time.Time            // when it surely didn't leave yet, by its last answer
-	observed    registry.Observation // by this daemon, and not yet reported
+	outstanding  int
+	latency      time.Duration        // smoothed; 0: unknown
+	failures     int                  // consecutive
+	ejections    int                  // consecutive
+	ejectedUntil time.Time            // because of failures, or because it appears to be shutting down
+	coldUntil    time.Time            // started recently
+	servedAt     time.Time            // latest time at which it was known not to be shutting down
+	observed     registry.Observation // by this daemon, not yet reported
 }
 
-// balancer chooses the runner of each request. It is pure but for the random numbers,
-// and is used by one goroutine at a time.
+// balancer chooses the runner of each request. It does no I/O, and apart from random numbers
+// depends only on its inputs. It is not safe for concurrent use.
 type balancer struct {
 	zone     string
 	runners  map[string]*runnerState   // by ID
-	observed []*runnerState            // those with something to report
-	services map[string][]*runnerState // those that get this daemon's requests
+	observed []*runnerState            // runners with unreported observations
+	services map[string][]*runnerState // runners that this daemon uses, by service
 	listAge  listAge
 }
 
@@ -52,15 +52,15 @@
 	return &balancer{zone: zone, runners: map[string]*runnerState{}, services: map[string][]*runnerState{}, listAge: listAge{limit: limit}}
 }
 
-// setRunners takes over the list of runners, and this daemon's position among those that
-// use them. What is known of runners that stay is kept.
+// setRunners replaces the runner list and this daemon's position among the daemons that use
+// the runners. The state of runners that remain is kept.
 func (b *balancer) setRunners(list []registry.Runner, position Position, now time.Time) {
 	next := map[string]*runnerState{}
-	near, all := map[string][]*runnerState{}, map[string][]*runnerState{}
+	local, all := map[string][]*runnerState{}, map[string][]*runnerState{}
 	for _, listed := range list {
 		runner := b.runners[listed.ID]
 		if runner == nil {
-			runner = &runnerState{slowTill: now.Add(time.Duration(listed.ColdMs) * time.Millisecond)}
+			runner = &runnerState{coldUntil: now.Add(time.Duration(listed.ColdMs) * time.Millisecond)}
 		}
 		runner.Runner = listed
 		next[listed.ID] = runner
@@ -69,46 +69,46 @@
 		}
 		all[listed.Service] = append(all[listed.Service], runner)
 		if listed.Zone == b.zone {
-			near[listed.Service] = append(near[listed.Service], runner)
+			local[listed.Service] = append(local[listed.Service], runner)
 		}
 	}
 	for service, runners := range all {
-		if len(near[service]) > 0 {
-			runners = near[service]
+		if len(local[service]) > 0 {
+			runners = local[service]
 		}
 		all[service] = position.subset(runners)
 	}
 	b.runners, b.services = next, all
 }
 
-// pick chooses a runner for a request: of some drawn by lot the one with the shortest
-// expected wait. It passes over those that were tried; nil if no other is left.
+// pick chooses a runner for a request: the one with the shortest expected wait among a few
+// random candidates. Runners that were tried are skipped; it returns nil if none is left.
 func (b *balancer) pick(service string, tried []*runnerState, now time.Time) *runnerState {
-	runners := b.known(b.services[service], now)
+	runners := b.usable(b.services[service], now)
 	if len(runners) == 0 {
 		return nil
 	}
-	sound := 0
+	healthy := 0
 	for _, runner := range runners {
-		if !now.Before(runner.ejectedTill) {
-			sound++
+		if !now.Before(runner.ejectedUntil) {
+			healthy++
 		}
 	}
-	// With too many ejected the fault is likely not theirs, and all are used.
-	useEjected := float64(len(runners)-sound) > maxEjectedFraction*float64(len(runners))
+	// If too many are ejected the fault is probably not theirs, so all are used.
+	useEjected := float64(len(runners)-healthy) > maxEjectedFraction*float64(len(runners))
 	var best *runnerState
-	lowest, drawn := math.Inf(1), 0
+	lowest, considered := math.Inf(1), 0
 	offset := rand.IntN(len(runners))
-	step := strideOf(len(runners))
+	step := randomStride(len(runners))
 	for i := range runners {
 		runner := runners[(offset+i*step)%len(runners)]
-		if !useEjected && now.Before(runner.ejectedTill) || contains(tried, runner) {
+		if !useEjected && now.Before(runner.ejectedUntil) || contains(tried, runner) {
 			continue
 		}
 		if cost := runner.cost(now); cost < lowest {
 			best, lowest = runner, cost
 		}
-		if drawn++; drawn == choices {
+		if considered++; considered == candidatesPerPick {
 			break
 		}
 	}
@@ -118,12 +118,12 @@
 	return best
 }
 
-// choices is how many runners are compared. More find the quickest more often, and crowd
-// it until its latency is told.
-const choices = 3
+// candidatesPerPick is how many runners are compared. With more, the fastest runner is found
+// more often and gets overloaded before its latency shows it.
+const candidatesPerPick = 3
 
-// strideOf returns a random step that visits each of n places once.
-func strideOf(n int) int {
+// randomStride returns a random step size that visits each of n positions once.
+func randomStride(n int) int {
 	for {
 		step := 1 + rand.IntN(n)
 		if gcd(step, n) == 1 {
@@ -159,7 +159,7 @@
 	return false
 }
 
-// takeObservations returns what is to be reported of runners.
+// takeObservations returns and clears the observations to report.
 func (b *balancer) takeObservations() []registry.Observation {
 	var reports []registry.Observation
 	for _, runner := range b.observed {
@@ -170,32 +170,32 @@
 	return reports
 }
 
-// report adds a request's attempt to what is to be reported.
-func (b *balancer) report(runner *runnerState, how result, took time.Duration) {
-	if how != resultSound && how != resultFailed {
+// report adds the result of an attempt to the observations.
+func (b *balancer) report(runner *runnerState, result attemptResult, elapsed time.Duration) {
+	if result != resultOK && result != resultFailed {
 		return
 	}
 	if runner.observed == (registry.Observation{}) {
 		b.observed = append(b.observed, runner)
 		runner.observed.ID = runner.ID
 	}
-	if how == resultFailed {
+	if result == resultFailed {
 		runner.observed.Failures++
 		return
 	}
 	runner.observed.Answers++
-	runner.observed.LatencyMs += took.Milliseconds()
+	runner.observed.LatencyMs += elapsed.Milliseconds()
 }
 
-// coldFactor is how many times as long a request is expected to take on a runner that
-// has started lately.
+// coldFactor is how many times longer a request is expected to take on a recently started
+// runner.
 const coldFactor = 2
 
-// failureCost is how many times as much a runner costs of whose requests all fail.
+// failureCost is the relative cost added for a runner whose requests all fail.
 const failureCost = 20
 
-// cost is the wait that is expected of a runner: by what all daemons see of it, or else
-// by what this one does.
+// cost is the expected wait at a runner, based on the latency that all daemons observe or,
+// without that, on what this daemon observes.
 func (r *runnerState) cost(now time.Time) float64 {
 	latency := r.latency
 	if r.Health.LatencyMs > 0 {
@@ -203,61 +203,61 @@
 	}
 	cost := float64(r.outstanding+1) * float64(max(latency, time.Millisecond))
 	cost *= 1 + failureCost*float64(r.Health.FailedPct)/100
-	if now.Before(r.slowTill) {
+	if now.Before(r.coldUntil) {
 		cost *= coldFactor
 	}
 	return cost
 }
 
-// begin counts a request that is sent to a runner.
-func (b *balancer) begin(runner *runnerState) { runner.outstanding++ }
+// startAttempt counts an attempt sent to a runner.
+func (b *balancer) startAttempt(runner *runnerState) { runner.outstanding++ }
 
-// result is what a request's attempt tells of its runner.
-type result int
+// attemptResult is what an attempt shows about its runner.
+type attemptResult int
 
 const (
-	resultSound   result = iota // it answered in order
-	resultFull                  // it turned the request away
-	resultFailed                // it failed, or its answer was not one
-	resultUnknown               // the client left, or the time ended, before it answered
+	resultOK       attemptResult = iota // responded normally
+	resultRejected                      // rejected the request
+	resultFailed                        // failed, or sent an invalid response
+	resultUnknown                       // the client disconnected, or the deadline passed, before it responded
 )
 
-// end records how an attempt ended.
-func (b *balancer) end(runner *runnerState, how result, took time.Duration, now time.Time) {
+// endAttempt records the end of an attempt.
+func (b *balancer) endAttempt(runner *runnerState, result attemptResult, elapsed time.Duration, now time.Time) {
 	runner.outstanding--
-	b.report(runner, how, took)
-	switch how {
-	case resultSound:
+	b.report(runner, result, elapsed)
+	switch result {
+	case resultOK:
 		runner.failures, runner.ejections = 0, 0
-		runner.observe(took)
-	case resultFull:
-		// Whoever sends it so much shouldn't for a while: it counts as slow.
-		runner.observe(max(2*runner.latency, took))
+		runner.recordLatency(elapsed)
+	case resultRejected:
+		// Counts as slow, so that this daemon sends it less for a while.
+		runner.recordLatency(max(2*runner.latency, elapsed))
 	case resultUnknown:
-		runner.observe(max(runner.latency, took))
+		runner.recordLatency(max(runner.latency, elapsed))
 	case resultFailed:
 		runner.failures++
 		if runner.failures >= ejectionFailures {
 			pause := min(ejectionTime<<min(runner.ejections, maxEjectionShift), maxEjectionTime)
-			runner.ejectedTill = now.Add(pause)
+			runner.ejectedUntil = now.Add(pause)
 			runner.ejections++
 			runner.failures = 0
 		}
 	}
 }
 
-// suspectLeaving leaves a runner out for a moment that closed its connection.
-func (b *balancer) suspectLeaving(runner *runnerState, now time.Time) {
-	if till := now.Add(leavingSuspicion); till.After(runner.ejectedTill) {
-		runner.ejectedTill = till
+// suspectDraining skips a runner that closed its connection for a short time.
+func (b *balancer) suspectDraining(runner *runnerState, now time.Time) {
+	if until := now.Add(suspectedDrainTime); until.After(runner.ejectedUntil) {
+		runner.ejectedUntil = until
 	}
 }
 
-// maxEjectionShift bounds the doubling of ejectionTime.
+// maxEjectionShift limits the doubling of ejectionTime.
 const maxEjectionShift = 6
 
-// observe smooths a latency into the runner's average.
-func (r *runnerState) observe(latency time.Duration) {
+// recordLatency adds a sample to the runner's smoothed latency.
+func (r *runnerState) recordLatency(latency time.Duration) {
 	if r.latency == 0 {
 		r.latency = latency
 		return
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -8,32 +8,32 @@
 	"sync/atomic"
 )
 
-// maxReplayBytes is how much of a request's body is kept for a retry, in bytes.
+// maxReplayBytes is the maximum size of a request body kept for a retry, in bytes.
 const maxReplayBytes = 512 << 10
 
-// requestBody is a client's body that can be sent to another runner after the first one
-// refused it: what was read of it is kept, up to maxReplayBytes.
+// requestBody is a client's request body that can be resent to another runner. Up to
+// maxReplayBytes of what was read is buffered.
 //
-// The HTTP library may go on reading for an attempt whose answer is there already, while
-// the next one begins: mu guards the client's body, and whatever any attempt reads is
-// kept for the others.
+// The HTTP transport may still be reading the body for an attempt that already has its
+// response while the next attempt starts. mu guards the client's body, and what any attempt
+// reads is buffered for the others.
 type requestBody struct {
-	mu     sync.Mutex
-	source io.Reader
-	kept   []byte
-	lost   bool // more was read than is kept
-	ended  error
+	mu        sync.Mutex
+	source    io.Reader
+	buffered  []byte
+	truncated bool // more was read than is buffered
+	readErr   error
 }
 
-// canReplay reports whether the body can be sent again from its beginning.
+// canReplay reports whether the body can be sent again from its start.
 func (b *requestBody) canReplay() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.lost && (b.ended == nil || errors.Is(b.ended, io.EOF))
+	return !b.truncated && (b.readErr == nil || errors.Is(b.readErr, io.EOF))
 }
 
-// attemptBody is the body as one attempt sends it. Since it can't be rewound, the HTTP
-// library never repeats the request by itself.
+// attemptBody is the body of one attempt. It cannot be rewound, so the HTTP transport never
+// retries the request itself.
 type attemptBody struct {
 	body   *requestBody
 	offset int
@@ -45,27 +45,27 @@
 	b := a.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if a.closed.Load() || b.lost && a.offset < len(b.kept) {
+	if a.closed.Load() || b.truncated && a.offset < len(b.buffered) {
 		return 0, io.ErrClosedPipe
 	}
-	if a.offset < len(b.kept) {
-		n := copy(into, b.kept[a.offset:])
+	if a.offset < len(b.buffered) {
+		n := copy(into, b.buffered[a.offset:])
 		a.offset += n
 		return n, nil
 	}
-	if b.ended != nil {
-		return 0, b.ended
+	if b.readErr != nil {
+		return 0, b.readErr
 	}
 	n, err := b.source.Read(into)
 	switch {
-	case b.lost:
-	case len(b.kept)+n > maxReplayBytes:
-		b.kept, b.lost = nil, true
+	case b.truncated:
+	case len(b.buffered)+n > maxReplayBytes:
+		b.buffered, b.truncated = nil, true
 	default:
-		b.kept = append(b.kept, into[:n]...)
+		b.buffered = append(b.buffered, into[:n]...)
 	}
 	a.offset += n
-	b.ended = err
+	b.readErr = err
 	return n, err
 }
 
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// newRequestBody makes the body of a client's request; nil if it has none.
+// newRequestBody returns the body of a client's request, or nil if it has none.
 func newRequestBody(request *http.Request) *requestBody {
 	if request.ContentLength == 0 || request.Body == nil {
 		return nil
@@ -83,8 +83,8 @@
 	return &requestBody{source: request.Body}
 }
 
-// emptyBody is an empty body that keeps the HTTP library from repeating a request by
-// itself on another connection: an arrival that nobody asked for.
+// emptyBody is an empty body that prevents the HTTP transport from retrying a request on
+// another connection, which would reach the runner as an attempt this daemon did not make.
 type emptyBody struct{}
 
 // Read implements io.Reader.
@@ -93,20 +93,20 @@
 // Close implements io.Closer.
 func (emptyBody) Close() error { return nil }
 
-// bodyFor returns the body of an attempt.
-func bodyFor(request *http.Request, body *requestBody) io.ReadCloser {
+// outgoingBody returns the body of an attempt.
+func outgoingBody(request *http.Request, body *requestBody) io.ReadCloser {
 	switch {
 	case body != nil:
 		return &attemptBody{body: body}
-	case repeatableByLibrary(request):
+	case retriedByTransport(request):
 		return emptyBody{}
 	}
 	return http.NoBody
 }
 
-// repeatableByLibrary reports whether the HTTP library would send a request without a body
-// again if its connection fails.
-func repeatableByLibrary(request *http.Request) bool {
+// retriedByTransport reports whether the HTTP transport would resend a request without a body
+// if its connection fails.
+func retriedByTransport(request *http.Request) bool {
 	switch request.Method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,11 +1,11 @@
-// Package gateway forwards requests of clients to runners.
+// Package gateway is the HTTP reverse proxy that forwards client requests to runners.
 //
-// It holds what a request goes through in one daemon: its route and tenant, the choice
-// of a runner, attempts within the operators' bounds, and the answer's way back. It knows
-// nothing of how the configuration and the list of runners come to the daemon: both are
-// handed to it. HTTP itself is the library's on both sides.
+// It handles a request within one daemon: route and tenant lookup, runner selection, attempts
+// within the operator's retry limit, and the response. It does not know how the configuration
+// and the runner list reach the daemon; both are passed in. HTTP itself is handled by net/http
+// on both sides.
 //
-// What it never does: send a request that may not be repeated to a second runner unless
-// the first surely didn't run it; change a body; give an answer to another caller than
-// the one whose attempt it names.
+// The proxy never resends a request that is not safe to repeat to a second runner unless the
+// first is known not to have run it, never changes a body, and never delivers a response to
+// any caller other than the one whose attempt ID it carries.
 package gateway
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -15,67 +15,68 @@
 )
 
 const (
-	// responseReserve is the part of a client's deadline that is left for the way of the response.
+	// responseReserve is the part of a client's deadline reserved for sending the response.
 	responseReserve = 30 * time.Millisecond
-	// unreadAnswerTime is how long after a client's deadline a response is still written that the
-	// client doesn't read.
-	unreadAnswerTime = time.Second
-	// maxGatewayTime is the deadline of a request whose client names none, and the longest one.
+	// unreadResponseTime is how long after a client's deadline the daemon keeps writing a
+	// response that the client does not read.
+	unreadResponseTime = time.Second
+	// maxGatewayTime is the deadline of a request whose client specifies none, and the longest
+	// one allowed.
 	maxGatewayTime = 60 * time.Second
-	// startupWait is how long a request waits in a daemon that has no configuration or list of runners
-	// yet.
+	// startupWait is how long a request waits in a daemon that has no configuration or runner
+	// list yet.
 	startupWait = 800 * time.Millisecond
 )
 
-// phase is a state of a request in this daemon.
+// phase is the state of a request in this daemon.
 type phase int
 
 const (
-	phaseAdmit   phase = iota // its sizes, route and tenant are looked at
+	phaseAdmit   phase = iota // sizes, route and tenant are checked
 	phaseAttempt              // a runner is chosen and the request is sent to it
-	phaseAnswer               // the runner's answer goes back
-	phaseRefuse               // an answer of this daemon's own goes back
+	phaseRespond              // the runner's response is forwarded
+	phaseRefuse               // an error response of this daemon is written
 	phaseEnded
 )
 
-// phaseHandlers do the work of each phase and return the next one.
+// phaseHandlers run each phase and return the next one.
 var phaseHandlers = map[phase]func(*exchange) phase{
 	phaseAdmit:   (*exchange).admit,
 	phaseAttempt: (*exchange).attempt,
-	phaseAnswer:  (*exchange).answer,
+	phaseRespond: (*exchange).respond,
 	phaseRefuse:  (*exchange).refuse,
 }
 
-// exchange is one request of a client and its answer.
+// exchange is one client request and its response.
 type exchange struct {
-	proxy   *Proxy
-	conn    *clientConn // nil: the connection is not one of Listener
-	writer  http.ResponseWriter
-	request *http.Request
-	until   time.Time          // when the client's time, or the route's, is used up
-	ctx     context.Context    // ends with the client, or at until
-	cancel  context.CancelFunc // of ctx
+	proxy    *Proxy
+	conn     *clientConn // nil: the connection was not accepted by Listener
+	writer   http.ResponseWriter
+	request  *http.Request
+	deadline time.Time          // the earlier of the client's and the route's deadline
+	ctx      context.Context    // canceled with the client's request, or at deadline
+	cancel   context.CancelFunc // of ctx
 
 	route   *clusterconfig.Route
 	service string
-	tenant  string // of its key; empty: none
-	// tenantsKnown: the configuration names tenants.
-	tenantsKnown bool
-	body         *requestBody // nil: there is none
-	tried        []*runnerState
-	// mayHaveRun: an attempt may have run, or may yet, so nothing can be promised.
+	tenant  string // of the API key; empty: none
+	// hasTenants: the configuration defines tenants.
+	hasTenants bool
+	body       *requestBody // nil: there is none
+	tried      []*runnerState
+	// mayHaveRun: an attempt may have run, or may still run, so no guarantee can be given.
 	mayHaveRun bool
 
 	runner   *runnerState    // shared with other requests; read under the proxy's lock
-	listed   registry.Runner // the runner as it was listed when it was chosen
+	target   registry.Runner // list entry of the runner when it was chosen
 	response *http.Response
-	took     time.Duration // until the head of the answer
+	latency  time.Duration // until the response headers
 	refusal  refusal
 }
 
 // ServeHTTP serves one request.
 func (p *Proxy) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	conn, ok := request.Context().Value(connKey{}).(*clientConn)
+	conn, ok := request.Context().Value(clientConnKey{}).(*clientConn)
 	if ok {
 		early := conn.begin(request)
 		defer conn.end()
@@ -87,16 +88,16 @@
 	p.newExchange(writer, request, conn).run(phaseAdmit)
 }
 
-// newExchange begins a client's request; the time that the client gives it runs from now.
+// newExchange starts handling a client's request; the client's time limit counts from now.
 func (p *Proxy) newExchange(writer http.ResponseWriter, request *http.Request, conn *clientConn) *exchange {
-	left := protocol.TimeLeft(request, maxGatewayTime)
-	left -= min(left/10, responseReserve)
-	e := &exchange{proxy: p, conn: conn, writer: writer, request: request, until: time.Now().Add(left)}
-	e.ctx, e.cancel = context.WithDeadline(request.Context(), e.until)
+	remaining := protocol.TimeLeft(request, maxGatewayTime)
+	remaining -= min(remaining/10, responseReserve)
+	e := &exchange{proxy: p, conn: conn, writer: writer, request: request, deadline: time.Now().Add(remaining)}
+	e.ctx, e.cancel = context.WithDeadline(request.Context(), e.deadline)
 	return e
 }
 
-// run goes through the phases of a request to its end.
+// run executes the phases of a request until it ends.
 func (e *exchange) run(next phase) {
 	defer func() { e.cancel() }()
 	for next != phaseEnded {
@@ -104,38 +105,38 @@
 	}
 }
 
-// clientHasGone reports whether the client has ended its connection. At the latest moment of
-// a daemon's end the request's context ends too, and the client is there.
-func (e *exchange) clientHasGone() bool {
+// clientDisconnected reports whether the client has closed its connection. At the shutdown
+// deadline the request's context also ends, but the client is still connected.
+func (e *exchange) clientDisconnected() bool {
 	ctx := e.request.Context()
 	return errors.Is(ctx.Err(), context.Canceled) && !errors.Is(context.Cause(ctx), httpserver.ErrEnding)
 }
 
-// endConnectionIfLast says in an answer's headers that the connection ends with it, if the
-// daemon leaves and nothing behind it was passed on.
-func (e *exchange) endConnectionIfLast(header http.Header) {
-	if e.conn != nil && e.conn.endsWithAnswer() {
+// closeConnectionIfLast sets Connection: close on a response if the daemon is shutting down
+// and no request behind it was forwarded.
+func (e *exchange) closeConnectionIfLast(header http.Header) {
+	if e.conn != nil && e.conn.closesAfterResponse() {
 		header.Set("Connection", "close")
 	}
 }
 
-// admit finds the request's route and tenant.
+// admit determines the request's route and tenant.
 func (e *exchange) admit() phase {
-	if e.proxy.refuses() {
-		return e.refuseWith(refusalLeaving)
+	if e.proxy.refusesRequests() {
+		return e.refuseWith(refusalShuttingDown)
 	}
-	if !e.proxy.awaitReady(e.ctx, min(startupWait, time.Until(e.until)/2)) {
+	if !e.proxy.awaitReady(e.ctx, min(startupWait, time.Until(e.deadline)/2)) {
 		return e.refuseWith(refusalNotConfigured)
 	}
-	known := e.proxy.routing.Load()
-	if _, ok := e.judge(known); !ok || e.tenant != "" && !e.route.Public && !e.proxy.trustsKeys() {
-		// Before a request is refused permanently the newest configuration is asked
-		// for: the one known here may be older. So it is before a key is served that
-		// may have been taken away.
+	current := e.proxy.routing.Load()
+	if _, ok := e.validate(current); !ok || e.tenant != "" && !e.route.Public && !e.proxy.trustsKeys() {
+		// Before a request is refused permanently the current configuration is fetched, since
+		// the active one may be outdated. The same applies before accepting a key that may
+		// have been revoked.
 		if err := e.proxy.options.Refresh(e.ctx); err != nil {
 			return e.refuseWith(refusalNotConfigured)
 		}
-		if refused, ok := e.judge(e.proxy.routing.Load()); !ok {
+		if refused, ok := e.validate(e.proxy.routing.Load()); !ok {
 			return e.refuseWith(refused)
 		}
 	}
@@ -144,10 +145,10 @@
 			return e.refuseWith(refusal{http.StatusTooManyRequests, "more requests than agreed", retryAfter})
 		}
 	}
-	if limit := time.Duration(e.route.TimeoutMs) * time.Millisecond; time.Until(e.until) > limit {
+	if limit := time.Duration(e.route.TimeoutMs) * time.Millisecond; time.Until(e.deadline) > limit {
 		e.cancel()
-		e.until = time.Now().Add(limit)
-		e.ctx, e.cancel = context.WithDeadline(e.request.Context(), e.until)
+		e.deadline = time.Now().Add(limit)
+		e.ctx, e.cancel = context.WithDeadline(e.request.Context(), e.deadline)
 	}
 	e.service = e.proxy.serviceFor(e.route)
 	e.body = newRequestBody(e.request)
@@ -155,26 +156,27 @@
 	return phaseAttempt
 }
 
-// judge reports whether a configuration allows the request, and how it is refused else.
-func (e *exchange) judge(by *routing) (refusal, bool) {
-	limits := by.config.Limits
+// validate checks a request against a configuration. If it is not allowed it returns the
+// refusal and false.
+func (e *exchange) validate(current *routing) (refusal, bool) {
+	limits := current.config.Limits
 	switch {
 	case limits.MaxHeaderBytes > 0 && protocol.HeaderSize(e.request) > limits.MaxHeaderBytes:
 		return refusalHeaderTooLarge, false
 	case limits.MaxBodyBytes > 0 && e.request.ContentLength > limits.MaxBodyBytes:
 		return refusalBodyTooLarge, false
 	}
-	e.route, _ = by.routes.Find(e.request.Host, e.request.URL.Path)
+	e.route, _ = current.routes.Find(e.request.Host, e.request.URL.Path)
 	if e.route == nil || !strings.HasPrefix(e.request.URL.Path, e.route.PathPrefix) {
 		return refusalNoRoute, false
 	}
-	e.tenantsKnown = len(by.config.Tenants()) > 0
-	if !e.tenantsKnown {
+	e.hasTenants = len(current.config.Tenants()) > 0
+	if !e.hasTenants {
 		return refusal{}, true
 	}
-	tenant, ok := by.keys.Tenant(protocol.BearerKey(e.request))
+	tenant, ok := current.keys.Tenant(protocol.BearerKey(e.request))
 	e.tenant = tenant
-	return refusalNoKey, ok || e.route.Public
+	return refusalUnknownKey, ok || e.route.Public
 }
 
 // repeatable reports whether the request may run more than once.
@@ -182,35 +184,37 @@
 	return e.route.Kind == protocol.KindReadOnly || e.route.Kind == protocol.KindDownload
 }
 
-// answer passes the runner's answer on, unchanged.
-func (e *exchange) answer() phase {
+// respond forwards the runner's response unchanged.
+func (e *exchange) respond() phase {
 	defer func() { _ = e.response.Body.Close() }()
 	header := e.writer.Header()
 	copyHeaders(header, e.response.Header)
 	for _, name := range []string{"Content-Type", "Date"} {
 		if header.Get(name) == "" {
-			header[name] = nil // the library would add its own
+			header[name] = nil // net/http would add its own
 		}
 	}
 	if e.response.ContentLength >= 0 && e.request.Method != http.MethodHead {
 		header.Set("Content-Length", strconv.FormatInt(e.response.ContentLength, 10))
 	}
-	e.endConnectionIfLast(header)
-	// A client may be slow to read, and one that has gone without a word reads nothing.
-	_ = http.NewResponseController(e.writer).SetWriteDeadline(e.until.Add(unreadAnswerTime)) // a writer of a test has none
+	e.closeConnectionIfLast(header)
+	// A client may read slowly, and one that disappeared without closing its connection reads
+	// nothing.
+	// Writers of tests have no deadline.
+	_ = http.NewResponseController(e.writer).SetWriteDeadline(e.deadline.Add(unreadResponseTime))
 	e.writer.WriteHeader(e.response.StatusCode)
-	if err := e.copyBody(); err != nil {
-		how := resultFailed
+	if err := e.copyResponseBody(); err != nil {
+		result := resultFailed
 		if e.ctx.Err() != nil {
-			how = resultUnknown
+			result = resultUnknown
 		}
-		e.proxy.end(e.runner, how, e.took)
-		panic(http.ErrAbortHandler) // the client must see that its answer is not whole
+		e.proxy.endAttempt(e.runner, result, e.latency)
+		panic(http.ErrAbortHandler) // the client must detect that the response is truncated
 	}
-	how := resultSound
+	result := resultOK
 	if e.response.StatusCode >= http.StatusInternalServerError {
-		how = resultFailed
+		result = resultFailed
 	}
-	e.proxy.end(e.runner, how, e.took)
+	e.proxy.endAttempt(e.runner, result, e.latency)
 	return phaseEnded
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,18 +16,18 @@
 	"tealpond/internal/registry"
 )
 
-// testConfig has a route for each kind, all of service s.
+// testConfig has a route of each kind, all to service s.
 const testConfig = `{"configVersion":%d,"routeList":[` +
 	`{"name":"r","hostName":"h","pathPrefix":"/read/","kind":"read_only","timeoutMs":2000,"targetService":"s","maxTries":3},` +
 	`{"name":"w","hostName":"h","pathPrefix":"/write/","kind":"writing","timeoutMs":2000,"targetService":"s","maxTries":3},` +
 	`{"name":"u","hostName":"h","pathPrefix":"/upload/","kind":"upload","timeoutMs":2000,"targetService":"s","maxTries":2}],` +
 	`"serviceList":[{"name":"s"}],"limits":{"maxHeaderBytes":2000,"maxBodyBytes":1000000}%s}`
 
-// testConfigText returns testConfig in a version, without tenants.
+// testConfigText returns testConfig with the given version and no tenants.
 func testConfigText(version int) string { return fmt.Sprintf(testConfig, version, "") }
 
-// arrival is a request as a runner got it.
-type arrival struct {
+// receivedRequest is a request as a runner received it.
+type receivedRequest struct {
 	runner, method, uri, host, body string
 	header                          http.Header
 }
@@ -37,29 +37,30 @@
 	t      *testing.T
 	proxy  *Proxy
 	front  *httptest.Server
-	config string // what Refresh fetches; empty: the leader is out of reach
+	config string // returned by Refresh; empty: the leader is unreachable
 
 	mu       sync.Mutex
-	arrivals []arrival
+	received []receivedRequest
 }
 
-// runnerBehavior answers a request that a runner got.
+// runnerBehavior handles a request received by a runner.
 type runnerBehavior func(w http.ResponseWriter, r *http.Request)
 
-// sound answers in order.
-func sound(w http.ResponseWriter, r *http.Request) {
+// succeeding responds normally.
+func succeeding(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(protocol.HeaderAttemptID, r.Header.Get(protocol.HeaderAttemptID))
 	w.Header().Set("X-Seal", "seal")
 	_, _ = io.WriteString(w, "answer")
 }
 
-// full turns the request away without having run it.
-func full(w http.ResponseWriter, _ *http.Request) {
+// rejecting rejects the request without running it.
+func rejecting(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set(protocol.HeaderNotRun, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// failing answers every request with 502 or 503 and without a promise, after it may have run it.
+// failing responds to every request with the given status and no guarantee that it was not
+// run.
 func failing(code int) runnerBehavior {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(protocol.HeaderAttemptID, r.Header.Get(protocol.HeaderAttemptID))
@@ -68,8 +69,8 @@
 	}
 }
 
-// broken closes the connection without an answer.
-func broken(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// aborting closes the connection without a response.
+func aborting(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // newHarness starts a proxy with runners of service s.
 func newHarness(t *testing.T, runners ...runnerBehavior) *harness {
@@ -83,9 +84,9 @@
 	for i, behavior := range runners {
 		id := fmt.Sprint("i-", i)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			body, _ := io.ReadAll(r.Body) // what came in before it broke off
+			body, _ := io.ReadAll(r.Body) // what was received before the connection broke
 			h.mu.Lock()
-			h.arrivals = append(h.arrivals, arrival{id, r.Method, r.RequestURI, r.Host, string(body), r.Header})
+			h.received = append(h.received, receivedRequest{id, r.Method, r.RequestURI, r.Host, string(body), r.Header})
 			h.mu.Unlock()
 			behavior(w, r)
 		}))
@@ -98,12 +99,12 @@
 	return h
 }
 
-var errLeaderOutOfReach = errors.New("the leader is out of reach")
+var errLeaderUnreachable = errors.New("leader unreachable")
 
-// refresh stands in for the way to the leader.
+// refresh stands in for fetching the configuration from the leader.
 func (h *harness) refresh(context.Context) error {
 	if h.config == "" {
-		return errLeaderOutOfReach
+		return errLeaderUnreachable
 	}
 	config, err := clusterconfig.Parse([]byte(h.config))
 	if err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// call makes a client's request and gives its status and body.
+// call sends a client request and returns the status, body and headers of the response.
 func (h *harness) call(method, path, body string, headers map[string]string) (int, string, http.Header) {
 	h.t.Helper()
 	request, err := http.NewRequestWithContext(h.t.Context(), method, h.front.URL+path, strings.NewReader(body))
@@ -138,9 +139,9 @@
 	return response.StatusCode, string(text), response.Header
 }
 
-// seen returns the requests that runners got.
-func (h *harness) seen() []arrival {
+// receivedRequests returns the requests that runners received.
+func (h *harness) receivedRequests() []receivedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]arrival(nil), h.arrivals...)
+	return append([]receivedRequest(nil), h.received...)
 }
--- a/internal/gateway/headers.go
+++ b/internal/gateway/headers.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are the hop-by-hop headers, which are not forwarded.
 var connectionHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -19,8 +19,8 @@
 	"Upgrade":             true,
 }
 
-// copyHeaders adds the headers of a message to another, without those that concern one
-// connection: the ones above, and those that its Connection header names.
+// copyHeaders copies the headers of a message to another, except hop-by-hop headers: those in
+// connectionHeaders and those named by the Connection header.
 func copyHeaders(to, from http.Header) {
 	named := map[string]bool{}
 	for _, list := range from["Connection"] {
--- a/internal/gateway/list_age.go
+++ b/internal/gateway/list_age.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// listAgeLimit bounds the age of what a daemon knows when it chooses a runner. Updates of
-// runners that leave may come late, where clients fill a daemon's link; then it chooses
-// among those that it has heard itself.
+// listAgeLimit limits the age of the runner list that may be used for choosing a runner.
+// Updates about runners that are shutting down can be delayed when clients saturate the
+// daemon's link. The daemon then chooses only among runners that responded to it recently.
 type listAgeLimit struct {
-	most    time.Duration // 0: no limit
-	inTouch time.Duration // for how long after a question without an answer it doesn't hold
+	maxAge      time.Duration // 0: no limit
+	outageGrace time.Duration // after a failed query the limit does not apply for this long
 }
 
-// listAge is what a daemon knows of the age of its list of runners.
+// listAge tracks the age of a daemon's runner list.
 type listAge struct {
 	limit listAgeLimit
-	asOf  time.Time // the list misses no change before it; zero: that isn't known
-	// failedAt is when a question for changes last had no answer. No leader was reached
-	// then, and the operators' bound holds for daemons that are in touch with one.
-	failedAt time.Time
+	asOf  time.Time // the list contains all changes before this time; zero: unknown
+	// lastFailureAt is when a query for changes last failed. No leader was reachable then, and
+	// the operator's limit applies only to daemons in contact with a leader.
+	lastFailureAt time.Time
 }
 
-// allows reports whether any runner of the list may be chosen.
-func (a *listAge) allows(now time.Time) bool {
-	return a.limit.most == 0 || a.asOf.IsZero() || now.Sub(a.asOf) <= a.limit.most || now.Sub(a.failedAt) <= a.limit.inTouch
+// allowsAll reports whether every runner of the list may be chosen.
+func (a *listAge) allowsAll(now time.Time) bool {
+	return a.limit.maxAge == 0 || a.asOf.IsZero() || now.Sub(a.asOf) <= a.limit.maxAge ||
+		now.Sub(a.lastFailureAt) <= a.limit.outageGrace
 }
 
-// confirm records that the list misses no change before a time.
+// confirm records that the list contains all changes before asOf.
 func (a *listAge) confirm(asOf time.Time) {
 	if asOf.After(a.asOf) {
 		a.asOf = asOf
 	}
 }
 
-// known returns those of the runners that are known not to leave for too long: all, if the
-// list is young enough, or else those that have answered lately.
-func (b *balancer) known(runners []*runnerState, now time.Time) []*runnerState {
-	if b.listAge.allows(now) {
+// usable returns the runners that cannot have been shutting down for too long: all of them if
+// the list is recent enough, otherwise those that responded recently.
+func (b *balancer) usable(runners []*runnerState, now time.Time) []*runnerState {
+	if b.listAge.allowsAll(now) {
 		return runners
 	}
-	var heard []*runnerState
+	var recent []*runnerState
 	for _, runner := range runners {
-		if now.Sub(runner.servedAt) <= b.listAge.limit.most {
-			heard = append(heard, runner)
+		if now.Sub(runner.servedAt) <= b.listAge.limit.maxAge {
+			recent = append(recent, runner)
 		}
 	}
-	return heard
+	return recent
 }
 
-// noteServing records that the runner didn't leave yet at a time.
-func (r *runnerState) noteServing(at time.Time) {
+// recordServing records that the runner was not yet shutting down at the given time.
+func (r *runnerState) recordServing(at time.Time) {
 	if at.After(r.servedAt) {
 		r.servedAt = at
 	}
--- a/internal/gateway/list_age_test.go
+++ b/internal/gateway/list_age_test.go
@@ -8,26 +8,27 @@
 	"tealpond/internal/registry"
 )
 
-// TestOldListIsNotTrusted: beyond its age only runners are chosen that have answered since,
-// and none where none has; without an answer of any leader lately, all are.
-func TestOldListIsNotTrusted(t *testing.T) {
-	const most, inTouch = time.Second, 3 * time.Second
+// TestStaleRunnerListIsNotUsed checks that beyond the maximum age only runners that responded
+// recently are chosen, or none, and that all are chosen while the leader was recently
+// unreachable.
+func TestStaleRunnerListIsNotUsed(t *testing.T) {
+	const maxAge, outageGrace = time.Second, 3 * time.Second
 	for _, c := range []struct {
-		age     time.Duration
-		heard   time.Duration // since runner 0 answered; 0: it hasn't
-		failed  time.Duration // since a question had no answer; 0: all had one
-		choices int           // how many runners may be chosen
+		age       time.Duration
+		served    time.Duration // time since runner 0 responded; 0: it has not
+		failedAgo time.Duration // time since a query failed; 0: none has
+		choices   int           // number of runners that may be chosen
 	}{
-		{age: most, choices: 4},
-		{age: most + 1, choices: 0},
-		{age: most + 1, heard: most, choices: 1},
-		{age: most + 1, heard: most + 1, choices: 0},
-		{age: time.Minute, heard: most, choices: 1},
-		{age: time.Minute, failed: inTouch, choices: 4},
-		{age: time.Minute, failed: inTouch + 1, choices: 0},
+		{age: maxAge, choices: 4},
+		{age: maxAge + 1, choices: 0},
+		{age: maxAge + 1, served: maxAge, choices: 1},
+		{age: maxAge + 1, served: maxAge + 1, choices: 0},
+		{age: time.Minute, served: maxAge, choices: 1},
+		{age: time.Minute, failedAgo: outageGrace, choices: 4},
+		{age: time.Minute, failedAgo: outageGrace + 1, choices: 0},
 	} {
-		t.Run(fmt.Sprint(c.age, c.heard, c.failed), func(t *testing.T) {
-			b := newBalancer("z", listAgeLimit{most, inTouch})
+		t.Run(fmt.Sprint(c.age, c.served, c.failedAgo), func(t *testing.T) {
+			b := newBalancer("z", listAgeLimit{maxAge, outageGrace})
 			var list []registry.Runner
 			for i := range 4 {
 				list = append(list, registry.Runner{ID: fmt.Sprint(i), Service: "s", Zone: "z"})
@@ -35,12 +36,12 @@
 			b.setRunners(list, Position{}, testStart)
 			now := testStart.Add(time.Minute)
 			b.listAge.confirm(now.Add(-c.age))
-			b.listAge.confirm(now.Add(-c.age - time.Second)) // news that come later change nothing
-			if c.failed > 0 {
-				b.listAge.failedAt = now.Add(-c.failed)
+			b.listAge.confirm(now.Add(-c.age - time.Second)) // an older confirmation changes nothing
+			if c.failedAgo > 0 {
+				b.listAge.lastFailureAt = now.Add(-c.failedAgo)
 			}
-			if c.heard > 0 {
-				b.runners["0"].noteServing(now.Add(-c.heard))
+			if c.served > 0 {
+				b.runners["0"].recordServing(now.Add(-c.served))
 			}
 			chosen := map[string]bool{}
 			for range 200 {
@@ -49,11 +50,11 @@
 				}
 			}
 			if len(chosen) != c.choices || c.choices == 1 && !chosen["0"] {
-				t.Errorf("%v are chosen, want %d", chosen, c.choices)
+				t.Errorf("chose %v, want %d runners", chosen, c.choices)
 			}
-			// A runner that was tried is not chosen again, whatever is known of it.
-			if heard := b.runners["0"]; c.choices == 1 && b.pick("s", []*runnerState{heard}, now) != nil {
-				t.Error("a runner was chosen of which nothing is known")
+			// A runner that was tried is not chosen again, even if it responded recently.
+			if served := b.runners["0"]; c.choices == 1 && b.pick("s", []*runnerState{served}, now) != nil {
+				t.Error("chose a runner without a recent response")
 			}
 		})
 	}
--- a/internal/gateway/near_runners_test.go
+++ b/internal/gateway/near_runners_test.go
@@ -6,9 +6,9 @@
 	"tealpond/internal/registry"
 )
 
-// TestWhoLacksNearRunners: a daemon whose zone has hardly a runner of a service, or more that
-// leave than stay, needs to know of those of other zones; one without a list doesn't know.
-func TestWhoLacksNearRunners(t *testing.T) {
+// TestLacksNearRunners checks that a daemon needs runners of other zones if its zone has too
+// few runners of a service or more draining than active ones, and not before it has a list.
+func TestLacksNearRunners(t *testing.T) {
 	h := newHarness(t)
 	for _, c := range []struct {
 		near, leaving, far int
@@ -31,10 +31,10 @@
 		add(c.far, "y", false)
 		h.proxy.SetRunners(list, Position{Total: 1})
 		if got := h.proxy.LacksNearRunners(); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: got %v", c, got)
 		}
 	}
 	if New(Options{Zone: "z"}).LacksNearRunners() {
-		t.Error("without a configuration")
+		t.Error("reported before a configuration is known")
 	}
 }
--- a/internal/gateway/pipeline.go
+++ b/internal/gateway/pipeline.go
@@ -11,52 +11,53 @@
 	"tealpond/internal/protocol"
 )
 
-// Some clients send requests before the ones ahead of them on the connection are answered.
-// The HTTP server reads them one after the other, so that each would wait for all before
-// it. Here a request that may run more than once is sent to a runner as soon as it has come
-// in, and its answer is kept back until it is its turn.
+// Some clients pipeline requests: they send the next request before the previous ones on the
+// connection are answered. The HTTP server reads requests one after the other, so each would
+// wait for all before it. This file sends a request that may run more than once to a runner as
+// soon as it arrives, and holds its response until its turn.
 
 const (
-	// maxEarlyRequests is how many requests of a connection are sent ahead of their turn.
+	// maxEarlyRequests is the maximum number of requests of a connection that are sent ahead
+	// of their turn.
 	maxEarlyRequests = 8
-	// readAheadBytes is how much is read at once while a request is answered, in bytes:
-	// a few requests.
+	// readAheadBytes is how much is read at once while a request is being handled, in bytes:
+	// enough for a few requests.
 	readAheadBytes = 2 << 10
 )
 
-// clientConn is a client's connection. It reads along with the HTTP server.
+// clientConn is a client's connection. It scans what the HTTP server reads.
 type clientConn struct {
 	net.Conn
 	proxy  *Proxy
-	ctx    context.Context // ends with the connection
+	ctx    context.Context // canceled when the connection closes
 	cancel context.CancelFunc
-	unread []byte // read, and not yet taken by the server, which reads one at a time
+	unread []byte // read from the connection, not yet by the server, which reads one byte at a time
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	scanner  requestScanner
-	scanned  int                   // requests that the scanner has found
-	started  int                   // requests that the server has begun to answer
-	finished int                   // requests that were answered
-	early    map[int]*earlyRequest // by their number on the connection
+	scanned  int                   // requests found by the scanner
+	started  int                   // requests the server started to handle
+	finished int                   // requests the server finished handling
+	early    map[int]*earlyRequest // by request number on the connection
 }
 
 // earlyRequest is a request that was sent ahead of its turn.
 type earlyRequest struct {
 	exchange *exchange
-	cancel   context.CancelFunc // gives it up
-	next     phase              // in which its turn is to come
-	done     chan struct{}      // closed when next is known
+	cancel   context.CancelFunc // abandons the request
+	next     phase              // phase in which to continue when its turn comes
+	done     chan struct{}      // closed once next is set
 }
 
-// clientListener makes the connections of a listener clientConns.
+// clientListener wraps the connections of a listener in clientConns.
 type clientListener struct {
 	net.Listener
 	proxy *Proxy
 	ctx   context.Context
 }
 
-// Listener wraps the listener of clients, for a server with ConnContext. Requests that are
-// sent ahead of their turn end with ctx.
+// Listener wraps the client listener of a server that uses ConnContext. Requests sent ahead of
+// their turn are canceled with ctx.
 func (p *Proxy) Listener(ctx context.Context, listener net.Listener) net.Listener {
 	return clientListener{listener, p, ctx}
 }
@@ -72,17 +73,17 @@
 	return c, nil
 }
 
-// connKey is the key of a request's clientConn in its context.
-type connKey struct{}
+// clientConnKey is the context key of a request's clientConn.
+type clientConnKey struct{}
 
-// ConnContext makes a connection known to the requests that come on it. It is the
-// ConnContext of the server that Listener is for.
+// ConnContext makes a connection available to its requests. It is the ConnContext of the
+// server that uses Listener.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, conn)
+	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// Read implements net.Conn. While the server answers a request it reads a single byte, to
-// see whether the client leaves: then more is read, and kept for it.
+// Read implements net.Conn. While the server handles a request it reads a single byte, to
+// detect that the client has disconnected. In that case more is read and kept for the server.
 func (c *clientConn) Read(into []byte) (int, error) {
 	if len(c.unread) > 0 {
 		n := copy(into, c.unread)
@@ -102,7 +103,7 @@
 	return taken, err
 }
 
-// Close implements net.Conn. Requests that wait for their turn are given up.
+// Close implements net.Conn. Requests waiting for their turn are abandoned.
 func (c *clientConn) Close() error {
 	c.cancel()
 	c.mu.Lock()
@@ -115,35 +116,36 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite lets the server end a connection without a reset.
+// CloseWrite lets the server close a connection without a reset.
 func (c *clientConn) CloseWrite() error { return httpserver.CloseWrite(c.Conn) }
 
-// scan looks for requests in what has come in, and sends those ahead that may be.
+// scan looks for requests in received data and sends those ahead that are eligible.
 func (c *clientConn) scan(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, request := range c.scanner.scan(data) {
 		number := c.scanned
 		c.scanned++
-		// The server itself takes the first of those that aren't answered.
-		if number > c.finished && c.takesAhead() && c.proxy.mayBeEarly(request) {
+		// The server itself handles the first request that has not been answered.
+		if number > c.finished && c.hasEarlyCapacity() && c.proxy.canSendEarly(request) {
 			c.early[number] = c.startEarly(request)
 		}
 	}
 }
 
-// takesAhead reports whether one more request may be sent ahead of its turn. It is called
-// with mu held.
-func (c *clientConn) takesAhead() bool {
-	return c.early != nil && len(c.early) < maxEarlyRequests && !c.proxy.leaves()
+// hasEarlyCapacity reports whether another request may be sent ahead of its turn. The caller
+// holds mu.
+func (c *clientConn) hasEarlyCapacity() bool {
+	return c.early != nil && len(c.early) < maxEarlyRequests && !c.proxy.shuttingDown()
 }
 
-// endsWithAnswer decides whether the connection of a daemon that leaves ends with the answer
-// that is about to be written. The library closes it right behind that answer: whatever has
-// been sent ahead would be lost, so it ends with the answer behind which nothing was. A
-// daemon that leaves sends nothing ahead any more.
-func (c *clientConn) endsWithAnswer() bool {
-	if !c.proxy.leaves() {
+// closesAfterResponse reports whether the connection closes after the response about to be
+// written because the daemon is shutting down. net/http closes the connection right after that
+// response, which would lose requests already sent ahead. The connection therefore closes
+// after a response with no such request behind it. A daemon that is shutting down sends no
+// further requests ahead.
+func (c *clientConn) closesAfterResponse() bool {
+	if !c.proxy.shuttingDown() {
 		return false
 	}
 	c.mu.Lock()
@@ -151,11 +153,11 @@
 	return len(c.early) == 0
 }
 
-// NetConn returns the connection beneath.
+// NetConn returns the wrapped connection.
 func (c *clientConn) NetConn() net.Conn { return c.Conn }
 
-// begin counts a request that the server begins to answer. If it was sent ahead already,
-// that is returned.
+// begin counts a request that the server starts to handle, and returns the matching early
+// request if it was sent ahead.
 func (c *clientConn) begin(request *http.Request) *earlyRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,35 +165,35 @@
 	c.started++
 	early := c.early[number]
 	delete(c.early, number)
-	if early != nil && !early.is(request) {
-		// The scanner has lost its place.
-		c.scanner.opaque = true
+	if early != nil && !early.matches(request) {
+		// The scanner is out of sync with the connection.
+		c.scanner.outOfSync = true
 		go early.abandon()
 		return nil
 	}
 	return early
 }
 
-// end counts a request that was answered.
+// end counts a request that the server finished handling.
 func (c *clientConn) end() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finished++
 }
 
-// mayBeEarly reports whether a request may be sent ahead of its turn: it may run more than
-// once, so no harm is done if the connection ends before it is its turn.
-func (p *Proxy) mayBeEarly(request *http.Request) bool {
-	known := p.routing.Load()
-	if known == nil || request.Method != http.MethodGet || request.ContentLength != 0 || !p.Ready() {
+// canSendEarly reports whether a request may be sent ahead of its turn. It must be safe to run
+// more than once, so that no harm is done if the connection closes before its turn.
+func (p *Proxy) canSendEarly(request *http.Request) bool {
+	current := p.routing.Load()
+	if current == nil || request.Method != http.MethodGet || request.ContentLength != 0 || !p.Ready() {
 		return false
 	}
-	route, _ := known.routes.Find(request.Host, request.URL.Path)
-	return route != nil && runsAgainWithoutHarm(route)
+	route, _ := current.routes.Find(request.Host, request.URL.Path)
+	return route != nil && isSafeToRepeat(route)
 }
 
-// runsAgainWithoutHarm reports whether a route's requests are short ones that only read.
-func runsAgainWithoutHarm(route *clusterconfig.Route) bool {
+// isSafeToRepeat reports whether the requests of a route are short and read-only.
+func isSafeToRepeat(route *clusterconfig.Route) bool {
 	return route.Kind == protocol.KindReadOnly
 }
 
@@ -201,31 +203,31 @@
 	early := &earlyRequest{exchange: c.proxy.newExchange(nil, request.WithContext(ctx), c), cancel: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(early.done)
-		early.next = early.exchange.runUntilItsTurn()
+		early.next = early.exchange.runUntilResponse()
 	}()
 	return early
 }
 
-// runUntilItsTurn runs a request up to the phase that writes its answer.
-func (e *exchange) runUntilItsTurn() phase {
+// runUntilResponse runs a request up to the phase that writes its response.
+func (e *exchange) runUntilResponse() phase {
 	next := e.admit()
-	if next == phaseAttempt && !runsAgainWithoutHarm(e.route) {
-		return next // another configuration came into force
+	if next == phaseAttempt && !isSafeToRepeat(e.route) {
+		return next // the configuration has changed
 	}
-	for next != phaseAnswer && next != phaseRefuse {
+	for next != phaseRespond && next != phaseRefuse {
 		next = phaseHandlers[next](e)
 	}
 	return next
 }
 
-// is reports whether a request of the server is the one that was sent ahead.
-func (r *earlyRequest) is(request *http.Request) bool {
+// matches reports whether a request of the server is the one that was sent ahead.
+func (r *earlyRequest) matches(request *http.Request) bool {
 	sent := r.exchange.request
 	return sent.Method == request.Method && sent.RequestURI == request.RequestURI && sent.Host == request.Host &&
 		sent.Header.Get(protocol.HeaderAttemptID) == request.Header.Get(protocol.HeaderAttemptID)
 }
 
-// serve answers the request when it is its turn.
+// serve answers the request when its turn comes.
 func (r *earlyRequest) serve(writer http.ResponseWriter, request *http.Request) {
 	defer r.cancel()
 	stop := context.AfterFunc(request.Context(), r.cancel)
@@ -235,14 +237,14 @@
 	r.exchange.run(r.next)
 }
 
-// abandon gives up a request of which the client's connection has ended.
+// abandon cancels a request whose client connection has closed.
 func (r *earlyRequest) abandon() {
 	r.exchange.proxy.abandoned.Add(1)
 	r.cancel()
 	<-r.done
 	r.exchange.cancel()
-	if r.next == phaseAnswer {
+	if r.next == phaseRespond {
 		_ = r.exchange.response.Body.Close()
-		r.exchange.proxy.end(r.exchange.runner, resultUnknown, r.exchange.took)
+		r.exchange.proxy.endAttempt(r.exchange.runner, resultUnknown, r.exchange.latency)
 	}
 }
--- a/internal/gateway/pipeline_test.go
+++ b/internal/gateway/pipeline_test.go
@@ -17,14 +17,14 @@
 	"tealpond/internal/protocol"
 )
 
-// pipelineClient is a connection of a client to a harness's proxy.
+// pipelineClient is a client connection to a harness's proxy.
 type pipelineClient struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dialPipeline opens a connection to the proxy as the daemon serves it.
+// dialPipeline opens a connection to the proxy, served as the daemon serves it.
 func (h *harness) dialPipeline() *pipelineClient {
 	h.t.Helper()
 	server := httptest.NewUnstartedServer(h.proxy)
@@ -40,7 +40,7 @@
 	return &pipelineClient{h.t, conn, bufio.NewReader(conn)}
 }
 
-// send sends requests behind each other. Their attempts' IDs are their targets.
+// send sends pipelined requests whose attempt IDs are their paths.
 func (c *pipelineClient) send(targets ...string) {
 	c.t.Helper()
 	text := strings.Builder{}
@@ -57,7 +57,7 @@
 	}
 }
 
-// receive reads an answer and checks whose it is.
+// receive reads a response and checks which request it belongs to.
 func (c *pipelineClient) receive(path string, status int) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -68,18 +68,18 @@
 		c.t.Fatal(err)
 	}
 	if id := response.Header.Get(protocol.HeaderAttemptID); response.StatusCode != status || status == http.StatusOK && id != path {
-		c.t.Errorf("answer %d to %q, want %d to %q", response.StatusCode, id, status, path)
+		c.t.Errorf("response %d to %q, want %d to %q", response.StatusCode, id, status, path)
 	}
 }
 
-// TestPipelinedReadsRunTogether: reads that a client sends behind each other are all at
-// runners before the first is answered, and are answered in their order.
-func TestPipelinedReadsRunTogether(t *testing.T) {
+// TestPipelinedReadsRunConcurrently checks that pipelined reads all reach runners before the
+// first is answered, and are answered in order.
+func TestPipelinedReadsRunConcurrently(t *testing.T) {
 	arrived, proceed := make(chan string, 10), map[string]chan struct{}{"/read/a": make(chan struct{}), "/read/b": make(chan struct{}), "/read/c": make(chan struct{})}
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- r.URL.Path
 		<-proceed[r.URL.Path]
-		sound(w, r)
+		succeeding(w, r)
 	})
 	client := h.dialPipeline()
 	client.send("GET /read/a", "GET /read/b", "GET /read/c")
@@ -92,18 +92,19 @@
 	for _, path := range []string{"/read/a", "/read/b", "/read/c"} {
 		client.receive(path, http.StatusOK)
 	}
-	if n := len(h.seen()); n != 3 {
-		t.Errorf("runners got %d requests, want 3", n)
+	if n := len(h.receivedRequests()); n != 3 {
+		t.Errorf("runners received %d requests, want 3", n)
 	}
 }
 
-// TestPipelinedReadThatComesLater: it is sent ahead too if the one before it is under way.
-func TestPipelinedReadThatComesLater(t *testing.T) {
+// TestPipelinedReadArrivingLater checks that a read is also sent ahead if it arrives while the
+// previous one is being handled.
+func TestPipelinedReadArrivingLater(t *testing.T) {
 	arrived, proceed := make(chan struct{}, 10), make(chan struct{})
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		<-proceed
-		sound(w, r)
+		succeeding(w, r)
 	})
 	client := h.dialPipeline()
 	client.send("GET /read/a")
@@ -117,16 +118,16 @@
 	client.receive("/read/c", http.StatusOK)
 }
 
-// TestPipelinedWritesWaitForTheirTurn: what may run only once is never sent ahead, and
-// reads behind it are. Refusals come in their order too.
-func TestPipelinedWritesWaitForTheirTurn(t *testing.T) {
+// TestPipelinedWritesRunInOrder checks that requests that may run only once are never sent
+// ahead, while reads behind them are, and that refusals also arrive in order.
+func TestPipelinedWritesRunInOrder(t *testing.T) {
 	var running, most atomic.Int32
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasPrefix(r.URL.Path, "/write/") {
 			most.Store(max(most.Load(), running.Add(1)))
 			defer running.Add(-1)
 		}
-		sound(w, r)
+		succeeding(w, r)
 	})
 	client := h.dialPipeline()
 	client.send("POST /write/a", "GET /read/b", "POST /write/c", "GET /none/d", "POST /write/e", "GET /read/f")
@@ -136,25 +137,26 @@
 	client.receive("/none/d", http.StatusNotFound)
 	client.receive("/write/e", http.StatusOK)
 	client.receive("/read/f", http.StatusOK)
-	if n := len(h.seen()); n != 5 || most.Load() != 1 {
-		t.Errorf("runners got %d requests, %d writes at once; want 5 and 1", n, most.Load())
+	if n := len(h.receivedRequests()); n != 5 || most.Load() != 1 {
+		t.Errorf("runners received %d requests, %d writes concurrently; want 5 and 1", n, most.Load())
 	}
-	for _, got := range h.seen() {
+	for _, got := range h.receivedRequests() {
 		if got.method == http.MethodPost && got.body != "body" {
-			t.Errorf("%s came with the body %q", got.uri, got.body)
+			t.Errorf("%s arrived with body %q", got.uri, got.body)
 		}
 	}
 }
 
-// TestPipelinedReadsOfAClientThatLeaves: once the server sees that the connection has
-// ended, they end at their runners, and nothing of them is left under way.
-func TestPipelinedReadsOfAClientThatLeaves(t *testing.T) {
+// TestPipelinedReadsCanceledOnDisconnect checks that early requests are canceled at their
+// runners once the server sees that the connection has closed, and that no attempt remains
+// outstanding.
+func TestPipelinedReadsCanceledOnDisconnect(t *testing.T) {
 	arrived, left, proceed := make(chan struct{}, 10), make(chan struct{}, 10), make(chan struct{})
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		arrived <- struct{}{}
 		if r.URL.Path == "/read/a" {
 			<-proceed
-			sound(w, r)
+			succeeding(w, r)
 			return
 		}
 		<-r.Context().Done()
@@ -166,7 +168,7 @@
 		<-arrived
 	}
 	begin := time.Now()
-	_ = client.conn.(*net.TCPConn).SetLinger(0) // so that the answer to the first can't be written
+	_ = client.conn.(*net.TCPConn).SetLinger(0) // so that the first response cannot be written
 	_ = client.conn.Close()
 	close(proceed)
 	<-left
@@ -175,11 +177,11 @@
 		runtime.Gosched()
 	}
 	if took := time.Since(begin); took > 2*time.Second {
-		t.Errorf("they ended after %v, by their time and not with the client", took)
+		t.Errorf("requests ended after %v, want cancellation on disconnect before their deadline", took)
 	}
 }
 
-// outstanding counts the attempts that are under way.
+// outstanding returns the number of outstanding attempts.
 func (h *harness) outstanding() int {
 	h.proxy.mu.Lock()
 	defer h.proxy.mu.Unlock()
@@ -190,9 +192,9 @@
 	return sum
 }
 
-// TestHalfClosedClientGetsNoEmptySuccess: a client that closes its sending side counts as
-// gone. What it then reads must not look like an answer: the library writes an empty success
-// for a handler that writes nothing.
+// TestHalfClosedClientGetsNoEmptySuccess checks that a client that closes its sending side,
+// which counts as disconnected, reads no response: net/http writes an empty 200 for a handler
+// that writes nothing.
 func TestHalfClosedClientGetsNoEmptySuccess(t *testing.T) {
 	arrived := make(chan struct{}, 1)
 	h := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -206,11 +208,11 @@
 		t.Fatal(err)
 	}
 	if text, _ := io.ReadAll(client.reader); len(text) > 0 {
-		t.Errorf("it reads %q", text)
+		t.Errorf("client read %q, want nothing", text)
 	}
 }
 
-// scannedConn is a connection whose bytes a test hands over itself.
+// scannedConn returns a connection to which a test passes received bytes directly.
 func (h *harness) scannedConn() *clientConn {
 	c := &clientConn{proxy: h.proxy, early: map[int]*earlyRequest{}}
 	c.ctx, c.cancel = context.WithCancel(h.t.Context())
@@ -218,56 +220,57 @@
 	return c
 }
 
-// readRequest is a request that may be sent ahead, as it comes in.
+// readRequest returns the bytes of a request that may be sent ahead.
 func readRequest(path string) []byte {
 	return fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: h\r\nX-Tealpond-Attempt-Id: %s\r\nX-Tealpond-Time-Left: 3000\r\n\r\n", path, path)
 }
 
-// TestWhatIsSentAhead: not the request that the server takes next itself, no more than a
-// bound, and nothing once the daemon leaves or the connection is closed.
-func TestWhatIsSentAhead(t *testing.T) {
-	h := newHarness(t, sound)
+// TestEarlyRequestLimits checks that the request the server handles next is not sent ahead,
+// that the number of early requests is limited, and that none are sent once the daemon is
+// shutting down.
+func TestEarlyRequestLimits(t *testing.T) {
+	h := newHarness(t, succeeding)
 	c := h.scannedConn()
 	for i, want := range []int{0, 1, 2} {
 		if c.scan(readRequest("/read/a")); len(c.early) != want {
-			t.Errorf("after %d requests %d are ahead, want %d", i+1, len(c.early), want)
+			t.Errorf("after %d requests %d were sent ahead, want %d", i+1, len(c.early), want)
 		}
 	}
 	for range 2 * maxEarlyRequests {
 		c.scan(readRequest("/read/b"))
 	}
 	if len(c.early) != maxEarlyRequests {
-		t.Errorf("%d are ahead", len(c.early))
+		t.Errorf("%d requests were sent ahead", len(c.early))
 	}
-	if c.endsWithAnswer() {
-		t.Error("the connection ends though the daemon stays")
+	if c.closesAfterResponse() {
+		t.Error("connection closes though the daemon is not shutting down")
 	}
 	h.proxy.BeginLeaving(time.Now().Add(time.Hour))
-	if c.endsWithAnswer() {
-		t.Error("the connection ends though requests were sent ahead")
+	if c.closesAfterResponse() {
+		t.Error("connection closes though requests were sent ahead")
 	}
 	leaving := h.scannedConn()
 	for range 3 {
 		leaving.scan(readRequest("/read/c"))
 	}
-	if len(leaving.early) != 0 || !leaving.endsWithAnswer() {
-		t.Errorf("%d are sent ahead by a daemon that leaves", len(leaving.early))
+	if len(leaving.early) != 0 || !leaving.closesAfterResponse() {
+		t.Errorf("%d requests sent ahead by a daemon that is shutting down, want none and a close", len(leaving.early))
 	}
 }
 
-// TestScannerThatLostItsPlace: a request that is not the one that was sent ahead in its place
-// is served by itself, and nothing is sent ahead any more.
-func TestScannerThatLostItsPlace(t *testing.T) {
-	h := newHarness(t, sound)
+// TestScannerOutOfSync checks that a request that differs from the one sent ahead in its
+// position is served on its own, and that nothing is sent ahead afterwards.
+func TestScannerOutOfSync(t *testing.T) {
+	h := newHarness(t, succeeding)
 	c := h.scannedConn()
 	c.scan(readRequest("/read/a"))
 	c.scan(readRequest("/read/b"))
 	c.started = 1
 	other := httptest.NewRequest(http.MethodGet, "/read/other", nil)
 	if early := c.begin(other); early != nil {
-		t.Error("another request gets the answer")
+		t.Error("a different request gets the early response")
 	}
 	if c.scan(readRequest("/read/c")); len(c.early) != 0 {
-		t.Error("more is sent ahead")
+		t.Error("requests are still sent ahead")
 	}
 }
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -14,69 +14,70 @@
 )
 
 const (
-	// runnerIdleTimeout is how long a connection to a runner is kept idle; runners close theirs after
-	// ten seconds or more.
+	// runnerIdleTimeout is how long an idle connection to a runner is kept. Runners close
+	// theirs after ten seconds or more.
 	runnerIdleTimeout = 7 * time.Second
-	// runnerDialTimeout bounds the opening of a connection to a runner.
+	// runnerDialTimeout is the timeout for connecting to a runner.
 	runnerDialTimeout = time.Second
 )
 
-// Options are what a Proxy is built from.
+// Options configures a Proxy.
 type Options struct {
 	Zone    string // of this daemon
 	Retries RetryLimit
-	// KeyTrust is for how long keys are trusted after the leader has confirmed that the
-	// configuration here is the newest; 0: for ever.
+	// KeyTrust is how long API keys are trusted after the leader last confirmed that the
+	// configuration is current; 0 means forever.
 	KeyTrust time.Duration
-	// ProcessID names this process among those that count requests of tenants, and
-	// RateWindow is the time over which their rates are held.
+	// ProcessID identifies this process among those that count tenant requests, and RateWindow
+	// is the time over which tenant rates are enforced.
 	ProcessID  string
 	RateWindow time.Duration
-	// MaxListAge is how old the list of runners may be when a runner is chosen by it
-	// alone (0: any age): beyond that one is chosen that this daemon has heard lately, or
-	// none. It doesn't hold for InTouch after a question for changes that had no answer.
+	// MaxListAge is the maximum age of the runner list for choosing any of its runners (0:
+	// unlimited). With an older list only runners that responded to this daemon recently are
+	// chosen. The limit does not apply for InTouch after a failed query for changes.
 	MaxListAge, InTouch time.Duration
-	// Refresh fetches the newest configuration and hands it to SetConfig if it is
-	// newer. An error means that the newest one isn't known.
+	// Refresh fetches the current configuration and passes it to SetConfig if it is newer. An
+	// error means that the current configuration is unknown.
 	Refresh func(context.Context) error
 }
 
-// Proxy forwards requests of clients to runners. It is an http.Handler, and safe for
-// concurrent use.
+// Proxy forwards client requests to runners. It is an http.Handler and safe for concurrent
+// use.
 type Proxy struct {
 	options   Options
 	transport *http.Transport
-	routing   atomic.Pointer[routing] // nil: no configuration is known
-	// confirmedAt is when the leader last confirmed the configuration; nil: never.
+	routing   atomic.Pointer[routing] // nil: no configuration yet
+	// confirmedAt is when the leader last confirmed the configuration; nil means never.
 	confirmedAt atomic.Pointer[time.Time]
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	balancer *balancer
 	budget   *retryBudget
-	listed   bool // a list of runners is known
+	listed   bool // a runner list has been received
 
 	rates *TenantRates
 
-	// refusesFrom is from when on a daemon that leaves begins no request; nil: it stays.
+	// refusesFrom is the time from which a daemon that is shutting down refuses new requests;
+	// nil if it is not shutting down.
 	refusesFrom atomic.Pointer[time.Time]
-	// abandoned counts requests that were sent ahead of their turn and given up.
+	// abandoned counts requests that were sent ahead of their turn and then canceled.
 	abandoned atomic.Int64
 
 	ready     chan struct{} // closed once requests can be served
 	readyOnce sync.Once     // closes ready
 }
 
-// routing is a configuration as it is used here.
+// routing is a configuration with its lookup tables.
 type routing struct {
 	config *clusterconfig.Config
 	routes *clusterconfig.RouteTable
 	keys   *clusterconfig.KeyTable
 	splits map[string]*splitSequence // by route
-	// limited are the tenants with a rate, by name.
+	// limited holds the tenants with a rate limit, by name.
 	limited map[string]*clusterconfig.Tenant
 }
 
-// New builds a proxy; it serves once it has a configuration and a list of runners.
+// New returns a proxy. It serves requests once it has a configuration and a runner list.
 func New(options Options) *Proxy {
 	dialer := &net.Dialer{Timeout: runnerDialTimeout, KeepAlive: runnerIdleTimeout}
 	return &Proxy{
@@ -99,15 +100,15 @@
 }
 
 const (
-	// maxIdlePerRunner is how many idle connections are kept to one runner: what it
-	// works on at once is little.
+	// maxIdlePerRunner is the maximum number of idle connections kept to one runner, which
+	// handles few requests at once.
 	maxIdlePerRunner = 4
-	// connectionBufferBytes is the size of each buffer of a connection to a runner,
-	// in bytes. There are many connections, and memory has a price.
+	// connectionBufferBytes is the size of each buffer of a connection to a runner, in bytes.
+	// It is small to save memory, since there are many connections.
 	connectionBufferBytes = 2 << 10
 )
 
-// tenantsWithRate lists the tenants of a configuration whose requests are limited.
+// tenantsWithRate returns the tenants of a configuration that have a rate limit.
 func tenantsWithRate(config *clusterconfig.Config) map[string]*clusterconfig.Tenant {
 	limited := map[string]*clusterconfig.Tenant{}
 	for _, tenant := range config.Tenants() {
@@ -118,51 +119,51 @@
 	return limited
 }
 
-// BeginLeaving records that the daemon leaves: connections end with the answer behind
-// which nothing was passed on, and from a time on no request is begun.
+// BeginLeaving records that the daemon is shutting down. Connections close after a response
+// with no forwarded request behind it, and new requests are refused from refusesFrom on.
 func (p *Proxy) BeginLeaving(refusesFrom time.Time) { p.refusesFrom.Store(&refusesFrom) }
 
-// leaves reports whether the daemon leaves.
-func (p *Proxy) leaves() bool { return p.refusesFrom.Load() != nil }
+// shuttingDown reports whether the daemon is shutting down.
+func (p *Proxy) shuttingDown() bool { return p.refusesFrom.Load() != nil }
 
-// refuses reports whether it begins no request any more.
-func (p *Proxy) refuses() bool {
+// refusesRequests reports whether new requests are refused.
+func (p *Proxy) refusesRequests() bool {
 	from := p.refusesFrom.Load()
 	return from != nil && time.Now().After(*from)
 }
 
-// AbandonedRequests is how many requests of clients were sent to runners ahead of their
-// turn and then given up, since the connection ended first.
+// AbandonedRequests returns how many client requests were sent to runners ahead of their turn
+// and then canceled because the connection closed first.
 func (p *Proxy) AbandonedRequests() int64 { return p.abandoned.Load() }
 
-// Rates is what reports whether tenants are within their rates; it wants to exchange counts
-// with the leader.
+// Rates returns the tenant rate limiter, which must exchange counts with the leader.
 func (p *Proxy) Rates() *TenantRates { return p.rates }
 
-// SetConfig puts a configuration in force, unless one as new is. It reports whether it did.
+// SetConfig activates a configuration unless the active one is as new. It reports whether it
+// did.
 func (p *Proxy) SetConfig(config *clusterconfig.Config) bool {
 	next := &routing{config: config, routes: clusterconfig.NewRouteTable(config), keys: clusterconfig.NewKeyTable(config), splits: splitSequences(config), limited: tenantsWithRate(config)}
 	for {
-		known := p.routing.Load()
-		if known != nil && known.config.Version >= config.Version {
+		current := p.routing.Load()
+		if current != nil && current.config.Version >= config.Version {
 			return false
 		}
-		if p.routing.CompareAndSwap(known, next) {
-			p.announceReady()
+		if p.routing.CompareAndSwap(current, next) {
+			p.signalReady()
 			return true
 		}
 	}
 }
 
-// ConfirmConfig records that the configuration in force was the newest at a time.
+// ConfirmConfig records that the active configuration was current at the given time.
 func (p *Proxy) ConfirmConfig(at time.Time) {
-	if known := p.confirmedAt.Load(); known == nil || at.After(*known) {
+	if confirmed := p.confirmedAt.Load(); confirmed == nil || at.After(*confirmed) {
 		p.confirmedAt.Store(&at)
 	}
 }
 
-// trustsKeys reports whether a key that the configuration names may still be served: without
-// contact with the leader it may have been taken away meanwhile.
+// trustsKeys reports whether API keys of the configuration may still be accepted. Without
+// contact with the leader a key may have been revoked in the meantime.
 func (p *Proxy) trustsKeys() bool {
 	if p.options.KeyTrust <= 0 {
 		return true
@@ -171,49 +172,50 @@
 	return confirmedAt != nil && time.Since(*confirmedAt) < p.options.KeyTrust
 }
 
-// ConfigText is the text of the configuration in force and its version; 0 if there is none.
+// ConfigText returns the text and version of the active configuration; version 0 means there
+// is none.
 func (p *Proxy) ConfigText() ([]byte, int64) {
-	if known := p.routing.Load(); known != nil {
-		return known.config.Raw, known.config.Version
+	if current := p.routing.Load(); current != nil {
+		return current.config.Raw, current.config.Version
 	}
 	return nil, 0
 }
 
-// ConfigVersion is the version of the configuration in force; 0 if there is none.
+// ConfigVersion returns the version of the active configuration; 0 means there is none.
 func (p *Proxy) ConfigVersion() int64 {
-	if known := p.routing.Load(); known != nil {
-		return known.config.Version
+	if current := p.routing.Load(); current != nil {
+		return current.config.Version
 	}
 	return 0
 }
 
-// SetRunners takes over the list of runners, and this daemon's position among the
-// daemons that use them.
+// SetRunners replaces the runner list and this daemon's position among the daemons that use
+// it.
 func (p *Proxy) SetRunners(list []registry.Runner, position Position) {
 	p.mu.Lock()
 	p.balancer.setRunners(list, position, time.Now())
 	p.budget.setDaemons(position.Total)
 	p.listed = true
 	p.mu.Unlock()
-	p.announceReady()
+	p.signalReady()
 }
 
-// ConfirmRunners records that the list of runners misses no change before a time.
+// ConfirmRunners records that the runner list contains all changes before asOf.
 func (p *Proxy) ConfirmRunners(asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.balancer.listAge.confirm(asOf)
 }
 
-// NoteLeaderUnreached records that a question for changes of the list had no answer.
+// NoteLeaderUnreached records that a query for changes to the list failed.
 func (p *Proxy) NoteLeaderUnreached() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.balancer.listAge.failedAt = time.Now()
+	p.balancer.listAge.lastFailureAt = time.Now()
 }
 
-// ListedRunners is the list of runners as it is known here, and the time before which it
-// misses no change; zero if that isn't known.
+// ListedRunners returns the current runner list and the time up to which it contains all
+// changes; the time is zero if unknown.
 func (p *Proxy) ListedRunners() (list []registry.Runner, asOf time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -223,14 +225,16 @@
 	return list, p.balancer.listAge.asOf
 }
 
-// fewRunners is how many runners of a service in a zone are hardly any.
-const fewRunners = 3
+// minLocalRunners is the number of runners of a service in a zone below which runners of other
+// zones may be needed.
+const minLocalRunners = 3
 
-// LacksNearRunners reports whether a service of the configuration has hardly a runner in this
-// daemon's zone, or more there that leave than stay: those of other zones may be needed soon.
+// LacksNearRunners reports whether a service of the configuration has too few runners in this
+// daemon's zone, or more draining than active ones there, so that runners of other zones may
+// be needed soon.
 func (p *Proxy) LacksNearRunners() bool {
-	known := p.routing.Load()
-	if known == nil {
+	current := p.routing.Load()
+	if current == nil {
 		return false
 	}
 	p.mu.Lock()
@@ -248,52 +252,52 @@
 			staying[runner.Service]++
 		}
 	}
-	for _, service := range known.config.Services {
-		if stay := staying[service.Name]; stay < fewRunners || stay < leaving[service.Name] {
+	for _, service := range current.config.Services {
+		if stay := staying[service.Name]; stay < minLocalRunners || stay < leaving[service.Name] {
 			return true
 		}
 	}
 	return false
 }
 
-// noteServing records that a runner served on at a time.
-func (p *Proxy) noteServing(runner *runnerState, at time.Time) {
+// recordServing records that a runner was not yet shutting down at the given time.
+func (p *Proxy) recordServing(runner *runnerState, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	runner.noteServing(at)
+	runner.recordServing(at)
 }
 
-// TakeObservations returns what the requests since the last call told of runners.
+// TakeObservations returns the observations of runners since the last call.
 func (p *Proxy) TakeObservations() []registry.Observation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.balancer.takeObservations()
 }
 
-// Ready reports whether requests can be served: a configuration and the runners are known.
+// Ready reports whether requests can be served: a configuration and a runner list are known.
 func (p *Proxy) Ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.listed && p.routing.Load() != nil
 }
 
-// announceReady lets the requests go on that wait for the proxy to be ready, if it is.
-func (p *Proxy) announceReady() {
+// signalReady releases the requests waiting for the proxy if it is ready.
+func (p *Proxy) signalReady() {
 	if p.Ready() {
 		p.readyOnce.Do(func() { close(p.ready) })
 	}
 }
 
-// awaitReady waits until requests can be served, for a time at most; false if they can't
-// by then. After a restart of all daemons that takes a moment, in which clients come all
-// the same: whoever waits here needs none of its few further tries.
-func (p *Proxy) awaitReady(ctx context.Context, most time.Duration) bool {
+// awaitReady waits up to timeout until requests can be served, and reports whether they can.
+// After a restart of all daemons this takes a moment while clients keep sending requests.
+// Waiting here saves them one of their few retries.
+func (p *Proxy) awaitReady(ctx context.Context, timeout time.Duration) bool {
 	select {
 	case <-p.ready:
-		return true // as ever but for the first moments
+		return true // the usual case after startup
 	default:
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-p.ready:
@@ -304,8 +308,9 @@
 	return false
 }
 
-// pick chooses a runner and counts the attempt; nil if none is left. It also gives what
-// the list says of the runner now: a newer list may be taken over at any time.
+// pick chooses a runner and counts the attempt; it returns nil if none is left. It also
+// returns the list entry of the runner at this time, since a newer list may replace it at any
+// moment.
 func (p *Proxy) pick(service string, tried []*runnerState) (*runnerState, registry.Runner) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -313,32 +318,32 @@
 	if runner == nil {
 		return nil, registry.Runner{}
 	}
-	p.balancer.begin(runner)
+	p.balancer.startAttempt(runner)
 	return runner, runner.Runner
 }
 
-// end records how an attempt ended.
-func (p *Proxy) end(runner *runnerState, how result, took time.Duration) {
+// endAttempt records the end of an attempt.
+func (p *Proxy) endAttempt(runner *runnerState, result attemptResult, elapsed time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.balancer.end(runner, how, took, time.Now())
+	p.balancer.endAttempt(runner, result, elapsed, time.Now())
 }
 
-// suspectLeaving records that a runner closed its connection after an answer.
-func (p *Proxy) suspectLeaving(runner *runnerState) {
+// suspectDraining records that a runner closed its connection after a response.
+func (p *Proxy) suspectDraining(runner *runnerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.balancer.suspectLeaving(runner, time.Now())
+	p.balancer.suspectDraining(runner, time.Now())
 }
 
-// countRequest counts a client's request in the budget of retries.
+// countRequest counts a client's request in the retry budget.
 func (p *Proxy) countRequest(service string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget.request(service, time.Now())
+	p.budget.recordRequest(service, time.Now())
 }
 
-// takeRetry takes a retry from the budget.
+// takeRetry takes a retry from the budget and reports whether one was available.
 func (p *Proxy) takeRetry(service string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/proxy_test.go
+++ b/internal/gateway/proxy_test.go
@@ -13,22 +13,23 @@
 	"tealpond/internal/protocol"
 )
 
-// TestRequestAndAnswerPassUnchanged: method, target, body and headers of the request,
-// status, headers and body of the answer; headers of one connection stay behind.
-func TestRequestAndAnswerPassUnchanged(t *testing.T) {
-	h := newHarness(t, sound)
+// TestRequestAndResponsePassUnchanged checks that method, target, body and headers of the
+// request, and status, headers and body of the response are forwarded, and hop-by-hop headers
+// are not.
+func TestRequestAndResponsePassUnchanged(t *testing.T) {
+	h := newHarness(t, succeeding)
 	code, body, header := h.call("POST", "/write/a%2fb?q=1&r=%20", "text", map[string]string{
 		"X-Other": "kept", "Connection": "X-Mine", "X-Mine": "dropped", "Keep-Alive": "3", "X-Tealpond-Target-Runner": "i-other", "User-Agent": "mine"})
 	if code != http.StatusOK || body != "answer" || header.Get("X-Seal") != "seal" || header.Get("Content-Encoding") != "" {
 		t.Errorf("%d %q %v", code, body, header)
 	}
-	got := h.seen()
+	got := h.receivedRequests()
 	if len(got) != 1 {
-		t.Fatalf("%d requests reached runners", len(got))
+		t.Fatalf("runners received %d requests, want 1", len(got))
 	}
 	a := got[0]
 	if a.method != "POST" || a.uri != "/write/a%2fb?q=1&r=%20" || a.host != "h" || a.body != "text" {
-		t.Errorf("the runner got %+v", a)
+		t.Errorf("runner received %+v", a)
 	}
 	for name, want := range map[string]string{"X-Other": "kept", "X-Mine": "", "Keep-Alive": "", "User-Agent": "mine", "Accept-Encoding": "gzip",
 		protocol.HeaderTargetRunner: "i-0", protocol.HeaderAttemptID: "attempt-1"} {
@@ -37,13 +38,13 @@
 		}
 	}
 	if left := a.header.Get(protocol.HeaderTimeLeft); left == "3000" || left == "" || len(left) != 4 {
-		t.Errorf("the runner has %s ms left of 2000 that the route gives", left)
+		t.Errorf("runner got a time limit of %s ms, want 4 digits, not the client's 3000 (route timeout 2000)", left)
 	}
 }
 
-// TestFurtherAttempts: which failures are followed by a retry, by the kind of
-// the route, and what the client is told.
-func TestFurtherAttempts(t *testing.T) {
+// TestRetries checks which failures are retried for each kind of route, and the response to
+// the client.
+func TestRetries(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		path     string
@@ -51,25 +52,25 @@
 		code     int
 		arrivals int
 	}{
-		{"a full runner, writing", "/write/x", []runnerBehavior{full, full, full, full}, http.StatusServiceUnavailable, 3},
-		{"a full runner, upload", "/upload/x", []runnerBehavior{full, full, full}, http.StatusServiceUnavailable, 2},
-		{"a broken runner, writing", "/write/x", []runnerBehavior{broken, broken}, http.StatusBadGateway, 1},
-		{"a broken runner, reading", "/read/x", []runnerBehavior{broken, broken}, http.StatusBadGateway, 2},
-		{"502 without a promise", "/write/x", []runnerBehavior{failing(502), failing(502)}, http.StatusBadGateway, 1},
-		{"503 without a promise", "/write/x", []runnerBehavior{failing(503), failing(503)}, http.StatusServiceUnavailable, 1},
-		{"504 without a promise", "/write/x", []runnerBehavior{failing(504), failing(504)}, http.StatusGatewayTimeout, 1},
-		{"one runner only", "/write/x", []runnerBehavior{full}, http.StatusServiceUnavailable, 1},
+		{"rejecting runner, write", "/write/x", []runnerBehavior{rejecting, rejecting, rejecting, rejecting}, http.StatusServiceUnavailable, 3},
+		{"rejecting runner, upload", "/upload/x", []runnerBehavior{rejecting, rejecting, rejecting}, http.StatusServiceUnavailable, 2},
+		{"aborting runner, write", "/write/x", []runnerBehavior{aborting, aborting}, http.StatusBadGateway, 1},
+		{"aborting runner, read", "/read/x", []runnerBehavior{aborting, aborting}, http.StatusBadGateway, 2},
+		{"502 without not-run header", "/write/x", []runnerBehavior{failing(502), failing(502)}, http.StatusBadGateway, 1},
+		{"503 without not-run header", "/write/x", []runnerBehavior{failing(503), failing(503)}, http.StatusServiceUnavailable, 1},
+		{"504 without not-run header", "/write/x", []runnerBehavior{failing(504), failing(504)}, http.StatusGatewayTimeout, 1},
+		{"single runner", "/write/x", []runnerBehavior{rejecting}, http.StatusServiceUnavailable, 1},
 		{"no runner", "/write/x", nil, http.StatusServiceUnavailable, 0},
 	} {
 		h := newHarness(t, c.runners...)
 		code, body, header := h.call("POST", c.path, "body", nil)
-		if code != c.code || len(h.seen()) != c.arrivals {
-			t.Errorf("%s: %d %q after %d attempts, want %d after %d", c.name, code, body, len(h.seen()), c.code, c.arrivals)
+		if code != c.code || len(h.receivedRequests()) != c.arrivals {
+			t.Errorf("%s: %d %q after %d attempts, want %d after %d", c.name, code, body, len(h.receivedRequests()), c.code, c.arrivals)
 		}
 		if code == http.StatusServiceUnavailable && header.Get(protocol.HeaderRetryAfter) == "" {
-			t.Errorf("%s: not told when to come again", c.name)
+			t.Errorf("%s: no Retry-After", c.name)
 		}
-		for i, a := range h.seen() {
+		for i, a := range h.receivedRequests() {
 			if a.body != "body" {
 				t.Errorf("%s: attempt %d has the body %q", c.name, i, a.body)
 			}
@@ -77,22 +78,24 @@
 	}
 }
 
-// TestAnotherRunnerServes what a full one rejected.
-func TestAnotherRunnerServes(t *testing.T) {
+// TestRejectedRequestIsRetriedOnAnotherRunner checks that a request rejected by one runner is
+// served by another.
+func TestRejectedRequestIsRetriedOnAnotherRunner(t *testing.T) {
 	for i := range 20 {
-		h := newHarness(t, full, sound)
+		h := newHarness(t, rejecting, succeeding)
 		if code, body, _ := h.call("POST", "/upload/x", strings.Repeat("b", 60000), nil); code != http.StatusOK || body != "answer" {
 			t.Errorf("%d: %d %q", i, code, body)
 		}
-		last := h.seen()[len(h.seen())-1]
+		last := h.receivedRequests()[len(h.receivedRequests())-1]
 		if last.runner != "i-1" || len(last.body) != 60000 {
-			t.Errorf("%d: the last attempt was at %s with %d bytes", i, last.runner, len(last.body))
+			t.Errorf("%d: last attempt went to %s with %d bytes", i, last.runner, len(last.body))
 		}
 	}
 }
 
-// TestAnswerToAnotherRequestReachesNobody.
-func TestAnswerToAnotherRequestReachesNobody(t *testing.T) {
+// TestResponseToAnotherRequestIsDropped checks that a response with the attempt ID of another
+// request reaches no client.
+func TestResponseToAnotherRequestIsDropped(t *testing.T) {
 	stale := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(protocol.HeaderAttemptID, "attempt-of-another")
 		_, _ = io.WriteString(w, "secret")
@@ -105,8 +108,9 @@
 	}
 }
 
-// TestAnswerThatBreaksOffIsNotWholeAtTheClient.
-func TestAnswerThatBreaksOffIsNotWholeAtTheClient(t *testing.T) {
+// TestTruncatedResponseFailsAtClient checks that the client detects a response that the runner
+// did not complete.
+func TestTruncatedResponseFailsAtClient(t *testing.T) {
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(protocol.HeaderAttemptID, r.Header.Get(protocol.HeaderAttemptID))
 		_, _ = io.WriteString(w, strings.Repeat("x", 5000))
@@ -114,67 +118,70 @@
 		panic(http.ErrAbortHandler)
 	})
 	if code, body, _ := h.call("GET", "/read/x", "", nil); code != 0 {
-		t.Errorf("the client has a whole answer: %d, %d bytes", code, len(body))
+		t.Errorf("client got a complete response: %d, %d bytes", code, len(body))
 	}
 }
 
-// TestRefusalsAskForTheNewestConfiguration: a request is refused permanently only by the
-// newest configuration, and not at all while that isn't known.
-func TestRefusalsAskForTheNewestConfiguration(t *testing.T) {
-	h := newHarness(t, sound)
+// TestRefusalsRefreshConfig checks that a request is refused permanently only by the current
+// configuration, and gets a 503 while that is unknown.
+func TestRefusalsRefreshConfig(t *testing.T) {
+	h := newHarness(t, succeeding)
 	if code, _, _ := h.call("GET", "/new/x", "", nil); code != http.StatusNotFound {
-		t.Errorf("no such route: %d", code)
+		t.Errorf("unknown route: status %d, want 404", code)
 	}
 	h.config = strings.Replace(fmt.Sprintf(testConfig, 2, ""), "/read/", "/new/", 1)
 	if code, _, _ := h.call("GET", "/new/x", "", nil); code != http.StatusOK {
-		t.Errorf("a route of a newer configuration: %d", code)
+		t.Errorf("route of a newer configuration: status %d, want 200", code)
 	}
 	h.config = ""
 	if code, _, _ := h.call("GET", "/none/x", "", nil); code != http.StatusServiceUnavailable {
-		t.Errorf("without the leader: %d", code)
+		t.Errorf("unknown route, leader unreachable: status %d, want 503", code)
 	}
 	if code, _, _ := h.call("GET", "/new/x", "", nil); code != http.StatusOK {
-		t.Errorf("a known route without the leader: %d", code)
+		t.Errorf("known route, leader unreachable: status %d, want 200", code)
 	}
 }
 
-// TestLimitsOfTheConfiguration: headers and bodies that are too large reach no runner.
-func TestLimitsOfTheConfiguration(t *testing.T) {
-	h := newHarness(t, sound)
+// TestConfiguredSizeLimits checks that requests with headers or bodies over the limits reach
+// no runner.
+func TestConfiguredSizeLimits(t *testing.T) {
+	h := newHarness(t, succeeding)
 	if code, _, _ := h.call("GET", "/read/x", "", map[string]string{"X-Long": strings.Repeat("x", 3000)}); code != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("long headers: %d", code)
+		t.Errorf("large headers: status %d, want 431", code)
 	}
 	if code, _, _ := h.call("POST", "/upload/x", strings.Repeat("x", 1000001), nil); code != http.StatusRequestEntityTooLarge {
-		t.Errorf("a large body: %d", code)
+		t.Errorf("large body: status %d, want 413", code)
 	}
-	if len(h.seen()) != 0 {
-		t.Errorf("%d of them reached a runner", len(h.seen()))
+	if len(h.receivedRequests()) != 0 {
+		t.Errorf("runners received %d of the requests, want none", len(h.receivedRequests()))
 	}
 }
 
-// TestTenantsKeyIsNotShownToTheRunner: the tenant's name is, whatever the client sent.
-func TestTenantsKeyIsNotShownToTheRunner(t *testing.T) {
-	h := newHarness(t, sound)
+// TestTenantKeyIsNotForwarded checks that the runner receives the tenant's name, whatever the
+// client sent, but not its API key.
+func TestTenantKeyIsNotForwarded(t *testing.T) {
+	h := newHarness(t, succeeding)
 	h.config = fmt.Sprintf(testConfig, 2, `,"tenantList":[{"name":"t","apiKeys":["secret"]}]`)
 	if err := h.refresh(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if code, _, _ := h.call("GET", "/read/x", "", map[string]string{"Authorization": "Bearer wrong"}); code != http.StatusUnauthorized {
-		t.Errorf("an unknown key: %d", code)
+		t.Errorf("unknown key: status %d, want 401", code)
 	}
 	if code, _, _ := h.call("GET", "/read/x", "", map[string]string{"Authorization": "Bearer secret", protocol.HeaderTenant: "other"}); code != http.StatusOK {
-		t.Errorf("a key: %d", code)
+		t.Errorf("valid key: status %d, want 200", code)
 	}
-	got := h.seen()
+	got := h.receivedRequests()
 	if len(got) != 1 || got[0].header.Get("Authorization") != "" || got[0].header.Get(protocol.HeaderTenant) != "t" {
-		t.Errorf("the runner got %+v", got)
+		t.Errorf("runner received %+v", got)
 	}
 }
 
-// TestTenantIsNotWhatAClientClaims: on a public route without a key the runner is told of no
-// tenant; where there are no tenants the header is one like any other.
-func TestTenantIsNotWhatAClientClaims(t *testing.T) {
-	h := newHarness(t, sound)
+// TestClientCannotClaimTenant checks that the runner receives no tenant header on a public
+// route without a key, and that the header is forwarded like any other if no tenants are
+// configured.
+func TestClientCannotClaimTenant(t *testing.T) {
+	h := newHarness(t, succeeding)
 	claim := map[string]string{protocol.HeaderTenant: "claimed"}
 	h.call("GET", "/read/x", "", claim)
 	public := strings.ReplaceAll(testConfig, `"targetService":"s"`, `"targetService":"s","public":true`)
@@ -184,17 +191,18 @@
 	}
 	h.call("GET", "/read/x", "", claim)
 	var told []string
-	for _, got := range h.seen() {
+	for _, got := range h.receivedRequests() {
 		told = append(told, got.header.Get(protocol.HeaderTenant))
 	}
 	if !slices.Equal(told, []string{"claimed", ""}) {
-		t.Errorf("the runner was told %q", told)
+		t.Errorf("runner received tenants %q", told)
 	}
 }
 
-// TestKeysWithoutWordFromTheLeader: a key is served for a while after the leader's last word,
-// then the leader is asked, and without an answer the request is refused with a promise.
-func TestKeysWithoutWordFromTheLeader(t *testing.T) {
+// TestKeyTrustExpires checks that a key is accepted for a while after the leader last
+// confirmed the configuration. After that the leader is queried, and if it does not answer the
+// request gets a 503 with a Retry-After.
+func TestKeyTrustExpires(t *testing.T) {
 	const trust = time.Minute
 	for _, c := range []struct {
 		name      string
@@ -203,14 +211,14 @@
 		inReach   bool
 		status    int
 	}{
-		{"confirmed lately", trust, time.Second, false, http.StatusOK},
+		{"confirmed recently", trust, time.Second, false, http.StatusOK},
 		{"confirmed long ago", trust, 2 * trust, false, http.StatusServiceUnavailable},
 		{"confirmed long ago, the leader answers", trust, 2 * trust, true, http.StatusOK},
 		{"never confirmed", trust, 0, false, http.StatusServiceUnavailable},
 		{"never confirmed, the leader answers", trust, 0, true, http.StatusOK},
-		{"keys are trusted for ever", 0, 0, false, http.StatusOK},
+		{"keys are trusted forever", 0, 0, false, http.StatusOK},
 	} {
-		h := newHarness(t, sound)
+		h := newHarness(t, succeeding)
 		h.proxy.options.KeyTrust = c.trust
 		h.config = fmt.Sprintf(testConfig, 2, `,"tenantList":[{"name":"t","apiKeys":["secret"]}]`)
 		if err := h.refresh(context.Background()); err != nil {
@@ -218,7 +226,7 @@
 		}
 		if c.confirmed > 0 {
 			h.proxy.ConfirmConfig(time.Now().Add(-c.confirmed))
-			h.proxy.ConfirmConfig(time.Now().Add(-9 * trust)) // an older answer that comes late
+			h.proxy.ConfirmConfig(time.Now().Add(-9 * trust)) // an older confirmation arriving late
 		}
 		if !c.inReach {
 			h.config = ""
@@ -230,9 +238,9 @@
 	}
 }
 
-// TestNoAnswerInTime: the client hears of it within its time, and a writing request is
-// not sent again.
-func TestNoAnswerInTime(t *testing.T) {
+// TestRunnerTimeout checks that the client gets a 504 if no response arrives within its
+// deadline, and that a write is not retried.
+func TestRunnerTimeout(t *testing.T) {
 	release := make(chan struct{})
 	h := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 		select {
@@ -241,13 +249,14 @@
 		}
 	})
 	defer close(release)
-	if code, _, _ := h.call("POST", "/write/x", "", map[string]string{protocol.HeaderTimeLeft: "60"}); code != http.StatusGatewayTimeout || len(h.seen()) != 1 {
-		t.Errorf("%d after %d attempts", code, len(h.seen()))
+	if code, _, _ := h.call("POST", "/write/x", "", map[string]string{protocol.HeaderTimeLeft: "60"}); code != http.StatusGatewayTimeout || len(h.receivedRequests()) != 1 {
+		t.Errorf("status %d after %d attempts, want 504 after 1", code, len(h.receivedRequests()))
 	}
 }
 
-// TestClientThatLeavesEndsItsRequest at the runner too.
-func TestClientThatLeavesEndsItsRequest(t *testing.T) {
+// TestClientDisconnectCancelsRequest checks that a request is canceled at the runner when the
+// client disconnects.
+func TestClientDisconnectCancelsRequest(t *testing.T) {
 	arrived, ended := make(chan struct{}), make(chan struct{})
 	h := newHarness(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(arrived)
@@ -270,19 +279,19 @@
 	<-ended
 }
 
-// TestKeptConnectionThatDiedIsNoSecondArrival: the library must not repeat a request by
-// itself; the daemon counts what it sends.
-func TestKeptConnectionThatDiedIsNoSecondArrival(t *testing.T) {
+// TestTransportDoesNotRetryOnStaleConnection checks that the HTTP transport does not retry a
+// request on its own when a reused connection fails: the daemon counts the attempts it sends.
+func TestTransportDoesNotRetryOnStaleConnection(t *testing.T) {
 	requests := 0
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
 		if requests++; requests > 1 {
-			panic(http.ErrAbortHandler) // on a kept connection, before any answer
+			panic(http.ErrAbortHandler) // on a reused connection, before any response
 		}
-		sound(w, r)
+		succeeding(w, r)
 	})
 	h.call("GET", "/read/x", "", nil)
 	code, _, _ := h.call("GET", "/read/x", "", nil)
-	if code != http.StatusBadGateway || len(h.seen()) != 2 {
-		t.Errorf("%d after %d arrivals, want 502 after 2", code, len(h.seen()))
+	if code != http.StatusBadGateway || len(h.receivedRequests()) != 2 {
+		t.Errorf("status %d, runners received %d requests, want 502 and 2", code, len(h.receivedRequests()))
 	}
 }
--- a/internal/gateway/request_scanner_test.go
+++ b/internal/gateway/request_scanner_test.go
@@ -13,34 +13,34 @@
 	scannedChunked = "POST /write/b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 )
 
-// scannedTargets scans a text in the given pieces and lists the requests that are found.
-func scannedTargets(pieces ...string) (targets []string, opaque bool) {
+// scannedTargets scans a text split into pieces and returns the requests found.
+func scannedTargets(pieces ...string) (targets []string, outOfSync bool) {
 	var scanner requestScanner
 	for _, piece := range pieces {
 		for _, request := range scanner.scan([]byte(piece)) {
 			targets = append(targets, request.Method+" "+request.RequestURI)
 		}
 	}
-	return targets, scanner.opaque
+	return targets, scanner.outOfSync
 }
 
-// TestRequestScanner: requests are found with and without bodies, and nothing is guessed
-// once the place of the next one isn't known.
+// TestRequestScanner checks that requests with and without bodies are found, and that scanning
+// stops once the start of the next request is unknown.
 func TestRequestScanner(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		want       []string
 		opaque     bool
 	}{
-		{"nothing", "", nil, false},
-		{"part of a head", "GET / HTTP/1.1\r\nHost: h\r\n", nil, false},
-		{"three", scannedGet + scannedGet + scannedGet, []string{"GET /read/a", "GET /read/a", "GET /read/a"}, false},
-		{"a body that looks like a request", scannedPost + scannedGet, []string{"POST /write/a", "GET /read/a"}, false},
-		{"a body that has not come in", "POST /w HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n" + scannedGet, []string{"POST /w"}, false},
-		{"a body in chunks", scannedGet + scannedChunked + scannedGet, []string{"GET /read/a"}, true},
-		{"no request", "hello\r\n\r\n" + scannedGet, nil, true},
-		{"a head without end", strings.Repeat("a", maxScannedHeadBytes+1), nil, true},
-		{"a long head", "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("a", maxScannedHeadBytes) + "\r\n\r\n", nil, true},
+		{"empty input", "", nil, false},
+		{"incomplete head", "GET / HTTP/1.1\r\nHost: h\r\n", nil, false},
+		{"three requests", scannedGet + scannedGet + scannedGet, []string{"GET /read/a", "GET /read/a", "GET /read/a"}, false},
+		{"body that looks like a request", scannedPost + scannedGet, []string{"POST /write/a", "GET /read/a"}, false},
+		{"body not received yet", "POST /w HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n" + scannedGet, []string{"POST /w"}, false},
+		{"chunked body", scannedGet + scannedChunked + scannedGet, []string{"GET /read/a"}, true},
+		{"not a request", "hello\r\n\r\n" + scannedGet, nil, true},
+		{"unterminated head", strings.Repeat("a", maxScannedHeadBytes+1), nil, true},
+		{"head too large", "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("a", maxScannedHeadBytes) + "\r\n\r\n", nil, true},
 	} {
 		if got, opaque := scannedTargets(c.text); !slices.Equal(got, c.want) || opaque != c.opaque {
 			t.Errorf("%s: found %q, opaque %v; want %q, %v", c.name, got, opaque, c.want, c.opaque)
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestRequestScannerInPieces: however the bytes are cut, the same requests are found.
+// TestRequestScannerInPieces checks that the same requests are found however the bytes are
+// split.
 func TestRequestScannerInPieces(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 300 {
@@ -71,8 +72,8 @@
 	}
 }
 
-// FuzzRequestScanner: whatever a client sends, the scanner keeps little and doesn't fail,
-// and cut in two the bytes give the same requests.
+// FuzzRequestScanner checks that the scanner does not fail on any input, and that input split
+// in two gives the same requests.
 func FuzzRequestScanner(f *testing.F) {
 	for _, text := range []string{scannedGet + scannedPost, scannedChunked, "\r\n\r\n", "GET / HTTP/1.1\r\nContent-Length: -1\r\n\r\n"} {
 		f.Add([]byte(text), uint16(len(text)/2))
--- a/internal/gateway/answer_body_test.go
+++ b/internal/gateway/response_body_test.go
@@ -12,9 +12,9 @@
 	"tealpond/internal/registry"
 )
 
-// TestAnswerOfUnknownLengthComesAsItIsMade: the client reads each part before the runner
-// makes the next one.
-func TestAnswerOfUnknownLengthComesAsItIsMade(t *testing.T) {
+// TestStreamedResponseIsFlushed checks that the client receives each chunk of a response of
+// unknown length before the runner writes the next one.
+func TestStreamedResponseIsFlushed(t *testing.T) {
 	partRead := make(chan struct{})
 	parts := []string{"first", "second", "third"}
 	h := newHarness(t, func(w http.ResponseWriter, r *http.Request) {
@@ -42,33 +42,33 @@
 	for _, part := range parts {
 		read := make([]byte, len(part))
 		if _, err := io.ReadFull(response.Body, read); err != nil || string(read) != part {
-			t.Fatalf("%q came instead of %q: %v", read, part, err)
+			t.Fatalf("read %q, want %q: %v", read, part, err)
 		}
 		partRead <- struct{}{}
 	}
 	if rest, err := io.ReadAll(response.Body); err != nil || len(rest) > 0 {
-		t.Errorf("%q came after the last part: %v", rest, err)
+		t.Errorf("read %q after the last chunk: %v", rest, err)
 	}
 }
 
-// TestRequestThatWasNeverSentIsRefusedWithAPromise: no connection came up in the time that
-// the client gave, so the request surely didn't run and may be sent again.
-func TestRequestThatWasNeverSentIsRefusedWithAPromise(t *testing.T) {
-	h := newHarness(t, sound)
+// TestUnsentRequestGets503 checks that a request whose connection was not established before
+// its deadline gets a 503: it is known not to have run and may be retried.
+func TestUnsentRequestGets503(t *testing.T) {
+	h := newHarness(t, succeeding)
 	h.proxy.transport.DialContext = func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	code, _, _ := h.call("POST", "/write/x", "", map[string]string{protocol.HeaderTimeLeft: "60"})
-	if code != http.StatusServiceUnavailable || len(h.seen()) != 0 {
-		t.Errorf("%d after %d arrivals, want 503 after none", code, len(h.seen()))
+	if code != http.StatusServiceUnavailable || len(h.receivedRequests()) != 0 {
+		t.Errorf("status %d, runner received %d requests, want 503 and none", code, len(h.receivedRequests()))
 	}
 }
 
-// TestListChangesWhileRequestsRun: a list that is taken over meanwhile names the runners
-// anew. The race detector sees what is read without the lock.
-func TestListChangesWhileRequestsRun(t *testing.T) {
-	h := newHarness(t, sound, sound)
+// TestRunnerListUpdateDuringRequests updates the runner list while requests run, so that the
+// race detector finds runner fields read without the lock.
+func TestRunnerListUpdateDuringRequests(t *testing.T) {
+	h := newHarness(t, succeeding, succeeding)
 	var list []registry.Runner
 	for _, runner := range h.proxy.balancer.runners {
 		list = append(list, runner.Runner)
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -5,52 +5,55 @@
 )
 
 const (
-	// defaultRetryWindow is the window in which retries are counted, where the settings name none.
+	// defaultRetryWindow is the window in which retries are counted if the settings specify
+	// none.
 	defaultRetryWindow = 10 * time.Second
-	// retryShare is the part of the operators' retry ratio that a request earns; retries earned in one
-	// window may be used in the next.
+	// retryShare is the fraction of the operator's retry ratio that a request earns. Retries
+	// earned in one window may be used in the next.
 	retryShare = 0.5
-	// retrySlackShare is the part of the operators' slack that the daemons share; the rest is for
-	// daemons restarted within a window.
+	// retrySlackShare is the fraction of the operator's slack that is divided among the
+	// daemons. The rest covers daemons restarted within a window.
 	retrySlackShare = 0.45
 )
 
-// RetryLimit is the operators' bound on attempts beyond the first of each request. It
-// holds for all daemons together and for each service: Ratio times the requests of a
-// Window plus Slack.
+// RetryLimit is the operator's limit on attempts after the first of each request. It applies
+// to all daemons together and to each service separately: Ratio times the requests of a
+// Window, plus Slack.
 type RetryLimit struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration // 0: defaultRetryWindow
 }
 
-// retryBudget is one daemon's part of a RetryLimit. It asks no other daemon, and yet all
-// daemons together keep to the limit, whatever fails:
+// retryBudget is one daemon's share of a RetryLimit. It needs no communication with other
+// daemons, and all daemons together stay within the limit under any failure:
 //
-//   - Each request earns retryShare, one half, of Ratio. What isn't used lapses after
-//     a window. So what all daemons use of it in a window was earned in this one or the one
-//     before, and is at most Ratio times the larger of the two.
+//   - Each request earns retryShare, one half, of Ratio. Unused retries expire after a window.
+//
+// The retries that all daemons take from this in a window were earned in that window or the
+// one before, and are at most Ratio times the larger of the two request counts.
 //   - Each daemon has a reserve for each window, its share of a part of Slack. The rest of
-//     Slack is for daemons that start anew and have forgotten what they used.
+//
+// Slack covers daemons that restart and lose their record of the retries they used.
 type retryBudget struct {
 	limit    RetryLimit
-	reserve  int // attempts a window and service that need not be earned
+	reserve  int // retries per window and service that need not be earned
 	accounts map[string]*retryAccount
 }
 
-// retryAccount is what a daemon may use for one service.
+// retryAccount holds the retries that a daemon may use for one service.
 type retryAccount struct {
-	earned      []earnedAttempts // the oldest first
-	reserveUsed []time.Time      // the oldest first
+	earned      []earnedAttempts // oldest first
+	reserveUsed []time.Time      // oldest first
 }
 
-// earnedAttempts is what the requests of a short time earned and is not used yet.
+// earnedAttempts holds the unused retries that requests earned within one slot of the window.
 type earnedAttempts struct {
-	since time.Time
-	left  float64
+	since     time.Time
+	remaining float64
 }
 
-// budgetSlots is the number of parts of a window that are accounted for apart.
+// budgetSlots is the number of slots into which a window is divided for accounting.
 const budgetSlots = 20
 
 func newRetryBudget(limit RetryLimit) *retryBudget {
@@ -60,7 +63,7 @@
 	return &retryBudget{limit: limit, accounts: map[string]*retryAccount{}}
 }
 
-// setDaemons tells among how many daemons the slack is shared; 0: not known.
+// setDaemons sets the number of daemons that share the slack; 0 means unknown.
 func (b *retryBudget) setDaemons(count int) {
 	b.reserve = 0
 	if count > 0 {
@@ -68,18 +71,18 @@
 	}
 }
 
-// request counts a client's request for a service: it earns a part of a retry.
-func (b *retryBudget) request(service string, now time.Time) {
+// recordRequest counts a client's request to a service, which earns a fraction of a retry.
+func (b *retryBudget) recordRequest(service string, now time.Time) {
 	account := b.account(service, now)
 	last := len(account.earned) - 1
 	if last < 0 || now.Sub(account.earned[last].since) >= b.limit.Window/budgetSlots {
 		account.earned = append(account.earned, earnedAttempts{since: now})
 		last++
 	}
-	account.earned[last].left += b.limit.Ratio * retryShare
+	account.earned[last].remaining += b.limit.Ratio * retryShare
 }
 
-// take takes a retry; false if none is left.
+// take consumes a retry and reports whether one was available.
 func (b *retryBudget) take(service string, now time.Time) bool {
 	account := b.account(service, now)
 	if account.takeEarned() {
@@ -92,7 +95,7 @@
 	return true
 }
 
-// account returns a service's account, without what has lapsed.
+// account returns the account of a service after removing expired entries.
 func (b *retryBudget) account(service string, now time.Time) *retryAccount {
 	account := b.accounts[service]
 	if account == nil {
@@ -108,22 +111,22 @@
 	return account
 }
 
-// takeEarned takes one attempt of what was earned, the oldest first.
+// takeEarned consumes one earned retry, using the oldest entries first.
 func (a *retryAccount) takeEarned() bool {
-	// Sums of many small parts fall short of a whole by rounding.
+	// Sums of many small fractions fall short of 1 through rounding.
 	const wholeAttempt = 1 - 1e-9
 	sum := 0.0
 	for _, part := range a.earned {
-		sum += part.left
+		sum += part.remaining
 	}
 	if sum < wholeAttempt {
 		return false
 	}
-	missing := 1.0
+	needed := 1.0
 	for i := range a.earned {
-		used := min(a.earned[i].left, missing)
-		a.earned[i].left -= used
-		missing -= used
+		used := min(a.earned[i].remaining, needed)
+		a.earned[i].remaining -= used
+		needed -= used
 	}
 	return true
 }
--- a/internal/gateway/retry_budget_test.go
+++ b/internal/gateway/retry_budget_test.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// TestRetryBudgetKeepsToTheLimit: daemons that hear nothing of each other, are killed and
-// started again, and use all that they may at once, together keep to the operators' limit
+// TestRetryBudgetStaysWithinLimit checks that daemons that do not communicate, are killed and
+// restarted, and use all available retries at once stay within the operator's limit together
 // in every window.
-func TestRetryBudgetKeepsToTheLimit(t *testing.T) {
+func TestRetryBudgetStaysWithinLimit(t *testing.T) {
 	retries := 0
 	for seed := range uint64(60) {
 		run := newRetryRun(rand.New(rand.NewPCG(seed, 1)))
-		run.play()
+		run.simulate()
 		if most, allowed := run.worstWindow(); most > allowed {
-			t.Errorf("seed %d: %d daemons made %v further attempts in a window, allowed are %v", seed, len(run.budgets), most, allowed)
+			t.Errorf("seed %d: %d daemons made %v retries in a window, want at most %v", seed, len(run.budgets), most, allowed)
 		}
 		retries += len(run.retries)
 	}
 	if retries < 10_000 {
-		t.Errorf("%d further attempts were made in all, too few to tell", retries)
+		t.Errorf("%d retries in total, too few for a meaningful result", retries)
 	}
 }
 
-// retryRun is a random run of several daemons' budgets.
+// retryRun is a random simulation of the budgets of several daemons.
 type retryRun struct {
 	random    *rand.Rand
 	limit     RetryLimit
 	budgets   []*retryBudget
 	startedAt []time.Time
-	requests  []time.Time // to the service, in order
-	retries   []time.Time // too
+	requests  []time.Time // to the service, sorted
+	retries   []time.Time // sorted too
 }
 
 func newRetryRun(random *rand.Rand) *retryRun {
@@ -50,9 +50,9 @@
 	return budget
 }
 
-// play runs for six windows: requests come at a changing rate, and all daemons try again
-// as often as they may at some times.
-func (r *retryRun) play() {
+// simulate runs for six windows. Requests arrive at a changing rate, and at some times all
+// daemons retry as often as they may.
+func (r *retryRun) simulate() {
 	const step = 50 * time.Millisecond
 	rate, greedy := 1.0, 0.0
 	for now := testStart; now.Before(testStart.Add(6 * r.limit.Window)); now = now.Add(step) {
@@ -61,10 +61,10 @@
 		}
 		for range int(rate * r.random.Float64() * 2) {
 			r.requests = append(r.requests, now)
-			r.budgets[r.random.IntN(len(r.budgets))].request("s", now)
+			r.budgets[r.random.IntN(len(r.budgets))].recordRequest("s", now)
 		}
 		for i, budget := range r.budgets {
-			// A daemon is started again once in a window at most.
+			// A daemon restarts at most once per window.
 			if r.random.IntN(150) == 0 && now.Sub(r.startedAt[i]) > r.limit.Window {
 				r.budgets[i], r.startedAt[i] = r.newBudget(), now
 				budget = r.budgets[i]
@@ -76,9 +76,9 @@
 	}
 }
 
-// worstWindow returns the window in which the limit is kept least: its retries and
-// how many are allowed. The requests are those of that window, the one before it or the
-// one half a window before, whichever are most.
+// worstWindow returns the window that comes closest to the limit or exceeds it most: its
+// retries and the number allowed. The request count is the largest of that window, the one
+// before it and the one half a window earlier.
 func (r *retryRun) worstWindow() (most, allowed float64) {
 	allowed = r.limit.Slack
 	for _, from := range r.retries {
@@ -95,14 +95,14 @@
 	return most, allowed
 }
 
-// countWithin counts the times of a sorted list within a window.
+// countWithin counts the times of a sorted list that fall within a window.
 func countWithin(times []time.Time, from time.Time, window time.Duration) int {
 	first, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
 	after, _ := slices.BinarySearchFunc(times, from.Add(window), time.Time.Compare)
 	return after - first
 }
 
-// TestRetryBudget: what requests earn, how long it lasts, and the reserve.
+// TestRetryBudget checks how many retries requests earn, when they expire, and the reserve.
 func TestRetryBudget(t *testing.T) {
 	const window = 10 * time.Second
 	takeAll := func(b *retryBudget, now time.Time) int {
@@ -118,28 +118,28 @@
 		idle               time.Duration
 		want, afterAWindow int
 	}{
-		{"nothing earned, daemons not known", 0, 0, 0, 0, 0},
-		{"reserve alone", 0, 10, 0, 9, 9},
-		{"a reserve shared by many is none", 0, 1000, 0, 0, 0},
+		{"nothing earned, daemon count unknown", 0, 0, 0, 0, 0},
+		{"reserve only", 0, 10, 0, 9, 9},
+		{"reserve divided among too many daemons", 0, 1000, 0, 0, 0},
 		{"earned", 200, 0, 0, 20, 0},
-		{"earned a while ago", 200, 0, window - time.Second, 20, 0},
-		{"earned and lapsed", 200, 0, window, 0, 0},
-		{"both", 200, 10, 0, 29, 9},
+		{"earned within the window", 200, 0, window - time.Second, 20, 0},
+		{"earned and expired", 200, 0, window, 0, 0},
+		{"earned and reserve", 200, 10, 0, 29, 9},
 	} {
 		b := newRetryBudget(RetryLimit{Ratio: 0.2, Slack: 200, Window: window})
 		b.setDaemons(c.daemons)
 		for range c.requests {
-			b.request("s", testStart)
+			b.recordRequest("s", testStart)
 		}
 		now := testStart.Add(c.idle)
 		if got := takeAll(b, now); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d retries, want %d", c.name, got, c.want)
 		}
 		if got := takeAll(b, now.Add(window)); got != 0 {
-			t.Errorf("%s: %d at the end of the window, want none", c.name, got)
+			t.Errorf("%s: %d retries at the end of the window, want none", c.name, got)
 		}
 		if got := takeAll(b, now.Add(window+time.Millisecond)); got != c.afterAWindow {
-			t.Errorf("%s: %d after a window, want %d", c.name, got, c.afterAWindow)
+			t.Errorf("%s: %d retries after a window, want %d", c.name, got, c.afterAWindow)
 		}
 	}
 }
--- a/internal/gateway/split.go
+++ b/internal/gateway/split.go
@@ -8,25 +8,25 @@
 	"tealpond/internal/clusterconfig"
 )
 
-// splitSequence gives the numbers by which requests of a split route go to its services:
-// multiples of the golden ratio, from a start by lot, without their whole parts. Each
-// service gets its share of any few dozen requests in a row nearly to one, where numbers
-// drawn one by one would be off by several; and daemons don't go in step.
+// splitSequence generates the numbers that assign requests of a split route to its services:
+// the fractional parts of multiples of the golden ratio, from a random offset. Among any few
+// dozen consecutive requests each service gets its share to within about one request, where
+// independent random numbers would be off by several. The random offset keeps daemons from
+// following the same sequence.
 type splitSequence struct {
-	start float64
-	count atomic.Uint64
+	offset float64
+	count  atomic.Uint64
 }
 
-func newSplitSequence() *splitSequence { return &splitSequence{start: rand.Float64()} }
+func newSplitSequence() *splitSequence { return &splitSequence{offset: rand.Float64()} }
 
-// next returns a number from 0 up to 1.
+// next returns a number in [0, 1).
 func (s *splitSequence) next() float64 {
-	_, fraction := math.Modf(s.start + float64(s.count.Add(1))*(math.Phi-1))
+	_, fraction := math.Modf(s.offset + float64(s.count.Add(1))*(math.Phi-1))
 	return fraction
 }
 
-// splitSequences makes a sequence for each split route of a configuration, by the route's
-// name.
+// splitSequences returns a sequence for each split route of a configuration, by route name.
 func splitSequences(config *clusterconfig.Config) map[string]*splitSequence {
 	sequences := map[string]*splitSequence{}
 	for i := range config.Routes {
@@ -37,11 +37,11 @@
 	return sequences
 }
 
-// serviceFor returns the service of a route's next request.
+// serviceFor returns the service for the next request of a route.
 func (p *Proxy) serviceFor(route *clusterconfig.Route) string {
 	sequence := p.routing.Load().splits[route.Name]
 	if sequence == nil {
-		// The route isn't split, or is no longer there.
+		// The route is not split or no longer exists.
 		return route.ServiceFor(rand.Float64())
 	}
 	return route.ServiceFor(sequence.next())
--- a/internal/gateway/split_test.go
+++ b/internal/gateway/split_test.go
@@ -8,9 +8,9 @@
 	"tealpond/internal/clusterconfig"
 )
 
-// TestSplitIsExactOverFewRequests: in any hundred requests in a row each service gets its
-// share to within two, and other routes' requests in between change nothing.
-func TestSplitIsExactOverFewRequests(t *testing.T) {
+// TestSplitSharesHoldOverFewRequests checks that in any hundred consecutive requests each
+// service gets its share to within two, regardless of interleaved requests of other routes.
+func TestSplitSharesHoldOverFewRequests(t *testing.T) {
 	const inARow, sets = 100, 50
 	for _, shares := range [][]float64{{90, 10}, {50, 50}, {1, 99}, {60, 30, 10}, {0, 5, 5}} {
 		parts, sum := "", 0.0
@@ -36,7 +36,7 @@
 					proxy.serviceFor(&config.Routes[1])
 				}
 				if service := proxy.serviceFor(&config.Routes[2]); service != "s1" {
-					t.Fatalf("a plain route's request goes to %s", service)
+					t.Fatalf("request of an unsplit route goes to %s, want s1", service)
 				}
 			}
 			for i, share := range shares {
--- a/internal/gateway/startup_test.go
+++ b/internal/gateway/startup_test.go
@@ -11,23 +11,23 @@
 	"tealpond/internal/registry"
 )
 
-// TestRequestsWaitForTheFirstConfiguration: whoever comes before a daemon knows its
-// configuration and its runners waits a moment for them, and is refused after it, with a
-// promise that nothing ran and a time to come back.
-func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
+// TestRequestsWaitForInitialConfig checks that requests arriving before the daemon has a
+// configuration and a runner list wait for them briefly, and are then refused with a 503 and a
+// Retry-After.
+func TestRequestsWaitForInitialConfig(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		leftMs     string
 		configured time.Duration // 0: never
 		listed     time.Duration
-		wait       time.Duration // until the answer
+		wait       time.Duration // until the response
 		status     int
 	}{
-		{"both known in time, no runner", "3000", 100 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond, http.StatusServiceUnavailable},
+		{"configured and listed in time, no runner", "3000", 100 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond, http.StatusServiceUnavailable},
 		{"no such route", "3000", 200 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, http.StatusNotFound},
 		{"never configured", "3000", 0, 100 * time.Millisecond, startupWait, http.StatusServiceUnavailable},
 		{"never listed", "3000", 100 * time.Millisecond, 0, startupWait, http.StatusServiceUnavailable},
-		{"little time left", "1000", 0, 0, 485 * time.Millisecond, http.StatusServiceUnavailable},
+		{"short deadline", "1000", 0, 0, 485 * time.Millisecond, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/subset.go
+++ b/internal/gateway/subset.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// Position is a daemon's place among the daemons of its zone.
+// Position is the position of a daemon among the daemons of its zone.
 type Position struct {
 	Index int
-	Count int // 0: not known
-	Total int // of the daemons of all zones
+	Count int // 0: unknown
+	Total int // daemons in all zones
 }
 
 const (
-	// daemonsPerRunner is how many daemons of a zone use one runner. Fewer would know
-	// more of its load by their own requests; more even out that clients come to the
-	// daemons unevenly, and stand in for each other.
+	// daemonsPerRunner is how many daemons of a zone use one runner. With fewer, each daemon
+	// sees more of a runner's load through its own requests; with more, an uneven distribution
+	// of clients over daemons is balanced better and daemons can stand in for each other.
 	daemonsPerRunner = 3
-	// minSubset is the least number of runners of a service that a daemon uses.
+	// minSubset is the minimum number of runners of a service that a daemon uses.
 	minSubset = 4
 )
 
-// subset returns the runners of a service that a daemon uses. The runners stand on a circle,
-// in an order that all daemons know; each daemon uses those of an arc that begins at its
-// place. So each runner serves as many daemons as any other, and a change of either moves
-// few arcs. The arc of a daemon is what it has connections to, and what it has under way
-// there is a large part of the work of these runners.
+// subset returns the runners of a service that this daemon uses. The runners are placed on a
+// hash ring in an order that all daemons agree on, and each daemon uses an arc that starts at
+// its own position. Every runner therefore serves about the same number of daemons, and adding
+// or removing a runner or a daemon moves few arcs. A daemon keeps connections only to the
+// runners of its arc, and its outstanding requests are a large part of their load.
 func (p Position) subset(runners []*runnerState) []*runnerState {
 	if p.Count <= 0 {
 		return runners
@@ -35,21 +35,21 @@
 	if len(runners) <= n {
 		return runners
 	}
-	circle := slices.Clone(runners)
-	slices.SortFunc(circle, func(a, b *runnerState) int {
-		return cmp.Or(cmp.Compare(placeOf(a.ID), placeOf(b.ID)), cmp.Compare(a.ID, b.ID))
+	ring := slices.Clone(runners)
+	slices.SortFunc(ring, func(a, b *runnerState) int {
+		return cmp.Or(cmp.Compare(ringPosition(a.ID), ringPosition(b.ID)), cmp.Compare(a.ID, b.ID))
 	})
-	from := p.Index * len(circle) / p.Count
+	start := p.Index * len(ring) / p.Count
 	arc := make([]*runnerState, n)
 	for i := range arc {
-		arc[i] = circle[(from+i)%len(circle)]
+		arc[i] = ring[(start+i)%len(ring)]
 	}
 	return arc
 }
 
-// placeOf is a runner's place on the circle.
-func placeOf(id string) uint64 {
+// ringPosition returns the position of a runner on the hash ring.
+func ringPosition(id string) uint64 {
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(id)) // it never fails
+	_, _ = hash.Write([]byte(id)) // never fails
 	return hash.Sum64()
 }
