--- a/internal/httpserver/conn.go
+++ b/internal/httpserver/conn.go
@@ -13,66 +13,67 @@
 )
 
 const (
-	// maxLingerTime is the longest time for which a connection is kept whose client has not received
-	// all of its response.
+	// maxLingerTime is the longest time for which a connection is kept open until its client
+	// has received the complete response.
 	maxLingerTime = 5 * time.Second
-	// lingerPollInterval is the time between two looks at such a connection.
+	// lingerPollInterval is how often such a connection is checked.
 	lingerPollInterval = 10 * time.Millisecond
 )
 
-// longAgo is a deadline that is over.
-var longAgo = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past.
+var expiredDeadline = time.Unix(1, 0)
 
-// conn is a connection of a Server. It knows whether the library waits there for the first
+// conn is a connection of a Server. It tracks whether net/http is waiting on it for the first
 // byte of a request.
 //
-// Invariant: a connection is closed for being idle only by a read that finds nothing. What
-// was read is always handed to the library: a request that has come in is answered, however
-// close to the end it comes.
+// Invariant: an idle connection is closed only by a read that returns no data. Data that was
+// read is always passed to net/http, so a request that has arrived is answered however late in
+// the shutdown it arrives.
 type conn struct {
 	net.Conn
 	server *Server
 
-	mu           sync.Mutex // guards what follows
-	waiting      bool       // for the first byte of a request
-	waitingSince time.Time
-	// deadlines counts those of reads that the library has set since it waits. After an
-	// answer the first is for the wait, and the second, for the head of the next request,
-	// says that it has begun: it may have come in before the wait.
-	deadlines   int
-	deadline    time.Time // the last one that the library has set
-	interrupted bool      // a read that finds nothing ends the connection
-	peerEnded   bool      // nothing more comes, or all is broken
-	closed      bool
-}
-
-// newConn makes a connection that was just accepted.
+	mu        sync.Mutex // guards the fields below
+	idle      bool       // waiting for the first byte of a request
+	idleSince time.Time
+	// idleDeadlines counts the read deadlines that net/http has set since the connection
+	// became idle. After a response, the first deadline is for the idle wait. The second is
+	// for the head of the next request and shows that the request has started; it may have
+	// been received before the wait.
+	idleDeadlines int
+	deadline      time.Time // last read deadline set by net/http
+	interrupted   bool      // a read that returns no data closes the connection
+	peerClosed    bool      // the client sends nothing more, or the connection is broken
+	closed        bool
+}
+
+// newConn returns a connection that was just accepted.
 func newConn(raw net.Conn, server *Server) *conn {
 	c := &conn{Conn: raw, server: server}
-	c.wait()
+	c.markIdle()
 	server.add(c)
 	return c
 }
 
-// NetConn returns the connection beneath.
+// NetConn returns the wrapped connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
-// noteState follows what the library does on a connection.
-func noteState(raw net.Conn, state http.ConnState) {
-	c := trackedBy(raw)
+// trackState follows the state changes that net/http reports for a connection.
+func trackState(raw net.Conn, state http.ConnState) {
+	c := findConn(raw)
 	if c == nil {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		c.wait()
+		c.markIdle()
 	case http.StateActive:
-		c.work()
+		c.markActive()
 	}
 }
 
-// trackedBy finds the conn beneath a connection; nil if there is none.
-func trackedBy(raw net.Conn) *conn {
+// findConn returns the conn wrapped by a connection, or nil if there is none.
+func findConn(raw net.Conn) *conn {
 	for raw != nil {
 		if c, ok := raw.(*conn); ok {
 			return c
@@ -86,44 +87,44 @@
 	return nil
 }
 
-// wait records that the library waits for a request from now on.
-func (c *conn) wait() {
+// markIdle records that net/http is waiting for a request.
+func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting, c.waitingSince, c.deadlines = true, time.Now(), 0
+	c.idle, c.idleSince, c.idleDeadlines = true, time.Now(), 0
 }
 
-// work records that a request is being read or answered.
-func (c *conn) work() {
+// markActive records that a request is being read or answered.
+func (c *conn) markActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun()
+	c.requestStarted()
 }
 
-// begun records that a request has begun: a wait is not to be ended any more. It is
-// called with mu held.
-func (c *conn) begun() {
-	c.waiting = false
+// requestStarted records that a request has started, so the connection must not be closed as
+// idle. The caller holds mu.
+func (c *conn) requestStarted() {
+	c.idle = false
 	if c.interrupted {
 		c.interrupted = false
-		_ = c.Conn.SetReadDeadline(c.deadline) // the next read tells of a broken connection
+		_ = c.Conn.SetReadDeadline(c.deadline) // the next read reports a broken connection
 	}
 }
 
-// isWaiting reports whether the library waits for a request.
-func (c *conn) isWaiting() bool {
+// isIdle reports whether net/http is waiting for a request.
+func (c *conn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.waiting
+	return c.idle
 }
 
-// interrupt ends a wait that has lasted for a time.
-func (c *conn) interrupt(now time.Time, least time.Duration) {
+// interrupt ends the wait for a request if the connection has been idle for at least minIdle.
+func (c *conn) interrupt(now time.Time, minIdle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting && !c.interrupted && now.Sub(c.waitingSince) >= least {
+	if c.idle && !c.interrupted && now.Sub(c.idleSince) >= minIdle {
 		c.interrupted = true
-		_ = c.Conn.SetReadDeadline(longAgo) // fails if it is closed already
+		_ = c.Conn.SetReadDeadline(expiredDeadline) // fails if already closed
 	}
 }
 
@@ -133,24 +134,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n > 0 {
-		c.begun()
+		c.requestStarted()
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.peerEnded = true
+		c.peerClosed = true
 	}
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. While a wait is to end, the library's deadline is
-// kept for later.
+// SetReadDeadline implements net.Conn. While the connection is interrupted the deadline is
+// only stored.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = deadline
-	if c.waiting {
-		c.deadlines++
-		if c.deadlines > 1 {
-			c.begun()
+	if c.idle {
+		c.idleDeadlines++
+		if c.idleDeadlines > 1 {
+			c.requestStarted()
 		}
 	}
 	if c.interrupted {
@@ -159,18 +160,19 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// Close implements net.Conn. A close while the client has sent more than was read makes the
-// kernel drop what the client hasn't received yet. Only a daemon that leaves ends connections
-// on which more may come: there only this side is closed at first, and the rest once the
-// client's side has all, or after a time.
+// Close implements net.Conn. Closing a socket with unread input makes the kernel discard
+// response data that the client has not received yet. This can happen only while the daemon is
+// shutting down, since only then are connections closed on which more requests may arrive. In
+// that case only the sending side is closed at first, and the rest once the client has
+// received everything or after maxLingerTime.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return net.ErrClosed
 	}
-	c.closed, c.waiting = true, false
-	if c.mayBeReset() && CloseWrite(c.Conn) == nil {
+	c.closed, c.idle = true, false
+	if c.closeMayLoseResponse() && CloseWrite(c.Conn) == nil {
 		go c.linger()
 		return nil
 	}
@@ -178,17 +180,17 @@
 	return c.Conn.Close()
 }
 
-// mayBeReset reports whether the client might lose a part of its answer if the connection were
-// closed now. It is called with mu held.
-func (c *conn) mayBeReset() bool {
-	return c.server.leaving.Load() && !c.server.closed.Load() && !c.peerEnded && unreceived(c.Conn) > 0
+// closeMayLoseResponse reports whether the client could lose part of its response if the
+// connection were closed now. The caller holds mu.
+func (c *conn) closeMayLoseResponse() bool {
+	return c.server.shuttingDown.Load() && !c.server.closed.Load() && !c.peerClosed && unacknowledgedBytes(c.Conn) > 0
 }
 
-// errNoHalfClose is the error of a connection both of whose sides close together.
-var errNoHalfClose = errors.New("the connection has no half close")
+// errNoHalfClose is returned for connections whose two directions cannot be closed separately.
+var errNoHalfClose = errors.New("connection does not support half-close")
 
-// CloseWrite closes this side of a connection only. The error tells that it has no half
-// close, or is broken.
+// CloseWrite closes the sending side of a connection. It fails if the connection does not
+// support this or is broken.
 func CloseWrite(conn net.Conn) error {
 	if half, ok := conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -196,16 +198,16 @@
 	return errNoHalfClose
 }
 
-// CloseWrite lets the library end a connection without a reset.
+// CloseWrite lets net/http close a connection without a reset.
 func (c *conn) CloseWrite() error { return CloseWrite(c.Conn) }
 
-// linger closes the connection once the client's side has received all.
+// linger closes the connection once the client has received everything.
 func (c *conn) linger() {
 	defer c.server.remove(c)
 	ticker := time.NewTicker(lingerPollInterval)
 	defer ticker.Stop()
 	for until := time.Now().Add(maxLingerTime); time.Now().Before(until) && !c.server.closed.Load(); {
-		if unreceived(c.Conn) == 0 {
+		if unacknowledgedBytes(c.Conn) == 0 {
 			break
 		}
 		<-ticker.C
@@ -213,9 +215,9 @@
 	_ = c.Conn.Close()
 }
 
-// unreceived is how many bytes of what was sent the client's side has not acknowledged; 0
-// where that can't be told.
-func unreceived(raw net.Conn) int {
+// unacknowledgedBytes returns the number of sent bytes that the client has not acknowledged,
+// or 0 if unknown.
+func unacknowledgedBytes(raw net.Conn) int {
 	socket, ok := raw.(syscall.Conn)
 	if !ok {
 		return 0
@@ -229,6 +231,6 @@
 		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
 			bytes = n
 		}
-	}) // a closed connection has none
+	}) // fails if the connection is closed, which leaves 0
 	return bytes
 }
--- a/internal/httpserver/conn_test.go
+++ b/internal/httpserver/conn_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The guards of a connection, each by itself: taken out, no test of whole servers failed.
+// These tests cover the checks in conn one by one. The tests of whole servers pass without them.
 
-// recordedConn is a connection that keeps its read deadline, and whose reads give a byte
-// after something has happened.
+// recordedConn is a connection that records its read deadline. Its reads call onRead and
+// return one byte.
 type recordedConn struct {
 	net.Conn
 	deadline time.Time
@@ -30,49 +30,51 @@
 	return 1, nil
 }
 
-// newRecorded returns a connection of a server that waits for a request.
+// newRecorded returns an idle connection of a server.
 func newRecorded() (*conn, *recordedConn) {
 	raw := &recordedConn{}
 	return newConn(raw, &Server{conns: map[*conn]bool{}}), raw
 }
 
-// TestSecondDeadlineBeginsARequest: the first one after an answer is for the wait, the second
-// for the head of a request that has come in before the wait.
-func TestSecondDeadlineBeginsARequest(t *testing.T) {
+// TestSecondReadDeadlineMarksRequestStart checks that the first deadline after a response is
+// for the idle wait, and the second for the head of a request that was received before the
+// wait.
+func TestSecondReadDeadlineMarksRequestStart(t *testing.T) {
 	c, _ := newRecorded()
 	for i, waits := range []bool{true, false} {
-		if err := c.SetReadDeadline(time.Now()); err != nil || c.isWaiting() != waits {
-			t.Errorf("after deadline %d: %v, waits %v", i+1, err, c.isWaiting())
+		if err := c.SetReadDeadline(time.Now()); err != nil || c.isIdle() != waits {
+			t.Errorf("after deadline %d: %v, idle %v", i+1, err, c.isIdle())
 		}
 	}
 }
 
-// TestInterruptedWaitEnds: a deadline that the library sets afterwards doesn't prolong it.
-func TestInterruptedWaitEnds(t *testing.T) {
+// TestInterruptedIdleConnKeepsExpiredDeadline checks that a deadline set by net/http after an
+// interrupt does not prolong the wait.
+func TestInterruptedIdleConnKeepsExpiredDeadline(t *testing.T) {
 	c, raw := newRecorded()
 	c.interrupt(time.Now().Add(time.Hour), 0)
-	if err := c.SetReadDeadline(time.Now().Add(time.Hour)); err != nil || !raw.deadline.Equal(longAgo) {
-		t.Errorf("%v, the deadline is %v", err, raw.deadline)
+	if err := c.SetReadDeadline(time.Now().Add(time.Hour)); err != nil || !raw.deadline.Equal(expiredDeadline) {
+		t.Errorf("error %v, deadline %v", err, raw.deadline)
 	}
 }
 
-// TestRequestThatComesAsItsWaitEnds: what was read begins a request, and the deadline of the
-// library holds again for the rest of it.
-func TestRequestThatComesAsItsWaitEnds(t *testing.T) {
+// TestRequestArrivingDuringInterrupt checks that data read during an interrupt starts a
+// request, and that the deadline of net/http applies to the rest of it.
+func TestRequestArrivingDuringInterrupt(t *testing.T) {
 	c, raw := newRecorded()
 	deadline := time.Now().Add(time.Hour)
 	if err := c.SetReadDeadline(deadline); err != nil {
 		t.Fatal(err)
 	}
 	raw.onRead = func() { c.interrupt(time.Now().Add(time.Hour), 0) }
-	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil || c.isWaiting() || !raw.deadline.Equal(deadline) {
-		t.Errorf("%d, %v, waits %v, the deadline is %v", n, err, c.isWaiting(), raw.deadline)
+	if n, err := c.Read(make([]byte, 1)); n != 1 || err != nil || c.isIdle() || !raw.deadline.Equal(deadline) {
+		t.Errorf("read %d bytes, error %v, idle %v, deadline %v", n, err, c.isIdle(), raw.deadline)
 	}
 }
 
-// TestWhoMayBeReset: an answer that isn't received whole outlives the close only where the
-// daemon leaves in order and the client's side is there.
-func TestWhoMayBeReset(t *testing.T) {
+// TestCloseMayLoseResponse checks that an incompletely received response delays the close only
+// if the daemon is shutting down gracefully and the client is still connected.
+func TestCloseMayLoseResponse(t *testing.T) {
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -88,39 +90,40 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = raw.Close() }()
-	// The client reads nothing: the kernel holds what it can, and the rest is not received.
+	// The client reads nothing, so the socket buffers fill up and some data stays unacknowledged.
 	_ = raw.SetWriteDeadline(time.Now().Add(time.Second))
 	for err == nil {
 		_, err = raw.Write(make([]byte, 64<<10))
 	}
 	for _, c := range []struct {
-		leaving, closed, peerEnded, want bool
+		shuttingDown, closed, peerClosed, want bool
 	}{
-		{leaving: true, want: true},
+		{shuttingDown: true, want: true},
 		{want: false},
-		{leaving: true, closed: true, want: false},
-		{leaving: true, peerEnded: true, want: false},
+		{shuttingDown: true, closed: true, want: false},
+		{shuttingDown: true, peerClosed: true, want: false},
 	} {
 		server := &Server{conns: map[*conn]bool{}}
-		server.leaving.Store(c.leaving)
+		server.shuttingDown.Store(c.shuttingDown)
 		server.closed.Store(c.closed)
 		tracked := newConn(raw, server)
-		tracked.peerEnded = c.peerEnded
-		if got := tracked.mayBeReset(); got != c.want {
-			t.Errorf("%+v: %v", c, got)
+		tracked.peerClosed = c.peerClosed
+		if got := tracked.closeMayLoseResponse(); got != c.want {
+			t.Errorf("%+v: got %v", c, got)
 		}
 	}
 }
 
-// TestSecondCloseDoesNothing: the library closes a connection more than once.
-func TestSecondCloseDoesNothing(t *testing.T) {
+// TestSecondCloseReturnsErrClosed checks repeated closes, since net/http closes a connection
+// more than once.
+func TestSecondCloseReturnsErrClosed(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	c := newConn(ours, &Server{conns: map[*conn]bool{}})
 	if err := c.Close(); err != nil {
-		t.Errorf("the first close: %v", err)
+		t.Errorf("first close: %v", err)
 	}
 	if err := c.Close(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the second close: %v", err)
+		t.Errorf("second close: %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/httpserver/listener.go
+++ b/internal/httpserver/listener.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// lastAcceptTime is how long pending connections are accepted as a daemon closes its listener.
-const lastAcceptTime = 10 * time.Millisecond
+// finalAcceptTime is how long pending connections are accepted before a listener is closed.
+const finalAcceptTime = 10 * time.Millisecond
 
 // listener accepts the connections of a Server.
 type listener struct {
 	net.Listener
 	server  *Server
-	closing atomic.Bool // what waits is accepted, and no more
+	closing atomic.Bool // only pending connections are still accepted
 	closed  atomic.Bool
 }
 
@@ -24,7 +24,7 @@
 	raw, err := l.Listener.Accept()
 	switch {
 	case err == nil:
-		boundReceiveBuffer(raw, l.server.options.ReceiveBuffer)
+		limitReceiveBuffer(raw, l.server.options.ReceiveBuffer)
 		return newConn(raw, l.server), nil
 	case l.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded):
 		_ = l.Close()
@@ -33,11 +33,11 @@
 	return nil, err
 }
 
-// boundReceiveBuffer bounds the receive buffer of a connection; 0 leaves it as it is. A kind
-// of connection that has none stays as it is too.
-func boundReceiveBuffer(conn net.Conn, bytes int) {
-	if bounded, ok := conn.(interface{ SetReadBuffer(bytes int) error }); ok && bytes > 0 {
-		_ = bounded.SetReadBuffer(bytes) // without it other messages come later
+// limitReceiveBuffer limits the receive buffer of a connection; 0 keeps the default.
+// Connections without such a buffer are left unchanged.
+func limitReceiveBuffer(conn net.Conn, bytes int) {
+	if buffered, ok := conn.(interface{ SetReadBuffer(bytes int) error }); ok && bytes > 0 {
+		_ = buffered.SetReadBuffer(bytes) // on failure, messages of other daemons may be delayed
 	}
 }
 
@@ -48,12 +48,12 @@
 	return err
 }
 
-// closeSoon accepts for a moment what waits to be accepted, and closes the listener: the
-// kernel resets connections that wait there when it is closed.
-func (l *listener) closeSoon() {
+// acceptPendingAndClose accepts pending connections for a short time and then closes the
+// listener, since the kernel resets connections that are still pending when it is closed.
+func (l *listener) acceptPendingAndClose() {
 	l.closing.Store(true)
 	socket, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || socket.SetDeadline(time.Now().Add(lastAcceptTime)) != nil {
+	if !ok || socket.SetDeadline(time.Now().Add(finalAcceptTime)) != nil {
 		_ = l.Close()
 	}
 }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,12 +1,12 @@
-// Package httpserver serves HTTP on a listener of a daemon, and ends it in order: what the
-// daemon has taken is answered before its connections are closed.
+// Package httpserver serves HTTP on a listener of a daemon and shuts it down gracefully: every
+// request that the daemon has accepted is answered before its connection is closed.
 //
-// The library's own way to end a server knows of a connection only whether a request is
-// being handled there. It closes connections whose next request has just come in, or was
-// passed on already, and drops what comes in meanwhile. It is not used here.
+// http.Server.Shutdown is not used because it only knows whether a request is being handled on
+// a connection. It closes connections whose next request has just arrived or was already
+// forwarded, and drops requests that arrive in the meantime.
 //
-// The package knows nothing of what is served. When a daemon ends, and in which order, is
-// decided by package shutdown.
+// The package does not depend on what is served. Package shutdown decides when a daemon ends
+// and in which order.
 package httpserver
 
 import (
@@ -20,61 +20,64 @@
 )
 
 const (
-	// DefaultHeaderTimeout is how long the headers of a request may take.
+	// DefaultHeaderTimeout is the time allowed for receiving the headers of a request.
 	DefaultHeaderTimeout = 3 * time.Second
-	// MaxAnswerTime is the longest time from the head of a request to the end of its response, except
-	// at gateways; it is above timing.MaxWatchWait.
+	// MaxAnswerTime is the longest time from the head of a request to the end of its response,
+	// except at gateways. It is greater than timing.MaxWatchWait.
 	MaxAnswerTime = time.Minute
 )
 
-// ErrEnding is the cause with which the contexts of requests end that are still open at the
-// latest moment of a daemon's end. Their clients are there and want an answer.
-var ErrEnding = errors.New("the daemon ends")
+// ErrEnding is the cancellation cause of the contexts of requests that are still open at the
+// shutdown deadline. Their clients are still connected and expect a response.
+var ErrEnding = errors.New("daemon is shutting down")
 
-// Options are what a Server is built from.
+// Options configures a Server.
 type Options struct {
 	Handler       http.Handler
 	HeaderTimeout time.Duration // for the head of a request
 	IdleTimeout   time.Duration // for the next request on a connection
-	// AnswerTime bounds the time from a request's head to the end of its answer: a client
-	// that has gone without a word reads none. 0: the handler bounds it.
+	// AnswerTime limits the time from a request's head to the end of its response, since a
+	// client that disappeared without closing its connection never reads it. 0: the handler
+	// limits it.
 	AnswerTime     time.Duration
-	MaxHeaderBytes int // 0: the library's default
-	// ReceiveBuffer bounds how many bytes of a connection may be on their way or unread:
-	// what many clients send at once must not fill the daemon's link for long, since other
-	// daemons' messages wait behind it. 0: the system's default.
+	MaxHeaderBytes int // 0: the default of net/http
+	// ReceiveBuffer limits how many bytes of a connection may be in transit or unread. Data
+	// that many clients send at once must not fill the daemon's link for long, since messages
+	// of other daemons queue behind it. 0: the system's default.
 	ReceiveBuffer int
-	// Wrap makes the connections of a listener those that the handler knows; nil: they
-	// stay. Its connections have a method NetConn that gives the one beneath.
+	// Wrap wraps a listener so that its connections are of the type that the handler expects;
+	// nil: not wrapped. The connections must have a method NetConn that returns the wrapped
+	// connection.
 	Wrap func(context.Context, net.Listener) net.Listener
-	// ConnContext makes the context of a connection's requests; nil: that of the server.
+	// ConnContext returns the context for the requests of a connection; nil: that of the
+	// server.
 	ConnContext func(context.Context, net.Conn) context.Context
-	// ClosesItself: while the daemon leaves, the handler says with which answer a
-	// connection ends, since it may have passed on requests that wait there for their turn.
+	// ClosesItself: while the daemon is shutting down, the handler decides with which response
+	// a connection closes, since it may already have forwarded pipelined requests.
 	ClosesItself bool
 }
 
 // Server is an HTTP server of a daemon. It is safe for concurrent use.
 type Server struct {
-	options  Options
-	http     *http.Server
-	base     context.Context         // of all requests
-	end      context.CancelCauseFunc // of base
-	open     atomic.Int64            // requests that are handled now
-	leaving  atomic.Bool
-	closed   atomic.Bool
-	listener *listener
+	options      Options
+	http         *http.Server
+	base         context.Context         // of all requests
+	cancelBase   context.CancelCauseFunc // cancels base
+	openRequests atomic.Int64            // requests being handled
+	shuttingDown atomic.Bool
+	closed       atomic.Bool
+	listener     *listener
 
 	mu    sync.Mutex // guards conns
 	conns map[*conn]bool
 }
 
-// New builds a server on a listener; Serve starts it. The contexts of its requests end with
-// ctx.
+// New returns a server on a listener; Serve starts it. The contexts of its requests are
+// canceled with ctx.
 func New(ctx context.Context, socket net.Listener, options Options) *Server {
 	s := &Server{options: options, conns: map[*conn]bool{}}
 	s.listener = &listener{Listener: socket, server: s}
-	s.base, s.end = context.WithCancelCause(ctx)
+	s.base, s.cancelBase = context.WithCancelCause(ctx)
 	s.http = &http.Server{
 		Handler:           s.handler(options.Handler),
 		ReadHeaderTimeout: options.HeaderTimeout,
@@ -83,64 +86,64 @@
 		MaxHeaderBytes:    options.MaxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return s.base },
 		ConnContext:       options.ConnContext,
-		ConnState:         noteState,
+		ConnState:         trackState,
 	}
 	return s
 }
 
-// handler counts the requests that are handled. While the daemon leaves, each answer is
-// the last of its connection.
+// handler counts the requests being handled. While the daemon is shutting down, each response
+// closes its connection.
 func (s *Server) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		s.open.Add(1)
-		defer s.open.Add(-1)
-		if s.leaving.Load() && !s.options.ClosesItself {
+		s.openRequests.Add(1)
+		defer s.openRequests.Add(-1)
+		if s.shuttingDown.Load() && !s.options.ClosesItself {
 			writer.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// Serve serves until the listener is closed. Connections live on after that.
+// Serve serves until the listener is closed. Open connections are kept after that.
 func (s *Server) Serve() {
 	socket := net.Listener(s.listener)
 	if s.options.Wrap != nil {
 		socket = s.options.Wrap(s.base, socket)
 	}
-	_ = s.http.Serve(socket) // it ends as the listener is closed
+	_ = s.http.Serve(socket) // returns when the listener is closed
 }
 
-// Open is how many requests are being handled.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// Open returns the number of requests being handled.
+func (s *Server) Open() int { return int(s.openRequests.Load()) }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() {
 	s.closed.Store(true)
-	s.end(ErrEnding)
+	s.cancelBase(ErrEnding)
 	_ = s.listener.Close()
 	_ = s.http.Close()
 }
 
-// busy is how many connections have a request that is read or answered, or an answer that
-// the client has not received whole.
+// busy returns the number of connections with a request being read or answered, or with a
+// response that the client has not completely received.
 func (s *Server) busy() int {
 	busy := 0
 	for _, c := range s.connections() {
-		if !c.isWaiting() {
+		if !c.isIdle() {
 			busy++
 		}
 	}
 	return busy
 }
 
-// closeWaiting closes the connections that have waited for a request for a time.
-func (s *Server) closeWaiting(now time.Time, least time.Duration) {
+// closeIdle closes the connections that have been idle for at least minIdle.
+func (s *Server) closeIdle(now time.Time, minIdle time.Duration) {
 	for _, c := range s.connections() {
-		c.interrupt(now, least)
+		c.interrupt(now, minIdle)
 	}
 }
 
-// connections lists the open connections.
+// connections returns the open connections.
 func (s *Server) connections() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,14 +154,14 @@
 	return list
 }
 
-// add keeps a connection that was accepted.
+// add registers an accepted connection.
 func (s *Server) add(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = true
 }
 
-// remove forgets a connection that is closed.
+// remove unregisters a closed connection.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,7 +19,7 @@
 	"tealpond/internal/shutdown"
 )
 
-// longTimes leave all phases but the first as long as they need.
+// longTimes gives every phase after the first as much time as it needs.
 var longTimes = shutdown.Times{Refuse: time.Hour, Answers: time.Hour}
 
 // testServer is a server on the loopback interface.
@@ -32,7 +32,7 @@
 	answered atomic.Int64
 }
 
-// newTestServer starts a server whose handler waits for proceed, but under /now.
+// newTestServer starts a server whose handler waits for proceed, except for paths under /now.
 func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	socket, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,25 +59,24 @@
 	}
 	size := 0
 	if _, err := fmt.Sscan(r.URL.Query().Get("size"), &size); err == nil {
-		_, _ = io.WriteString(w, strings.Repeat("x", size)) // the client may have gone
+		_, _ = io.WriteString(w, strings.Repeat("x", size)) // the client may have disconnected
 	}
 	s.answered.Add(1)
 }
 
-// testConn is a client's connection.
+// testConn is a client connection.
 type testConn struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dial opens a connection.
 func (s *testServer) dial() *testConn {
 	s.t.Helper()
 	return s.dialWith(&net.Dialer{})
 }
 
-// dialWith opens a connection by a dialer.
+// dialWith opens a connection with the given dialer.
 func (s *testServer) dialWith(dialer *net.Dialer) *testConn {
 	s.t.Helper()
 	conn, err := dialer.DialContext(s.t.Context(), "tcp", s.address)
@@ -88,7 +87,7 @@
 	return &testConn{s.t, conn, bufio.NewReader(conn)}
 }
 
-// send sends requests behind each other.
+// send sends pipelined requests.
 func (c *testConn) send(targets ...string) {
 	c.t.Helper()
 	for _, target := range targets {
@@ -98,30 +97,31 @@
 	}
 }
 
-// wantAnswer reads an answer of a status and reports whether it is the last.
-func (c *testConn) wantAnswer(status int) bool {
+// wantResponse reads a response, checks its status, and reports whether it closes the
+// connection.
+func (c *testConn) wantResponse(status int) bool {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.t.Errorf("no answer: %v", err)
+		c.t.Errorf("no response: %v", err)
 		return true
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != status {
-		c.t.Errorf("answer %d, %v, want %d", response.StatusCode, err, status)
+		c.t.Errorf("response %d, %v, want %d", response.StatusCode, err, status)
 	}
 	return response.Close
 }
 
-// wantEnd wants the connection to end without anything more.
-func (c *testConn) wantEnd() {
+// wantClosed checks that the connection closes without further data.
+func (c *testConn) wantClosed() {
 	c.t.Helper()
 	if _, err := c.reader.ReadByte(); err == nil {
-		c.t.Error("more comes than was to come")
+		c.t.Error("received data, want a closed connection")
 	}
 }
 
-// leave ends the server; the channel gets what remains.
-func (s *testServer) leave(times shutdown.Times) <-chan Remains {
+// shutDown shuts the server down; the channel receives what remains.
+func (s *testServer) shutDown(times shutdown.Times) <-chan Remains {
 	handedOver, ended := make(chan struct{}), make(chan Remains, 1)
 	close(handedOver)
 	leaving := BeginLeaving([]*Server{s.server}, times)
@@ -129,93 +129,95 @@
 	return ended
 }
 
-// TestOpenRequestsAreAnsweredAtTheEnd: also the next one of the connection, if it has come
-// in already; waiting connections are closed, and no more are accepted.
-func TestOpenRequestsAreAnsweredAtTheEnd(t *testing.T) {
+// TestShutdownAnswersOpenRequests checks that open requests are answered during shutdown,
+// including a pipelined one already received; that idle connections are closed; and that no
+// new ones are accepted.
+func TestShutdownAnswersOpenRequests(t *testing.T) {
 	s := newTestServer(t)
 	open, fresh, idle := s.dial(), s.dial(), s.dial()
 	idle.send("/now")
-	if idle.wantAnswer(http.StatusOK) {
-		t.Error("an answer ends its connection though the daemon stays")
+	if idle.wantResponse(http.StatusOK) {
+		t.Error("response closes its connection though the server is not shutting down")
 	}
 	open.send("/a", "/b")
 	<-s.arrived
 	<-s.arrived
-	ended := s.leave(longTimes)
-	fresh.wantEnd()
-	idle.wantEnd()
+	ended := s.shutDown(longTimes)
+	fresh.wantClosed()
+	idle.wantClosed()
 	if conn, err := net.Dial("tcp", s.address); err == nil {
 		_ = conn.Close()
-		t.Error("a connection is accepted after waiting ones were closed")
+		t.Error("connection accepted after idle ones were closed")
 	}
 	close(s.proceed)
-	if open.wantAnswer(http.StatusOK) {
-		t.Error("the answer to a request from before ends the connection")
+	if open.wantResponse(http.StatusOK) {
+		t.Error("response to a request started before the shutdown closes the connection")
 	}
-	if !open.wantAnswer(http.StatusOK) {
-		t.Error("the answer to a request that was begun later does not end the connection")
+	if !open.wantResponse(http.StatusOK) {
+		t.Error("response to a request started during the shutdown does not close the connection")
 	}
-	open.wantEnd()
+	open.wantClosed()
 	if remains := <-ended; remains.Open != 0 || remains.Busy != 0 {
-		t.Errorf("%+v remains", remains)
+		t.Errorf("shutdown left %+v", remains)
 	}
 }
 
-// TestHeadInPartsIsAwaited: a request of which a part has come in is not a wait, also the
-// first one of its connection, for which the library sets one deadline only.
-func TestHeadInPartsIsAwaited(t *testing.T) {
+// TestPartialRequestHeadIsNotIdle checks that a connection that has received part of a request
+// is not idle. This includes the first request of a connection, for which net/http sets only
+// one deadline.
+func TestPartialRequestHeadIsNotIdle(t *testing.T) {
 	s := newTestServer(t)
 	c := s.dial()
 	if _, err := io.WriteString(c.conn, "GET /now HTTP/1.1\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	for until := time.Now().Add(time.Minute); ; runtime.Gosched() {
-		if connections := s.server.connections(); len(connections) == 1 && !connections[0].isWaiting() {
+		if connections := s.server.connections(); len(connections) == 1 && !connections[0].isIdle() {
 			break
 		}
 		if time.Now().After(until) {
-			t.Fatal("the request still counts as not begun")
+			t.Fatal("connection still idle after part of a request was sent")
 		}
 	}
-	s.server.closeWaiting(time.Now().Add(time.Hour), 0)
+	s.server.closeIdle(time.Now().Add(time.Hour), 0)
 	if _, err := io.WriteString(c.conn, "Host: h\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	c.wantAnswer(http.StatusOK)
+	c.wantResponse(http.StatusOK)
 }
 
-// TestRequestsOfAMomentAreAnsweredOrUnread: clients send on kept connections without a pause
-// while the daemon ends. What was handled is answered, each time.
-func TestRequestsOfAMomentAreAnsweredOrUnread(t *testing.T) {
+// TestShutdownUnderLoadLosesNoResponse checks that every handled request is answered while
+// clients keep sending requests on kept-alive connections during shutdown.
+func TestShutdownUnderLoadLosesNoResponse(t *testing.T) {
 	const clients = 32
 	for range 20 {
 		s := newTestServer(t)
 		got := make(chan int64, clients)
 		for range clients {
 			conn := s.dial()
-			go func() { got <- conn.sendUntilItEnds() }()
+			go func() { got <- conn.sendUntilClosed() }()
 		}
 		for range 10 * clients {
 			<-s.arrived
 		}
 		go func() {
-			for range s.arrived { // nobody looks at them any more
+			for range s.arrived { // no longer used
 			}
 		}()
-		<-s.leave(longTimes)
+		<-s.shutDown(longTimes)
 		answers := int64(0)
 		for range clients {
 			answers += <-got
 		}
 		if handled := s.answered.Load(); answers != handled {
-			t.Errorf("%d requests were handled and %d answered", handled, answers)
+			t.Errorf("%d requests handled, but %d responses received", handled, answers)
 		}
 	}
 }
 
-// sendUntilItEnds sends a request after each answer until the connection ends, and gives how
-// many answers came.
-func (c *testConn) sendUntilItEnds() int64 {
+// sendUntilClosed sends a request after each response until the connection closes, and returns
+// the number of responses.
+func (c *testConn) sendUntilClosed() int64 {
 	for answers := int64(0); ; answers++ {
 		if _, err := io.WriteString(c.conn, "GET /now HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 			return answers
@@ -230,13 +232,13 @@
 	}
 }
 
-// TestAnswersOutliveWhatComesBehindThem: an answer that its client has not received yet is
-// whole, though the connection is closed behind it while more has come in.
-func TestAnswersOutliveWhatComesBehindThem(t *testing.T) {
-	const size = 12 << 10 // the server's side of the kernel holds it, and the client's doesn't
+// TestResponseSurvivesCloseWithUnreadInput checks that a client receives its complete response
+// although the connection is closed behind it while more requests have arrived.
+func TestResponseSurvivesCloseWithUnreadInput(t *testing.T) {
+	const size = 12 << 10 // fits the server's send buffer, but not the client's receive buffer
 	s := newTestServer(t)
 	client := s.dialWith(&net.Dialer{Control: smallReceiveBuffer})
-	s.server.leaving.Store(true)
+	s.server.shuttingDown.Store(true)
 	client.send(fmt.Sprintf("/now?size=%d", size))
 	<-s.arrived
 	client.send(slices.Repeat([]string{"/now/unread"}, 1000)...)
@@ -249,11 +251,11 @@
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, response.Body); err != nil || n != size {
-		t.Errorf("%d bytes of %d came: %v", n, size, err)
+		t.Errorf("received %d bytes of %d: %v", n, size, err)
 	}
 }
 
-// smallReceiveBuffer has the kernel hold little of what a client hasn't read.
+// smallReceiveBuffer sets the smallest receive buffer on a client's socket.
 func smallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
@@ -264,22 +266,23 @@
 	return err
 }
 
-// isClosed reports whether the library has closed the connection.
+// isClosed reports whether net/http has closed the connection.
 func (c *conn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// TestLastAnswersAtTheLatestMoment: a request that is open then gets an answer from its
-// handler, and the end is not held up by a handler that gives none.
-func TestLastAnswersAtTheLatestMoment(t *testing.T) {
+// TestShutdownDeadline checks that a request still open at the shutdown deadline gets a
+// response from its handler, and that a handler that never responds does not delay the
+// shutdown.
+func TestShutdownDeadline(t *testing.T) {
 	s := newTestServer(t)
 	client := s.dial()
 	client.send("/a")
 	<-s.arrived
-	ended := s.leave(shutdown.Times{Answers: time.Millisecond, Cut: time.Hour})
-	client.wantAnswer(http.StatusGatewayTimeout)
+	ended := s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Hour})
+	client.wantResponse(http.StatusGatewayTimeout)
 	<-ended
 
 	s = newTestServer(t)
@@ -291,8 +294,8 @@
 	client = s.dial()
 	client.send("/a")
 	<-s.arrived
-	if remains := <-s.leave(shutdown.Times{Answers: time.Millisecond, Cut: time.Millisecond}); remains.Busy != 1 {
-		t.Errorf("%+v remains", remains)
+	if remains := <-s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Millisecond}); remains.Busy != 1 {
+		t.Errorf("shutdown left %+v", remains)
 	}
-	client.wantEnd()
+	client.wantClosed()
 }
--- a/internal/httpserver/leave.go
+++ b/internal/httpserver/shutdown.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// shutdownCheckInterval is how often a daemon that leaves looks at what is open.
+	// shutdownCheckInterval is how often a daemon that is shutting down checks its open
+	// connections.
 	shutdownCheckInterval = 20 * time.Millisecond
-	// lastRequestWait is how long a connection of a draining daemon may wait for a request that is on
-	// its way.
-	lastRequestWait = 60 * time.Millisecond
+	// minIdleBeforeClose is how long a connection of a draining daemon stays idle before it is
+	// closed, to allow for a request in transit.
+	minIdleBeforeClose = 60 * time.Millisecond
 )
 
-// Leaving is an end in order of all servers of a daemon.
+// Leaving is a graceful shutdown of all servers of a daemon.
 type Leaving struct {
-	servers []*Server
-	machine *shutdown.Machine
-	begunAt time.Time
+	servers   []*Server
+	machine   *shutdown.Machine
+	startedAt time.Time
 }
 
-// Remains is what an end leaves behind.
+// Remains reports what a shutdown left unfinished.
 type Remains struct {
-	Open int // requests without a whole answer
-	Busy int // connections with such a request, or with an answer that is not received whole
+	Open int // requests without a complete response
+	Busy int // connections with such a request, or with a response not completely received
 	Took time.Duration
 }
 
-// BeginLeaving begins to end servers, by the times that are given.
+// BeginLeaving starts the shutdown of servers with the given times.
 func BeginLeaving(servers []*Server, times shutdown.Times) *Leaving {
 	now := time.Now()
 	for _, server := range servers {
-		server.leaving.Store(true)
+		server.shuttingDown.Store(true)
 	}
 	return &Leaving{servers, shutdown.NewMachine(now, times), now}
 }
 
-// RefusesFrom is from when on no request is begun.
+// RefusesFrom returns the time from which new requests are refused.
 func (l *Leaving) RefusesFrom() time.Time { return l.machine.RefusesFrom() }
 
-// Open is how many requests are being handled by all servers.
+// Open returns the number of requests being handled by all servers.
 func (l *Leaving) Open() int {
 	open := 0
 	for _, server := range l.servers {
@@ -49,8 +50,8 @@
 	return open
 }
 
-// Finish ends the servers and returns once they are closed. handedOver is closed when the
-// daemon may close its listeners.
+// Finish shuts the servers down and returns once they are closed. handedOver is closed when
+// the daemon may close its listeners.
 func (l *Leaving) Finish(handedOver <-chan struct{}) Remains {
 	ticker := time.NewTicker(shutdownCheckInterval)
 	defer ticker.Stop()
@@ -72,31 +73,31 @@
 			break
 		}
 		if phase != shutdown.Announcing {
-			l.closeWaiting(now)
+			l.closeIdle(now)
 		}
 		<-ticker.C
 	}
-	remains := Remains{Open: l.Open(), Busy: l.busy(), Took: time.Since(l.begunAt)}
+	remains := Remains{Open: l.Open(), Busy: l.busy(), Took: time.Since(l.startedAt)}
 	for _, server := range l.servers {
 		server.Close()
 	}
 	return remains
 }
 
-// enter does what a phase begins with.
+// enter performs the actions at the start of a phase.
 func (l *Leaving) enter(phase shutdown.Phase) {
 	for _, server := range l.servers {
 		switch phase {
 		case shutdown.Closing:
-			server.listener.closeSoon()
+			server.listener.acceptPendingAndClose()
 		case shutdown.Cutting:
 			_ = server.listener.Close()
-			server.end(ErrEnding)
+			server.cancelBase(ErrEnding)
 		}
 	}
 }
 
-// busy is how many connections of all servers have something that is to be answered.
+// busy returns the number of connections of all servers that are not idle.
 func (l *Leaving) busy() int {
 	busy := 0
 	for _, server := range l.servers {
@@ -105,7 +106,8 @@
 	return busy
 }
 
-// connections is how many connections of all servers are open or may still be accepted.
+// connections returns the number of open connections of all servers, plus one for each
+// listener that may still accept more.
 func (l *Leaving) connections() int {
 	open := 0
 	for _, server := range l.servers {
@@ -117,9 +119,9 @@
 	return open
 }
 
-// closeWaiting closes the connections that wait for a request.
-func (l *Leaving) closeWaiting(now time.Time) {
+// closeIdle closes the idle connections.
+func (l *Leaving) closeIdle(now time.Time) {
 	for _, server := range l.servers {
-		server.closeWaiting(now, lastRequestWait)
+		server.closeIdle(now, minIdleBeforeClose)
 	}
 }
