--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,6 +1,5 @@
-// Package platform reads the list of runners from the platform on which the cluster
-// stands. It only reads; who reads, and how often, is decided by its callers, since each
-// call has a price.
+// Package platform reads the list of runners from the platform on which the cluster runs. It
+// only reads. Callers decide who reads and how often, since each call has a cost.
 package platform
 
 import (
@@ -22,38 +21,38 @@
 )
 
 const (
-	// rateShare is the part of the platform's rate that its reader uses; after a change of leader
-	// there may be two readers.
-	rateShare = 0.45
-	// pageAttempts is how often a page is asked for that the platform refuses for its rate, and
-	// ratePause the pause between two.
-	pageAttempts = 6
-	ratePause    = 250 * time.Millisecond
-	// callTimeout bounds one call of the platform.
+	// clientRateShare is the fraction of the platform's rate limit that a client uses. After a
+	// change of leader there may be two clients.
+	clientRateShare = 0.45
+	// maxPageAttempts is how often a page is requested that the platform refuses because of
+	// its rate limit, and rateRetryDelay is the delay between two attempts.
+	maxPageAttempts = 6
+	rateRetryDelay  = 250 * time.Millisecond
+	// callTimeout is the timeout of one call to the platform.
 	callTimeout = 2 * time.Second
-	// idleTimeout is how long a connection is kept between two readings.
+	// idleTimeout is how long an idle connection is kept between two reads of the list.
 	idleTimeout = 30 * time.Second
-	// maxPlatformPages bounds the pages of one reading.
+	// maxPlatformPages is the maximum number of pages of a list.
 	maxPlatformPages = 1000
-	// maxPlatformPageBytes bounds one page, in bytes.
+	// maxPlatformPageBytes is the maximum size of a page, in bytes.
 	maxPlatformPageBytes = 4 << 20
 )
 
-// Error is the class of errors of a reading.
+// Error is the class of all errors of this package.
 var Error = errs.Class("platform")
 
-// ErrRateExceeded tells that the platform refused a call for its rate.
-var ErrRateExceeded = Error.New("too many calls")
+// ErrRateExceeded is returned if the platform refused a call because of its rate limit.
+var ErrRateExceeded = Error.New("call rate limit exceeded")
 
-// Client reads from one platform.
+// Client reads the runner list of one platform.
 type Client struct {
 	address string // HOST:PORT
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// NewClient makes a client of the platform at an address, which accepts so many calls a
-// second from all daemons together; 0: any number.
+// NewClient returns a client of the platform at the given address, which accepts
+// callsPerSecond from all daemons together; 0 means unlimited.
 func NewClient(address string, callsPerSecond float64) *Client {
 	dialer := &net.Dialer{Timeout: callTimeout}
 	return &Client{address: address, limiter: newLimiter(callsPerSecond), http: &http.Client{Transport: &http.Transport{
@@ -66,16 +65,16 @@
 	}}}
 }
 
-// newLimiter keeps a client below the platform's rate.
+// newLimiter returns a limiter that keeps a client below the platform's rate limit.
 func newLimiter(callsPerSecond float64) *rate.Limiter {
 	if callsPerSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
-	used := callsPerSecond * rateShare
-	return rate.NewLimiter(rate.Limit(used), max(int(used), 1))
+	clientRate := callsPerSecond * clientRateShare
+	return rate.NewLimiter(rate.Limit(clientRate), max(int(clientRate), 1))
 }
 
-// listedRunner is an entry of the platform's list. Unknown members are skipped.
+// listedRunner is an entry of the platform's list. Unknown members are ignored.
 type listedRunner struct {
 	ID         string `json:"id"`
 	Service    string `json:"targetService"`
@@ -92,16 +91,16 @@
 	NextToken *string        `json:"nextToken"` // nil on the last page
 }
 
-// stateDraining is the state of a runner that is about to leave.
+// stateDraining is the state of a runner that is about to shut down.
 const stateDraining = "draining"
 
-// List reads the whole list, page by page. A list that can't be read to its end is an
-// error: a part of it would look as if the other runners had gone.
+// List reads the whole list, page by page. If a page cannot be read it returns an error and no
+// runners, since with a partial list the other runners would appear to be gone.
 func (c *Client) List(ctx context.Context) ([]registry.Runner, error) {
 	var runners []registry.Runner
 	token := ""
 	for range maxPlatformPages {
-		page, err := c.pageWithinRate(ctx, token)
+		page, err := c.pageWithRetry(ctx, token)
 		if err != nil {
 			return nil, err
 		}
@@ -116,13 +115,13 @@
 		}
 		token = *page.NextToken
 	}
-	return nil, Error.New("the list has more than %d pages", maxPlatformPages)
+	return nil, Error.New("runner list has more than %d pages", maxPlatformPages)
 }
 
-// pageWithinRate reads one page at the client's pace, and again if the platform refuses it
-// for its rate: a list that is begun anew each time might never be read to its end.
-func (c *Client) pageWithinRate(ctx context.Context, token string) (page listPage, err error) {
-	for range pageAttempts {
+// pageWithRetry reads one page within the client's rate, and retries if the platform refuses
+// the call because of its rate limit. Restarting the list instead might never reach its end.
+func (c *Client) pageWithRetry(ctx context.Context, token string) (page listPage, err error) {
+	for range maxPageAttempts {
 		if err := c.limiter.Wait(ctx); err != nil {
 			return listPage{}, Error.Wrap(err)
 		}
@@ -130,7 +129,7 @@
 			break
 		}
 		select {
-		case <-time.After(ratePause):
+		case <-time.After(rateRetryDelay):
 		case <-ctx.Done():
 			return listPage{}, Error.Wrap(ctx.Err())
 		}
@@ -159,14 +158,14 @@
 		return listPage{}, ErrRateExceeded
 	}
 	if response.StatusCode != http.StatusOK {
-		return listPage{}, Error.New("the list of runners: status %d", response.StatusCode)
+		return listPage{}, Error.New("list runners: status %d, want 200", response.StatusCode)
 	}
 	raw, err := io.ReadAll(io.LimitReader(response.Body, maxPlatformPageBytes))
 	if err != nil {
 		return listPage{}, Error.Wrap(err)
 	}
 	if err := json.Unmarshal(raw, &page); err != nil {
-		return listPage{}, Error.Wrap(fmt.Errorf("the list of runners: %w", err))
+		return listPage{}, Error.Wrap(fmt.Errorf("decode runner list: %w", err))
 	}
 	return page, nil
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -15,7 +15,7 @@
 	"tealpond/internal/registry"
 )
 
-// newTestClient is a client of a platform that answers by page tokens.
+// newTestClient returns a client of a platform that serves pages by page token.
 func newTestClient(t *testing.T, pages map[string]string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,8 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), 0)
 }
 
-// TestListReadsAllPages to the last one, which has no token or null.
+// TestListReadsAllPages checks that the list is read up to the last page, whose token is
+// missing or null.
 func TestListReadsAllPages(t *testing.T) {
 	client := newTestClient(t, map[string]string{
 		"":    `{"instanceList":[{"targetService":"s","address":"10.0.0.1:80","zone":"z","configVersion":"v1","slots":2,"state":"ready","coldLeftMs":7,"id":"a"}],"nextToken":"p 2"}`,
@@ -49,10 +50,11 @@
 	}
 }
 
-// TestPartOfAListIsAnError: the runners that it lacks have not gone.
-func TestPartOfAListIsAnError(t *testing.T) {
+// TestPartialListIsAnError checks that a list with an unreadable page is an error: the missing
+// runners are not gone.
+func TestPartialListIsAnError(t *testing.T) {
 	first := `{"instanceList":[{"id":"a"}],"nextToken":"2"}`
-	for name, second := range map[string]string{"refused for its rate": "429", "no list": "{", "cut off": ""} {
+	for name, second := range map[string]string{"rate limit exceeded": "429", "invalid JSON": "{", "empty page": ""} {
 		list, err := newTestClient(t, map[string]string{"": first, "2": second}).List(context.Background())
 		if err == nil || list != nil {
 			t.Errorf("%s: %+v, %v", name, list, err)
@@ -63,19 +65,20 @@
 	}
 }
 
-// TestEndlessListIsAnError: pages that lead back to themselves.
+// TestEndlessListIsAnError checks that a list whose page token refers back to the same page is
+// an error.
 func TestEndlessListIsAnError(t *testing.T) {
 	client := newTestClient(t, map[string]string{"": `{"nextToken":"1"}`, "1": `{"nextToken":"1"}`})
 	if _, err := client.List(context.Background()); err == nil {
-		t.Error("read to its end")
+		t.Error("no error")
 	}
 }
 
-// scriptedPlatform answers calls at a rate, without a network.
+// scriptedPlatform answers calls at a limited rate, without a network.
 type scriptedPlatform struct {
-	pages   int           // of the list
-	spacing time.Duration // between two calls that are accepted
-	burst   int           // calls that are accepted at once
+	pages   int           // pages of the list
+	spacing time.Duration // between two accepted calls
+	burst   int           // calls accepted at once
 	calls   []time.Time
 	refused int
 }
@@ -95,7 +98,7 @@
 	}
 	p.calls = append(p.calls, now)
 	var page int
-	_, _ = fmt.Sscan(r.URL.Query().Get("pageToken"), &page) // the first page has none
+	_, _ = fmt.Sscan(r.URL.Query().Get("pageToken"), &page) // the first page has no token
 	text := fmt.Sprintf(`{"instanceList":[{"id":"i-%d"}],"nextToken":"%d"}`, page, page+1)
 	if page == p.pages-1 {
 		text = fmt.Sprintf(`{"instanceList":[{"id":"i-%d"}],"nextToken":null}`, page)
@@ -103,27 +106,28 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text)), Request: r}, nil
 }
 
-// TestListKeepsToTheRate: a list of more pages than the platform answers in a second is
-// read to its end, at a pace that it accepts; and also if others use up its rate.
-func TestListKeepsToTheRate(t *testing.T) {
+// TestListStaysWithinRate checks that a list with more pages than the platform serves in a
+// second is read completely, at a rate that the platform accepts, or with retries if other
+// clients use up that rate.
+func TestListStaysWithinRate(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		rate         float64 // that the settings name
+		rate         float64 // from the settings
 		mayBeRefused bool
 	}{
-		{"rate is known", 5, false},
-		{"no rate is known", 0, true},
+		{"known rate", 5, false},
+		{"unknown rate", 0, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			stand := &scriptedPlatform{pages: 30, spacing: 200 * time.Millisecond, burst: 5}
+			platform := &scriptedPlatform{pages: 30, spacing: 200 * time.Millisecond, burst: 5}
 			client := NewClient("10.0.0.1:80", c.rate)
-			client.http.Transport = stand
+			client.http.Transport = platform
 			list, err := client.List(t.Context())
-			if err != nil || len(list) != stand.pages {
+			if err != nil || len(list) != platform.pages {
 				t.Errorf("%s: %d runners, %v", c.name, len(list), err)
 			}
-			if stand.refused > 0 && !c.mayBeRefused {
-				t.Errorf("%s: %d calls were refused", c.name, stand.refused)
+			if platform.refused > 0 && !c.mayBeRefused {
+				t.Errorf("%s: %d calls refused, want none", c.name, platform.refused)
 			}
 		})
 	}
