--- a/internal/server/backlog.go
+++ b/internal/server/backlog.go
@@ -22,13 +22,16 @@
 )
 
 // backlogWait returns how long a client must wait before it submits a job again; 0 if the job
-// is accepted now. A job is refused
+// is accepted now. While the service has no capacity, each job is accepted. Otherwise a
+// job is refused
 //   - if the backlog exceeds maxBacklogPerCore;
 //   - beyond its tenant's share, if it would miss its target behind the queued work of all
 //     tenants, or behind its own tenant's queued work under that tenant's quota;
 //   - within the share, for floodRefusalPeriod after such a refusal, if it would miss its target
 //     under the quota: if accepted, it would only make the jobs behind it miss theirs too.
 //
+// A periodic job, or one without a target, is refused by the first rule only.
+//
 // So a flood of jobs of one tenant causes no refusals for other tenants, and leaves no queue
 // behind.
 func (r *Replica) backlogWait(call jobCall, request *rpc.JobRequest) time.Duration {
@@ -111,7 +114,7 @@
 	ownTenant tenantScope = true
 )
 
-// queuedWork is an amount of work, in thousandths of a core times ms.
+// queuedWork is an amount of work, in millicores times ms.
 type queuedWork int64
 
 // durationAt returns how long the work takes on the given capacity.
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -6,7 +6,7 @@
 	"tealpond/internal/clock"
 )
 
-// clock returns the state's clock in ms, see clock.Monotonic.
+// clock returns the state clock in ms, see clock.Monotonic.
 func (r *Replica) clock(now time.Time) int64 { return r.stateClock.Read(now) }
 
 // observeClocks records the clocks and the term of the last applied entry.
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -8,10 +8,10 @@
 	"tealpond/internal/state"
 )
 
-// milliCPUPerCore converts work in milli-CPU times ms to core-ms.
+// milliCPUPerCore converts work in millicores times ms to core-ms.
 const milliCPUPerCore = 1000
 
-// logJob logs a job that has ended. Each step is logged as tasks x milli-CPU, followed by the ms
+// logJob logs a job that has ended. Each step is logged as tasks x millicores, followed by the ms
 // until it was ready, until all of it was placed, and until it was complete.
 func (r *Replica) logJob(job *state.Job) {
 	var steps strings.Builder
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -19,7 +19,7 @@
 
 // evacuationNotice records when this replica noticed the order in force for a zone.
 type evacuationNotice struct {
-	changedAt int64 // of the order, on the state's clock
+	changedAt int64 // of the order, on the state clock
 	at        time.Time
 }
 
@@ -42,7 +42,7 @@
 	})
 }
 
-// noticeEvacuations records when the orders that were applied in this turn of the loop were
+// noticeEvacuations records when the orders that were applied in this loop iteration were
 // noticed.
 func (r *Replica) noticeEvacuations(now time.Time) {
 	for zone, evacuation := range r.state.Evacuations {
@@ -57,8 +57,8 @@
 
 // startGrace returns the remaining time in which runs that were placed in an evacuated zone
 // before the order may still be started; evacuated is false if the zone is not evacuated. The
-// grace lets gangs complete of which some members run already. It is a share of the configured
-// evacuation time, so that this bound holds.
+// grace period lets partially started gangs finish starting. It is a share of the configured
+// evacuation time, so that nothing is started later than Bounds.EvacuateMs after the order.
 func (r *Replica) startGrace(zone string, now time.Time) (grace time.Duration, evacuated bool) {
 	since, evacuated := r.state.IsEvacuated(zone)
 	if !evacuated {
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -65,7 +65,7 @@
 	return false
 }
 
-// largestStepMilliCPU returns the milli-CPU of all tasks of the job's largest step.
+// largestStepMilliCPU returns the millicores of all tasks of the job's largest step.
 func largestStepMilliCPU(job *state.Job) int64 {
 	largest := int64(0)
 	for _, step := range job.Steps {
--- a/internal/server/federation_work_test.go
+++ b/internal/server/federation_work_test.go
@@ -13,7 +13,7 @@
 )
 
 // storeWithJobs returns a state with the routes "fed" and "local" of the services "s1" and "s2",
-// a worker of 4000 milli-CPU for each service, and the given jobs by ID. The job "elsewhere" is on
+// a worker of 4000 millicores for each service, and the given jobs by ID. The job "elsewhere" is on
 // the route "local", all others on "fed".
 func storeWithJobs(t *testing.T, jobs map[string]protocol.Job) *state.Store {
 	t.Helper()
@@ -90,7 +90,7 @@
 	store := storeWithJobs(t, map[string]protocol.Job{"a": plainJob, "elsewhere": plainJob})
 	federated, all := federationWork(store, federatedRoutes), federationWork(store, &federation.Settings{})
 	if federated.CapacityMilliCPU != 4000 || all.CapacityMilliCPU != 8000 {
-		t.Errorf("capacity %d and %d milli-CPU, want 4000 and 8000", federated.CapacityMilliCPU, all.CapacityMilliCPU)
+		t.Errorf("capacity %d and %d millicores, want 4000 and 8000", federated.CapacityMilliCPU, all.CapacityMilliCPU)
 	}
 	if federated.Demand[3] <= 0 || all.Demand[3] != 2*federated.Demand[3] {
 		t.Errorf("demand %v and %v, want that of all services to be twice the first", federated.Demand, all.Demand)
--- a/internal/server/key_watches.go
+++ b/internal/server/key_watches.go
@@ -37,7 +37,7 @@
 	w.recordDeadline(watcher.deadline)
 }
 
-// recordDeadline moves nextDeadline forward if a watcher must be answered earlier.
+// recordDeadline sets nextDeadline to the deadline if that is earlier, or if there is none.
 func (w *keyWatchers) recordDeadline(deadline time.Time) {
 	if w.nextDeadline.IsZero() || deadline.Before(w.nextDeadline) {
 		w.nextDeadline = deadline
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -43,7 +43,7 @@
 		r.maintenance.periodicTasksAt = now
 		r.runPeriodicTasks(now)
 	}
-	wake := earlierWake(timing.HeartbeatInterval, r.runDueTimers(now))
+	wake := shorterDelay(timing.HeartbeatInterval, r.runDueTimers(now))
 	r.schedule(now)
 	return wake
 }
--- a/internal/server/link_trial.go
+++ b/internal/server/link_trial.go
@@ -68,8 +68,7 @@
 	Latency, Transfer time.Duration
 }
 
-// isClearlyBetter reports whether a leader would be clearly better served by this link than by the
-// other one.
+// isClearlyBetter reports whether this link is clearly better than the other.
 func (q linkQuality) isClearlyBetter(other linkQuality) bool {
 	return other.Latency >= 2*q.Latency+minLatencyGain &&
 		other.Transfer >= minTransferRatio*q.Transfer
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -189,7 +189,7 @@
 	// state, and the committed entries after it must be applied to the new state.
 	r.drainNode(ctx)
 	for _, wait := range []time.Duration{r.runLeaderTasks(now), r.sendBatches(ctx, now), r.proposeQueued(now)} {
-		wake = earlierWake(wake, wait)
+		wake = shorterDelay(wake, wait)
 	}
 	r.drainNode(ctx)
 	if r.digests.divergedAt > 0 {
@@ -198,18 +198,18 @@
 	}
 	r.sendAssignments()
 	r.replyToCancelWaiters()
-	wake = earlierWake(wake, r.replyToStatusWaiters(now))
-	wake = earlierWake(wake, r.replyToRunnerWatchers(now))
-	wake = earlierWake(wake, r.replyToKeyWatchers(now))
-	wake = earlierWake(wake, r.tallyWork(ctx, now))
+	wake = shorterDelay(wake, r.replyToStatusWaiters(now))
+	wake = shorterDelay(wake, r.replyToRunnerWatchers(now))
+	wake = shorterDelay(wake, r.replyToKeyWatchers(now))
+	wake = shorterDelay(wake, r.tallyWork(ctx, now))
 	if r.applyBacklog {
-		wake = earlierWake(wake, time.Nanosecond)
+		wake = shorterDelay(wake, time.Nanosecond)
 	}
-	return earlierWake(wake, r.continueLeave(ctx, now))
+	return shorterDelay(wake, r.continueLeave(ctx, now))
 }
 
-// earlierWake returns the shorter of two delays, where a wait of 0 means none.
-func earlierWake(wake, wait time.Duration) time.Duration {
+// shorterDelay returns the shorter of two delays; a wait of 0 means that no delay is set.
+func shorterDelay(wake, wait time.Duration) time.Duration {
 	if wait > 0 && wait < wake {
 		return wait
 	}
--- a/internal/server/runners.go
+++ b/internal/server/runners.go
@@ -130,8 +130,8 @@
 	watcher.reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(update)})
 }
 
-// runnerDeltas caches the encoded changes up to the newest version of the list: the daemons of
-// a zone mostly lack the same changes. Its zero value is empty.
+// runnerDeltas caches the encoded changes up to the newest version of the list: daemons of
+// a zone usually need the same delta. Its zero value is empty.
 type runnerDeltas struct {
 	table   *registry.Table
 	version uint64
--- a/internal/server/scheduling.go
+++ b/internal/server/scheduling.go
@@ -19,7 +19,7 @@
 	due           bool      // the state has changed since the planner ran
 	proposed      bool      // plans are proposed and not yet applied
 	notBefore     time.Time // no plans before this time, see recordPlanOutcome
-	refusedInARow int       // consecutive times that all plans were refused
+	refusedInARow int       // consecutive times that no plan was applied completely
 	preemptedAt   time.Time
 }
 
@@ -27,7 +27,7 @@
 // runs before they are compared with each other.
 const minRuntimeReports = 3
 
-// percent is the number of percent in a whole.
+// percent converts a percentage to a fraction.
 const percent = 100
 
 // schedule proposes the planner's plans and preemptions if the state has changed since it
@@ -59,16 +59,16 @@
 	}
 }
 
-// maxConsecutiveRefusals is the number of consecutive refusals of all plans after which the next
-// ones are delayed. A single refusal is usual: a worker or a job changed while the plans were in
-// the log.
+// maxConsecutiveRefusals is the number of consecutive times that no plan was applied completely
+// after which the next plans are delayed. A single time is usual: a worker or a job changed while
+// the plans were in the log.
 const maxConsecutiveRefusals = 2
 
-// recordPlanOutcome delays the next plans if all plans were refused several times in a row: the
-// state then changed by the attempts only, and the same plans would be made and refused in each
-// turn of the loop.
-func (r *Replica) recordPlanOutcome(known, allRefused bool) {
-	if !allRefused {
+// recordPlanOutcome delays the next plans if several times in a row no plan was applied
+// completely: the state then changed by the attempts only, and the same plans would be made and
+// refused in each loop iteration.
+func (r *Replica) recordPlanOutcome(known, noneComplete bool) {
+	if !noneComplete {
 		r.planning.refusedInARow = 0
 		return
 	}
--- a/internal/server/scheduling_test.go
+++ b/internal/server/scheduling_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestRefusedPlansAreDelayed guards against a planner that runs in each turn of the loop: plans that
+// TestRefusedPlansAreDelayed guards against a planner that runs in each loop iteration: plans that
 // are refused each time, as for a job that finds no resources left in its loan, are made only a
 // few times a second. Plans that are refused once are made again at once.
 func TestRefusedPlansAreDelayed(t *testing.T) {
--- a/internal/server/sessions.go
+++ b/internal/server/sessions.go
@@ -138,7 +138,7 @@
 	r.pendingAssignments[session.stream] = append(r.pendingAssignments[session.stream], assignment)
 }
 
-// sendAssignments sends the assignments of this turn of the loop, one frame for each stream.
+// sendAssignments sends the assignments of this loop iteration, one frame for each stream.
 func (r *Replica) sendAssignments() {
 	r.noticeEvacuations(time.Now())
 	for _, id := range r.state.TakeChangedRuns() {
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -114,7 +114,7 @@
 }
 
 // transferStateNames are the names of the states of a job's transfer between clusters, as
-// they stand in the table.
+// shown in the table.
 var transferStateNames = map[byte]string{
 	state.TransferNone:     "home",
 	state.TransferOffered:  "offered",
--- a/internal/server/storage_lag.go
+++ b/internal/server/storage_lag.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// handleStorageLag logs, at most once per storage.WarningInterval, a storage that has synced
-// nothing for storageStallTimeout or longer, and transfers leadership then.
+// handleStorageLag handles a storage that has synced nothing for storageStallTimeout: it logs it and
+// tries to transfer leadership, both at most once per storage.WarningInterval.
 func (r *Replica) handleStorageLag(now time.Time, lag time.Duration) {
 	if lag < storageStallTimeout || now.Sub(r.storageLagLoggedAt) < storage.WarningInterval {
 		return
--- a/internal/server/storage_open.go
+++ b/internal/server/storage_open.go
@@ -34,8 +34,8 @@
 		return
 	}
 	if persisted.NewIdentity && r.settings.FirstStart {
-		// Without the mark this server cannot take part in forming the first cluster after a
-		// restart; it joins a cluster that others form.
+		// If the mark can't be written, a restart can't take part in bootstrapping and joins an
+		// existing cluster instead.
 		if err := opened.MarkFirstStart(); err != nil {
 			logFailure(err)
 		}
