--- a/internal/state/coordinate.go
+++ b/internal/state/coordinate.go
@@ -13,7 +13,7 @@
 // CodeConflict if another holder has the lock.
 type AcquireLock coordination.Acquire
 
-// RenewLock extends the lease on a lock. The outcome is CodeConflict if the lock was
+// RenewLock extends the hold on a lock. The outcome is CodeConflict if the lock was
 // lost.
 type RenewLock coordination.Renew
 
@@ -75,7 +75,7 @@
 	case err == nil:
 		return Outcome{Code: CodeOK, Value: value}
 	case errors.Is(err, coordination.ErrFull):
-		// The refusal is not final: a copy of the command may find room.
+		// The refusal is not final: a later copy of the command may succeed.
 		return Outcome{Code: CodeUnknown, Text: err.Error()}
 	case errors.As(err, &mismatch):
 		return Outcome{Code: CodePreconditionFailed, Text: mismatch.Error(), Value: mismatch.Revision}
--- a/internal/state/crash_backoff.go
+++ b/internal/state/crash_backoff.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// crashBackoff is the time for which a node's runner gets no work after its second crash. It
-	// doubles with each further crash, up to maxCrashBackoff.
+	// crashBackoff is the time for which a node's runner gets no work at a crash count of 2, as
+	// after two crashes in short succession. It doubles with each increase of the count by one,
+	// up to maxCrashBackoff.
 	crashBackoff = 500 * time.Millisecond
 	// maxCrashBackoff is the longest backoff. It must end before a job that waits although capacity
 	// is free counts as lost, which is after 3 s.
@@ -32,8 +33,9 @@
 const crashRetentionHalfLives = 8
 
 // recordCrash counts a crash of a node's runner. It returns the backoff in ms during
-// which the node's next worker gets no work. The backoff is 0 after the first crash,
-// then doubles with each further one, up to maxCrashBackoff.
+// which the node's next worker gets no work. The backoff is 0 while the decayed
+// count, including this crash, is below minBackoffCrashes. Otherwise it is crashBackoff times
+// 2^(count-2), up to maxCrashBackoff.
 func (s *Store) recordCrash(node string) int64 {
 	backoff := s.CrashBackoffs[node]
 	decayed := backoff.Crashes * math.Exp2(-float64(s.Clock-backoff.UpdatedAt)/float64(crashCountHalfLife.Milliseconds()))
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -12,7 +12,7 @@
 // (Store.Clock) is monotonic and unrelated to the date. Times in rows are readings
 // of it in milliseconds, unless their comment says otherwise. The wall clock
 // (Store.WallClock) is in milliseconds since 1970; only periodic jobs and the
-// demand records use it.
+// demand history use it.
 //
-// CPU is measured in thousandths of a core, memory in megabytes.
+// CPU is measured in millicores, memory in megabytes.
 package state
--- a/internal/state/forget_unused.go
+++ b/internal/state/forget_unused.go
@@ -10,7 +10,7 @@
 const goneWorkerRetention = 10 * time.Minute
 
 // ForgetUnused removes rows that are no longer referenced: workers that are gone, rows of
-// earlier configurations, and outdated demand records. It is separate from CollectGarbage
+// earlier configurations, and outdated demand history. It is separate from CollectGarbage
 // because logs of earlier versions contain that command, whose effect must not change.
 type ForgetUnused struct {
 	_ struct{} `cbor:",toarray"`
@@ -19,7 +19,7 @@
 // Apply removes the rows. The outcome is always CodeOK.
 func (c *ForgetUnused) Apply(s *Store) Outcome {
 	s.removeGoneWorkers()
-	s.removeOldDemand()
+	s.pruneDemandHistory()
 	s.removeEarlierConfigurations()
 	return Outcome{Code: CodeOK}
 }
@@ -71,7 +71,7 @@
 
 // removeEarlierConfigurations removes routes, services and quotas that the current
 // configuration does not contain and that nothing refers to. Routes are kept as long as
-// their demand records, which forecasts use.
+// their demand history, which forecasts use.
 func (s *Store) removeEarlierConfigurations() {
 	routes, services, tenants := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for i := range s.Configuration.Routes {
@@ -104,9 +104,9 @@
 	maps.DeleteFunc(table, func(name string, _ V) bool { return !used[name] })
 }
 
-// removeOldDemand removes demand records that are more than demandBuckets older than the
-// newest bucket of any route, and routes that have no record left.
-func (s *Store) removeOldDemand() {
+// pruneDemandHistory removes the buckets of the demand history that are more than demandBuckets
+// older than the newest bucket of any route, and routes that have no bucket left.
+func (s *Store) pruneDemandHistory() {
 	newest := int64(0)
 	for _, buckets := range s.Demand {
 		for bucket := range buckets {
--- a/internal/state/submit_job.go
+++ b/internal/state/submit_job.go
@@ -21,7 +21,7 @@
 // CodeConflict if the configuration that is in force at this entry requires a key.
 func (c *SubmitJob) Apply(s *Store) Outcome { return c.accept(s, JobTenant{}) }
 
-// accept accepts the job for a tenant. The zero JobTenant stands for a caller without a key.
+// accept accepts the job for a tenant. The zero JobTenant represents a caller without a key.
 func (c *SubmitJob) accept(s *Store, tenant JobTenant) Outcome {
 	if s.Jobs[c.ID] != nil {
 		return Outcome{Code: CodeOK, Text: "known"}
--- a/internal/state/worker.go
+++ b/internal/state/worker.go
@@ -6,8 +6,8 @@
 	"tealpond/internal/protocol"
 )
 
-// Worker is the row of one registered incarnation of a runner. A runner that crashed and
-// was restarted is another worker. Commands that make a worker ineligible increment Version,
+// Worker is the row of one registered incarnation of a runner. A restarted runner is
+// registered as a new worker. Commands that make a worker ineligible increment Version,
 // so that placements planned before them are refused.
 type Worker struct {
 	_              struct{} `cbor:",toarray"`
