--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -60,11 +60,11 @@
 	route   *clusterconfig.Route
 	service string
 	tenant  string // of the API key; empty: none
-	// hasTenants: the configuration defines tenants.
+	// hasTenants is set if the configuration defines tenants.
 	hasTenants bool
 	body       *requestBody // nil: there is none
 	tried      []*runnerState
-	// mayHaveRun: an attempt may have run, or may still run, so no guarantee can be given.
+	// mayHaveRun is set if an attempt may have run, or may still run, so no guarantee can be given.
 	mayHaveRun bool
 
 	runner   *runnerState    // shared with other requests; read under the proxy's lock
@@ -198,9 +198,8 @@
 		header.Set("Content-Length", strconv.FormatInt(e.response.ContentLength, 10))
 	}
 	e.closeConnectionIfLast(header)
-	// A client may read slowly, and one that disappeared without closing its connection reads
-	// nothing.
-	// Writers of tests have no deadline.
+	// Bound the write: a client may read slowly, or be gone without having closed its connection.
+	// The error is ignored because test writers don't support deadlines.
 	_ = http.NewResponseController(e.writer).SetWriteDeadline(e.deadline.Add(unreadResponseTime))
 	e.writer.WriteHeader(e.response.StatusCode)
 	if err := e.copyResponseBody(); err != nil {
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -34,7 +34,8 @@
 	RateWindow time.Duration
 	// MaxListAge is the maximum age of the runner list for choosing any of its runners (0:
 	// unlimited). With an older list only runners that responded to this daemon recently are
-	// chosen. The limit does not apply for InTouch after a failed query for changes.
+	// chosen. The limit does not apply for the duration InTouch after a failed query for
+	// changes.
 	MaxListAge, InTouch time.Duration
 	// Refresh fetches the current configuration and passes it to SetConfig if it is newer. An
 	// error means that the current configuration is unknown.
--- a/internal/gateway/proxy_test.go
+++ b/internal/gateway/proxy_test.go
@@ -190,12 +190,12 @@
 		t.Fatal(err)
 	}
 	h.call("GET", "/read/x", "", claim)
-	var told []string
+	var received []string
 	for _, got := range h.receivedRequests() {
-		told = append(told, got.header.Get(protocol.HeaderTenant))
+		received = append(received, got.header.Get(protocol.HeaderTenant))
 	}
-	if !slices.Equal(told, []string{"claimed", ""}) {
-		t.Errorf("runner received tenants %q", told)
+	if !slices.Equal(received, []string{"claimed", ""}) {
+		t.Errorf("runner received tenants %q", received)
 	}
 }
 
--- a/internal/gateway/request_scanner.go
+++ b/internal/gateway/request_scanner.go
@@ -11,7 +11,7 @@
 type requestScanner struct {
 	head     []byte // received part of the current request head
 	bodyLeft int64  // bytes of the last request's body that are still to come
-	// outOfSync: the start of the next request is unknown.
+	// outOfSync is set if the start of the next request is unknown.
 	outOfSync bool
 }
 
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -29,12 +29,10 @@
 // daemons, and all daemons together stay within the limit under any failure:
 //
 //   - Each request earns retryShare, one half, of Ratio. Unused retries expire after a window.
-//
-// The retries that all daemons take from this in a window were earned in that window or the
-// one before, and are at most Ratio times the larger of the two request counts.
+//     The retries that all daemons take from this in a window were earned in that window or the
+//     one before, and are at most Ratio times the larger of the two request counts.
 //   - Each daemon has a reserve for each window, its share of a part of Slack. The rest of
-//
-// Slack covers daemons that restart and lose their record of the retries they used.
+//     Slack covers daemons that restart and lose their record of the retries they used.
 type retryBudget struct {
 	limit    RetryLimit
 	reserve  int // retries per window and service that need not be earned
--- a/internal/gateway/tenant_rates.go
+++ b/internal/gateway/tenant_rates.go
@@ -60,9 +60,9 @@
 }
 
 // admit counts a request of a tenant if the tenant is within its rate; otherwise it returns
-// the time after which the tenant may retry. Near the limit, or if too many requests were
-// admitted here that the leader does not know about, the request first waits briefly for the
-// leader's response.
+// the time after which the tenant may retry. The request first waits briefly for the leader's
+// response if the sums are too old (near the limit, a lower age counts), or if too many requests
+// were admitted here that the leader does not know about; see awaitedResponse.
 func (r *TenantRates) admit(ctx context.Context, tenant *clusterconfig.Tenant) (retryAfter time.Duration, ok bool) {
 	limit := uint64(max(tenant.RatePerS*r.window.Seconds()+tenant.Burst, 1))
 	allowance := rateAllowance(tenant.RatePerS)
