--- a/internal/api/evacuations.go
+++ b/internal/api/evacuations.go
@@ -14,12 +14,12 @@
 // concurrent orders conflict.
 const evacuationAttempts = 3
 
-// serveEvacuationBegin serves POST /-/Evacuation.Begin/ZONE: the zone's runners get no more
-// requests. It responds with 200 once the order is committed, also if it is repeated.
+// serveEvacuationBegin serves POST /-/Evacuation.Begin/ZONE: the zone's runners get no new
+// work. It responds with 200 once the order is committed, also if it is repeated.
 func (s *Server) serveEvacuationBegin(c echo.Context) error { return s.serveEvacuation(c, true) }
 
-// serveEvacuationFinish serves POST /-/Evacuation.Finish/ZONE: the zone's runners get requests
-// again.
+// serveEvacuationFinish serves POST /-/Evacuation.Finish/ZONE: the zone's runners get new
+// work again.
 func (s *Server) serveEvacuationFinish(c echo.Context) error { return s.serveEvacuation(c, false) }
 
 // serveEvacuation forwards an operator's evacuation order to the leader. It responds with 404 for a
--- a/internal/api/jobs_test.go
+++ b/internal/api/jobs_test.go
@@ -23,7 +23,7 @@
 		closes             bool
 	}{
 		{"submitted", http.MethodPost, job, rpc.Response{Code: 200}, 200, `{}`, "", false},
-		{"cancelled", http.MethodDelete, "", rpc.Response{Code: 200}, 200, `{}`, "", false},
+		{"canceled", http.MethodDelete, "", rpc.Response{Code: 200}, 200, `{}`, "", false},
 		{"state", http.MethodGet, "", rpc.Response{Code: 200, Text: "pending"}, 200, `{"state":"pending"}`, "", false},
 		{"count", http.MethodGet, "", rpc.Response{Code: 200, Text: "count", Value: 7}, 200, `{"waitingCount":7}`, "", false},
 		{"no such job", http.MethodGet, "", rpc.Response{Code: 410, Text: "no such job"}, 410, `{"error":"no such job"}`, "", false},
--- a/internal/api/limits.go
+++ b/internal/api/limits.go
@@ -103,7 +103,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, limitsRequestTimeout)
 		err := s.fetchTenants(callCtx)
 		if err == nil {
-			// The limits come last, since their version marks what has been fetched.
+			// The limits come last, since storing them marks the version as fetched.
 			_, err = s.fetchLimits(callCtx)
 		}
 		cancel()
--- a/internal/api/shares.go
+++ b/internal/api/shares.go
@@ -59,7 +59,7 @@
 	return !s.exchange.Admit(tenant.Name, limit, shareAllowance(tenant.MilliShare), now)
 }
 
-// millisPerUnit is the factor between a number and its thousandths.
+// millisPerUnit is the number of thousandths in one.
 const millisPerUnit = 1000
 
 // shareAllowance is how many jobs of a tenant may be admitted ahead of the exchange: its share for
