--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// idleWait is how long a loop waits for an event if afterBatch sets no limit.
+// idleWait is how long a loop waits for an event if afterBatch returns no wait.
 const idleWait = time.Hour
 
 // Loop is the event loop of a role. It passes an event and all further queued events to
-// handle, then calls afterBatch once, so that a batch of events shares one write.
-// afterBatch returns the maximum wait for the next event; 0 means no limit. Both
-// functions run in the goroutine of Loop, which returns when ctx ends or events is
-// closed.
+// handle as one batch. It calls afterBatch at the start, after each batch, so that a batch
+// of events shares one write, and when the wait that afterBatch returned has passed. A wait
+// of 0 or less means idleWait. Both functions run in the goroutine of Loop, which returns
+// when ctx ends or events is closed.
 func Loop[T any](ctx context.Context, events <-chan T, handle func(T), afterBatch func(now time.Time) time.Duration) {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
--- a/internal/shutdown/machine.go
+++ b/internal/shutdown/machine.go
@@ -1,5 +1,5 @@
-// Package shutdown defines the phases of a daemon's graceful shutdown: until when it accepts
-// connections and requests, until when it responds, and when the process may exit. It is a
+// Package shutdown defines the phases of a daemon's graceful shutdown: how long it accepts
+// connections and requests, how long it responds, and when the process may exit. It is a
 // pure state machine, the same for all roles; package httpserver applies it to a daemon's
 // listeners.
 package shutdown
@@ -14,7 +14,7 @@
 	// refuseFraction is the fraction of graceS after which a draining daemon starts no new request.
 	refuseFraction = 0.45
 	// answerFraction is the fraction of graceS within which open requests are answered. It is below
-	// 1 because the process must exit before graceS is over.
+	// 1 because the process must exit before graceS has elapsed.
 	answerFraction = 0.92
 	// cutFraction is the fraction of graceS that handlers have for a final response after
 	// answerFraction.
@@ -33,7 +33,7 @@
 	// Closing means that no connection is accepted and idle connections are closed.
 	// Requests that were accepted are answered.
 	Closing
-	// Cutting means that the time for open requests is over. Those that are still open get
+	// Cutting means that the time for open requests has passed. Those that are still open get
 	// a final response.
 	Cutting
 	// Ended means that the process may exit.
@@ -60,7 +60,7 @@
 	}
 }
 
-// Status is the current load of a daemon that is shutting down.
+// Status is the input of Machine.Advance about the daemon that is shutting down.
 type Status struct {
 	// HandedOver reports whether the other daemons no longer depend on this one, so that
 	// it may close its listeners.
--- a/internal/tracing/ring.go
+++ b/internal/tracing/ring.go
@@ -29,7 +29,7 @@
 	full   bool // the next event replaces the oldest
 }
 
-// NewRing returns a ring that holds up to capacity events, at least 1.
+// NewRing returns a ring that holds up to capacity events; capacity must be at least 1.
 func NewRing(capacity int) *Ring { return &Ring{events: make([]Event, capacity)} }
 
 // Record adds an event with the current time. It does nothing on a nil ring.
@@ -47,7 +47,7 @@
 
 // History returns the events of a subject and of its parts (the tasks of a job),
 // oldest first. It also returns the time since which the ring has all events, in ns
-// since 1970, or 0 if no event was overwritten yet.
+// since 1970, or 0 while the ring is not full.
 func (r *Ring) History(subject string) ([]Event, int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
