--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -47,7 +47,7 @@
 	return c.store.ApplyEntry(c.store.AppliedIndex+1, raw)[0]
 }
 
-// advance moves the clock forward and applies a command, so that the state's clock follows.
+// advance moves the clock forward and applies a command, so that the state clock follows.
 func (c *testCluster) advance(ms int64) {
 	c.clock += ms
 	c.apply(state.CommandCollectGarbage, &state.CollectGarbage{})
--- a/internal/scheduler/pace.go
+++ b/internal/scheduler/pace.go
@@ -41,7 +41,7 @@
 type paceEstimate struct {
 	meanLog, weight float64
 	variance        float64 // of the logarithm of one run's ratio, as estimated for its route
-	updatedAt       int64   // ms of the state's clock
+	updatedAt       int64   // ms of the state clock
 }
 
 // decayedWeight returns the weight of all samples after decay until now.
@@ -121,7 +121,7 @@
 // Pace returns the ratio of run durations on a worker to those on other workers, or false if too few
 // runs ended there recently. Of a ratio above 1 it returns a lower bound, one standard error below
 // the mean and at least 1, since tasks of a step may differ by more than a slow worker does. The
-// argument now is the state's clock in ms.
+// argument now is the state clock in ms.
 func (p *Planner) Pace(worker string, now int64) (float64, bool) {
 	estimate, weight, ok := p.recentPace(worker, now)
 	if !ok {
@@ -165,6 +165,6 @@
 	return paceUnknown
 }
 
-// DampSlowdown moves a slowdown that is based on a few rough estimates towards 1, since such
+// DampSlowdown moves a slowdown that is based on a few rough estimates toward 1, since such
 // estimates vary by more than a slow worker does.
 func DampSlowdown(slowdown float64) float64 { return math.Sqrt(slowdown) }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// racks returns the racks to try for a step and the free CPU of each, in thousandths of a core. The
+// racks returns the racks to try for a step and the free CPU of each, in millicores. The
 // rack that holds the step's data comes first, since tasks run faster there.
 func (s *snapshot) racks(request *placementRequest) (racks []string, freeCPU map[string]int64) {
 	spec := request.spec()
--- a/internal/scheduler/planner.go
+++ b/internal/scheduler/planner.go
@@ -13,7 +13,7 @@
 const (
 	// maxTasksPerPlan is the number of placed tasks after which Plan considers no more steps.
 	maxTasksPerPlan = 600
-	// unplacedStepCost is the number of tasks that a step which doesn't fit counts towards
+	// unplacedStepCost is the number of tasks that a step which doesn't fit counts toward
 	// maxTasksPerPlan.
 	unplacedStepCost = 4
 )
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -48,7 +48,7 @@
 }
 
 // allowedWithReserve returns how many of n long tasks may be placed so that their tenant's
-// quota has room for its predicted higher-priority work. A job without a running task isn't
+// quota still covers its predicted higher-priority work. A job without a running task isn't
 // held back for longer than maxStarvationTime.
 func (t *quotaTally) allowedWithReserve(request *placementRequest, quota state.Quota, use state.TenantUse, n int) int {
 	reserved := t.planner.tenantReserve(t.store, request.job.Tenant(), request.job.Priority)
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -20,7 +20,7 @@
 	slackMs  int64 // from now to the target
 	class    deadlineClass
 	// latestStart is when the rest of the job must start at the latest to stay in its
-	// class, in ms of the state's clock.
+	// class, in ms of the state clock.
 	latestStart int64
 	// heavyTenant is set if the tenant already uses a large part of its quota.
 	heavyTenant bool
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -25,7 +25,7 @@
 	longTaskFreeFraction = 0.6
 )
 
-// resources is an amount of CPU, in thousandths of a core, and of memory, in MB.
+// resources is an amount of CPU, in millicores, and of memory, in MB.
 type resources struct{ cpu, memory float64 }
 
 // add returns the sum with n tasks of the given size.
@@ -36,7 +36,7 @@
 // demandPeak is the highest recent demand of one priority, with an exponential decay.
 type demandPeak struct {
 	resources
-	updatedAt int64 // ms of the state's clock
+	updatedAt int64 // ms of the state clock
 }
 
 // at returns the peak, decayed until now.
@@ -102,7 +102,8 @@
 }
 
 // limitLongTasks removes the tasks of a long step that exceed the limit for long
-// tasks. It returns false if the whole step must wait.
+// tasks. At least one task is kept if the priority holds no CPU or the job is starved; a gang
+// is then kept whole. It returns false if the whole step must wait.
 func (p *Planner) limitLongTasks(store *state.Store, request *placementRequest, held map[state.ServicePriority]resources) bool {
 	limit, ok := p.longTaskLimit(store, request, held)
 	if !ok {
@@ -135,9 +136,10 @@
 }
 
 // isStarved reports whether no task of a job runs and its step has been ready, without a
-// new allocation, for maxStarvationTime. Such a job gets at least one task placed if it
-// fits, however much higher-priority demand is predicted: by the operators' rules a job
-// must not wait while there is free capacity for it, however full the service is.
+// new allocation, for maxStarvationTime. Such a job gets at least one task, or its whole
+// gang, placed if it fits, however much higher-priority demand is predicted: by the
+// operators' rules a job must not wait while there is free capacity for it, however full
+// the service is.
 func isStarved(store *state.Store, request *placementRequest) bool {
 	stepState := &request.instance.Steps[request.step]
 	if store.Clock-max(stepState.ReadyAt, stepState.LastAllocatedAt) < maxStarvationTime.Milliseconds() {
--- a/internal/scheduler/reservation_test.go
+++ b/internal/scheduler/reservation_test.go
@@ -10,7 +10,7 @@
 // TestStarvedJobGetsTaskDespitePredictedDemand checks that long low-priority tasks are held back
 // while much high-priority demand is predicted, but that a job without a running task gets one after
 // maxStarvationTime if there is free capacity for it. Its other tasks, and those of jobs that already
-// run, go on waiting.
+// run, keep waiting.
 func TestStarvedJobGetsTaskDespitePredictedDemand(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		c := newTestCluster(t, 10)
--- a/internal/scheduler/straggler_queue.go
+++ b/internal/scheduler/straggler_queue.go
@@ -20,7 +20,7 @@
 	initialized    bool             // runs older than this planner have been added
 }
 
-// scheduledCheck is the time of a run's next check, in ms of the state's clock.
+// scheduledCheck is the time of a run's next check, in ms of the state clock.
 type scheduledCheck struct {
 	checkAt      int64
 	allocationID uint64
@@ -81,7 +81,7 @@
 	heap.Push(&q.checks, scheduledCheck{checkAt, allocationID})
 }
 
-// takeDue removes the checks that are due and returns the IDs of their runs in order,
+// takeDue removes the checks that are due and returns the IDs of their runs, sorted,
 // together with those of the runs on workers that became suspect since the last plan,
 // which are checked at once.
 func (q *stragglerQueue) takeDue(store *state.Store, suspectWorkers map[string]bool) []uint64 {
--- a/internal/scheduler/stragglers.go
+++ b/internal/scheduler/stragglers.go
@@ -124,7 +124,7 @@
 }
 
 // RecordCompletion updates the statistics with a run that completed successfully at
-// endedAt, in ms of the state's clock: the pace of its worker and, for its route, how
+// endedAt, in ms of the state clock: the pace of its worker and, for its route, how
 // much tasks of a step differ and how rough the estimates are.
 func (p *Planner) RecordCompletion(store *state.Store, allocation *state.Allocation, endedAt int64) {
 	job := store.Jobs[allocation.Job]
