--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -11,8 +11,8 @@
 // Monotonic is the monotonic clock that a leader stamps on entries. It never runs backwards when
 // the leader changes. A new leader continues from the newest stamp in the log or, if that is later,
 // from the previous leader's clock as it observed it as a follower, which accounts for the time
-// between the two leaders. The clock never advances by more than the time that has passed since any
-// entry was stamped.
+// between the two leaders. Since any stamped entry, the clock has advanced by at most the elapsed
+// time.
 type Monotonic struct {
 	origin       time.Time     // reference time of observed
 	observed     time.Duration // the leader's clock at origin, as observed by this follower
--- a/internal/clock/time_of_day.go
+++ b/internal/clock/time_of_day.go
@@ -9,8 +9,8 @@
 // no harm.
 const slewRate = 0.005
 
-// TimeOfDay is the machine's time of day without its steps: it starts from the first reading and
-// continues by the monotonic clock. A forward step is followed by slewing only. A backward step is
+// TimeOfDay is the machine's time of day with forward steps smoothed: it starts from the first reading
+// and continues by the monotonic clock. A forward step is followed by slewing only. A backward step is
 // followed at once, for as long as it lasts, since a periodic run may start late but not early. A
 // process that starts while the machine's clock is wrong can't detect that; the median of the
 // members and the log protect against it (see Wall).
@@ -32,7 +32,7 @@
 	return min(machine, t.offset+elapsed)
 }
 
-// slew moves an offset towards another, by at most slewRate times the elapsed time.
+// slew moves an offset toward another, by at most slewRate times the elapsed time.
 func slew(from, to, elapsed time.Duration) time.Duration {
 	limit := time.Duration(float64(max(elapsed, 0)) * slewRate)
 	return from + max(min(to-from, limit), -limit)
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -30,7 +30,8 @@
 	learned   learnedOffset
 
 	// divergedSince is since when the members' time of day has differed from the clock by more than
-	// stepTolerance in one direction; zero if it doesn't. ahead tells that it is ahead of the clock.
+	// stepTolerance in one direction; zero if it doesn't. ahead reports whether the members' time is
+	// ahead of the clock.
 	divergedSince time.Time
 	ahead         bool
 }
