--- a/internal/federation/offers.go
+++ b/internal/federation/offers.go
@@ -51,7 +51,7 @@
 }
 
 // borrow returns the current loan of a peer, or requests a new one if that has expired; false if
-// no more jobs fit into the current one, or the peer refused.
+// no more jobs fit into the current one, if the peer refused, or if there was no valid answer.
 func (o *Offloader) borrow(ctx context.Context, work PendingWork, peer string, milliCPU int64) (loan, bool) {
 	peerLoan := o.loans[peer]
 	if time.Now().Before(peerLoan.expiresAt) {
--- a/internal/federation/offloader_test.go
+++ b/internal/federation/offloader_test.go
@@ -24,10 +24,10 @@
 			Call{Kind: CallWithdrawOffer}},
 		{"offered, no loan", OpenTransfer{State: state.TransferOffered, Route: "route"}, loan{},
 			Call{Kind: CallWithdrawOffer}},
-		{"offered, to be cancelled", OpenTransfer{State: state.TransferOffered, CancelRequested: true}, peerLoan,
+		{"offered, to be canceled", OpenTransfer{State: state.TransferOffered, CancelRequested: true}, peerLoan,
 			Call{Kind: CallWithdrawOffer, Cancel: true}},
 		{"accepted", OpenTransfer{State: state.TransferAccepted}, peerLoan, Call{Kind: CallWithdrawOffer}},
-		{"accepted, to be cancelled", OpenTransfer{State: state.TransferAccepted, CancelRequested: true}, peerLoan,
+		{"accepted, to be canceled", OpenTransfer{State: state.TransferAccepted, CancelRequested: true}, peerLoan,
 			Call{Kind: CallWithdrawOffer, Cancel: true}},
 		{"finished", OpenTransfer{State: state.TransferAccepted, Finished: true}, peerLoan, Call{Kind: CallRelease}},
 	} {
--- a/internal/federation/overload.go
+++ b/internal/federation/overload.go
@@ -29,7 +29,8 @@
 }
 
 // Crowded reports whether the cluster is forecast to be overloaded: whether the demand forecast
-// for the current bucket or one of the next HorizonBuckets is above the overload limit.
+// for the current bucket or one of the next HorizonBuckets exceeds the overload limit by a
+// margin (see package forecast).
 func (s *Settings) Crowded(work PendingWork) bool {
 	if work.CapacityMilliCPU == 0 {
 		return false
@@ -40,7 +41,7 @@
 	return ok
 }
 
-// LendableMilliCPU returns the capacity that may be lent to a peer, in thousandths of a core; 0 if
+// LendableMilliCPU returns the capacity that may be lent to a peer, in millicores; 0 if
 // there is no forecast.
 func (s *Settings) LendableMilliCPU(work PendingWork) int64 {
 	// The capacity must be free for the whole duration of the loan. Otherwise it would still be lent
--- a/internal/registry/announcements.go
+++ b/internal/registry/announcements.go
@@ -37,7 +37,8 @@
 }
 
 // Heartbeat records a heartbeat, numbered by the runner, and reports whether the list
-// has changed. One that arrives after a newer one only counts as contact, and none ends a drain.
+// has changed. An outdated heartbeat only renews the contact time. No heartbeat ends draining.
+// Departed runners are ignored.
 func (a *Announcements) Heartbeat(runner Runner, sequence int64, now time.Time) (changed bool) {
 	if _, hasDeparted := a.departed[runner.ID]; hasDeparted {
 		return false
--- a/internal/registry/observation.go
+++ b/internal/registry/observation.go
@@ -37,9 +37,9 @@
 	// failureDecayTime is the time constant with which the failure rate of a runner without
 	// requests decays.
 	failureDecayTime = 4 * time.Second
-	// latencyStepRatio is the ratio between two neighbouring rounded latencies.
+	// latencyStepRatio is the ratio between two neighboring rounded latencies.
 	latencyStepRatio = 1.2
-	// failureStepPercent is the difference between two neighbouring rounded failure rates.
+	// failureStepPercent is the difference between two neighboring rounded failure rates.
 	failureStepPercent = 10
 )
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -90,7 +90,7 @@
 	removalsKnownFrom uint64
 	// digestByScope holds the digest of the runners of each zone, and of all runners.
 	digestByScope map[string]uint64
-	// versionByDigest holds the first version of a scope's list that had a digest.
+	// versionByDigest holds, by scope and digest, the earliest known version with that digest.
 	versionByDigest map[scopedDigest]uint64
 }
 
