--- a/internal/coordination/key.go
+++ b/internal/coordination/key.go
@@ -47,15 +47,15 @@
 	Name     string
 	Value    string
 	Revision int64
-	At       int64 // the state's clock, in ms
+	At       int64 // the state clock, in ms
 }
 
-// PutOutcome is the outcome of a put, as its caller was told.
+// PutOutcome is the outcome of a put, as returned to its caller.
 type PutOutcome struct {
 	_        struct{} `cbor:",toarray"`
 	Revision int64    // of the put, or of the key if the put was refused
 	Refused  bool
-	At       int64 // the state's clock, in ms
+	At       int64 // the state clock, in ms
 }
 
 // Put sets a key if the key is at the expected revision.
@@ -90,8 +90,9 @@
 // has no recorded outcome and does not fit.
 //
 // A repeated put with the same value has no further effect and gets the first answer: of two copies
-// of a put, only the one that arrives first is decided. Refusals are recorded too: the caller was
-// told that the put will never happen, and a copy of it may arrive when it would succeed.
+// of a put, only the one that arrives first is decided. Refusals are recorded too: the caller
+// received the promise that the put will never happen, and a copy of it may arrive when it would
+// succeed.
 func (t *Tables) Put(put Put, clock int64) (revision int64, err error) {
 	group, err := t.getOrCreateGroup(GroupOf(put.Key))
 	if err != nil {
@@ -176,7 +177,7 @@
 }
 
 // compact drops the oldest puts of the history. A watch may resume from a revision for historyMs
-// after it got it: the puts above that revision are no older, and the state's clock may only lag
+// after it got it: the puts above that revision are no older, and the state clock may only lag
 // behind the true time.
 func (g *Group) compact(clock, historyMs int64) {
 	retentionMs := historyRetentionMs(historyMs)
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -28,8 +28,8 @@
 	Holder     string
 	Fence      int64 // fencing token of the newest acquisition; higher than all earlier ones, of any lock
 	FirstFence int64 // fencing token of the acquisition with which the hold began
-	ExpiresAt  int64 // by the state's clock, in ms
-	AcquiredAt int64 // by the state's clock, in ms
+	ExpiresAt  int64 // by the state clock, in ms
+	AcquiredAt int64 // by the state clock, in ms
 }
 
 // Acquire requests a lock. A caller that holds it already gets more time and a new fence.
@@ -59,7 +59,7 @@
 
 // expired reports whether the caller can no longer regard itself as the holder.
 //
-// A caller measures its hold time from before it sent the call. The state's clock at the entry
+// A caller measures its hold time from before it sent the call. The state clock at the entry
 // that granted the lock is later than that, and between two entries it never runs ahead of the true
 // time (server, clock.go). The caller's own clock may be slow by timing.LeaseClockDriftFactor. So
 // the caller's hold has ended once the clock of any later entry has reached ExpiresAt.
--- a/internal/coordination/lock_model_test.go
+++ b/internal/coordination/lock_model_test.go
@@ -7,14 +7,14 @@
 
 // The model covers two callers of one lock, of whom the second requests the lock once. It explores
 // all orders of events up to a bound: calls that are delivered late, twice or never, lost answers,
-// the passage of time, and a state's clock that stands still for a while, as in an outage.
+// the passage of time, and a state clock that stands still for a while, as in an outage.
 
 // lockOperations are the operations under test; a test replaces one of them by a faulty one.
 type lockOperations struct {
 	acquire func(*Tables, Acquire, int64) (int64, error)
 	renew   func(*Tables, Renew, int64) error
 	release func(*Tables, Release)
-	// clockAhead is the number of ticks that the state's clock gains in each tick.
+	// clockAhead is the number of ticks that the state clock gains in each tick.
 	clockAhead int64
 }
 
@@ -39,17 +39,17 @@
 
 // modelState is one state of the search.
 type modelState struct {
-	lock        Lock // the row of the lock; without a holder there is none
-	lastFence   int64
-	now         int64 // ticks of the true time
-	clock       int64 // ticks of the state's clock
-	sent        int
-	redelivered bool // a call was delivered twice
-	outage      bool // the state's clock stood still for a tick
-	secondAsked bool // the second caller has asked for the lock
-	calls       [modelCalls]modelCall
-	fence       [2]int64 // fence of the hold that each caller assumes to have
-	heldUntil   [2]int64 // end of that hold, in ticks of the true time; 0 if there is none
+	lock            Lock // the row of the lock; without a holder there is none
+	lastFence       int64
+	now             int64 // ticks of the true time
+	clock           int64 // ticks of the state clock
+	sent            int
+	redelivered     bool // a call was delivered twice
+	outage          bool // the state clock stood still for a tick
+	secondRequested bool // the second caller has requested the lock
+	calls           [modelCalls]modelCall
+	fence           [2]int64 // fence of the hold that each caller assumes to have
+	heldUntil       [2]int64 // end of that hold, in ticks of the true time; 0 if there is none
 }
 
 func (s modelState) holds(caller int) bool { return s.now < s.heldUntil[caller] }
@@ -80,9 +80,9 @@
 	for _, kind := range s.callKinds() {
 		all = append(all, s.send(0, byte(kind)))
 	}
-	if s.sent < modelCalls && !s.secondAsked {
+	if s.sent < modelCalls && !s.secondRequested {
 		later := s.send(1, 'a')
-		later.secondAsked = true
+		later.secondRequested = true
 		all = append(all, later)
 	}
 	for i, call := range s.calls[:s.sent] {
@@ -104,7 +104,7 @@
 // for the second caller.
 func (s modelState) callKinds() string {
 	switch {
-	case s.now == modelTicks, s.sent >= modelCalls, s.sent == modelCalls-1 && !s.secondAsked:
+	case s.now == modelTicks, s.sent >= modelCalls, s.sent == modelCalls-1 && !s.secondRequested:
 		return ""
 	case s.holds(0):
 		return "ard"
@@ -209,7 +209,7 @@
 				tables.Release(request)
 			}
 		},
-		"the state's clock runs ahead": func(o *lockOperations) { o.clockAhead = 2 },
+		"the state clock runs ahead": func(o *lockOperations) { o.clockAhead = 2 },
 	} {
 		operations := correctOperations()
 		injectFault(&operations)
