--- a/internal/agent/call_policy.go
+++ b/internal/agent/call_policy.go
@@ -10,9 +10,9 @@
 // callPolicy defines what the agent may do after a call to the runner got no response: the call may
 // have taken effect, or may take effect seconds later, after newer calls.
 type callPolicy struct {
-	// Retryable means that the same call may be sent again at once. Otherwise the lists are read
-	// first, by a poll sent after the call, and the call is sent again only if they don't show its
-	// effect.
+	// Retryable means that the same call may be sent again at once. Otherwise the lists of
+	// running and completed runs are read first, by a poll sent after the call, and the call is sent
+	// again only if they don't show its effect.
 	Retryable bool
 	// Reason explains the choice, and why a delayed call does no harm.
 	Reason string
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -21,8 +21,8 @@
 )
 
 // poll sends keep-alive requests, called polls here: each extends the runner's lease and reads its
-// lists. A long poll, which may wait at the runner for a completion, is in flight nearly all the
-// time. It returns the time until it must be called again, or 0.
+// lists of running and completed runs. A long poll, which may wait at the runner for a completion, is
+// in flight nearly all the time. It returns the time until it must be called again, or 0.
 func (a *Agent) poll(session *runnerSession) time.Duration {
 	if remaining := session.pollBackoff(a.now); remaining > 0 {
 		return remaining
@@ -65,7 +65,7 @@
 }
 
 // pollWait returns how long the runner may wait for a completion before it answers the next poll.
-// If a call got no response (unanswered), the lists are needed at once.
+// If a call got no response (unanswered), the lists of running and completed runs are needed at once.
 func (s *runnerSession) pollWait(now time.Time, unanswered bool) time.Duration {
 	wait := runnerPollWait
 	if s.reportsInFlight > 0 && !unanswered {
@@ -93,7 +93,7 @@
 }
 
 // hasUnansweredCall reports whether a call got no response, and no poll that was sent since then
-// has returned the lists.
+// has returned the lists of running and completed runs.
 func (s *runnerSession) hasUnansweredCall() bool {
 	for _, run := range s.runs {
 		if run.unanswered && s.lastCompletePoll <= run.pollAtLastCall {
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -17,7 +17,7 @@
 	complete    bool // the list of completions is not truncated
 }
 
-// newListing indexes both lists of a response.
+// newListing indexes the lists of running and completed runs of a response.
 func newListing(response protocol.KeepAliveResponse) listing {
 	l := listing{running: map[string]protocol.RunProgress{}, ended: map[string]bool{}, completions: response.Completions()}
 	for _, progress := range response.Progress() {
@@ -30,8 +30,8 @@
 	return l
 }
 
-// reconcile compares the runner's lists with the session: it reports new completions and
-// checkpoints, and closes runs that are in neither list.
+// reconcile compares the runner's lists of running and completed runs with the session: it reports
+// new completions and checkpoints, and closes runs that are in neither list.
 func (a *Agent) reconcile(session *runnerSession, poll uint64, listed listing) {
 	unreported := a.recordCompletions(session, listed.completions)
 	checkpoints := a.recordRunning(session, listed.running)
@@ -108,7 +108,7 @@
 }
 
 // closeMissing deletes runs whose completion is listed, and declares runs stopped that are in
-// neither list.
+// neither the list of running nor that of completed runs.
 func (a *Agent) closeMissing(session *runnerSession, poll uint64, listed listing) {
 	for key, run := range session.runs {
 		if _, ok := listed.running[key]; ok {
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -47,7 +47,7 @@
 	go httpServer.Serve() // until it is closed
 	go a.discovery.Run(loopCtx)
 	if err := transport.Serve(loopCtx, a.settings.AgentAddress(), a.handleFrame); err != nil {
-		// The daemon goes on, since only traces need it.
+		// Continue: the listener is only used for traces.
 		_ = a.log.Log("level", "warn", "event", "trace.serve_failed", "error", err)
 	}
 	go a.renewMembership(loopCtx)
--- a/internal/agent/session.go
+++ b/internal/agent/session.go
@@ -52,11 +52,11 @@
 	// Polls, numbered in the order in which they are sent.
 	lastPoll         uint64
 	lastPollAt       time.Time
-	lastCompletePoll uint64 // the newest that returned both lists completely
+	lastCompletePoll uint64 // the newest that returned the lists of running and completed runs completely
 	polling          bool   // a long poll is in flight
 	probing          bool   // a second poll, without waiting, is in flight
 	pollFailures     int    // consecutive
-	listed           bool   // both lists were read completely under this fence
+	listed           bool   // the lists of running and completed runs were read completely under this fence
 
 	// Runs and completions.
 	runs              map[string]*taskRun
