--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -62,7 +62,7 @@
 }
 
 // checkRenewals checks the counts by worker: the leader makes no more renewals than were requested,
-// and no agent is told of more renewals than the leader made.
+// and no agent gets more renewal responses than the leader made.
 func checkRenewals(t *testing.T, granted, requested, answered map[string]int) {
 	t.Helper()
 	for worker, n := range granted {
--- a/internal/raft/large_append_test.go
+++ b/internal/raft/large_append_test.go
@@ -13,7 +13,7 @@
 	}
 }
 
-// largeCommand returns a command that reaches the limit by itself.
+// largeCommand returns a command that alone reaches the limit.
 func largeCommand(fill byte) []byte { return bytes.Repeat([]byte{fill}, 128<<10) }
 
 // peersSentWholeLog returns the number of members that were sent the whole log.
--- a/internal/raft/leader_transfer.go
+++ b/internal/raft/leader_transfer.go
@@ -70,7 +70,7 @@
 	n.send(Message{Kind: MsgTimeoutNow, To: n.transfer.transferee}, false)
 	if !n.IsVoter(n.id) {
 		// This member is no longer a voter: it won't learn of a later term, so it must
-		// step down by itself.
+		// step down on its own initiative.
 		n.becomeFollower(n.term, "")
 	}
 }
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -284,7 +284,7 @@
 }
 
 // canAcknowledge reports whether a change may be acknowledged. Responsive peers are waited for,
-// however slow their disks. Unresponsive peers are done without, and only where too few others
+// however slow their disks. Unresponsive peers are skipped, but only where too few others
 // remain.
 func (r *Replica) canAcknowledge(change change, now time.Time) bool {
 	if !r.set.Has(change.position) {
