--- a/internal/admin/jobrecord.go
+++ b/internal/admin/jobrecord.go
@@ -15,9 +15,9 @@
 	tableJobs  = "jobs"
 	tableMoves = "moves"
 
-	jobDone      = "done"
-	jobFailed    = "failed"
-	jobCancelled = "called_off"
+	jobDone     = "done"
+	jobFailed   = "failed"
+	jobCanceled = "called_off"
 
 	moveOffered  = "offered"
 	moveReturned = "home" // returned to the cluster that the job was submitted to
@@ -70,7 +70,8 @@
 }
 
 // JobRecords merges the states of clusters, by name, into one record per deferrable job, sorted by
-// job ID. It includes the jobs of the given queues and all jobs that moved between clusters.
+// job ID. It includes the jobs of the given queues and all jobs that were transferred between
+// clusters.
 func JobRecords(clusters map[string]rpc.ClusterState, queues []string) []JobRecord {
 	names := slices.Sorted(maps.Keys(clusters))
 	transfers := transfersByJob(clusters, names)
@@ -92,7 +93,7 @@
 	return records
 }
 
-// transfer is the move of a job to a cluster, as that cluster shows it.
+// transfer is a job's transfer to a cluster, as that cluster shows it.
 type transfer struct {
 	cluster string
 	move    row
@@ -111,9 +112,9 @@
 	return transfers
 }
 
-// newJobRecord builds the record of a job from its row in the cluster that it was submitted to, its
-// move from there (nil if it never moved) and its transfers as shown by the clusters that it moved
-// to.
+// newJobRecord builds the record of a job from its row in the cluster that it was submitted to, the
+// row of its transfer from there (move; nil if it was never transferred) and its transfers as shown
+// by the clusters that it was transferred to.
 func newJobRecord(cluster string, job, move row, transfers []transfer) JobRecord {
 	record := JobRecord{
 		Job:         job.text("id"),
@@ -134,7 +135,7 @@
 		}
 	}
 	switch {
-	case record.State == jobCancelled:
+	case record.State == jobCanceled:
 	case record.State == jobFailed:
 		record.Fault = "missing: it failed"
 	case record.State != jobDone && move != nil && move.text("state") == moveOffered:
--- a/internal/admin/jobrecord_test.go
+++ b/internal/admin/jobrecord_test.go
@@ -7,7 +7,7 @@
 	"tealpond/internal/rpc"
 )
 
-// testCluster returns the state of a cluster with the given rows of jobs and moves.
+// testCluster returns the state of a cluster with the given rows of jobs and transfers.
 func testCluster(jobs, moves [][]any) rpc.ClusterState {
 	return rpc.ClusterState{Tables: []rpc.Table{
 		{Name: "jobs", Columns: []string{"id", "inbox", "state", "born_ms", "ended_ms"}, Rows: jobs},
@@ -15,7 +15,7 @@
 	}}
 }
 
-// TestJobRecordsReportMissingAndDoubledJobs checks that a job that moved has one record, and that
+// TestJobRecordsReportMissingAndDoubledJobs checks that a transferred job has one record, and that
 // the record has a fault unless the job finished exactly once over all clusters.
 func TestJobRecordsReportMissingAndDoubledJobs(t *testing.T) {
 	a := testCluster([][]any{
--- a/internal/admin/query.go
+++ b/internal/admin/query.go
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// Query runs one SELECT over the tables of a server and returns at most limit rows. The error is of
-// class Error.
+// Query runs one query, a SELECT or a WITH, over the tables of a server and returns at most limit
+// rows. The error is of class Error.
 func Query(ctx context.Context, cluster rpc.ClusterState, query string, limit int) (result Result, err error) {
 	db, err := sql.Open("sqlite3", ":memory:")
 	if err != nil {
--- a/internal/clusterconfig/tenants.go
+++ b/internal/clusterconfig/tenants.go
@@ -25,7 +25,7 @@
 
 // UpperLimit bounds each type of resource; 0 means no limit.
 type UpperLimit struct {
-	CPUUnits int64 `json:"cpuUnits"` // thousandths of a CPU core
+	CPUUnits int64 `json:"cpuUnits"` // millicores
 	MemoryMB int64 `json:"memMb"`
 	GPUs     int   `json:"gpus"`
 }
