--- a/cmd/tealpond/main.go
+++ b/cmd/tealpond/main.go
@@ -1,5 +1,5 @@
-// Command tealpond is a cluster scheduler for jobs. It runs the daemons of a cluster,
-// one role per process, and the operators' tools.
+// Command tealpond is a cluster scheduler for jobs and a gateway for API traffic. It runs the
+// daemons of a cluster, one role per process, and the operators' tools.
 package main
 
 import (
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -24,8 +24,8 @@
 	// clientRateShare is the fraction of the platform's rate limit that a client uses. After a
 	// change of leader there may be two clients.
 	clientRateShare = 0.45
-	// maxPageAttempts is how often a page is requested that the platform refuses because of
-	// its rate limit, and rateRetryDelay is the delay between two attempts.
+	// maxPageAttempts is the maximum number of attempts per page while rate limited, and
+	// rateRetryDelay is the delay between two attempts.
 	maxPageAttempts = 6
 	rateRetryDelay  = 250 * time.Millisecond
 	// callTimeout is the timeout of one call to the platform.
@@ -119,7 +119,7 @@
 }
 
 // pageWithRetry reads one page within the client's rate, and retries if the platform refuses
-// the call because of its rate limit. Restarting the list instead might never reach its end.
+// the call because of its rate limit. Restarting from the first page might never complete.
 func (c *Client) pageWithRetry(ctx context.Context, token string) (page listPage, err error) {
 	for range maxPageAttempts {
 		if err := c.limiter.Wait(ctx); err != nil {
