--- a/internal/discovery/aggregator.go
+++ b/internal/discovery/aggregator.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// retryAvoidance is how long an agent avoids a daemon that left a request unanswered; it doubles
-	// each time, up to maxRetryAvoidance.
-	retryAvoidance = 2 * time.Second
-	// maxRetryAvoidance is the upper bound of retryAvoidance.
-	maxRetryAvoidance = 16 * time.Second
+	// initialBackoff is how long an agent avoids a daemon after its first failure. The delay doubles
+	// with each further failure, up to maxBackoff.
+	initialBackoff = 2 * time.Second
+	// maxBackoff is the longest time for which a daemon is avoided.
+	maxBackoff = 16 * time.Second
 )
 
-// backoff is how long a daemon that failed to answer is not tried again.
+// backoff is the period during which a daemon that failed is not retried.
 type backoff struct {
 	until time.Time
 	delay time.Duration
 }
 
-// switchResult is the outcome of connecting to an aggregator; stream is nil if
-// that failed.
+// switchResult is the outcome of an attempt to connect to an aggregator; stream is nil if
+// the attempt failed.
 type switchResult struct {
 	addr   string
 	stream *transport.Stream
 }
 
-// backOff notes that a daemon failed: it is not tried again for a while, longer
-// each time.
+// backOff records a failure of the daemon at addr and sets the time until which it is not
+// retried, with exponential backoff.
 func (c *Client) backOff(addr string) {
 	if !c.options.PreferAggregator || addr == "" {
 		return
 	}
 	for other, entry := range c.backoffs {
-		if c.now.Sub(entry.until) > maxRetryAvoidance {
+		if c.now.Sub(entry.until) > maxBackoff {
 			delete(c.backoffs, other)
 		}
 	}
-	delay := min(max(2*c.backoffs[addr].delay, retryAvoidance), maxRetryAvoidance)
+	delay := min(max(2*c.backoffs[addr].delay, initialBackoff), maxBackoff)
 	c.backoffs[addr] = backoff{c.now.Add(delay), delay}
 }
 
-// switchToAggregator connects to the aggregator that a response names, unless it
-// is connected already.
+// switchToAggregator starts connecting to the aggregator that a response names, unless it is
+// the current peer, another switch is in progress, or the aggregator is in backoff.
 func (c *Client) switchToAggregator(ctx context.Context, response rpc.Response) {
 	if !c.options.PreferAggregator {
 		return
@@ -70,22 +70,22 @@
 	}()
 }
 
-// onSwitchResult takes the outcome of connecting to an aggregator.
+// onSwitchResult handles the outcome of an attempt to connect to an aggregator.
 func (c *Client) onSwitchResult(result *switchResult) {
 	c.switching = false
 	switch {
 	case result.stream == nil || result.stream.Closed():
 		c.backOff(result.addr)
 	case c.stream == nil || c.searching:
-		// A search is under way, and its outcome takes precedence.
+		// A leader search is in progress, and its outcome takes precedence.
 		result.stream.Close()
 	default:
 		c.useStream(result.stream, result.addr)
 	}
 }
 
-// probeAggregator connects to a daemon that is named as this zone's aggregator;
-// nil if it isn't one.
+// probeAggregator connects to a daemon that was named as the aggregator of this zone. The
+// stream is nil if the daemon is neither an aggregator nor the leader.
 func (c *Client) probeAggregator(ctx context.Context, addr string) (*transport.Stream, rpc.LeaderInfo) {
 	stream, info, ok := c.probe(ctx, addr)
 	if ok && (info.IsAggregator || info.IsLeader) {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,71 +13,70 @@
 	"tealpond/internal/transport"
 )
 
-// leaderProbeInterval is the silence of the leader's connection after which it is probed.
-const leaderProbeInterval = 250 * time.Millisecond
+// defaultProbeTimeout is how long a probed daemon may take to answer unless Options.ProbeTimeout is set.
+const defaultProbeTimeout = 250 * time.Millisecond
 
-// eventQueueLength is how many inputs may wait for the loop.
+// eventQueueLength is the capacity of the loop's event queue.
 const eventQueueLength = 1024
 
-// Options are what a Client is built from. The functions are called in its loop;
-// each may be nil.
+// Options configure a Client. The callbacks are called from its event loop; each may be nil.
 type Options struct {
-	// SelfAddress is this daemon's address for other daemons; empty if they need
-	// not know it.
+	// SelfAddress is the address that this daemon announces to the daemons it probes; empty to
+	// announce none.
 	SelfAddress string
-	// Seeds are addresses of daemons that are asked when no other is known.
+	// Seeds are the addresses of daemons that each search for the leader may probe, after the servers
+	// learnt from earlier answers.
 	Seeds []string
-	// PreferAggregator connects to the aggregator of the zone, as responses name
-	// it, and back to the leader when that one fails.
+	// PreferAggregator makes the client connect to the aggregator of its zone, which responses
+	// name, and fall back to the leader when the aggregator fails.
 	PreferAggregator bool
-	// AttemptTimeout is how long one attempt of a request waits for the leader;
-	// 0: timing.RequestAttemptTimeout.
+	// AttemptTimeout is how long one attempt of a request waits for the leader; 0 means
+	// timing.RequestAttemptTimeout.
 	AttemptTimeout time.Duration
-	// ProbeTimeout is how long a daemon that is asked who leads may take to answer;
-	// 0: leaderProbeInterval.
+	// ProbeTimeout is how long a probed daemon may take to answer; 0 means defaultProbeTimeout.
 	ProbeTimeout time.Duration
-	// OnAssignment gets each assignment that the leader sends.
+	// OnAssignment is called with each assignment that the leader sends.
 	OnAssignment func(rpc.Assignment)
-	// OnConfigVersion gets the version of the configuration that a response names.
+	// OnConfigVersion is called with the configuration version that a response carries.
 	OnConfigVersion func(version int64)
-	// OnConnected is called after each new connection.
+	// OnConnected is called after each new connection is established.
 	OnConnected func()
 }
 
-// Client finds the leader, keeps one connection to it and carries requests. All
-// its state belongs to its loop (Run).
+// Client finds the leader, keeps one connection to it and sends requests on it. Its state is
+// owned by the event loop (Run), except where a field says otherwise.
 type Client struct {
-	options Options // Seeds as they were at first; see seeds
+	options Options // Seeds holds the initial seeds; see seeds for the current ones
 	events  chan clientEvent
-	ended   chan struct{} // closed when the loop has ended
+	done    chan struct{} // closed when the loop has returned
 
 	now             time.Time
-	stream          *transport.Stream // to the leader, or to the zone's aggregator
-	address         string            // where the stream goes, or the last one went
-	lastFrameAt     time.Time         // the last frame of the stream
+	stream          *transport.Stream // to the leader or to the zone's aggregator; nil while disconnected
+	address         string            // of the peer of the current or, if disconnected, the last stream
+	lastFrameAt     time.Time         // when the last frame of the stream arrived
 	pending         map[uint64]*pendingRequest
-	lastRequestID   uint64 // the number of the newest request
-	largestResponse int    // bytes of the largest response, which is a whole configuration
+	lastRequestID   uint64 // ID of the newest request
+	largestResponse int    // size in bytes of the largest response so far, which is a whole configuration
 
 	seeds          []string
-	knownServers   []string  // servers heard of, the newest first
-	leader         string    // who led when last heard of
-	disconnectedAt time.Time // since when there is no stream
-	searchFailedAt time.Time // the last search at all addresses that found none; zero once one is found
+	knownServers   []string  // addresses learnt from other daemons, most recent first
+	leader         string    // last known leader
+	disconnectedAt time.Time // since when there has been no stream
+	searchFailedAt time.Time // end of the last complete search that found no leader; zero once connected
 	searching      bool
 	searchID       int
-	failedSearches int // searches in a row that found none
-	// currentAddress is the address of the stream, for readers outside the loop;
-	// empty while there is none.
+	failedSearches int // consecutive searches that found no usable stream
+	// currentAddress is the address of the stream's peer, for readers outside the loop; empty while
+	// there is no stream.
 	currentAddress atomic.Value
 
-	// These are used only if options.PreferAggregator is set.
-	standby   string // the aggregator that takes over for the zone
-	backoffs  map[string]backoff
-	switching bool // a connection to an aggregator is being made
+	// The fields below are used only if options.PreferAggregator is set.
+	standby   string             // the zone's standby aggregator
+	backoffs  map[string]backoff // by address
+	switching bool               // a connection to an aggregator is being established
 }
 
-// clientEvent is an input of the client's loop; one of its fields is set.
+// clientEvent is an input of the client's event loop. Exactly one of its fields is set.
 type clientEvent struct {
 	frame        *transport.Event
 	request      *pendingRequest
@@ -88,55 +87,54 @@
 	switched     *switchResult
 }
 
-// NewClient builds a client; it works once Run is called.
+// NewClient returns a client that handles requests once Run is called.
 func NewClient(options Options) *Client {
 	return &Client{
 		options:  options,
 		seeds:    options.Seeds,
 		events:   make(chan clientEvent, eventQueueLength),
-		ended:    make(chan struct{}),
+		done:     make(chan struct{}),
 		pending:  map[uint64]*pendingRequest{},
 		backoffs: map[string]backoff{},
 	}
 }
 
-// CurrentAddress is the address of the daemon that requests go to now: the
-// leader, or the aggregator if that is preferred; empty while none is known. It is
-// safe for concurrent use.
+// CurrentAddress returns the address of the daemon that the client is connected to, the leader or
+// an aggregator, and an empty string while it is disconnected. It is safe for concurrent use.
 func (c *Client) CurrentAddress() string {
 	addr, _ := c.currentAddress.Load().(string)
 	return addr
 }
 
-// SetSeeds replaces the addresses of the seeds. It is safe for concurrent use.
+// SetSeeds replaces the seed addresses. It is safe for concurrent use.
 func (c *Client) SetSeeds(seeds []string) { c.post(clientEvent{seeds: seeds}) }
 
-// AddServer records a server's address. It is safe for concurrent use.
+// AddServer records the address of a server. It is safe for concurrent use.
 func (c *Client) AddServer(addr string) { c.post(clientEvent{server: addr}) }
 
-// KnownServers are the addresses of servers heard of lately; none once the loop has
-// ended. It is safe for concurrent use, and waits for the loop.
+// KnownServers returns the recently learnt server addresses and the last known leader, or nil if
+// the loop has returned. It waits for the loop to answer and is safe for concurrent use.
 func (c *Client) KnownServers() []string {
 	servers := make(chan []string, 1)
 	c.post(clientEvent{knownServers: servers})
 	select {
 	case known := <-servers:
 		return known
-	case <-c.ended:
+	case <-c.done:
 		return nil
 	}
 }
 
-// post hands the loop an event; it does nothing once the loop has ended.
+// post queues an event for the loop; it does nothing once the loop has returned.
 func (c *Client) post(event clientEvent) {
 	select {
 	case c.events <- event:
-	case <-c.ended:
+	case <-c.done:
 	}
 }
 
-// Introduce makes this server known to the seeds: a seed without a disk knows no
-// server after all daemons were restarted. It does not wait for them.
+// Introduce announces this server's address to the seeds by probing them. Seeds without a disk
+// know no servers after a restart of all daemons. It does not wait for answers.
 func (c *Client) Introduce(ctx context.Context, seeds []string) {
 	for _, addr := range seeds {
 		if addr == c.options.SelfAddress {
@@ -150,16 +148,16 @@
 	}
 }
 
-// Run is the client's loop; it returns when ctx ends.
+// Run runs the client's event loop until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	defer close(c.ended)
+	defer close(c.done)
 	c.disconnectedAt = time.Now()
 	daemon.Loop(ctx, c.events,
 		func(event clientEvent) { c.handle(ctx, event) },
 		func(now time.Time) time.Duration { return c.tick(ctx, now) })
 }
 
-// handle takes one event.
+// handle processes one event.
 func (c *Client) handle(ctx context.Context, event clientEvent) {
 	c.now = time.Now()
 	switch {
@@ -186,8 +184,7 @@
 	}
 }
 
-// disconnect gives up the connection; requests under way are sent again on the
-// next one.
+// disconnect closes the connection. Requests in flight are resent on the next one.
 func (c *Client) disconnect() {
 	if c.stream != nil {
 		c.stream.Close()
@@ -199,7 +196,7 @@
 	}
 }
 
-// onFrame takes a frame of the connection, or its end.
+// onFrame handles a frame of the current stream or its end; events of other streams are ignored.
 func (c *Client) onFrame(ctx context.Context, event *transport.Event) {
 	if event.Stream != c.stream {
 		return
@@ -229,7 +226,7 @@
 	}
 }
 
-// useStream makes a stream the present one and sends all pending requests on it.
+// useStream makes a stream the current one and resends all pending requests on it.
 func (c *Client) useStream(stream *transport.Stream, addr string) {
 	old := c.stream
 	c.stream, c.address, c.lastFrameAt, c.searchFailedAt = stream, addr, c.now, time.Time{}
@@ -237,8 +234,8 @@
 	if old != nil {
 		old.Close()
 	}
-	// They are sent in the order in which they were made: of two requests about
-	// one thing the later must win, also if a process was restarted in between.
+	// Requests are resent in the order in which they were made: of two requests about the same
+	// object the later one must win, even if a process was restarted in between.
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		c.pending[id].sentAt = time.Time{}
 		c.send(id, c.pending[id])
@@ -248,8 +245,9 @@
 	}
 }
 
-// tick gives up the requests that are due, leaves a silent leader and searches for
-// another; it returns after which time it must be called again, 0 for never.
+// tick fails expired requests, disconnects from an unresponsive leader and starts a search for
+// the leader if there is no connection. It returns the delay until the next call, or 0 if none is
+// needed.
 func (c *Client) tick(ctx context.Context, now time.Time) time.Duration {
 	c.now = now
 	wake := time.Duration(0)
@@ -264,8 +262,7 @@
 	}
 	c.expireRequests(wakeIn)
 	if c.leaderUnresponsive(wakeIn) {
-		// A frozen or cut-off leader answers nothing, and another may lead by
-		// now.
+		// A frozen or partitioned leader does not answer, and another server may have been elected.
 		c.backOff(c.address)
 		c.disconnect()
 	}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,8 +16,7 @@
 	"tealpond/internal/transport"
 )
 
-// fakeServer stands in for a server: it says who leads, and responds as the test
-// wants.
+// fakeServer is a server whose leader information and responses are set by the test.
 type fakeServer struct {
 	addr string
 	ip   string
@@ -27,9 +26,8 @@
 	respond func(request rpc.Request) (rpc.Response, bool)
 }
 
-// become changes what a server says of itself and, unless respond is nil, how it
-// responds.
-func (s *fakeServer) become(info rpc.LeaderInfo, respond func(request rpc.Request) (rpc.Response, bool)) {
+// setState replaces the leader information of a server and, unless respond is nil, its responses.
+func (s *fakeServer) setState(info rpc.LeaderInfo, respond func(request rpc.Request) (rpc.Response, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.info = info
@@ -47,7 +45,7 @@
 	return s.respond(request)
 }
 
-// fixture is a network with one client and some servers.
+// fixture is a simulated network with one client and several servers.
 type fixture struct {
 	t        *testing.T
 	net      *simulation.Network
@@ -56,7 +54,7 @@
 	clientIP string
 }
 
-// serve opens a server's port.
+// serve starts listening at a server's address.
 func (f *fixture) serve(ctx context.Context, server *fakeServer) {
 	f.t.Helper()
 	err := transport.Serve(transport.WithNetwork(ctx, f.net.Host(server.ip)), server.addr, func(event transport.Event) {
@@ -73,10 +71,10 @@
 	}
 }
 
-// cut cuts the client off from a server, both ways, or joins them again.
-func (f *fixture) cut(server *fakeServer, cut bool) {
+// partition starts or ends a network partition between the client and a server, in both directions.
+func (f *fixture) partition(server *fakeServer, partition bool) {
 	for _, pair := range [][2]string{{f.clientIP, server.ip}, {server.ip, f.clientIP}} {
-		if cut {
+		if partition {
 			f.net.Block(pair[0], pair[1])
 		} else {
 			f.net.Unblock(pair[0], pair[1])
@@ -84,7 +82,7 @@
 	}
 }
 
-// call sends a request and gives the code of the response and how long it took.
+// call sends a request and returns the code of the response and its duration.
 func (f *fixture) call(kind string, timeout time.Duration) (rpc.Code, time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -93,8 +91,8 @@
 	return response.Code, time.Since(start)
 }
 
-// withServers runs a test with a client that knows n servers as seeds; the first of
-// them leads, and all respond with CodeOK and their number as the value.
+// withServers runs a test with a client whose seeds are n servers. The first server is the leader.
+// All servers respond with CodeOK and their index as the value.
 func withServers(t *testing.T, n int, test func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -124,56 +122,56 @@
 	return rpc.Response{Code: rpc.CodeNotLeader}, true
 }
 
-// TestRequestsFailFastWhileNoLeaderIsReachable: while it is known that no leader
-// is in reach, an operator's request ends at once, and a client's soon; at first
-// both wait as long as an election takes, the operator's less than the second
-// after which the operator turns to the next daemon.
+// TestRequestsFailFastWhileNoLeaderIsReachable checks that once no leader is known to be reachable,
+// an operator's request fails at once and a client's after a short wait. Soon after the loss of the
+// leader both wait for an election, the operator's request for less than the second after which
+// the operator tries the next daemon.
 func TestRequestsFailFastWhileNoLeaderIsReachable(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeOK {
-			t.Fatalf("before the cut: %d", code)
+			t.Fatalf("before the partition: code %d", code)
 		}
 		for _, server := range f.servers {
-			f.cut(server, true)
+			f.partition(server, true)
 		}
-		// The cut is noticed by the silence after this one.
+		// The partition is detected when this request remains unanswered.
 		if code, _ := f.call(rpc.KindPutConfig, time.Second); code != rpc.CodeTimeout {
-			t.Errorf("sent into the cut: code %d", code)
+			t.Errorf("request sent during the partition: code %d", code)
 		}
 		if code, took := f.call(rpc.KindPutConfig, time.Second); code != rpc.CodeNoLeader || took > discovery.OperatorLeaderWait+10*time.Millisecond {
-			t.Errorf("an operator, soon after the loss: code %d after %v", code, took)
+			t.Errorf("operator request soon after the partition: code %d after %v", code, took)
 		}
 		time.Sleep(2 * time.Second)
 		for range 20 {
 			if code, took := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeNoLeader || took > 20*time.Millisecond {
-				t.Errorf("an operator, long after the loss: code %d after %v", code, took)
+				t.Errorf("operator request long after the partition: code %d after %v", code, took)
 			}
 			if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeNoLeader || took > discovery.KnownNoLeaderWait+10*time.Millisecond {
-				t.Errorf("a client, long after the loss: code %d after %v", code, took)
+				t.Errorf("client request long after the partition: code %d after %v", code, took)
 			}
 			if code, took := f.call(rpc.KindRenewMembership, 3*time.Second); code != rpc.CodeNoLeader || took < discovery.LeaderWaitTimeout {
-				t.Errorf("a daemon's own request: code %d after %v", code, took)
+				t.Errorf("request of a daemon long after the partition: code %d after %v", code, took)
 			}
 		}
 		for _, server := range f.servers {
-			f.cut(server, false)
+			f.partition(server, false)
 		}
 		time.Sleep(time.Second)
 		if code, _ := f.call(rpc.KindGetConfig, time.Second); code != rpc.CodeOK {
-			t.Errorf("after the cut: %d", code)
+			t.Errorf("after the partition: code %d", code)
 		}
 	})
 }
 
-// TestClientRequestWaitsThroughElection: a leader is found a second after the old
-// one was lost, and a client's request has waited for it.
+// TestClientRequestWaitsThroughElection checks that a client's request succeeds if the next leader is
+// elected 0.8 s after the old one was lost.
 func TestClientRequestWaitsThroughElection(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
-		f.servers[0].become(rpc.LeaderInfo{}, respondNotLeader)
+		f.servers[0].setState(rpc.LeaderInfo{}, respondNotLeader)
 		go func() {
 			time.Sleep(800 * time.Millisecond)
-			f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
+			f.servers[1].setState(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		}()
 		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeOK {
 			t.Errorf("code %d after %v", code, took)
@@ -181,38 +179,38 @@
 	})
 }
 
-// TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken: CodeNoLeader may end a request
-// that a leader said it didn't take; it may not end one that was left without a
-// response, whatever came after, also when its caller's time ends first.
-func TestNoLeaderIsReportedOnlyIfRequestWasNeverTaken(t *testing.T) {
+// TestNoLeaderIsReportedOnlyIfRequestWasNeverProcessed checks that CodeNoLeader may end a request that
+// a leader rejected as not being the leader, but not one that a leader left without a response, even
+// if the caller's context ends first.
+func TestNoLeaderIsReportedOnlyIfRequestWasNeverProcessed(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		code rpc.Code
 		ok   bool
 		want rpc.Code
 	}{
-		{"not the leader any more", rpc.CodeNotLeader, true, rpc.CodeNoLeader},
-		{"lost its term with the request under way", rpc.CodeLeadershipLost, true, rpc.CodeTimeout},
-		{"silent", 0, false, rpc.CodeTimeout},
+		{"no longer the leader", rpc.CodeNotLeader, true, rpc.CodeNoLeader},
+		{"leadership lost with the request in flight", rpc.CodeLeadershipLost, true, rpc.CodeTimeout},
+		{"no response", 0, false, rpc.CodeTimeout},
 	} {
 		for _, timeout := range []time.Duration{700 * time.Millisecond, 3 * time.Second} {
 			withServers(t, 3, func(f *fixture) {
 				f.call(rpc.KindGetConfig, time.Second)
 				server := f.servers[0]
-				server.become(rpc.LeaderInfo{Term: 1, IsLeader: true}, func(rpc.Request) (rpc.Response, bool) {
+				server.setState(rpc.LeaderInfo{Term: 1, IsLeader: true}, func(rpc.Request) (rpc.Response, bool) {
 					server.info.IsLeader = false
 					return rpc.Response{Code: test.code}, test.ok
 				})
 				if code, took := f.call(rpc.KindSubmitJob, timeout); code != test.want {
-					t.Errorf("%s, within %v: code %d after %v, want %d", test.name, timeout, code, took, test.want)
+					t.Errorf("%s, time-out %v: code %d after %v, want %d", test.name, timeout, code, took, test.want)
 				}
 			})
 		}
 	}
 }
 
-// TestServerAtReusedLeaderAddressGetsNoRequests: addresses are reused, so a server
-// must say that it leads before it gets requests.
+// TestServerAtReusedLeaderAddressGetsNoRequests checks that a server is sent requests only after it
+// has reported itself as the leader: the old leader's address may have been reused.
 func TestServerAtReusedLeaderAddressGetsNoRequests(t *testing.T) {
 	withServers(t, 2, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
@@ -221,51 +219,52 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		requests := 0
-		old.become(rpc.LeaderInfo{}, func(rpc.Request) (rpc.Response, bool) { requests++; return rpc.Response{}, false })
-		successor.become(rpc.LeaderInfo{Term: 2, IsLeader: true, Leader: old.addr}, nil)
+		old.setState(rpc.LeaderInfo{}, func(rpc.Request) (rpc.Response, bool) { requests++; return rpc.Response{}, false })
+		successor.setState(rpc.LeaderInfo{Term: 2, IsLeader: true, Leader: old.addr}, nil)
 		f.serve(ctx, old)
 		callCtx, done := context.WithTimeout(context.Background(), 3*time.Second)
 		defer done()
 		if response := f.client.Call(callCtx, rpc.KindSubmitJob, struct{}{}); response.Code != rpc.CodeOK || response.Value != 1 {
-			t.Errorf("code %d, answer %d", response.Code, response.Value)
+			t.Errorf("code %d, value %d", response.Code, response.Value)
 		}
 		if requests != 0 {
-			t.Error("the request went to whoever has the old leader's address now")
+			t.Error("a request was sent to the server that reuses the old leader's address")
 		}
 	})
 }
 
-// TestNewLeaderIsFoundWhileOldOneHangs: the old leader says nothing, also not that
-// its port is closed; a search at all addresses must not wait for it.
-func TestNewLeaderIsFoundWhileOldOneHangs(t *testing.T) {
+// TestNewLeaderIsFoundWhileOldOneIsUnresponsive checks that a search does not wait for the old leader
+// if that one neither answers nor refuses connections.
+func TestNewLeaderIsFoundWhileOldOneIsUnresponsive(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
 		f.call(rpc.KindGetConfig, time.Second)
-		f.cut(f.servers[0], true)
+		f.partition(f.servers[0], true)
 		go func() {
 			time.Sleep(600 * time.Millisecond)
-			f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
+			f.servers[1].setState(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		}()
 		code, took := f.call(rpc.KindSubmitJob, 3*time.Second)
 		if code != rpc.CodeOK || took > timing.RequestAttemptTimeout+400*time.Millisecond {
 			t.Errorf("code %d after %v", code, took)
 		}
-		f.cut(f.servers[0], false)
+		f.partition(f.servers[0], false)
 	})
 }
 
-// TestLateProbeResultIsUsed: what a search didn't wait for counts when it comes.
+// TestLateProbeResultIsUsed checks that an answer for which a search did not wait is used when it
+// arrives.
 func TestLateProbeResultIsUsed(t *testing.T) {
 	withServers(t, 3, func(f *fixture) {
-		f.net.SetDelay(f.servers[0].ip, discovery.HangingDaemonWait*2/3)
+		f.net.SetDelay(f.servers[0].ip, discovery.ShortStragglerTimeout*2/3)
 		if code, took := f.call(rpc.KindSubmitJob, 3*time.Second); code != rpc.CodeOK || took > time.Second {
 			t.Errorf("code %d after %v", code, took)
 		}
 	})
 }
 
-// TestLeaderBehindASlowLink: with a time for probes above the way there and back the leader
-// is found; with the usual one it never is.
-func TestLeaderBehindASlowLink(t *testing.T) {
+// TestProbeTimeoutMustExceedRoundTripTime checks that a leader behind a slow link is found if
+// ProbeTimeout is longer than the round-trip time, and never found with the default.
+func TestProbeTimeoutMustExceedRoundTripTime(t *testing.T) {
 	for _, c := range []struct {
 		probeTimeout time.Duration
 		want         rpc.Code
@@ -284,15 +283,15 @@
 			f.client = discovery.NewClient(discovery.Options{Seeds: seeds, ProbeTimeout: c.probeTimeout, AttemptTimeout: time.Second})
 			go f.client.Run(transport.WithNetwork(ctx, f.net.Host(f.clientIP)))
 			if code, took := f.call(rpc.KindGetLimits, 5*time.Second); code != c.want {
-				t.Errorf("probes of %v: code %d after %v, want %d", c.probeTimeout, code, took, c.want)
+				t.Errorf("ProbeTimeout %v: code %d after %v, want %d", c.probeTimeout, code, took, c.want)
 			}
 		})
 	}
 }
 
-// TestNobodyWaitsForAClientThatEnded: what is said to a client after its loop has ended,
-// more than its queue holds, blocks nobody.
-func TestNobodyWaitsForAClientThatEnded(t *testing.T) {
+// TestCallsDoNotBlockAfterRunReturned checks that calls to a client whose loop has returned do not
+// block, even if there are more of them than its queue holds.
+func TestCallsDoNotBlockAfterRunReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := discovery.NewClient(discovery.Options{})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -303,17 +302,17 @@
 			client.SetSeeds(nil)
 		}
 		if known := client.KnownServers(); known != nil {
-			t.Errorf("a client that ended knows %v", known)
+			t.Errorf("KnownServers returned %v after Run returned, want nil", known)
 		}
 	})
 }
 
-// TestHeldRequestIsNotSilence: a leader may hold a request for as long as its context says;
-// only then is it silent, and the request goes to the next one.
-func TestHeldRequestIsNotSilence(t *testing.T) {
+// TestHeldRequestIsRetriedOnlyAfterHoldTime checks that a leader may hold a request for the time that
+// its context allows. Only after that is the leader unresponsive and the request sent to the next one.
+func TestHeldRequestIsRetriedOnlyAfterHoldTime(t *testing.T) {
 	withServers(t, 2, func(f *fixture) {
 		var sent atomic.Int64
-		f.servers[0].become(rpc.LeaderInfo{Term: 1, IsLeader: true}, func(request rpc.Request) (rpc.Response, bool) {
+		f.servers[0].setState(rpc.LeaderInfo{Term: 1, IsLeader: true}, func(request rpc.Request) (rpc.Response, bool) {
 			if request.Kind == rpc.KindWatchKeys {
 				sent.Add(1)
 			}
@@ -329,12 +328,12 @@
 		}()
 		time.Sleep(3 * time.Second)
 		if n := sent.Load(); n != 1 {
-			t.Errorf("the leader was sent it %d times while it may hold it", n)
+			t.Errorf("the request was sent %d times within its hold time, want 1", n)
 		}
-		f.servers[0].become(rpc.LeaderInfo{Term: 1}, nil)
-		f.servers[1].become(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
+		f.servers[0].setState(rpc.LeaderInfo{Term: 1}, nil)
+		f.servers[1].setState(rpc.LeaderInfo{Term: 2, IsLeader: true}, nil)
 		if took := (<-answered).Sub(start); took < 3*time.Second || took > 3*time.Second+4*timing.RequestAttemptTimeout {
-			t.Errorf("answered by the next leader after %v", took)
+			t.Errorf("the next leader answered after %v", took)
 		}
 	})
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,13 +1,12 @@
 // Package discovery finds the leader, keeps one connection to it (or to the
-// aggregator of the zone) and carries requests until they are answered.
+// aggregator of the zone) and retries requests until they are answered.
 //
-// A Client asks all addresses that it knows who leads, keeps the stream to the
-// one that does, and sends every request again on the next stream if its leader
-// is lost: all requests have the same effect however often they are taken. A
-// request that can't be answered ends with one of two codes, so that a caller
-// knows whether it may have had an effect: rpc.CodeNoLeader (no leader took it)
-// or rpc.CodeTimeout (one may have).
+// A Client probes the addresses that it knows, keeps the stream to the leader, and
+// resends pending requests on the next stream if the leader is lost; all requests
+// are idempotent. A request that can't be answered ends with one of two codes, so
+// that the caller knows whether it may have had an effect: rpc.CodeNoLeader (no
+// leader processed it) or rpc.CodeTimeout (a leader may have processed it).
 //
-// The package never decides who leads, acknowledges nothing by itself and holds
-// nothing that outlives the process.
+// The package takes no part in leader election, never acknowledges a request on
+// behalf of the leader, and stores nothing beyond the life of the process.
 package discovery
--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -1,9 +1,9 @@
 package discovery
 
-// Constants for tests outside the package.
+// Constants exported for tests in package discovery_test.
 const (
-	OperatorLeaderWait = operatorLeaderWait
-	KnownNoLeaderWait  = knownNoLeaderWait
-	LeaderWaitTimeout  = leaderWaitTimeout
-	HangingDaemonWait  = hangingDaemonWait
+	OperatorLeaderWait    = operatorLeaderWait
+	KnownNoLeaderWait     = knownNoLeaderWait
+	LeaderWaitTimeout     = leaderWaitTimeout
+	ShortStragglerTimeout = shortStragglerTimeout
 )
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -10,49 +10,48 @@
 )
 
 const (
-	// maxRequestAttemptTimeout bounds an attempt of a request to a leader that keeps answering other
+	// maxRequestAttemptTimeout bounds one attempt of a request to a leader that keeps answering other
 	// requests.
 	maxRequestAttemptTimeout = 2 * time.Second
-	// minLinkBytesPerSecond is the slowest rate of a link, in bytes a second, at which a large request
-	// or response isn't taken for silence: half of a link of 2 Mbit/s, the rest being left to others.
+	// minLinkBytesPerSecond is the transfer rate that is assumed for large requests and responses when
+	// the time-out of an attempt is computed: half of a 2 Mbit/s link, as the other half is left to
+	// other traffic.
 	minLinkBytesPerSecond = 125_000
-	// leaderWaitTimeout is how long a client's request waits for a leader before it is refused; an
-	// election takes about as long.
+	// leaderWaitTimeout is how long a request waits for a leader unless its kind sets another limit;
+	// an election takes about as long.
 	leaderWaitTimeout = 1300 * time.Millisecond
-	// knownNoLeaderWait is how long a client's request waits while it is known that no leader can be
-	// reached.
+	// knownNoLeaderWait is how long a client's request waits for a leader while it is known that none is
+	// reachable.
 	knownNoLeaderWait = 250 * time.Millisecond
-	// operatorLeaderWait is how long an operator's request waits for a leader; operators turn to the
-	// next daemon after a second.
+	// operatorLeaderWait is how long an operator's request waits for a leader; operators try the next
+	// daemon after one second.
 	operatorLeaderWait = 500 * time.Millisecond
 )
 
 const (
-	// defaultRequestTimeout is how long a request may take if its context has no
-	// deadline.
+	// defaultRequestTimeout is the time limit of a request whose context has no deadline.
 	defaultRequestTimeout = time.Minute
-	// lastResponseWait is how long a caller whose context has ended waits for the
-	// loop to say whether the request may have been taken.
-	lastResponseWait = 20 * time.Millisecond
+	// responseGracePeriod is how long a caller whose context has ended waits for the loop to
+	// report whether the request may have been processed.
+	responseGracePeriod = 20 * time.Millisecond
 )
 
-// pendingRequest is a request whose caller waits for the response.
+// pendingRequest is a request that has not been answered yet.
 type pendingRequest struct {
 	request  rpc.Request
 	reply    chan rpc.Response
 	deadline time.Time
-	// noLeaderBy is when a request that no leader can have taken is given up,
-	// leaderlessBy the same while it is known that no leader is in reach.
-	noLeaderBy, leaderlessBy time.Time
-	sentAt                   time.Time // zero while not under way
-	// unanswered counts the times that it was sent and may have been taken.
-	unanswered int
-	done       <-chan struct{} // of the caller's context
-	hold       time.Duration   // for which the leader may hold it
+	// noLeaderDeadline is when a request that no leader can have processed fails;
+	// leaderlessDeadline replaces it while no leader is known to be reachable.
+	noLeaderDeadline, leaderlessDeadline time.Time
+	sentAt                               time.Time // zero while not in flight
+	// unansweredAttempts counts the attempts that a leader may have processed.
+	unansweredAttempts int
+	done               <-chan struct{} // of the caller's context
+	hold               time.Duration   // how long the leader may hold the request before it answers
 }
 
-// newPendingRequest sets the times by which a request is given up, by its kind and
-// its context.
+// newPendingRequest returns a pending request whose deadlines follow from its kind and context.
 func newPendingRequest(ctx context.Context, request rpc.Request) *pendingRequest {
 	now := time.Now()
 	deadline, ok := ctx.Deadline()
@@ -64,13 +63,13 @@
 		timeouts = leaderTimeouts{leaderWaitTimeout, leaderWaitTimeout}
 	}
 	if timeout, ok := ctx.Value(leaderTimeoutKey{}).(time.Duration); ok {
-		timeouts.any = timeout
+		timeouts.general = timeout
 	}
 	return &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: deadline,
-		noLeaderBy: now.Add(timeouts.any), leaderlessBy: now.Add(timeouts.leaderless), done: ctx.Done(), hold: HoldOf(ctx)}
+		noLeaderDeadline: now.Add(timeouts.general), leaderlessDeadline: now.Add(timeouts.leaderless), done: ctx.Done(), hold: HoldOf(ctx)}
 }
 
-// wait waits for the response, and a moment longer than the context.
+// wait waits for the response until ctx ends, and responseGracePeriod longer.
 func (p *pendingRequest) wait(ctx context.Context) rpc.Response {
 	select {
 	case response := <-p.reply:
@@ -80,26 +79,28 @@
 	select {
 	case response := <-p.reply:
 		return response
-	case <-time.After(lastResponseWait):
+	case <-time.After(responseGracePeriod):
 		return rpc.Response{Code: rpc.CodeTimeout}
 	}
 }
 
-// fail ends a request that is given up.
+// fail ends a request without an answer, with the code that tells whether a leader may have
+// processed it.
 func (p *pendingRequest) fail() {
 	code := rpc.CodeNoLeader
-	if p.unanswered > 0 {
+	if p.unansweredAttempts > 0 {
 		code = rpc.CodeTimeout
 	}
 	p.reply <- rpc.Response{Code: code}
 }
 
-// leaderTimeouts is how long a request waits for a leader: at most, and while it
-// is known that none is in reach.
-type leaderTimeouts struct{ any, leaderless time.Duration }
+// leaderTimeouts is how long a request waits for a leader: in general, and while no leader is
+// known to be reachable.
+type leaderTimeouts struct{ general, leaderless time.Duration }
 
-// leaderTimeoutsByKind differ by the kind of request: clients lose more by being
-// rejected in an election than operators, who go on to the next daemon.
+// leaderTimeoutsByKind sets time-outs by the kind of request. A rejection during an election costs
+// clients more than operators, who try the next daemon. Kinds that are not listed use
+// leaderWaitTimeout for both.
 var leaderTimeoutsByKind = map[string]leaderTimeouts{
 	rpc.KindSubmitJob: {leaderWaitTimeout, knownNoLeaderWait},
 	rpc.KindJobStatus: {leaderWaitTimeout, knownNoLeaderWait},
@@ -108,21 +109,20 @@
 	rpc.KindGetConfig: {operatorLeaderWait, 0},
 }
 
-// Call encodes the body and carries the request to the leader, again if need be,
-// until ctx ends. It is safe for concurrent use. The response's code is
-// rpc.CodeNoLeader if no leader took the request, rpc.CodeTimeout if one may have,
-// and the leader's otherwise.
+// Call encodes the body and sends the request to the leader, retrying until ctx ends. The
+// response's code is rpc.CodeNoLeader if no leader processed the request, rpc.CodeTimeout if one may
+// have processed it, and the leader's code otherwise. It is safe for concurrent use.
 func (c *Client) Call(ctx context.Context, kind string, body any) rpc.Response {
 	return c.Do(ctx, rpc.Request{Kind: kind, Body: transport.Encode(body)})
 }
 
-// Do is Call with a body that is already encoded.
+// Do is like Call for a request whose body is already encoded.
 func (c *Client) Do(ctx context.Context, request rpc.Request) rpc.Response {
 	return c.Enqueue(ctx, request)()
 }
 
-// Enqueue is Do in two steps: when it returns, the request is queued behind all
-// that were enqueued before; the function that it returns waits for the response.
+// Enqueue queues a request behind all requests that were enqueued before. The function that it
+// returns waits for the response, as Do does.
 func (c *Client) Enqueue(ctx context.Context, request rpc.Request) func() rpc.Response {
 	pending := newPendingRequest(ctx, request)
 	select {
@@ -133,31 +133,31 @@
 	return func() rpc.Response { return pending.wait(ctx) }
 }
 
-// send sends a request, if there is a connection.
+// send sends a request on the current stream, if there is one.
 func (c *Client) send(id uint64, pending *pendingRequest) {
 	if c.stream == nil {
 		return
 	}
 	if c.stream.Send(transport.Frame{Kind: rpc.FrameRequest, ID: id, Body: transport.Encode(pending.request)}) {
 		pending.sentAt = c.now
-		pending.unanswered++
+		pending.unansweredAttempts++
 	}
 }
 
-// onResponse hands a response to its caller, or leaves a daemon that doesn't lead.
+// onResponse delivers a response to its caller, or disconnects from a daemon that is not the leader.
 func (c *Client) onResponse(ctx context.Context, id uint64, response rpc.Response) {
 	pending := c.pending[id]
 	if pending == nil {
 		return
 	}
 	if response.Code == rpc.CodeNotLeader || response.Code == rpc.CodeLeadershipLost {
-		// The request stays pending, and is sent again on the next connection:
-		// requests are idempotent.
+		// The request stays pending and is resent on the next connection; requests are
+		// idempotent.
 		if response.Leader != "" {
 			c.leader = response.Leader
 		}
 		if response.Code == rpc.CodeNotLeader {
-			pending.unanswered--
+			pending.unansweredAttempts--
 		}
 		c.backOff(c.address)
 		c.disconnect()
@@ -171,8 +171,8 @@
 	pending.reply <- response
 }
 
-// expireRequests ends the requests whose time is over, and those that wait for a
-// leader in vain; wakeIn takes when to check again.
+// expireRequests fails the requests that are past their deadline or have waited too long for a
+// leader. It calls wakeIn with the delays until the next checks.
 func (c *Client) expireRequests(wakeIn func(time.Duration)) {
 	leaderless := c.leaderless(c.now)
 	for id, pending := range c.pending {
@@ -182,55 +182,55 @@
 			continue
 		}
 		wakeIn(pending.deadline.Sub(c.now))
-		if pending.unanswered == 0 {
-			wakeIn(pending.noLeaderBy.Sub(c.now))
+		if pending.unansweredAttempts == 0 {
+			wakeIn(pending.noLeaderDeadline.Sub(c.now))
 			if leaderless {
-				wakeIn(pending.leaderlessBy.Sub(c.now))
+				wakeIn(pending.leaderlessDeadline.Sub(c.now))
 			}
 		}
 	}
 }
 
-// expired reports whether a request is to be given up.
+// expired reports whether a request must be failed.
 func (p *pendingRequest) expired(now time.Time, leaderless bool) bool {
 	select {
 	case <-p.done:
-		// Its caller waits for a moment longer, to learn whether it was taken.
+		// The caller waits for responseGracePeriod to learn whether it may have been processed.
 		return true
 	default:
 	}
-	return !now.Before(p.deadline) || p.unanswered == 0 && (!now.Before(p.noLeaderBy) || leaderless && !now.Before(p.leaderlessBy))
+	return !now.Before(p.deadline) || p.unansweredAttempts == 0 && (!now.Before(p.noLeaderDeadline) || leaderless && !now.Before(p.leaderlessDeadline))
 }
 
-// leaderUnresponsive reports whether the leader left a request without a response for too
-// long; wakeIn takes when to check again.
+// leaderUnresponsive reports whether the leader has left a request unanswered for too long. It
+// calls wakeIn with the delays until the next checks.
 func (c *Client) leaderUnresponsive(wakeIn func(time.Duration)) bool {
-	silent := false
+	unresponsive := false
 	timeout := c.attemptTimeout() + c.transferTime()
 	for _, pending := range c.pending {
 		if pending.sentAt.IsZero() {
 			continue
 		}
-		// Any frame shows that the leader is up: a busy one answers late, and
-		// to reconnect would only add to its load.
-		unresponsiveSince := pending.sentAt
-		if c.lastFrameAt.After(unresponsiveSince) {
-			unresponsiveSince = c.lastFrameAt
+		// Any frame shows that the leader is up. A busy leader answers late, and a
+		// reconnect would only add to its load.
+		silentSince := pending.sentAt
+		if c.lastFrameAt.After(silentSince) {
+			silentSince = c.lastFrameAt
 		}
-		patience := timeout
+		limit := timeout
 		if pending.hold > 0 {
-			patience, unresponsiveSince = timeout+pending.hold, pending.sentAt
+			limit, silentSince = timeout+pending.hold, pending.sentAt
 		}
-		if c.now.Sub(unresponsiveSince) > patience || c.now.Sub(pending.sentAt) > max(patience, maxRequestAttemptTimeout) {
-			silent = true
+		if c.now.Sub(silentSince) > limit || c.now.Sub(pending.sentAt) > max(limit, maxRequestAttemptTimeout) {
+			unresponsive = true
 		} else {
-			wakeIn(patience - c.now.Sub(unresponsiveSince) + time.Millisecond)
+			wakeIn(limit - c.now.Sub(silentSince) + time.Millisecond)
 		}
 	}
-	return silent
+	return unresponsive
 }
 
-// attemptTimeout is how long one attempt waits, without the time of large transfers.
+// attemptTimeout returns how long one attempt waits, not counting the transfer time of large bodies.
 func (c *Client) attemptTimeout() time.Duration {
 	if c.options.AttemptTimeout > 0 {
 		return c.options.AttemptTimeout
@@ -238,8 +238,8 @@
 	return timing.RequestAttemptTimeout
 }
 
-// transferTime is how long the requests under way may take on a slow link, all
-// together, since a small one waits behind a large one.
+// transferTime returns how long the requests in flight may take on a slow link. It is computed for
+// all of them together, as a small request waits behind a large one.
 func (c *Client) transferTime() time.Duration {
 	bytes := 0
 	for _, pending := range c.pending {
--- a/internal/discovery/search.go
+++ b/internal/discovery/search.go
@@ -12,40 +12,41 @@
 )
 
 const (
-	// fanout is the number of daemons that an agent asks in one search for the leader.
-	fanout = 4
-	// interval is the time between two searches.
-	interval = 80 * time.Millisecond
-	// hangingDaemonWait is how long a search waits for daemons that hang once others have answered.
-	hangingDaemonWait = 150 * time.Millisecond
-	// maxShortDiscoveryRounds is the number of consecutive searches that wait no longer than
-	// hangingDaemonWait; an election is over by then.
-	maxShortDiscoveryRounds = 6
-	// noLeaderFindingTTL is how long the result of a search that found no leader stays valid; it
-	// outlasts a search and the pause after it.
-	noLeaderFindingTTL = 1500 * time.Millisecond
+	// searchFanout is the largest number of addresses that a client with PreferAggregator probes in one
+	// search.
+	searchFanout = 4
+	// searchInterval is the pause after the first failed search; it is twice as long after further
+	// ones.
+	searchInterval = 80 * time.Millisecond
+	// shortStragglerTimeout is how long a search waits for unresponsive daemons if others have answered.
+	shortStragglerTimeout = 150 * time.Millisecond
+	// maxShortSearches is the number of consecutive failed searches after which a search waits for
+	// failedSearchTTL instead of shortStragglerTimeout; an election is over by then.
+	maxShortSearches = 6
+	// failedSearchTTL is how long the result of a search that found no leader stays valid; it is longer
+	// than a search and the pause after it.
+	failedSearchTTL = 1500 * time.Millisecond
 )
 
 const (
-	// maxKnownServers is how many servers' addresses are kept.
+	// maxKnownServers is the number of server addresses that are remembered.
 	maxKnownServers = 8
-	// probeFrameID is the frame ID of a probe's request; those of callers count
-	// from 1.
+	// probeFrameID is the frame ID of a probe; the frame IDs of callers' requests start at 1.
 	probeFrameID = 0
 )
 
-// searchResult is the outcome of a search for the leader, or of the rest of one.
+// searchResult is the outcome of a search for the leader, or of its late probes.
 type searchResult struct {
 	id           int
 	stream       *transport.Stream
 	addr         string
 	isLeader     bool
 	knownServers []string
-	partial      bool // some addresses have not answered yet; a late result follows
-	late         bool // the result of the addresses that a partial one did not wait for
+	partial      bool // the search ended before all addresses answered; a late result follows
+	late         bool // holds the answers that a partial result did not wait for
 }
 
-// probeResult is what the daemon at one address said of itself.
+// probeResult is the answer of the daemon at one address; ok is false if there was none.
 type probeResult struct {
 	stream *transport.Stream
 	addr   string
@@ -53,11 +54,12 @@
 	ok     bool
 }
 
-// onSearchResult takes the outcome of a search.
+// onSearchResult handles the outcome of a search.
 func (c *Client) onSearchResult(result *searchResult) {
 	if result.late && c.stream == nil {
-		// The rest of an earlier search has found a leader, or none, which ends
-		// that search; the one under way is not waited for.
+		// The late probes of an earlier search are complete. If they found a leader,
+		// it is used without waiting for the search in progress; otherwise the earlier
+		// search has failed.
 		if result.stream == nil {
 			c.searchFailedAt = c.now
 			return
@@ -76,8 +78,8 @@
 		c.addServer(addr)
 	}
 	if result.stream == nil || result.stream.Closed() {
-		// A stream that has ended counts as none: its end may have been reported
-		// before it was the present one, and would not be reported again.
+		// A closed stream counts as no stream: its end may have been reported before it
+		// became the current one, and would not be reported again.
 		c.failedSearches++
 		if result.stream == nil && !result.partial {
 			c.searchFailedAt = c.now
@@ -91,7 +93,7 @@
 	c.useStream(result.stream, result.addr)
 }
 
-// addServer puts an address at the head of the known ones.
+// addServer moves or adds an address to the front of knownServers.
 func (c *Client) addServer(addr string) {
 	if addr == "" {
 		return
@@ -107,16 +109,15 @@
 	}
 }
 
-// leaderless reports whether it is known that no leader is in reach: none was found
-// for longer than an election takes, and a search at all addresses has just
-// failed.
+// leaderless reports whether no leader is known to be reachable: the client has been disconnected
+// for at least the expected time of an election, and a complete search has failed recently.
 func (c *Client) leaderless(now time.Time) bool {
 	disconnected := c.stream == nil && now.Sub(c.disconnectedAt) >= timing.ExpectedElectionTime
-	searchFailed := !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < noLeaderFindingTTL
+	searchFailed := !c.searchFailedAt.IsZero() && now.Sub(c.searchFailedAt) < failedSearchTTL
 	return disconnected && searchFailed
 }
 
-// candidateAddresses are the addresses to try, the likeliest first.
+// candidateAddresses returns the addresses to probe, the most likely leader first.
 func (c *Client) candidateAddresses() []string {
 	var addresses []string
 	add := func(addr string) {
@@ -137,47 +138,47 @@
 	return addresses
 }
 
-// sample returns some of the addresses, others each time: the likeliest always, and
-// of the rest as many as fanout allows. Hundreds of agents search at
-// once after a loss, and any daemon that they ask names the leader.
+// sample returns at most searchFanout addresses: the first two, and a part of the rest that changes
+// with the round. It limits the load when hundreds of agents search at once after the leader is
+// lost; any daemon that they probe names the leader.
 func sample(addresses []string, round int) []string {
-	if len(addresses) <= fanout {
+	if len(addresses) <= searchFanout {
 		return addresses
 	}
 	sampled := append([]string(nil), addresses[:2]...)
 	rest := addresses[2:]
-	for i := range fanout - 2 {
-		sampled = append(sampled, rest[(round*(fanout-2)+i)%len(rest)])
+	for i := range searchFanout - 2 {
+		sampled = append(sampled, rest[(round*(searchFanout-2)+i)%len(rest)])
 	}
 	return sampled
 }
 
-// searchPlan is one search for the leader.
+// searchPlan describes one search for the leader.
 type searchPlan struct {
-	id        int
-	pause     time.Duration // before it begins
-	standby   string        // tried first and alone; empty: none
-	addresses []string
-	patience  time.Duration // how long addresses without an answer are waited for
+	id               int
+	pause            time.Duration // before the search begins
+	standby          string        // probed first and alone; empty if there is none
+	addresses        []string
+	stragglerTimeout time.Duration // how long to wait for the remaining addresses once one has answered
 }
 
-// planSearch chooses what a search tries, by what became of the last ones.
+// planSearch plans the next search from the outcomes of the previous ones.
 func (c *Client) planSearch(id int) searchPlan {
-	plan := searchPlan{id: id, addresses: c.candidateAddresses(), patience: hangingDaemonWait}
+	plan := searchPlan{id: id, addresses: c.candidateAddresses(), stragglerTimeout: shortStragglerTimeout}
 	hasStandby := c.standby != "" && c.standby != c.address && c.now.After(c.backoffs[c.standby].until)
 	if c.options.PreferAggregator && c.failedSearches == 0 && hasStandby {
 		plan.standby = c.standby
 	}
 	if c.failedSearches > 0 {
-		plan.pause = interval * time.Duration(min(c.failedSearches, 2))
+		plan.pause = searchInterval * time.Duration(min(c.failedSearches, 2))
 	}
-	if c.failedSearches >= maxShortDiscoveryRounds {
-		plan.patience = noLeaderFindingTTL
+	if c.failedSearches >= maxShortSearches {
+		plan.stragglerTimeout = failedSearchTTL
 	}
 	return plan
 }
 
-// search carries out a search and reports its outcome to the loop.
+// search performs a search and reports its outcome to the loop.
 func (c *Client) search(ctx context.Context, plan searchPlan) {
 	if plan.pause > 0 {
 		select {
@@ -188,14 +189,14 @@
 	}
 	var result *searchResult
 	if plan.standby != "" {
-		// The standby is tried first and alone: it takes over for the zone, and
-		// the leader is spared a connection from each agent.
+		// The standby is probed first and alone: it takes over for the zone, which saves
+		// the leader a connection from each agent.
 		if stream, info := c.probeAggregator(ctx, plan.standby); stream != nil {
 			result = &searchResult{stream: stream, addr: plan.standby, isLeader: info.IsLeader}
 		}
 	}
 	if result == nil {
-		result = c.probeAll(ctx, plan.addresses, plan.patience)
+		result = c.probeAll(ctx, plan.addresses, plan.stragglerTimeout)
 	}
 	result.id = plan.id
 	select {
@@ -204,11 +205,11 @@
 	}
 }
 
-// probeAll asks all addresses at once. The first leader ends it; without one it
-// ends after patience if any address has answered: what hangs is likely the leader
-// that was lost, and the next one may lead by now. The rest, and a leader among
-// them, is reported later.
-func (c *Client) probeAll(ctx context.Context, addresses []string, patience time.Duration) *searchResult {
+// probeAll probes all addresses concurrently. It returns as soon as one of them is the leader.
+// Without a leader it returns after stragglerTimeout if any address has answered: the unresponsive one is
+// probably the lost leader, and a new leader may have been elected since. The remaining probes are
+// reported later as a late result.
+func (c *Client) probeAll(ctx context.Context, addresses []string, stragglerTimeout time.Duration) *searchResult {
 	probes := make(chan probeResult, len(addresses))
 	for _, addr := range addresses {
 		go func() {
@@ -217,7 +218,7 @@
 		}()
 	}
 	result := &searchResult{}
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(stragglerTimeout)
 	defer timer.Stop()
 	answered := false
 	for remaining := len(addresses); remaining > 0; remaining-- {
@@ -241,7 +242,7 @@
 	return result
 }
 
-// add notes what one daemon said; true if it leads.
+// add records the answer of one daemon and reports whether that daemon is the leader.
 func (r *searchResult) add(probe probeResult) bool {
 	if !probe.ok {
 		return false
@@ -254,13 +255,13 @@
 		probe.stream.Close()
 		return false
 	}
-	// The search can end here: a daemon says that it leads only while it has a valid
-	// lease, so no other can lead now.
+	// The search can end here: a daemon reports itself as leader only while it has a valid
+	// lease, so there can be no other leader.
 	r.stream, r.addr, r.isLeader = probe.stream, probe.addr, true
 	return true
 }
 
-// closeRest closes the streams of the remaining probes, which aren't needed.
+// closeRest closes the streams of the remaining probes, which are not needed.
 func closeRest(probes <-chan probeResult, remaining int) {
 	for range remaining {
 		if probe := <-probes; probe.stream != nil {
@@ -269,7 +270,7 @@
 	}
 }
 
-// probeRest waits for the addresses that probeAll didn't wait for.
+// probeRest waits for the probes that probeAll did not wait for and reports a late result.
 func (c *Client) probeRest(ctx context.Context, probes <-chan probeResult, remaining int) {
 	result := &searchResult{late: true}
 	for ; remaining > 0; remaining-- {
@@ -284,8 +285,8 @@
 	}
 }
 
-// probe connects to an address and asks who leads; the stream stays open if it
-// answers.
+// probe connects to an address and asks for its LeaderInfo. The stream stays open if the daemon
+// answers in time.
 func (c *Client) probe(ctx context.Context, addr string) (*transport.Stream, rpc.LeaderInfo, bool) {
 	infos := make(chan rpc.LeaderInfo, 1)
 	stream, err := transport.Dial(ctx, addr, func(event transport.Event) {
@@ -310,7 +311,7 @@
 	}
 	request := rpc.Request{Kind: rpc.KindLeader, Body: []byte(c.options.SelfAddress)}
 	stream.Send(transport.Frame{Kind: rpc.FrameRequest, ID: probeFrameID, Body: transport.Encode(request)})
-	timer := time.NewTimer(cmp.Or(c.options.ProbeTimeout, leaderProbeInterval))
+	timer := time.NewTimer(cmp.Or(c.options.ProbeTimeout, defaultProbeTimeout))
 	defer timer.Stop()
 	select {
 	case info := <-infos:
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -11,25 +11,25 @@
 	"tealpond/internal/transport"
 )
 
-// pipeNetwork is a network within the process, without delay; it holds the open
-// ports.
+// pipeNetwork is an in-process network without delay. It holds the listeners' connection queues by
+// address.
 type pipeNetwork map[string]chan net.Conn
 
-// Listen opens a port.
+// Listen opens a listener at an address.
 func (p pipeNetwork) Listen(_ context.Context, addr string) (net.Listener, error) {
 	connections := make(chan net.Conn)
 	p[addr] = connections
 	return &pipeListener{connections: connections, done: make(chan struct{})}, nil
 }
 
-// Dial connects to a port that was opened before.
+// Dial connects to an address that has a listener.
 func (p pipeNetwork) Dial(_ context.Context, addr string) (net.Conn, error) {
 	near, far := net.Pipe()
 	p[addr] <- far
 	return near, nil
 }
 
-// pipeListener is an open port.
+// pipeListener is a listener of a pipeNetwork.
 type pipeListener struct {
 	connections chan net.Conn
 	done        chan struct{}
@@ -47,8 +47,8 @@
 func (p *pipeListener) Close() error   { close(p.done); return nil }
 func (p *pipeListener) Addr() net.Addr { return nil }
 
-// withLeaderStream runs a test of a client whose loop doesn't run, with streams to a
-// leader at "l" that reports what it is sent.
+// withLeaderStream runs a test of a client whose loop is not running. The test opens streams to a
+// leader at the address "l" and receives the events of that leader from sent.
 func withLeaderStream(t *testing.T, test func(ctx context.Context, c *Client, open func() *transport.Stream, sent <-chan transport.Event)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -77,10 +77,10 @@
 	})
 }
 
-// TestEndedStreamIsNotUsed: a stream that ended between the search and its use
-// reports its end only once, before it is the present one; to use it would leave
-// the client with a leader that never responds, and without a search.
-func TestEndedStreamIsNotUsed(t *testing.T) {
+// TestClosedStreamIsNotUsed checks that a stream which is closed between the search and its use is not
+// used. Its end is reported only once, before it becomes the current stream, so the client would be
+// left with a leader that never responds, and would not search for another.
+func TestClosedStreamIsNotUsed(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 		stream := open()
 		stream.Close()
@@ -88,19 +88,19 @@
 		c.searchID, c.searching = 1, true
 		c.onSearchResult(&searchResult{id: 1, stream: stream, addr: "l", isLeader: true})
 		if c.stream != nil || c.searching {
-			t.Error("a search that found an ended stream: it is used, and no other search follows")
+			t.Error("a closed stream is used, or the search is still marked as in progress")
 		}
 		current := open()
 		c.useStream(current, "l")
 		c.onSwitchResult(&switchResult{addr: "h", stream: stream})
 		if c.stream != current {
-			t.Error("turned from a leader that answers to an ended stream")
+			t.Error("switched from an open stream to a closed one")
 		}
 	})
 }
 
-// TestPendingRequestsAreResentInOrder: of two requests about one worker the later
-// one must win, also when a new leader is sent all that waits.
+// TestPendingRequestsAreResentInOrder checks that pending requests are resent in their original order
+// after a change of leader: of two requests about the same worker the later one must win.
 func TestPendingRequestsAreResentInOrder(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, sent <-chan transport.Event) {
 		const requests = 16
@@ -117,7 +117,7 @@
 				if event := <-sent; event.Closed {
 					continue
 				} else if event.Frame.ID != want {
-					t.Fatalf("request %d was sent where %d was due", event.Frame.ID, want)
+					t.Fatalf("got request %d, want request %d", event.Frame.ID, want)
 				}
 				want++
 			}
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestResponsesAreMatchedByStream: a response of an earlier stream that is already
-// queued, a duplicate, and one to no request reach nobody.
+// TestResponsesAreMatchedByStream checks that a response from an earlier stream, a duplicate response
+// and a response with an unknown request ID are discarded.
 func TestResponsesAreMatchedByStream(t *testing.T) {
 	withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 		old, current := open(), open()
@@ -148,7 +148,7 @@
 		respond(old, 1, 66)
 		respond(current, 3, 77)
 		if len(replies[0])+len(replies[1]) != 0 {
-			t.Fatal("a response of an earlier stream, or to no request, reached a caller")
+			t.Fatal("a response from an earlier stream or with an unknown request ID was delivered")
 		}
 		respond(current, 1, 1)
 		respond(current, 1, 88)
@@ -156,16 +156,17 @@
 		respond(current, 2, 2)
 		for i, reply := range replies {
 			if response := <-reply; response.Value != int64(i+1) {
-				t.Errorf("request %d got the response %d", i+1, response.Value)
+				t.Errorf("request %d got the response of request %d", i+1, response.Value)
 			}
 		}
 	})
 }
 
-// TestLargeRequestOnSlowLinkIsNotSilence: a configuration of 190 KB takes 0.8 s on
-// a link of 2 Mbit/s; to leave the leader meanwhile and to send it again would go
-// on for ever. What waits behind it isn't silence either.
-func TestLargeRequestOnSlowLinkIsNotSilence(t *testing.T) {
+// TestTransferTimeExtendsAttemptTimeout checks that the transfer time of large bodies extends the
+// time-out of an attempt. A configuration of 190 KB takes 0.8 s on a link of 2 Mbit/s; a client that
+// disconnected and resent it after the usual time-out would never succeed. Requests that wait behind
+// a large one get the same extension.
+func TestTransferTimeExtendsAttemptTimeout(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		requests        []rpc.Request
@@ -174,12 +175,12 @@
 		disconnects     bool
 	}{
 		{"small request", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 600 * time.Millisecond, true},
-		{"small request, not late yet", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 400 * time.Millisecond, false},
+		{"small request, before the time-out", []rpc.Request{{Kind: rpc.KindRenewMembership}}, 0, 400 * time.Millisecond, false},
 		{"large request", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 900 * time.Millisecond, false},
 		{"small request behind a large one", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}, {Kind: rpc.KindRenewMembership}}, 0, 900 * time.Millisecond, false},
-		{"large request, too late", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 2500 * time.Millisecond, true},
-		{"request whose response was large", []rpc.Request{{Kind: rpc.KindGetConfig}}, 190_000, 900 * time.Millisecond, false},
-		{"other request where a response was large", []rpc.Request{{Kind: rpc.KindJobStatus}}, 190_000, 900 * time.Millisecond, true},
+		{"large request, after the extended time-out", []rpc.Request{{Kind: rpc.KindPutConfig, Body: make([]byte, 190_000)}}, 0, 2500 * time.Millisecond, true},
+		{"GetConfig after a large response", []rpc.Request{{Kind: rpc.KindGetConfig}}, 190_000, 900 * time.Millisecond, false},
+		{"other request after a large response", []rpc.Request{{Kind: rpc.KindJobStatus}}, 190_000, 900 * time.Millisecond, true},
 	} {
 		withLeaderStream(t, func(ctx context.Context, c *Client, open func() *transport.Stream, _ <-chan transport.Event) {
 			c.searching = true
@@ -189,11 +190,11 @@
 			c.onFrame(ctx, &transport.Event{Stream: c.stream, Frame: frame})
 			for _, request := range test.requests {
 				c.handle(ctx, clientEvent{request: &pendingRequest{
-					request:      request,
-					reply:        make(chan rpc.Response, 1),
-					deadline:     c.now.Add(time.Minute),
-					leaderlessBy: c.now.Add(time.Minute),
-					noLeaderBy:   c.now.Add(time.Minute),
+					request:            request,
+					reply:              make(chan rpc.Response, 1),
+					deadline:           c.now.Add(time.Minute),
+					leaderlessDeadline: c.now.Add(time.Minute),
+					noLeaderDeadline:   c.now.Add(time.Minute),
 				}})
 			}
 			c.tick(ctx, c.now.Add(test.after))
--- a/internal/discovery/timeout.go
+++ b/internal/discovery/timeout.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// holdKey finds the hold in a context.
+// holdKey is the context key of the hold time.
 type holdKey struct{}
 
-// WithHold says that the leader may hold requests under a context for so long before it
-// answers: it isn't silent meanwhile.
+// WithHold returns a context under which the leader may hold requests for the given time before it
+// answers, without being considered unresponsive.
 func WithHold(ctx context.Context, hold time.Duration) context.Context {
 	return context.WithValue(ctx, holdKey{}, hold)
 }
 
-// HoldOf returns the hold of a context; 0 if it has none.
+// HoldOf returns the hold time of a context, or 0 if it has none.
 func HoldOf(ctx context.Context) time.Duration {
 	hold, _ := ctx.Value(holdKey{}).(time.Duration)
 	return hold
 }
 
-// leaderTimeoutKey finds the timeout in a context.
+// leaderTimeoutKey is the context key of the leader time-out.
 type leaderTimeoutKey struct{}
 
-// WithLeaderTimeout sets how long requests under a context wait for a leader before
-// they end with rpc.CodeNoLeader, instead of leaderWaitTimeout. It has no
-// effect on a request that was sent to one.
+// WithLeaderTimeout returns a context under which requests wait for a leader for the given time
+// before they end with rpc.CodeNoLeader, instead of the default of their kind. It has no effect on a
+// request that a leader may already have processed.
 func WithLeaderTimeout(ctx context.Context, timeout time.Duration) context.Context {
 	return context.WithValue(ctx, leaderTimeoutKey{}, timeout)
 }
