--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -1,7 +1,7 @@
-// Package localcluster runs the daemons of the built program as processes of this machine,
-// each at a loopback address of its own. It writes their settings, keeps their logs, sends
-// them signals, and ends and removes all when it is closed. It knows nothing of what the
-// daemons are started for.
+// Package localcluster runs a cluster of daemons as processes on this machine, each with its own
+// loopback address. It writes their settings, collects their logs, sends them signals, and kills
+// the processes and removes their files when the cluster is closed. It does not depend on the
+// workload that the daemons serve.
 package localcluster
 
 import (
@@ -21,49 +21,50 @@
 	"tealpond/internal/settings"
 )
 
-// Ports of each daemon, at its own address.
+// Ports that each daemon listens on at its own address.
 const (
 	clientPort    = 18161
 	controlPort   = 18166
 	runnerPort    = 18165
 	readinessPort = 18167
-	daemonPort    = 17720 // the first of those for the daemons among themselves
-	daemonPorts   = 10
+	daemonPort    = 17720 // the first port for traffic between daemons
+	daemonPorts   = 10    // length of that port range
 )
 
-// maxSeeds is how many seeds the settings name.
+// maxSeeds is the largest number of seeds in the settings.
 const maxSeeds = 3
 
-// ErrUnknownDaemon is the error for a name that no daemon has.
+// ErrUnknownDaemon is returned for a name that no daemon of the cluster has.
 var ErrUnknownDaemon = errors.New("no such daemon")
 
-// Options are what a Cluster is built from.
+// Options configure a Cluster.
 type Options struct {
-	Program   string // path of the built program
-	Directory string // for settings, data and logs; it must exist
+	Program   string // path of the daemon's executable
+	Directory string // for settings and data; it must exist
 	Subnet    Subnet
-	Role      string // the role of all daemons
-	Servers   int    // daemons with a disk
-	Proxies   int    // daemons without one
-	// Agents are daemons of AgentRole, each beside a runner at its RunnerAddress.
+	Role      string // of all daemons but the agents
+	Servers   int    // number of daemons with a disk
+	Proxies   int    // number of daemons without a disk
+	// Agents is the number of daemons of AgentRole, each for a runner at its RunnerAddress.
 	Agents    int
 	AgentRole string
 	Zones     int
-	// Environment is added to that of this process, as NAME=VALUE.
+	// Environment is added to the environment of this process, as NAME=VALUE.
 	Environment []string
-	MaxFiles    uint64 // open files of each daemon at most; 0: as this process may
-	// Settings are those that all daemons share. What belongs to one daemon is filled in:
-	// names, addresses, seeds and the data folder.
+	MaxFiles    uint64 // limit of open files of each daemon; 0 means the limit of this process
+	// Settings are common to all daemons. The names, addresses, seeds and data directories of the
+	// daemons are filled in.
 	Settings settings.File
 }
 
-// Subnet is a loopback network of 254 hosts, 127.A.B.0/24.
+// Subnet is the loopback network 127.A.B.0/24, which has 254 hosts.
 type Subnet struct{ A, B byte }
 
-// Host returns the address of a host, from 1 to 254.
+// Host returns the address of a host, numbered from 1 to 254.
 func (s Subnet) Host(host int) string { return fmt.Sprintf("127.%d.%d.%d", s.A, s.B, host) }
 
-// InUse reports whether somebody listens on the network already, as the first daemon would.
+// InUse reports whether the client port of the first daemon can't be listened on, as when another
+// cluster uses the network.
 func (s Subnet) InUse() bool {
 	listener, err := net.Listen("tcp", hostPort(s.Host(1), clientPort))
 	if err != nil {
@@ -73,7 +74,7 @@
 	return false
 }
 
-// Cluster is a set of daemons that run as processes. It is safe for concurrent use.
+// Cluster is a set of daemons that run as local processes. It is safe for concurrent use.
 type Cluster struct {
 	options Options
 	startAt time.Time
@@ -87,12 +88,13 @@
 
 // Line is a line of a daemon's log.
 type Line struct {
-	At     time.Time // when it was read
+	At     time.Time // when the line was read
 	Daemon string
 	Text   string
 }
 
-// Start starts a cluster. After an error nothing is left behind.
+// Start starts the daemons of a cluster. If one can't be started, the others are killed and all files
+// are removed.
 func Start(options Options) (*Cluster, error) {
 	c := &Cluster{options: options, startAt: time.Now(), daemons: map[string]*Daemon{}}
 	for i := range options.Servers + options.Proxies + options.Agents {
@@ -112,10 +114,10 @@
 	return c, nil
 }
 
-// Names lists the daemons, those with a disk first.
+// Names returns the names of the daemons: servers first, then proxies, then agents.
 func (c *Cluster) Names() []string { return append([]string(nil), c.names...) }
 
-// Daemon returns a daemon. The error is ErrUnknownDaemon.
+// Daemon returns the daemon of a name. The error wraps ErrUnknownDaemon if there is none.
 func (c *Cluster) Daemon(name string) (*Daemon, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,22 +127,21 @@
 	return nil, fmt.Errorf("%w: %s", ErrUnknownDaemon, name)
 }
 
-// Log returns all lines that the daemons have logged so far, in the order in which they
-// were read.
+// Log returns the lines that the daemons have logged so far, in the order in which they were read.
 func (c *Cluster) Log() []Line {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Line(nil), c.lines...)
 }
 
-// addLine keeps a line of a daemon's log.
+// addLine appends a line to the log.
 func (c *Cluster) addLine(daemon, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lines = append(c.lines, Line{time.Now(), daemon, text})
 }
 
-// Close kills all daemons, waits for their ends and removes their files.
+// Close kills all daemons, waits for their processes to exit and removes their files.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -153,14 +154,14 @@
 	}
 }
 
-// isClosed reports whether Close was called: nothing is started any more.
+// isClosed reports whether Close was called. No process is started after that.
 func (c *Cluster) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed
 }
 
-// seeds are the control addresses of the first servers.
+// seeds returns the control addresses of the first servers, at most maxSeeds.
 func (c *Cluster) seeds() []string {
 	var addresses []string
 	for _, name := range c.names[:min(maxSeeds, max(c.options.Servers, 1))] {
@@ -169,7 +170,7 @@
 	return addresses
 }
 
-// settingsOf fills in the settings of one daemon.
+// settingsOf returns the settings of one daemon.
 func (c *Cluster) settingsOf(d *Daemon, firstStart bool) settings.File {
 	file := c.options.Settings
 	file.NodeName, file.Role, file.IPAddress, file.Zone = d.Name, d.Role, d.IP, d.Zone
@@ -188,23 +189,23 @@
 	return file
 }
 
-// hostPort joins an address and a port.
+// hostPort joins an IP address and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
 // writeSettings writes a settings file.
 func writeSettings(path string, file settings.File) error {
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(file); err != nil {
-		return fmt.Errorf("settings %s: %w", path, err)
+		return fmt.Errorf("encode settings for %s: %w", path, err)
 	}
 	if err := os.WriteFile(path, text.Bytes(), 0o600); err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("write settings: %w", err)
 	}
 	return nil
 }
 
-// Signal sends a signal to a daemon's process; nothing happens if it doesn't run. The
-// error is ErrUnknownDaemon, or the system's.
+// Signal sends a signal to the process of a daemon; it does nothing if the process has exited. The
+// error wraps ErrUnknownDaemon or the error of the system call.
 func (c *Cluster) Signal(name string, signal syscall.Signal) error {
 	daemon, err := c.Daemon(name)
 	if err != nil {
--- a/internal/soak/restart.go
+++ b/internal/soak/restart.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.leaving[name] = true
-	ended := node.Ended()
+	ended := node.Exited()
 	r.restart.Go(func() { r.startAgain(ctx, node, ended) })
 }
 
