--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,7 @@
-// Package standin has stand-ins for what is outside of a cluster of gateways: the
-// platform that lists runners, and these runners. They serve on whatever network they are
-// given, so that the simulation and processes on this machine use the same ones. No daemon
-// imports it.
+// Package standin provides fakes of the systems outside of a cluster: the platform that lists
+// runners, and the runners themselves, those of gateways and those of worker machines. The fakes
+// serve on any network that they are given, so that the simulation and tests with processes on this
+// machine share them. No daemon imports the package.
 package standin
 
 import (
@@ -17,37 +17,38 @@
 )
 
 const (
-	// listPageSize is the number of runners on a page of the list.
+	// listPageSize is the number of runners on one page of the list.
 	listPageSize = 3
-	// slots is how many requests a runner says that it works on at once.
-	slots = 4
-	// headerTimeout is how long the head of a request may take.
+	// runnerSlots is the number of concurrent requests that a runner's entry names.
+	runnerSlots = 4
+	// headerTimeout is the time limit for reading the header of a request.
 	headerTimeout = 3 * time.Second
-	// drainTime is how long a runner serves on after it was listed as leaving.
-	drainTime = 3 * time.Second
+	// drainDelay is how long a runner keeps serving after it was listed as draining.
+	drainDelay = 3 * time.Second
 )
 
-// Options are what a Platform is built from.
+// Options configure a Platform.
 type Options struct {
-	Address string // of the API that lists the runners, HOST:PORT
-	// RunnerAddress returns the address of the n-th runner that is started, from 1 on.
+	Address string // HOST:PORT of the API that lists the runners
+	// RunnerAddress returns the address of the n-th runner that is started, counting from 1.
 	RunnerAddress func(n int) string
 	Listen        func(address string) (net.Listener, error)
-	// Disconnect cuts the connections of a runner that crashes; nil: they are closed.
+	// Disconnect breaks the connections of a runner that crashes. If it is nil, they are closed in the
+	// usual way.
 	Disconnect func(address string)
-	// Observe is notified of each run, as it begins and once it has ended; nil: nobody is.
+	// Observe is called with each run when it begins and when it has ended; it may be nil.
 	Observe func(Run)
 }
 
-// Run is one run of a client's request, which has come in whole, at a runner.
+// Run is one execution of a client's request at a runner. It begins once the whole request has arrived.
 type Run struct {
-	Attempt string // the client's ID of the request
-	Runner  string // ID
+	Attempt string // the client's attempt ID
+	Runner  string // ID of the runner
 	BeganAt time.Time
-	EndedAt time.Time // zero: it is under way
-	// Broken: the caller had gone, or the runner ended, before the answer was written.
+	EndedAt time.Time // zero while the run is in progress
+	// Broken reports that the caller disconnected or the runner ended before the answer was written.
 	Broken bool
-	// RunnerEnded: the runner had ended by then.
+	// RunnerEnded reports that the runner had ended by EndedAt.
 	RunnerEnded bool
 }
 
@@ -63,8 +64,8 @@
 	server *http.Server
 }
 
-// Platform stands in for the platform that lists the runners of gateways, and for these.
-// It is safe for concurrent use.
+// Platform is a fake of the platform that lists the runners of gateways, and of these runners. It is
+// safe for concurrent use.
 type Platform struct {
 	options Options
 	server  *http.Server
@@ -72,13 +73,13 @@
 	mu      sync.Mutex
 	ended   map[string]bool   // IDs of runners that have ended
 	listed  map[string]Runner // by ID
-	started int               // runners, ever
-	runs    map[string]int    // of each attempt, over all runners
-	// arrivals has when the head of the last request came to each runner, by ID.
+	started int               // number of runners started so far
+	runs    map[string]int    // number of runs by attempt, over all runners
+	// arrivals holds the time when the header of the last request arrived, by runner ID.
 	arrivals map[string]time.Time
 }
 
-// NewPlatform starts a platform without runners.
+// NewPlatform starts a platform that lists no runners.
 func NewPlatform(options Options) (*Platform, error) {
 	p := &Platform{options: options, ended: map[string]bool{}, listed: map[string]Runner{}, runs: map[string]int{}, arrivals: map[string]time.Time{}}
 	var err error
@@ -86,21 +87,21 @@
 	return p, err
 }
 
-// serve serves at an address until the server that it returns is closed.
+// serve starts a server at an address; it runs until it is closed.
 func (p *Platform) serve(address string, handler http.Handler) (*http.Server, error) {
 	socket, err := p.options.Listen(address)
 	if err != nil {
-		return nil, fmt.Errorf("stand-in at %s: %w", address, err)
+		return nil, fmt.Errorf("listen at %s: %w", address, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(socket) }() // until it is closed
 	return server, nil
 }
 
-// Address is where the platform lists its runners.
+// Address returns the address of the API that lists the runners.
 func (p *Platform) Address() string { return p.options.Address }
 
-// serveList answers GET /runners with a page of the list.
+// serveList answers a request for the list of runners with one page of it.
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
 	list := p.Runners()
 	from := sort.Search(len(list), func(i int) bool { return list[i].ID > r.URL.Query().Get("pageToken") })
@@ -112,10 +113,10 @@
 	if to < len(list) {
 		page.NextToken = &list[to-1].ID
 	}
-	_ = json.NewEncoder(w).Encode(page) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(page) // the caller may have disconnected
 }
 
-// Runners lists the runners by ID.
+// Runners returns the listed runners in the order of their IDs.
 func (p *Platform) Runners() []Runner {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +128,7 @@
 	return list
 }
 
-// Runner returns the entry of a runner; false if it isn't listed.
+// Runner returns the entry of a runner, and whether it is listed.
 func (p *Platform) Runner(id string) (Runner, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -135,11 +136,11 @@
 	return runner, ok
 }
 
-// StartRunner starts a runner of a service in a zone, and lists it. It gives its ID.
+// StartRunner starts a runner of a service in a zone, lists it and returns its ID.
 func (p *Platform) StartRunner(service, zone string) (string, error) {
 	p.mu.Lock()
 	p.started++
-	runner := Runner{ID: fmt.Sprintf("i-%02d", p.started), TargetService: service, Zone: zone, Slots: slots, State: protocol.RunnerReady}
+	runner := Runner{ID: fmt.Sprintf("i-%02d", p.started), TargetService: service, Zone: zone, Slots: runnerSlots, State: protocol.RunnerReady}
 	runner.Address = p.options.RunnerAddress(p.started)
 	p.mu.Unlock()
 	var err error
@@ -152,7 +153,7 @@
 	return runner.ID, nil
 }
 
-// MarkDraining lists a runner as leaving.
+// MarkDraining lists a runner as draining.
 func (p *Platform) MarkDraining(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,13 +162,13 @@
 	p.listed[id] = runner
 }
 
-// Drain lists a runner as leaving, and ends it after a while.
+// Drain lists a runner as draining and ends it after drainDelay.
 func (p *Platform) Drain(id string) {
 	p.MarkDraining(id)
-	time.AfterFunc(drainTime, func() { p.Crash(id, 0) })
+	time.AfterFunc(drainDelay, func() { p.Crash(id, 0) })
 }
 
-// Crash ends a runner at once; it stays listed for a while.
+// Crash ends a runner at once. Its entry is removed from the list after listedFor.
 func (p *Platform) Crash(id string, listedFor time.Duration) {
 	runner, ok := p.Runner(id)
 	if !ok {
@@ -194,21 +195,22 @@
 	return p.ended[id]
 }
 
-// LastArrival is when the head of the last request for it came to a runner; zero: none has.
+// LastArrival returns when the header of the last request that named the runner as its target arrived
+// there, or the zero time if there was none.
 func (p *Platform) LastArrival(id string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.arrivals[id]
 }
 
-// RunsOf is how often an attempt of a client ran.
+// RunsOf returns how many times an attempt of a client ran, over all runners.
 func (p *Platform) RunsOf(attempt string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[attempt]
 }
 
-// Close ends the platform and all runners that are listed.
+// Close closes the platform's server and the servers of all listed runners.
 func (p *Platform) Close() {
 	_ = p.server.Close()
 	for _, runner := range p.Runners() {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -11,27 +11,28 @@
 	"tealpond/internal/protocol"
 )
 
-// keepAlivePath is the protocol's path for renewing a lease and polling the lists.
+// keepAlivePath is the path of the call that renews a lease and polls the lists of runs.
 const keepAlivePath = "/-/hold"
 
-// maxLeaseAheadMs is how far ahead a lease may lie that a runner accepts.
+// maxLeaseAheadMs is the longest time in ms from now to the end of a lease that a keep-alive sets.
 const maxLeaseAheadMs = 10000
 
-// WorkerOptions are what a Worker is built from.
+// WorkerOptions configure a Worker.
 type WorkerOptions struct {
 	Node, Service, Zone string
-	Seed                int64 // of its clock, and of what it does late
-	// Observe is notified of each event; nil: nobody is. It must not call the worker.
+	Seed                int64 // of its clock, and of its late and lost answers
+	// Observe is called with each event; it may be nil. It must not call the worker.
 	Observe func(WorkerEvent)
-	// FailsNow reports whether a run of a task fails that may fail so many times.
+	// FailsNow reports whether a finished run fails, given its task and the number of runs of the task
+	// that may fail. If it is nil, no run fails.
 	FailsNow func(task string, times int) bool
 }
 
-// Worker is a stand-in for the runner of a worker machine, by the operators' protocol. A
-// jobSpec of the form "ms=300 cpu=500 fail=1" gives a run's duration, the thousandths of a
-// core that it uses, and how many runs of its task fail.
+// Worker is a fake of the runner of a worker machine, as the operators' protocol describes it. A
+// jobSpec of the form "ms=300 cpu=500 fail=1" sets the duration of a run, its CPU use in thousandths
+// of a core, and how many runs of its task fail.
 //
-// Exported fields may be changed at any time, by Update.
+// Exported fields may be changed at any time within Update.
 type Worker struct {
 	mu               sync.Mutex
 	options          WorkerOptions
@@ -41,43 +42,43 @@
 	Labels           []string
 	Capacity         protocol.Resources
 	EnforcesCapacity bool
-	Draining         bool    // it says so in its heartbeats
-	Silent           bool    // it answers nothing
-	LateFraction     float64 // part of the requests carried out late, without an answer
-	LostAnswers      float64 // part of the requests that are carried out and whose answers are lost
-	Stalled          bool    // tasks make no progress
-	RejectsStarts    bool    // it answers starts with 503, and its heartbeats go on
+	Draining         bool    // its heartbeats report the state "draining"
+	Silent           bool    // it answers no calls
+	LateFraction     float64 // fraction of the requests that are carried out late and not answered
+	LostAnswers      float64 // fraction of the requests that are carried out but not answered
+	Stalled          bool    // runs make no progress
+	RejectsStarts    bool    // it answers starts with 503 and keeps sending heartbeats
 
 	incarnation    string
-	incarnations   int // so far
+	incarnations   int // number of incarnations so far
 	clockStart     time.Time
-	clockSlowdown  float64 // how many times as slow as time its clock runs
+	clockSlowdown  float64 // factor by which its clock is slower than real time
 	fence          int64
-	leaseUntil     int64 // on the runner's clock, in ms; 0 if there is no lease
-	acknowledged   int64 // the last completion that was acknowledged
+	leaseUntil     int64 // on the runner's clock, in ms; 0 without a lease
+	acknowledged   int64 // sequence number of the last acknowledged completion
 	lastCompletion int64
 	runs           map[string]*runnerTask // by taskRunKey
-	highestRun     map[string]int         // that stopped or ended, by task
-	completions    []protocol.Completion  // not acknowledged yet
+	highestRun     map[string]int         // highest run that was stopped or ended, by task
+	completions    []protocol.Completion  // not yet acknowledged
 	changed        chan struct{}          // closed at the next completion
 	random         *rand.Rand
-	started        int // runs
+	started        int // number of runs started since the last ForgetStarted
 	heartbeatSeq   int64
 }
 
-// runnerTask is a run under way.
+// runnerTask is a run in progress.
 type runnerTask struct {
 	task      string
 	run       int
 	spec      string
 	duration  time.Duration
 	progress  time.Duration
-	updatedAt time.Time // when progress was
+	updatedAt time.Time // when progress was updated
 }
 
 func taskRunKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
 
-// NewWorker makes a worker with a runner in its first incarnation.
+// NewWorker returns a worker whose runner is in its first incarnation.
 func NewWorker(options WorkerOptions) *Worker {
 	w := &Worker{options: options, Node: options.Node, Service: options.Service, Zone: options.Zone, Labels: []string{"a", "r1"},
 		Capacity: protocol.Resources{CPUUnits: 8000, MemoryMB: 8000}, EnforcesCapacity: true,
@@ -86,7 +87,7 @@
 	return w
 }
 
-// record tells of an event.
+// record reports an event to WorkerOptions.Observe.
 func (w *Worker) record(event WorkerEvent) {
 	if w.options.Observe != nil {
 		event.Node = w.Node
@@ -94,7 +95,7 @@
 	}
 }
 
-// startIncarnation begins an incarnation that runs nothing and knows no fence.
+// startIncarnation begins an incarnation without runs and without a fencing token.
 func (w *Worker) startIncarnation() {
 	w.incarnations++
 	w.incarnation = fmt.Sprintf("i-%s-%d", w.Node, w.incarnations)
@@ -103,12 +104,12 @@
 	w.runs, w.highestRun, w.completions = map[string]*runnerTask{}, map[string]int{}, nil
 }
 
-// clock is the runner's monotonic clock, in ms.
+// clock returns the time of the runner's monotonic clock, in ms.
 func (w *Worker) clock() int64 {
 	return int64(float64(time.Since(w.clockStart).Milliseconds()) / w.clockSlowdown)
 }
 
-// Update changes how the runner behaves from now on.
+// Update applies a change to the exported fields, which takes effect from now on.
 func (w *Worker) Update(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +117,7 @@
 	change()
 }
 
-// Crash ends this incarnation and begins the next one.
+// Crash ends the current incarnation with all its runs and begins the next one.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,7 +129,7 @@
 	w.startIncarnation()
 }
 
-// advance brings runs and the lease up to now. It is called with w.mu held.
+// advance updates the lease and the runs to the current time. It is called with w.mu held.
 func (w *Worker) advance() {
 	now := time.Now()
 	if w.leaseUntil > 0 && w.clock() > w.leaseUntil {
@@ -153,12 +154,12 @@
 	}
 }
 
-// failsNow reports whether a run that is over has failed.
+// failsNow reports whether a finished run fails.
 func (w *Worker) failsNow(task string, times int) bool {
 	return times > 0 && w.options.FailsNow != nil && w.options.FailsNow(task, times)
 }
 
-// finish ends a run and lists its end.
+// finish ends a run and adds its completion to the list.
 func (w *Worker) finish(key string, ended *runnerTask, outcome string) {
 	delete(w.runs, key)
 	w.highestRun[ended.task] = max(w.highestRun[ended.task], ended.run)
@@ -169,7 +170,7 @@
 	w.changed = make(chan struct{})
 }
 
-// specField is the number that a jobSpec gives for a name, or 0.
+// specField returns the number of a named field of a jobSpec, or 0 if there is none.
 func specField(spec, name string) int {
 	for _, field := range strings.Fields(spec) {
 		if value, ok := strings.CutPrefix(field, name+"="); ok {
@@ -180,7 +181,7 @@
 	return 0
 }
 
-// Heartbeat is the runner's next heartbeat, and its incarnation.
+// Heartbeat returns the runner's incarnation and its next heartbeat.
 func (w *Worker) Heartbeat() (string, protocol.Heartbeat) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -195,14 +196,14 @@
 	return w.incarnation, heartbeat
 }
 
-// Incarnation is the runner's present one.
+// Incarnation returns the ID of the runner's current incarnation.
 func (w *Worker) Incarnation() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.incarnation
 }
 
-// Running is how many runs are under way.
+// Running returns the number of runs in progress.
 func (w *Worker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,21 +211,21 @@
 	return len(w.runs)
 }
 
-// Started is how many runs have started since the last call of ForgetStarted.
+// Started returns the number of runs that have started since the last call of ForgetStarted.
 func (w *Worker) Started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.started
 }
 
-// ForgetStarted begins to count anew.
+// ForgetStarted resets the count of Started.
 func (w *Worker) ForgetStarted() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started = 0
 }
 
-// SkipIncarnations begins the incarnation behind so many others.
+// SkipIncarnations begins a new incarnation, numbered as if there had been count before it.
 func (w *Worker) SkipIncarnations(count int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,7 +233,7 @@
 	w.startIncarnation()
 }
 
-// SetClockSlowdown says how many times as slow as time the runner's clock runs.
+// SetClockSlowdown sets the factor by which the runner's clock is slower than real time.
 func (w *Worker) SetClockSlowdown(times float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/worker_calls.go
+++ b/internal/standin/worker_calls.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/protocol"
 )
 
-// Call makes a call to the runner, as an agent does over the runner's port. The path is
-// that of the protocol; incarnation is the one that the agent believes to be there.
+// Call handles a call as an agent makes it at the runner's port. The path is one of the protocol;
+// incarnation is the one that the agent expects.
 func (w *Worker) Call(ctx context.Context, incarnation, path string, body any) agent.RunnerResponse {
 	w.mu.Lock()
 	if start, ok := body.(protocol.StartRequest); ok {
@@ -46,17 +46,17 @@
 	return w.handle(incarnation, body)
 }
 
-// accept is the response to a request that was carried out.
+// accept returns the response to a request that was carried out.
 func (w *Worker) accept() agent.RunnerResponse {
 	return agent.RunnerResponse{StatusCode: http.StatusOK, Run: protocol.RunResponse{ClockMs: w.clock()}}
 }
 
-// reject is the response to a request that is refused for a reason of the protocol.
+// reject returns the response to a request that is rejected for a reason of the protocol.
 func (w *Worker) reject(reason string) agent.RunnerResponse {
 	return agent.RunnerResponse{StatusCode: http.StatusConflict, Run: protocol.RunResponse{ClockMs: w.clock(), Reason: reason}}
 }
 
-// handle carries out a start or a stop. It is called with w.mu held.
+// handle carries out a start or stop request. It is called with w.mu held.
 func (w *Worker) handle(incarnation string, body any) agent.RunnerResponse {
 	w.advance()
 	if incarnation != w.incarnation {
@@ -92,8 +92,8 @@
 		cpu += int64(specField(running.spec, "cpu"))
 	}
 	if cpu > w.Capacity.CPUUnits && w.EnforcesCapacity {
-		// This comes before the check for an old run: the protocol names no order,
-		// and a refusal for room must not be taken for "it never ran here".
+		// This check precedes the one for an old run. The protocol defines no order, and an
+		// agent must not conclude from the reason "room" that the run never ran here.
 		return w.reject("room")
 	}
 	if request.RunID <= w.highestRun[request.TaskID] {
@@ -119,8 +119,8 @@
 	return w.accept()
 }
 
-// advanceAfter advances the runner when a run should be over, so that its end is seen
-// in time.
+// advanceAfter advances the runner when a run should be finished, so that its end is detected in
+// time.
 func (w *Worker) advanceAfter(d time.Duration) {
 	time.Sleep(d)
 	w.mu.Lock()
@@ -128,9 +128,9 @@
 	w.mu.Unlock()
 }
 
-// keepAlive renews the lease, takes acknowledgements, and gives the lists of runs once
-// there are completions or the poll's time is up. It is called and returns with w.mu
-// held, and lets go of it while it waits.
+// keepAlive renews the lease, processes acknowledgements, and returns the lists of runs once there
+// are completions or the poll's wait time is over. It is called and returns with w.mu held, and
+// releases it while it waits.
 func (w *Worker) keepAlive(ctx context.Context, incarnation string, poll protocol.KeepAliveRequest) agent.RunnerResponse {
 	w.advance()
 	if incarnation != w.incarnation {
@@ -163,25 +163,25 @@
 	return w.lists()
 }
 
-// acknowledge drops the completions up to a number from the list.
-func (w *Worker) acknowledge(number int64) {
-	if number <= w.acknowledged {
+// acknowledge removes the completions up to a sequence number from the list.
+func (w *Worker) acknowledge(sequence int64) {
+	if sequence <= w.acknowledged {
 		return
 	}
-	for n := w.acknowledged + 1; n <= number; n++ {
+	for n := w.acknowledged + 1; n <= sequence; n++ {
 		w.record(WorkerEvent{Kind: WorkerAcknowledged, Incarnation: w.incarnation, Completion: n})
 	}
-	w.acknowledged = number
+	w.acknowledged = sequence
 	kept := w.completions[:0:0]
 	for _, completion := range w.completions {
-		if completion.Sequence > number {
+		if completion.Sequence > sequence {
 			kept = append(kept, completion)
 		}
 	}
 	w.completions = kept
 }
 
-// lists is the response that lists what runs and what has ended.
+// lists returns a response with the runs in progress and the completions.
 func (w *Worker) lists() agent.RunnerResponse {
 	response := w.accept()
 	response.KeepAlive.ClockMs = response.Run.ClockMs
--- a/internal/standin/worker_events.go
+++ b/internal/standin/worker_events.go
@@ -1,10 +1,10 @@
 package standin
 
-// WorkerEventKind tells what a worker's runner saw.
+// WorkerEventKind is the kind of a WorkerEvent.
 type WorkerEventKind string
 
-// What runners see. An agent requests a start and the run starts, or not; it ends; its end
-// is listed to the agent, which acknowledges it.
+// Kinds of events. An agent requests a start, after which the run starts unless it is rejected. When
+// the run ends, its end is listed to the agent, which acknowledges it.
 const (
 	WorkerStartRequested WorkerEventKind = "start requested"
 	WorkerRunStarted     WorkerEventKind = "run started"
@@ -15,7 +15,7 @@
 	WorkerCrashed        WorkerEventKind = "runner crashed"
 )
 
-// Results of a run, as runners list them, and one for runs lost in a crash.
+// Results of a run as runners list them, and RunCrashed for runs that are lost in a crash.
 const (
 	RunDone    = "done"
 	RunFailed  = "failed"
@@ -24,8 +24,7 @@
 	RunCrashed = "crashed"
 )
 
-// WorkerEvent is one thing that a worker's runner saw. Which fields are set depends on its
-// kind.
+// WorkerEvent is an event at a worker's runner. Its kind determines which fields are set.
 type WorkerEvent struct {
 	Kind             WorkerEventKind
 	Node             string
@@ -33,9 +32,9 @@
 	Task             string
 	Run              int
 	Outcome          string
-	Completion       int64 // the sequence number of a run's end
+	Completion       int64 // sequence number of the run's completion
 	JobSpec          string
-	CPUInUse         int64 // thousandths of a core, the run that starts included
+	CPUInUse         int64 // in thousandths of a core, including the run that starts
 	CPUCapacity      int64
 	EnforcesCapacity bool
 }
--- a/internal/standin/worker_server.go
+++ b/internal/standin/worker_server.go
@@ -12,13 +12,13 @@
 	"tealpond/internal/protocol"
 )
 
-// Paths of the calls that a runner takes.
+// Paths of the calls that start and stop a run.
 const (
 	startPath = "/-/run-start"
 	stopPath  = "/-/run-stop"
 )
 
-// Handler serves the worker's runner over HTTP, as an agent calls it.
+// Handler returns an HTTP handler for the calls of an agent to the worker's runner.
 func (w *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+startPath, serveRunnerCall[protocol.StartRequest](w))
@@ -27,7 +27,7 @@
 	return mux
 }
 
-// serveRunnerCall serves the calls that have a kind of body.
+// serveRunnerCall returns the handler of the calls with a body of the given type.
 func serveRunnerCall[Body any](w *Worker) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var body Body
@@ -37,13 +37,13 @@
 		}
 		response := w.Call(request.Context(), request.Header.Get(protocol.HeaderTargetRunner), request.URL.Path, body)
 		if response.StatusCode == 0 {
-			panic(http.ErrAbortHandler) // it answers nothing
+			panic(http.ErrAbortHandler) // aborts the connection without an answer
 		}
 		writeRunnerResponse(writer, request.URL.Path, response)
 	}
 }
 
-// writeRunnerResponse writes a runner's answer to a call.
+// writeRunnerResponse writes the response of a runner to a call.
 func writeRunnerResponse(writer http.ResponseWriter, path string, response agent.RunnerResponse) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(response.StatusCode)
@@ -51,11 +51,11 @@
 	if path == keepAlivePath && response.StatusCode == http.StatusOK {
 		answer = response.KeepAlive
 	}
-	_ = json.NewEncoder(writer).Encode(answer) // the caller may have gone
+	_ = json.NewEncoder(writer).Encode(answer) // the caller may have disconnected
 }
 
-// Announce sends the runner's heartbeats to an agent's control address, each interval until
-// ctx ends.
+// Announce sends a heartbeat of the runner to an agent's control address at each interval until ctx
+// ends.
 func (w *Worker) Announce(ctx context.Context, controlAddress string, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -69,14 +69,14 @@
 	}
 }
 
-// announceOnce sends one heartbeat; one that is lost is followed by the next.
+// announceOnce sends one heartbeat. Errors are ignored, as the next heartbeat follows.
 func (w *Worker) announceOnce(ctx context.Context, controlAddress string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	incarnation, heartbeat := w.Heartbeat()
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
-		panic("standin: a heartbeat: " + err.Error())
+		panic("standin: encode heartbeat: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+controlAddress+"/-/Runners.Heartbeat/"+incarnation, bytes.NewReader(body))
 	if err != nil {
