--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -11,36 +11,42 @@
 	"tealpond/internal/standin"
 )
 
-// Bounds are the figures of the operators' rules that the checker needs.
+// Bounds are the operators' limits that the checker applies.
 type Bounds struct {
-	Grace    time.Duration // from a SIGTERM on
-	LostTime time.Duration // after its last byte, by which a request that goes nowhere may be cut
-	InTouch  time.Duration // how long before a request trouble excuses its loss
+	Grace time.Duration // how long a daemon may take to end after SIGTERM
+	// UnforwardedLimit is how long after its last byte was sent a request that reached no runner may
+	// still be cut.
+	UnforwardedLimit time.Duration
+	// InTouch is how long before a request was sent a SIGKILL, SIGSTOP or SIGCONT of its daemon still
+	// excuses the loss of the request.
+	InTouch time.Duration
 }
 
-// Parts of the grace time and of the time after a SIGTERM within which a request whose
-// runner is still at work at the end is excused.
+// The loss of a request is excused if its runner was still working on it in the last
+// excusedGraceFraction of the grace period, it was lost after the beginning of that part, and it was
+// sent at the latest excusedSendTime after the SIGTERM.
 const (
 	excusedGraceFraction = 1.0 / 6
 	excusedSendTime      = 3 * time.Second
 )
 
-// deadlineReserve is how long before its client's deadline an answer must be on its way.
+// deadlineReserve is how long before its client's deadline an answer must be sent. Requests that end
+// later are not checked for loss.
 const deadlineReserve = 100 * time.Millisecond
 
-// Violation is a broken rule.
+// Violation is a violation of a rule by a request or a process.
 type Violation struct {
 	Rule    string
 	Text    string
 	Request Request
 }
 
-// String names the rule and what broke it.
+// String returns the rule and a description of the violation.
 func (v Violation) String() string {
-	return fmt.Sprintf("%s: %s: request %s (%s, %s) at %s", v.Rule, v.Text, v.Request.ID, v.Request.Kind, v.Request.Habit, v.Request.Daemon)
+	return fmt.Sprintf("%s: %s: request %s (%s, %s) at %s", v.Rule, v.Text, v.Request.ID, v.Request.Kind, v.Request.Profile, v.Request.Daemon)
 }
 
-// Check holds a record against the rules and gives all violations.
+// Check checks a record against the rules and returns all violations.
 func Check(record Record, bounds Bounds) []Violation {
 	var violations []Violation
 	c := checker{record, bounds}
@@ -48,38 +54,38 @@
 		for _, found := range []struct{ rule, text string }{
 			{"LOST", c.lost(request)},
 			{"TWICE", c.ranTwice(request)},
-			{"PROMISE", c.brokenPromise(request)},
-			{"ANSWER", c.falseAnswer(request)},
+			{"PROMISE", c.ranDespiteRejection(request)},
+			{"ANSWER", c.notFromRunner(request)},
 		} {
 			if found.text != "" {
 				violations = append(violations, Violation{found.rule, found.text, request})
 			}
 		}
 	}
-	return append(violations, c.falseExits()...)
+	return append(violations, c.abnormalExits()...)
 }
 
-// checker holds requests of a record against the rules.
+// checker checks the requests and processes of a record.
 type checker struct {
 	record Record
 	bounds Bounds
 }
 
-// lost tells how a request that a daemon had taken was lost; empty: it wasn't.
+// lost describes how a request that a daemon had accepted was lost; empty if it was not lost.
 func (c checker) lost(request Request) string {
 	runs := c.record.Runs[request.ID]
-	ranBroken := len(runs) > 0 && runs[len(runs)-1].Broken
-	ownInstead := request.Ending == EndAnswered && ranBroken && !request.Sealed && request.Status >= http.StatusInternalServerError && !brokenByRunner(runs)
-	if request.Ending == EndAnswered && !ownInstead || request.Ending == EndUnsent || c.excused(request) {
+	runBroken := len(runs) > 0 && runs[len(runs)-1].Broken
+	ownAnswer := request.Outcome == OutcomeAnswered && runBroken && !request.FromRunner && request.Status >= http.StatusInternalServerError && !brokenByRunner(runs)
+	if request.Outcome == OutcomeAnswered && !ownAnswer || request.Outcome == OutcomeUnsent || c.excused(request) {
 		return ""
 	}
 	switch {
-	case ownInstead:
-		return fmt.Sprintf("answered with %d of the daemon's own while its runner was at work", request.Status)
+	case ownAnswer:
+		return fmt.Sprintf("daemon sent its own answer %d while a runner worked on the request", request.Status)
 	case len(runs) > 0:
-		return fmt.Sprintf("%s after it had reached a runner", request.Ending)
-	case !request.Behind && request.EndedAt.Sub(request.SentAt) > c.bounds.LostTime:
-		return fmt.Sprintf("%s %d ms after it was sent", request.Ending, request.EndedAt.Sub(request.SentAt).Milliseconds())
+		return fmt.Sprintf("%s after reaching a runner", request.Outcome)
+	case !request.Pipelined && request.EndedAt.Sub(request.SentAt) > c.bounds.UnforwardedLimit:
+		return fmt.Sprintf("%s %d ms after it was sent", request.Outcome, request.EndedAt.Sub(request.SentAt).Milliseconds())
 	}
 	return ""
 }
@@ -99,7 +105,7 @@
 				return true
 			}
 		case syscall.SIGTERM:
-			if c.workedToTheEnd(request, action.At) {
+			if c.ranUntilGraceEnd(request, action.At) {
 				return true
 			}
 		}
@@ -107,66 +113,68 @@
 	return false
 }
 
-// workedToTheEnd reports whether a runner was still at work on a request in the last part of
-// the grace time after a signal, and the request was sent soon after the signal.
-func (c checker) workedToTheEnd(request Request, signalAt time.Time) bool {
-	lastPart := signalAt.Add(time.Duration(float64(c.bounds.Grace) * (1 - excusedGraceFraction)))
-	if request.SentAt.After(signalAt.Add(excusedSendTime)) || request.EndedAt.Before(lastPart) {
+// ranUntilGraceEnd reports whether a runner was still working on a request in the last part of the
+// grace period after a SIGTERM, and the request was sent soon enough to be excused.
+func (c checker) ranUntilGraceEnd(request Request, signalAt time.Time) bool {
+	graceEndPart := signalAt.Add(time.Duration(float64(c.bounds.Grace) * (1 - excusedGraceFraction)))
+	if request.SentAt.After(signalAt.Add(excusedSendTime)) || request.EndedAt.Before(graceEndPart) {
 		return false
 	}
 	for _, run := range c.record.Runs[request.ID] {
-		if run.EndedAt.IsZero() || !run.EndedAt.Before(lastPart) {
+		if run.EndedAt.IsZero() || !run.EndedAt.Before(graceEndPart) {
 			return true
 		}
 	}
 	return false
 }
 
-// brokenByRunner reports whether the last runner of a request ended before it was done.
+// brokenByRunner reports whether the last runner of a request had ended when the run did.
 func brokenByRunner(runs []standin.Run) bool {
 	return len(runs) > 0 && runs[len(runs)-1].RunnerEnded
 }
 
-// ranTwice reports whether a request that may run once only ran more often.
+// ranTwice describes a request of a kind that may run only once and ran more often; empty if there is
+// no violation.
 func (c checker) ranTwice(request Request) string {
 	once := request.Kind == protocol.KindWriting || request.Kind == protocol.KindUpload
 	if runs := len(c.record.Runs[request.ID]); once && runs > 1 {
-		return fmt.Sprintf("it ran %d times", runs)
+		return fmt.Sprintf("ran %d times, want at most 1", runs)
 	}
 	return ""
 }
 
-// brokenPromise reports whether a client was told that a request would never run, and it ran.
-func (c checker) brokenPromise(request Request) string {
-	promised := request.Ending == EndAnswered && (request.Status == http.StatusServiceUnavailable || request.Status == http.StatusTooManyRequests)
-	if promised && len(c.record.Runs[request.ID]) > 0 {
-		return fmt.Sprintf("answered with %d, and it ran", request.Status)
+// ranDespiteRejection describes a request that ran although its answer promised that it would not;
+// empty if there is no violation.
+func (c checker) ranDespiteRejection(request Request) string {
+	rejected := request.Outcome == OutcomeAnswered && (request.Status == http.StatusServiceUnavailable || request.Status == http.StatusTooManyRequests)
+	if rejected && len(c.record.Runs[request.ID]) > 0 {
+		return fmt.Sprintf("answered with %d although it ran", request.Status)
 	}
 	return ""
 }
 
-// falseAnswer reports whether a success is not the runner's answer.
-func (c checker) falseAnswer(request Request) string {
-	if request.Ending == EndAnswered && request.Status < http.StatusMultipleChoices && !request.Sealed {
-		return fmt.Sprintf("answered with %d, and not by a runner", request.Status)
+// notFromRunner describes a successful answer that is not the runner's; empty if there is no violation.
+func (c checker) notFromRunner(request Request) string {
+	if request.Outcome == OutcomeAnswered && request.Status < http.StatusMultipleChoices && !request.FromRunner {
+		return fmt.Sprintf("answered with %d, but not by a runner", request.Status)
 	}
 	return ""
 }
 
-// startTime is how long after the start of a process the system's own effect of signals is
-// not held against it: so long the runtime and its packages may take before the program has
-// a say. Nobody is served by then.
-const startTime = 30 * time.Millisecond
+// startupTime is how long after its start a process may be terminated by a signal's default action:
+// the runtime and its packages may take that long before the program can handle signals. The daemon
+// serves no clients by then.
+const startupTime = 30 * time.Millisecond
 
-// falseExits finds processes that ended otherwise than in order or by SIGKILL.
-func (c checker) falseExits() []Violation {
+// abnormalExits returns violations for processes that ended neither with exit status 0 nor by SIGKILL.
+func (c checker) abnormalExits() []Violation {
 	var violations []Violation
 	for _, exit := range c.record.Exits {
 		bySignal := strings.HasPrefix(exit.State, "signal:")
-		if exit.State == "exit status 0" || strings.Contains(exit.State, "killed") || bySignal && exit.At.Sub(exit.StartedAt) < startTime {
+		if exit.State == "exit status 0" || strings.Contains(exit.State, "killed") || bySignal && exit.At.Sub(exit.StartedAt) < startupTime {
 			continue
 		}
-		violations = append(violations, Violation{Rule: "END", Text: "a process ended with " + exit.State, Request: Request{Daemon: exit.Daemon, EndedAt: exit.At}})
+		violations = append(violations, Violation{Rule: "END", Text: "process ended with " + exit.State, Request: Request{Daemon: exit.Daemon, EndedAt: exit.At}})
 	}
 	return violations
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,30 +18,30 @@
 	"tealpond/internal/standin"
 )
 
-// Times of clients.
+// Limits and pauses of clients.
 const (
-	// requestTime is how long a client waits for the answer to an ordinary request.
-	requestTime = 4 * time.Second
-	// longRequestTime is that of a client whose requests take long.
-	longRequestTime = 9 * time.Second
-	// dialTime is how long a connection may take to open.
-	dialTime = time.Second
-	// reconnectPause is the pause after a connection that could not be opened.
+	// requestTimeout is how long a client waits for the answer to an ordinary request.
+	requestTimeout = 4 * time.Second
+	// longRequestTimeout is how long a client waits for the answer to a request that takes long.
+	longRequestTimeout = 9 * time.Second
+	// dialTimeout is the time limit for opening a connection.
+	dialTimeout = time.Second
+	// reconnectPause is the pause after a failed attempt to open a connection.
 	reconnectPause = 50 * time.Millisecond
 	// slowReceiveBytes is the receive buffer of a client that reads slowly.
 	slowReceiveBytes = 4 << 10
 )
 
-// client is one client that sends by a habit until the load ends.
+// client sends requests as its profile describes until the load ends.
 type client struct {
-	habit   habit
-	random  *rand.Rand
-	ledger  *Ledger
-	targets func() []target
-	newID   func() string
+	profile  profile
+	random   *rand.Rand
+	recorder *Recorder
+	targets  func() []target
+	newID    func() string
 }
 
-// target is a daemon as clients see it.
+// target is a daemon with its addresses for clients and for operators.
 type target struct{ daemon, address, control string }
 
 // connection is one connection of a client.
@@ -52,14 +52,14 @@
 	reader *bufio.Reader
 }
 
-// order is a request to be sent.
-type order struct {
+// requestSpec describes a request to be sent.
+type requestSpec struct {
 	method, path, query, kind string
 	body                      string
-	parts                     int           // the body goes in so many parts in chunks; 0: whole, with its length
-	wait                      time.Duration // the time that the client gives it
-	slow                      time.Duration // pause between two reads of its answer
-	stall                     time.Duration // one longer pause after the first read
+	chunks                    int           // number of chunks of a chunked body; 0: not chunked, with Content-Length
+	timeout                   time.Duration // how long the client waits for the answer
+	readPause                 time.Duration // pause before each read of the answer
+	stall                     time.Duration // additional pause after the first read
 }
 
 // run sends requests until ctx ends.
@@ -67,12 +67,12 @@
 	for ctx.Err() == nil {
 		targets := c.targets()
 		chosen := targets[c.random.IntN(len(targets))]
-		dialer := net.Dialer{Timeout: dialTime}
-		if c.habit.slow {
+		dialer := net.Dialer{Timeout: dialTimeout}
+		if c.profile.smallBuffer {
 			dialer.Control = smallReceiveBuffer
 		}
 		address := chosen.address
-		if c.habit.control {
+		if c.profile.control {
 			address = chosen.control
 		}
 		conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -81,14 +81,15 @@
 			continue
 		}
 		connection := &connection{client: c, target: chosen, conn: conn, reader: bufio.NewReader(conn)}
-		for ctx.Err() == nil && connection.exchange(c.habit.next(c.random)) && !c.habit.fresh {
-			daemon.Pause(ctx, time.Duration(c.random.Int64N(int64(c.habit.pause)+1)))
+		for ctx.Err() == nil && connection.exchange(c.profile.next(c.random)) && !c.profile.reconnects {
+			daemon.Pause(ctx, time.Duration(c.random.Int64N(int64(c.profile.pause)+1)))
 		}
 		_ = conn.Close()
 	}
 }
 
-// smallReceiveBuffer makes the kernel hold little of what a client hasn't read.
+// smallReceiveBuffer limits the kernel's receive buffer, so that the kernel holds little data that the
+// client has not read.
 func smallReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
@@ -99,122 +100,122 @@
 	return err
 }
 
-// exchange sends requests behind each other and reads their answers; false once the
-// connection can't be used any more.
-func (c *connection) exchange(orders []order) bool {
-	requests := make([]Request, len(orders))
+// exchange sends pipelined requests and reads their answers. It returns false once the connection is
+// no longer usable.
+func (c *connection) exchange(specs []requestSpec) bool {
+	requests := make([]Request, len(specs))
 	sent := true
-	for i, o := range orders {
-		requests[i] = Request{ID: c.newID(), Daemon: c.target.daemon, Kind: o.kind, Habit: c.habit.name, Query: o.query, Behind: i > 0, Deadline: time.Now().Add(o.wait)}
+	for i, o := range specs {
+		requests[i] = Request{ID: c.newID(), Daemon: c.target.daemon, Kind: o.kind, Profile: c.profile.name, Query: o.query, Pipelined: i > 0, Deadline: time.Now().Add(o.timeout)}
 		if !sent {
-			c.end(&requests[i], EndUnsent, errUnusable)
+			c.recordFailure(&requests[i], OutcomeUnsent, errUnusable)
 			continue
 		}
 		sent = c.send(o, &requests[i])
 	}
 	usable := true
-	for i, o := range orders {
+	for i, o := range specs {
 		request := &requests[i]
 		switch {
-		case request.Ending == EndUnsent:
+		case request.Outcome == OutcomeUnsent:
 			usable = false
 		case !usable:
-			c.end(request, EndClosed, errUnusable)
+			c.recordFailure(request, OutcomeClosed, errUnusable)
 		default:
 			usable = c.receive(o, request)
 		}
-		c.ledger.AddRequest(*request)
+		c.recorder.AddRequest(*request)
 	}
 	return usable
 }
 
-// send sends a request; false if the connection broke.
-func (c *connection) send(o order, request *Request) bool {
+// send sends a request. It returns false if the connection failed.
+func (c *connection) send(o requestSpec, request *Request) bool {
 	head := fmt.Sprintf("%s %s%s?%s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", o.method, o.path, request.ID, o.query, routeHost,
-		protocol.HeaderAttemptID, request.ID, protocol.HeaderTimeLeft, o.wait.Milliseconds())
+		protocol.HeaderAttemptID, request.ID, protocol.HeaderTimeLeft, o.timeout.Milliseconds())
 	_ = c.conn.SetWriteDeadline(request.Deadline)
 	var err error
-	if o.parts == 0 {
+	if o.chunks == 0 {
 		_, err = fmt.Fprintf(c.conn, "%sContent-Length: %d\r\n\r\n%s", head, len(o.body), o.body)
 	} else {
-		err = c.sendParts(head, o)
+		err = c.sendChunks(head, o)
 	}
 	if err != nil {
-		request.Ending, request.EndedAt, request.Error = EndUnsent, time.Now(), err.Error()
+		request.Outcome, request.EndedAt, request.Error = OutcomeUnsent, time.Now(), err.Error()
 		return false
 	}
 	request.SentAt = time.Now()
 	return true
 }
 
-// sendParts sends a request whose body goes in chunks, with a pause after each.
-func (c *connection) sendParts(head string, o order) error {
+// sendChunks sends a request with a chunked body, with a pause after each chunk.
+func (c *connection) sendChunks(head string, o requestSpec) error {
 	if _, err := fmt.Fprintf(c.conn, "%sTransfer-Encoding: chunked\r\n\r\n", head); err != nil {
 		return err
 	}
-	size := len(o.body) / o.parts
-	for part := range o.parts {
-		if _, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", size, o.body[part*size:(part+1)*size]); err != nil {
+	size := len(o.body) / o.chunks
+	for chunk := range o.chunks {
+		if _, err := fmt.Fprintf(c.conn, "%x\r\n%s\r\n", size, o.body[chunk*size:(chunk+1)*size]); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(c.random.Int64N(int64(partPause))))
+		time.Sleep(time.Duration(c.random.Int64N(int64(maxChunkPause))))
 	}
 	_, err := io.WriteString(c.conn, "0\r\n\r\n")
 	return err
 }
 
-// receive reads an answer; false if the connection can't be used any more.
-func (c *connection) receive(o order, request *Request) bool {
-	_ = c.conn.SetReadDeadline(request.Deadline.Add(requestTime))
+// receive reads an answer. It returns false if the connection is no longer usable.
+func (c *connection) receive(o requestSpec, request *Request) bool {
+	_ = c.conn.SetReadDeadline(request.Deadline.Add(requestTimeout))
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		c.fail(request, err)
+		c.recordError(request, err)
 		return false
 	}
 	text := strings.Builder{}
-	if _, err := io.Copy(&text, &slowReader{response.Body, o.slow, o.stall}); err != nil {
-		c.fail(request, err)
+	if _, err := io.Copy(&text, &slowReader{response.Body, o.readPause, o.stall}); err != nil {
+		c.recordError(request, err)
 		return false
 	}
 	bodyBytes := len(o.body)
-	if o.parts > 0 {
-		bodyBytes = len(o.body) / o.parts * o.parts
+	if o.chunks > 0 {
+		bodyBytes = len(o.body) / o.chunks * o.chunks
 	}
 	want := standin.Answer(request.ID, o.path+request.ID, bodyBytes)
-	request.Sealed = o.kind == kindCall || o.kind == kindJob || response.Header.Get(protocol.HeaderAttemptID) == request.ID && strings.TrimRight(text.String(), " ") == want
-	request.Status, request.Ending, request.EndedAt = response.StatusCode, EndAnswered, time.Now()
+	request.FromRunner = o.kind == kindCall || o.kind == kindJob || response.Header.Get(protocol.HeaderAttemptID) == request.ID && strings.TrimRight(text.String(), " ") == want
+	request.Status, request.Outcome, request.EndedAt = response.StatusCode, OutcomeAnswered, time.Now()
 	return !response.Close
 }
 
-// errUnusable is the error of a request whose connection ended with an answer before it.
-var errUnusable = errors.New("the connection ended with an answer before")
+// errUnusable is the error of a pipelined request whose connection ended with an earlier one.
+var errUnusable = errors.New("connection ended with an earlier request")
 
-// fail records how a connection broke before an answer was whole.
-func (c *connection) fail(request *Request, err error) {
+// recordError records the outcome of a request whose connection failed before the answer was complete.
+func (c *connection) recordError(request *Request, err error) {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
-		c.end(request, EndGaveUp, err)
+		c.recordFailure(request, OutcomeTimedOut, err)
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		c.end(request, EndReset, err)
+		c.recordFailure(request, OutcomeReset, err)
 	default:
-		c.end(request, EndClosed, err)
+		c.recordFailure(request, OutcomeClosed, err)
 	}
 }
 
-// end records how a request ended without an answer.
-func (c *connection) end(request *Request, ending Ending, err error) {
-	request.Ending, request.EndedAt, request.Error = ending, time.Now(), err.Error()
+// recordFailure records the outcome of a request that was not answered.
+func (c *connection) recordFailure(request *Request, outcome Outcome, err error) {
+	request.Outcome, request.EndedAt, request.Error = outcome, time.Now(), err.Error()
 }
 
-// slowReader reads little at a time, with a pause in between.
+// slowReader delays reads. With a pause it also reads only a little at a time.
 type slowReader struct {
 	source io.Reader
-	pause  time.Duration // 0: it reads as fast as it can
-	stall  time.Duration // one more pause, before the next read; 0: none
+	pause  time.Duration // before each read; 0: none
+	stall  time.Duration // additional pause after the first read; 0: none
 }
 
-// slowReadBytes is how much a slow reader reads at once.
+// slowReadBytes is the most that a slow reader reads at once.
 const slowReadBytes = 16 << 10
 
 // Read implements io.Reader.
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -12,25 +12,25 @@
 	"tealpond/internal/protocol"
 )
 
-// makeReady starts the runners and puts the first configuration in force.
-func (r *run) makeReady(ctx context.Context) error {
+// prepare starts the runners, applies the first configuration and waits until all daemons are ready.
+func (r *run) prepare(ctx context.Context) error {
 	for range r.options.Runners {
 		if _, err := r.platform.StartRunner(service, "z0"); err != nil {
 			return err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for !r.changeConfiguration(ctx) || !r.allReady(ctx) {
 		if ctx.Err() != nil {
 			return errNotReady
 		}
-		daemon.Pause(ctx, pollPause)
+		daemon.Pause(ctx, pollInterval)
 	}
 	return nil
 }
 
-// allReady reports whether each daemon says that it is ready.
+// allReady reports whether the readiness endpoints of all daemons answer OK.
 func (r *run) allReady(ctx context.Context) bool {
 	for _, name := range r.cluster.Names() {
 		node, err := r.cluster.Daemon(name)
@@ -44,8 +44,8 @@
 	return true
 }
 
-// configuration is a configuration of the routes, given its version and a time limit that
-// differs between versions.
+// configuration is the template of a configuration. Its parameters are the version and a time-out of
+// the routes, which differs between versions.
 const configuration = `{"configVersion":%d,"routeList":[` +
 	`{"name":"r","hostName":"h","pathPrefix":"/read/","kind":"read_only","timeoutMs":%[2]d,"targetMs":500,"targetService":"svc","maxTries":2},` +
 	`{"name":"w","hostName":"h","pathPrefix":"/write/","kind":"writing","timeoutMs":%[2]d,"targetMs":500,"targetService":"svc","maxTries":2},` +
@@ -54,11 +54,12 @@
 	`{"name":"j","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":%[2]d,"targetMs":500,"targetService":"svc","maxTries":2}],` +
 	`"serviceList":[{"name":"svc"}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":1000000}}`
 
-// routeTimeoutMs is the time limit of the routes, above that of all clients.
+// routeTimeoutMs is the time-out of the routes in the first version, in ms. It is longer than that of
+// any client.
 const routeTimeoutMs = 20_000
 
-// changeConfiguration replaces the configuration by the next version, at the first daemon
-// that accepts it; false if none does.
+// changeConfiguration sends the next version of the configuration to the daemons until one accepts it,
+// and reports whether one did.
 func (r *run) changeConfiguration(ctx context.Context) bool {
 	base := r.version.Load()
 	text := fmt.Sprintf(configuration, base+1, routeTimeoutMs+base)
@@ -76,9 +77,9 @@
 	return false
 }
 
-// call makes an operator's call and gives the status.
+// call makes an operator's HTTP request and returns the status of the answer.
 func call(ctx context.Context, method, address, path, body string, header http.Header) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -92,36 +93,37 @@
 	if err != nil {
 		return 0, err
 	}
-	_, _ = io.Copy(io.Discard, response.Body) // only the status counts
+	_, _ = io.Copy(io.Discard, response.Body) // only the status is used
 	return response.StatusCode, response.Body.Close()
 }
 
-// maxAskedJobs is how many of the accepted jobs are asked for at the end of a run.
-const maxAskedJobs = 300
+// maxCheckedJobs limits how many of the accepted jobs are queried at the end of a run: of more jobs,
+// every n-th is queried.
+const maxCheckedJobs = 300
 
-// lostJobs asks for accepted jobs once all daemons are back, and gives those that the
-// cluster doesn't know.
+// lostJobs queries accepted jobs after all daemons were restarted, and returns a violation for each that
+// the cluster does not know.
 func (r *run) lostJobs(ctx context.Context, record Record) []Violation {
 	var accepted []Request
 	for _, request := range record.Requests {
-		if request.Kind == kindJob && request.Ending == EndAnswered && request.Status < http.StatusMultipleChoices {
+		if request.Kind == kindJob && request.Outcome == OutcomeAnswered && request.Status < http.StatusMultipleChoices {
 			accepted = append(accepted, request)
 		}
 	}
-	step := max(len(accepted)/maxAskedJobs, 1)
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	step := max(len(accepted)/maxCheckedJobs, 1)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	var lost []Violation
 	for i := 0; i < len(accepted); i += step {
 		if status := r.jobStatus(ctx, accepted[i].ID); status != http.StatusOK {
-			lost = append(lost, Violation{"LOST", fmt.Sprintf("an accepted job is answered %d at the end", status), accepted[i]})
+			lost = append(lost, Violation{"LOST", fmt.Sprintf("accepted job: query at the end answered with %d", status), accepted[i]})
 		}
 	}
 	return lost
 }
 
-// jobStatus asks the daemons for a job until one knows an answer, and gives its status; 0:
-// none does in time.
+// jobStatus queries the daemons for a job until one gives an answer other than 503 or 504, and returns
+// its status, or 0 if ctx ends before.
 func (r *run) jobStatus(ctx context.Context, id string) int {
 	for ctx.Err() == nil {
 		for _, target := range r.targets() {
@@ -130,7 +132,7 @@
 				return status
 			}
 		}
-		daemon.Pause(ctx, pollPause)
+		daemon.Pause(ctx, pollInterval)
 	}
 	return 0
 }
--- a/internal/soak/restart.go
+++ b/internal/soak/restart.go
@@ -9,79 +9,80 @@
 	"tealpond/internal/localcluster"
 )
 
-// signal sends a signal to a daemon; one that ends by it is started again.
+// signal sends a signal to a daemon, and restarts the daemon if it exits because of it.
 func (r *run) signal(ctx context.Context, name string, signal syscall.Signal) {
 	node, err := r.cluster.Daemon(name)
 	if err != nil {
 		return
 	}
-	r.ledger.AddAction(Action{At: time.Now(), Daemon: name, What: signal.String(), Signal: signal})
+	r.recorder.AddAction(Action{At: time.Now(), Daemon: name, What: signal.String(), Signal: signal})
 	if err := r.cluster.Signal(name, signal); err != nil {
-		r.note(name, err.Error())
+		r.recordAction(name, err.Error())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leaving[name] || signal == syscall.SIGSTOP || signal == syscall.SIGCONT {
+	if r.restarting[name] || signal == syscall.SIGSTOP || signal == syscall.SIGCONT {
 		return
 	}
-	r.leaving[name] = true
-	ended := node.Exited()
-	r.restart.Go(func() { r.startAgain(ctx, node, ended) })
+	r.restarting[name] = true
+	exited := node.Exited()
+	r.background.Go(func() { r.restartDaemon(ctx, node, exited) })
 }
 
-// startAgain starts a daemon again if it ends within the grace time.
-func (r *run) startAgain(ctx context.Context, node *localcluster.Daemon, ended <-chan struct{}) {
+// restartDaemon restarts a daemon after its process exits. If that does not happen within the grace
+// period, it kills the process if it was sent SIGTERM.
+func (r *run) restartDaemon(ctx context.Context, node *localcluster.Daemon, exited <-chan struct{}) {
 	defer func() {
 		r.mu.Lock()
-		r.leaving[node.Name] = false
+		r.restarting[node.Name] = false
 		r.mu.Unlock()
 	}()
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(r.options.Grace):
-		// It was a signal that doesn't end it, or it outlives its time.
-		r.endOverdue(node)
+		// The signal does not end the process, or the process exceeds its grace period.
+		r.killOverdue(node)
 		return
 	case <-ctx.Done():
 		return
 	}
 	daemon.Pause(ctx, restartPause)
 	if err := node.Restart(); err != nil {
-		r.note(node.Name, err.Error())
+		r.recordAction(node.Name, err.Error())
 		return
 	}
-	r.note(node.Name, "is started")
+	r.recordAction(node.Name, "restarted")
 	r.mu.Lock()
-	wanted := r.hangups[node.Name]
-	delete(r.hangups, node.Name)
+	sendsHangups := r.hangupAfterRestart[node.Name]
+	delete(r.hangupAfterRestart, node.Name)
 	r.mu.Unlock()
-	if wanted {
-		r.hangUpAtStart(ctx, node.Name)
+	if sendsHangups {
+		r.sendHangups(ctx, node.Name)
 	}
 }
 
-// endOverdue kills a process that was told to end and hasn't within the grace time, as its
+// killOverdue kills a process that has not exited within the grace period after a SIGTERM, as its
 // operators would.
-func (r *run) endOverdue(node *localcluster.Daemon) {
-	for _, action := range r.ledger.Snapshot(nil).Actions {
-		told := action.Daemon == node.Name && action.Signal == syscall.SIGTERM && action.At.After(node.StartedAt())
-		if told && time.Since(action.At) >= r.options.Grace {
-			r.note(node.Name, overdueNote)
+func (r *run) killOverdue(node *localcluster.Daemon) {
+	for _, action := range r.recorder.Snapshot(nil).Actions {
+		terminated := action.Daemon == node.Name && action.Signal == syscall.SIGTERM && action.At.After(node.StartedAt())
+		if terminated && time.Since(action.At) >= r.options.Grace {
+			r.recordAction(node.Name, overdueText)
 			_ = r.cluster.Signal(node.Name, syscall.SIGKILL)
 			return
 		}
 	}
 }
 
-// overdueNote marks a daemon that was killed since its time was over.
-const overdueNote = "has not ended within its grace time and is killed"
+// overdueText is the recorded action for a process that is killed after its grace period.
+const overdueText = "killed: did not exit within the grace period"
 
-// hangUpAtStart sends SIGHUPs to a process that has just been started.
-func (r *run) hangUpAtStart(ctx context.Context, name string) {
-	daemon.Pause(ctx, startTime)
-	for range hangupsAtStart {
-		r.ledger.AddAction(Action{At: time.Now(), Daemon: name, What: syscall.SIGHUP.String(), Signal: syscall.SIGHUP})
+// sendHangups sends hangupCount SIGHUPs to a process that has just been started.
+func (r *run) sendHangups(ctx context.Context, name string) {
+	daemon.Pause(ctx, startupTime)
+	for range hangupCount {
+		r.recorder.AddAction(Action{At: time.Now(), Daemon: name, What: syscall.SIGHUP.String(), Signal: syscall.SIGHUP})
 		_ = r.cluster.Signal(name, syscall.SIGHUP)
-		daemon.Pause(ctx, hangupGap)
+		daemon.Pause(ctx, hangupInterval)
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,24 +19,26 @@
 	"tealpond/internal/standin"
 )
 
-// Times of a run.
+// Time limits and intervals of a run.
 const (
-	// readyTime is how long all daemons may take until they serve.
-	readyTime = 30 * time.Second
-	// restartPause is the pause between the end of a daemon and its next start.
+	// readyTimeout is the time limit for all daemons to become ready.
+	readyTimeout = 30 * time.Second
+	// restartPause is the pause between the exit of a daemon and its restart.
 	restartPause = 300 * time.Millisecond
-	// hangupsAtStart is how many come, and hangupGap the time between two.
-	hangupsAtStart = 7
-	hangupGap      = 15 * time.Millisecond
-	// afterTime is how long the load goes on after the last step.
-	afterTime = 2 * time.Second
-	// pollPause is the pause between two looks at something that is waited for.
-	pollPause = 20 * time.Millisecond
-	// operatorTime is how long an operator waits for an answer.
-	operatorTime = 2 * time.Second
+	// hangupCount is the number of SIGHUPs that a starting process gets, and hangupInterval the time
+	// between two of them.
+	hangupCount    = 7
+	hangupInterval = 15 * time.Millisecond
+	// loadTail is how long the load continues after the last step.
+	loadTail = 2 * time.Second
+	// pollInterval is the pause between two checks of a condition.
+	pollInterval = 20 * time.Millisecond
+	// operatorTimeout is the time-out of an operator's call.
+	operatorTimeout = 2 * time.Second
 )
 
-// Hosts of a run's subnet, and ports. Daemons begin at host 1.
+// Host numbers and ports of the platform and the runners in a run's subnet. The daemons are numbered
+// from host 1.
 const (
 	platformHost    = 250
 	firstRunnerHost = 150
@@ -50,15 +52,15 @@
 	edgeRole    = "edge"
 )
 
-// service is the one that all routes lead to.
+// service is the target service of all routes.
 const service = "svc"
 
-// errNotReady is the error for daemons that don't serve in time.
-var errNotReady = errors.New("not all daemons serve in time")
+// errNotReady is returned if not all daemons are ready within readyTimeout.
+var errNotReady = errors.New("not all daemons became ready in time")
 
-// Options are what a run is made of.
+// Options configure a run.
 type Options struct {
-	Program   string // path of the built program
+	Program   string // path of the daemon's executable
 	Role      string // gatewayRole or edgeRole
 	Directory string
 	Subnet    localcluster.Subnet
@@ -69,39 +71,40 @@
 	Clients   int
 	Length    time.Duration // of the schedule
 	Grace     time.Duration
-	MemoryMb  int    // that the settings name
-	MaxFiles  uint64 // of each daemon; 0: as this process may
+	MemoryMb  int    // memory limit in the settings of each daemon
+	MaxFiles  uint64 // limit of open files of each daemon; 0 means the limit of this process
 }
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
 	Schedule   Schedule
 	Record     Record
 	Log        []localcluster.Line
 	Violations []Violation
-	BeganAt    time.Time
+	StartedAt  time.Time
 }
 
-// run is a run under way.
+// run is a run in progress.
 type run struct {
 	options  Options
 	schedule Schedule
 	platform *standin.Platform
 	cluster  *localcluster.Cluster
-	ledger   *Ledger
+	recorder *Recorder
 	nextID   atomic.Int64
-	version  atomic.Int64 // of the configuration that was accepted last
+	version  atomic.Int64 // of the last accepted configuration
 
-	mu      sync.Mutex
-	leaving map[string]bool // daemons that are being started again
-	hangups map[string]bool // daemons whose next process gets SIGHUPs
-	restart sync.WaitGroup
+	mu                 sync.Mutex
+	restarting         map[string]bool // daemons that are waited for and restarted
+	hangupAfterRestart map[string]bool // daemons whose next process gets SIGHUPs as it starts
+	background         sync.WaitGroup
 }
 
-// Run plays a seed and checks what came of it. The error is one of the run itself.
+// Run executes the schedule of a seed under load and checks the observations. The error tells that the
+// run itself failed; violations are in the result.
 func Run(ctx context.Context, options Options) (Result, error) {
-	r := &run{options: options, ledger: NewLedger(), leaving: map[string]bool{}, hangups: map[string]bool{}}
-	r.schedule = Draw(options.Seed, options.Servers+options.Proxies, options.Length)
+	r := &run{options: options, recorder: NewRecorder(), restarting: map[string]bool{}, hangupAfterRestart: map[string]bool{}}
+	r.schedule = GenerateSchedule(options.Seed, options.Servers+options.Proxies, options.Length)
 	if err := r.start(ctx); err != nil {
 		return Result{Schedule: r.schedule}, err
 	}
@@ -111,26 +114,26 @@
 	defer stopLoad()
 	var clients sync.WaitGroup
 	r.startClients(loadCtx, &clients)
-	begunAt := time.Now()
-	r.play(ctx, begunAt)
-	daemon.Pause(ctx, afterTime)
+	startedAt := time.Now()
+	r.runSchedule(ctx, startedAt)
+	daemon.Pause(ctx, loadTail)
 	stopLoad()
 	clients.Wait()
-	r.restart.Wait()
-	result := Result{Schedule: r.schedule, BeganAt: begunAt, Log: r.cluster.Log()}
-	result.Record = r.ledger.Snapshot(r.exits())
-	result.Violations = Check(result.Record, Bounds{Grace: options.Grace, LostTime: lostTime, InTouch: inTouch})
+	r.background.Wait()
+	result := Result{Schedule: r.schedule, StartedAt: startedAt, Log: r.cluster.Log()}
+	result.Record = r.recorder.Snapshot(r.exits())
+	result.Violations = Check(result.Record, Bounds{Grace: options.Grace, UnforwardedLimit: unforwardedLimit, InTouch: inTouch})
 	result.Violations = append(result.Violations, r.lostJobs(ctx, result.Record)...)
 	return result, ctx.Err()
 }
 
-// Bounds of the operators' rules, as their deployments have them.
+// Bounds of the operators' rules in their deployments.
 const (
-	lostTime = 200 * time.Millisecond
-	inTouch  = 5 * time.Second
+	unforwardedLimit = 200 * time.Millisecond
+	inTouch          = 5 * time.Second
 )
 
-// start starts the stand-ins and the daemons, and waits until all serve.
+// start starts the platform, the runners and the daemons, and waits until all daemons are ready.
 func (r *run) start(ctx context.Context) error {
 	subnet := r.options.Subnet
 	var err error
@@ -138,20 +141,20 @@
 		Address:       hostPort(subnet.Host(platformHost), platformPort),
 		RunnerAddress: func(n int) string { return hostPort(subnet.Host(firstRunnerHost+n%90), runnerPort) },
 		Listen:        func(address string) (net.Listener, error) { return net.Listen("tcp", address) },
-		Observe:       r.ledger.AddRun,
+		Observe:       r.recorder.AddRun,
 	})
 	if err != nil {
 		return err
 	}
 	r.cluster, err = localcluster.Start(localcluster.Options{
 		Program: r.options.Program, Directory: r.options.Directory, Subnet: subnet, Role: r.options.Role,
-		Servers: r.options.Servers, Proxies: r.options.Proxies, Zones: 1, Environment: []string{kernelOf(r.options.Seed)}, MaxFiles: r.options.MaxFiles, Settings: r.settings(),
+		Servers: r.options.Servers, Proxies: r.options.Proxies, Zones: 1, Environment: []string{multipathTCPVariable(r.options.Seed)}, MaxFiles: r.options.MaxFiles, Settings: r.settings(),
 	})
 	if err != nil {
 		r.platform.Close()
 		return err
 	}
-	if err := r.makeReady(ctx); err != nil {
+	if err := r.prepare(ctx); err != nil {
 		r.cluster.Close()
 		r.platform.Close()
 		return err
@@ -159,11 +162,11 @@
 	return nil
 }
 
-// kernelOf has the daemons of every other seed do without Multipath TCP, as on machines whose
-// kernel doesn't have it: the options of sockets differ.
-func kernelOf(seed uint64) string { return fmt.Sprint("GODEBUG=multipathtcp=", 2*(seed%2)) }
+// multipathTCPVariable returns an environment variable that disables Multipath TCP for the daemons of
+// every other seed, as on machines whose kernel does not support it: the options of sockets differ.
+func multipathTCPVariable(seed uint64) string { return fmt.Sprint("GODEBUG=multipathtcp=", 2*(seed%2)) }
 
-// settings are those that all daemons share.
+// settings returns the settings that are common to all daemons.
 func (r *run) settings() settings.File {
 	file := settings.File{
 		Contracts: []string{"base", "config", "drain"},
@@ -181,24 +184,24 @@
 	return file
 }
 
-// startClients starts clients of all habits; they end with ctx.
+// startClients starts clients of all profiles of the role. They stop when ctx ends.
 func (r *run) startClients(ctx context.Context, clients *sync.WaitGroup) {
-	var drawn []habit
-	for _, entry := range habitsOf[r.options.Role] {
-		for range entry.share {
-			drawn = append(drawn, entry.habit)
+	var profiles []profile
+	for _, entry := range profilesByRole[r.options.Role] {
+		for range entry.weight {
+			profiles = append(profiles, entry.profile)
 		}
 	}
 	for i := range r.options.Clients {
 		c := &client{
-			habit: drawn[i%len(drawn)], random: rand.New(rand.NewPCG(r.options.Seed, uint64(i)+1)), ledger: r.ledger, targets: r.targets,
+			profile: profiles[i%len(profiles)], random: rand.New(rand.NewPCG(r.options.Seed, uint64(i)+1)), recorder: r.recorder, targets: r.targets,
 			newID: func() string { return fmt.Sprintf("%08x%08x", r.options.Seed, r.nextID.Add(1)) },
 		}
 		clients.Go(func() { c.run(ctx) })
 	}
 }
 
-// targets are the daemons that clients send to: all, since clients don't know who leaves.
+// targets returns all daemons: clients don't know which daemons are stopping.
 func (r *run) targets() []target {
 	var targets []target
 	for _, name := range r.cluster.Names() {
@@ -209,24 +212,24 @@
 	return targets
 }
 
-// play carries out the schedule.
-func (r *run) play(ctx context.Context, begunAt time.Time) {
+// runSchedule executes the steps of the schedule at their times.
+func (r *run) runSchedule(ctx context.Context, startedAt time.Time) {
 	names := r.cluster.Names()
 	for _, step := range r.schedule.Steps {
-		daemon.Pause(ctx, time.Until(begunAt.Add(step.At)))
+		daemon.Pause(ctx, time.Until(startedAt.Add(step.At)))
 		switch step.Kind {
 		case StepSignal:
 			r.signal(ctx, names[step.Daemon], step.Signal)
 		case StepRestart:
 			r.mu.Lock()
-			r.hangups[names[step.Daemon]] = true
+			r.hangupAfterRestart[names[step.Daemon]] = true
 			r.mu.Unlock()
 			r.signal(ctx, names[step.Daemon], syscall.SIGTERM)
 		case StepConfig:
-			r.restart.Go(func() {
-				r.note("", "configuration is changed")
+			r.background.Go(func() {
+				r.recordAction("", "configuration change sent")
 				if r.changeConfiguration(ctx) {
-					r.note("", fmt.Sprint("configuration ", r.version.Load(), " is acknowledged"))
+					r.recordAction("", fmt.Sprint("configuration ", r.version.Load(), " acknowledged"))
 				}
 			})
 		case StepDrainRunner:
@@ -235,28 +238,28 @@
 	}
 }
 
-// note records what was done without a signal.
-func (r *run) note(daemon, what string) {
-	r.ledger.AddAction(Action{At: time.Now(), Daemon: daemon, What: what})
+// recordAction records an action other than a signal.
+func (r *run) recordAction(daemon, what string) {
+	r.recorder.AddAction(Action{At: time.Now(), Daemon: daemon, What: what})
 }
 
-// replaceRunner starts a runner and has the oldest one leave.
+// replaceRunner starts a runner and drains the oldest one.
 func (r *run) replaceRunner() {
 	id, err := r.platform.StartRunner(service, "z0")
 	if err != nil {
-		r.note("", "no runner could be started: "+err.Error())
+		r.recordAction("", "failed to start a runner: "+err.Error())
 		return
 	}
 	for _, runner := range r.platform.Runners() {
 		if runner.State == protocol.RunnerReady && runner.ID != id {
 			r.platform.Drain(runner.ID)
-			r.note("", "runner "+runner.ID+" leaves, "+id+" comes")
+			r.recordAction("", "runner "+runner.ID+" is drained, "+id+" is started")
 			return
 		}
 	}
 }
 
-// exits lists the ends of all processes.
+// exits returns the exits of all processes.
 func (r *run) exits() []localcluster.Exit {
 	var exits []localcluster.Exit
 	for _, name := range r.cluster.Names() {
@@ -267,5 +270,5 @@
 	return exits
 }
 
-// hostPort joins an address and a port.
+// hostPort joins an IP address and a port.
 func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Kind is what a step of a schedule does.
+// Kind is the kind of a step of a schedule.
 type Kind string
 
-// The kinds of steps.
+// Kinds of steps.
 const (
-	StepSignal      Kind = "signal"      // to a daemon; one that ends is started again
-	StepConfig      Kind = "config"      // a change of the configuration
-	StepDrainRunner Kind = "drain"       // a runner leaves, and another comes
-	StepRestart     Kind = "restart hup" // a daemon ends, and its next process gets HUPs as it starts
+	StepSignal      Kind = "signal"      // sends a signal to a daemon, which is restarted if it exits
+	StepConfig      Kind = "config"      // changes the configuration
+	StepDrainRunner Kind = "drain"       // drains a runner and starts another
+	StepRestart     Kind = "restart hup" // restarts a daemon and sends SIGHUPs to its next process as it starts
 )
 
-// Step is one thing that is done at a time.
+// Step is one action of a schedule.
 type Step struct {
 	At     time.Duration // since the load began
 	Kind   Kind
-	Daemon int // its place among the daemons
+	Daemon int // index of the daemon
 	Signal syscall.Signal
 }
 
-// Schedule is what is done in a run, in the order of time. It is drawn whole before the
-// run begins, so that the same seed does the same.
+// Schedule is the list of steps of a run in the order of time. It is generated completely before the
+// run begins, so that a seed always gives the same steps.
 type Schedule struct {
-	Seed    uint64
-	Trouble string // its name
-	Steps   []Step
+	Seed     uint64
+	Scenario string // names of its scenarios
+	Steps    []Step
 }
 
-// String lists the steps, one a line.
+// String lists the steps, one per line.
 func (s Schedule) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d, %s\n", s.Seed, s.Trouble)
+	fmt.Fprintf(&text, "seed %d, %s\n", s.Seed, s.Scenario)
 	for _, step := range s.Steps {
 		fmt.Fprintf(&text, "%8.3f s  %s", step.At.Seconds(), step.Kind)
 		if step.Kind == StepSignal || step.Kind == StepRestart {
@@ -53,70 +53,70 @@
 	return text.String()
 }
 
-// drawing is the state of a schedule while it is drawn.
-type drawing struct {
+// generator holds the state of a schedule while it is generated.
+type generator struct {
 	random  *rand.Rand
 	daemons int
 	length  time.Duration
 	steps   []Step
 }
 
-// troubles are the ways to draw a schedule, by name. Each run has one as its main part, by
-// its seed in turn, and a second one laid over it.
-var troubles = []struct {
-	name string
-	draw func(*drawing)
+// scenarios are the scenarios of schedules, by name. Each schedule has one that is selected by its seed
+// in turn, and a second random one at the same time.
+var scenarios = []struct {
+	name     string
+	generate func(*generator)
 }{
-	{"ends one after the other", (*drawing).rollingEnds},
-	{"ends with reloads", (*drawing).endsWithReloads},
-	{"several ends at once", (*drawing).endsAtOnce},
-	{"reloads in series", (*drawing).reloads},
-	{"reloads at the start", (*drawing).reloadsAtStart},
-	{"changes with ends", (*drawing).changesWithEnds},
-	{"frozen and killed", (*drawing).frozenAndKilled},
-	{"repeated ends", (*drawing).repeatedEnds},
-}
-
-// Draw draws the schedule of a seed for so many daemons and a time.
-func Draw(seed uint64, daemons int, length time.Duration) Schedule {
-	d := &drawing{random: rand.New(rand.NewPCG(seed, 0)), daemons: daemons, length: length}
-	first := troubles[seed%uint64(len(troubles))]
-	second := troubles[d.random.IntN(len(troubles))]
-	first.draw(d)
+	{"rolling stops", (*generator).rollingStops},
+	{"stops with reloads", (*generator).stopsWithReloads},
+	{"simultaneous stops", (*generator).simultaneousStops},
+	{"repeated reloads", (*generator).reloads},
+	{"reloads at startup", (*generator).reloadsAtStartup},
+	{"configuration changes with stops", (*generator).changesWithStops},
+	{"freeze and kill", (*generator).freezeAndKill},
+	{"repeated stops", (*generator).repeatedStops},
+}
+
+// GenerateSchedule generates the schedule of a seed for a number of daemons and a length.
+func GenerateSchedule(seed uint64, daemons int, length time.Duration) Schedule {
+	d := &generator{random: rand.New(rand.NewPCG(seed, 0)), daemons: daemons, length: length}
+	first := scenarios[seed%uint64(len(scenarios))]
+	second := scenarios[d.random.IntN(len(scenarios))]
+	first.generate(d)
 	name := first.name
 	if second.name != first.name {
-		second.draw(d)
+		second.generate(d)
 		name += ", " + second.name
 	}
 	slices.SortStableFunc(d.steps, func(a, b Step) int { return int(a.At - b.At) })
-	return Schedule{Seed: seed, Trouble: name, Steps: d.steps}
+	return Schedule{Seed: seed, Scenario: name, Steps: d.steps}
 }
 
-// at draws a time of the run.
-func (d *drawing) at() time.Duration {
+// at draws a time within the schedule.
+func (d *generator) at() time.Duration {
 	return time.Duration(d.random.Int64N(int64(d.length)))
 }
 
-// within draws a time up to a limit.
-func (d *drawing) within(limit time.Duration) time.Duration {
+// within draws a duration below a limit.
+func (d *generator) within(limit time.Duration) time.Duration {
 	return time.Duration(d.random.Int64N(int64(limit)))
 }
 
-// signal adds a signal to a daemon.
-func (d *drawing) signal(at time.Duration, daemon int, signal syscall.Signal) {
+// signal adds a step that sends a signal to a daemon.
+func (d *generator) signal(at time.Duration, daemon int, signal syscall.Signal) {
 	d.steps = append(d.steps, Step{At: at, Kind: StepSignal, Daemon: daemon, Signal: signal})
 }
 
-// rollingEnds ends the daemons one after the other, as a rolling restart does.
-func (d *drawing) rollingEnds() {
+// rollingStops sends SIGTERM to the daemons one after the other, as a rolling restart does.
+func (d *generator) rollingStops() {
 	gap := d.length / time.Duration(d.daemons+1)
-	for place, daemon := range d.random.Perm(d.daemons) {
-		d.signal(time.Duration(place)*gap+d.within(gap/2), daemon, syscall.SIGTERM)
+	for i, daemon := range d.random.Perm(d.daemons) {
+		d.signal(time.Duration(i)*gap+d.within(gap/2), daemon, syscall.SIGTERM)
 	}
 }
 
-// endsWithReloads ends daemons and has them read their settings meanwhile.
-func (d *drawing) endsWithReloads() {
+// stopsWithReloads sends SIGTERM to half of the daemons, and SIGHUPs while they stop.
+func (d *generator) stopsWithReloads() {
 	for _, daemon := range d.random.Perm(d.daemons)[:max(d.daemons/2, 1)] {
 		at := d.at()
 		d.signal(at, daemon, syscall.SIGTERM)
@@ -126,16 +126,16 @@
 	}
 }
 
-// endsAtOnce ends several daemons at nearly the same moment.
-func (d *drawing) endsAtOnce() {
+// simultaneousStops sends SIGTERM to several daemons at nearly the same time.
+func (d *generator) simultaneousStops() {
 	at := d.at()
 	for _, daemon := range d.random.Perm(d.daemons)[:2+d.random.IntN(max(d.daemons-2, 1))] {
 		d.signal(at+d.within(100*time.Millisecond), daemon, syscall.SIGTERM)
 	}
 }
 
-// reloads has daemons read their settings many times.
-func (d *drawing) reloads() {
+// reloads sends many SIGHUPs to each daemon.
+func (d *generator) reloads() {
 	for daemon := range d.daemons {
 		at := d.at()
 		for range 20 {
@@ -145,15 +145,15 @@
 	}
 }
 
-// reloadsAtStart has daemons read their settings while they start.
-func (d *drawing) reloadsAtStart() {
+// reloadsAtStartup restarts daemons and sends them SIGHUPs while they start.
+func (d *generator) reloadsAtStartup() {
 	for range 3 {
 		d.steps = append(d.steps, Step{At: d.at(), Kind: StepRestart, Daemon: d.random.IntN(d.daemons)})
 	}
 }
 
-// changesWithEnds changes the configuration and the runners while daemons end.
-func (d *drawing) changesWithEnds() {
+// changesWithStops changes the configuration and replaces runners while daemons stop.
+func (d *generator) changesWithStops() {
 	for range 4 {
 		at := d.at()
 		d.steps = append(d.steps, Step{At: at, Kind: StepConfig}, Step{At: at + d.within(time.Second), Kind: StepDrainRunner})
@@ -161,8 +161,8 @@
 	}
 }
 
-// frozenAndKilled stops a daemon for a moment and kills another.
-func (d *drawing) frozenAndKilled() {
+// freezeAndKill freezes a daemon for a short time and kills another.
+func (d *generator) freezeAndKill() {
 	order := d.random.Perm(d.daemons)
 	at := d.at()
 	d.signal(at, order[0], syscall.SIGSTOP)
@@ -170,8 +170,8 @@
 	d.signal(d.at(), order[1], syscall.SIGKILL)
 }
 
-// repeatedEnds sends SIGTERM several times to the same process.
-func (d *drawing) repeatedEnds() {
+// repeatedStops sends SIGTERM several times to the same daemon.
+func (d *generator) repeatedStops() {
 	for range 2 {
 		at, daemon := d.at(), d.random.IntN(d.daemons)
 		for range 2 + d.random.IntN(3) {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,27 +12,27 @@
 	"tealpond/internal/localcluster"
 )
 
-// A longer soak by hand:
+// To run a longer soak manually:
 //
 //	go test ./internal/soak -run TestSoak -timeout 60m -v -args -seeds 50 -first 100 -program target/tealpond
 var (
-	seedCount = flag.Int("seeds", 3, "how many seeds TestSoak plays")
-	firstSeed = flag.Uint64("first", 1, "the first of them")
-	atOnce    = flag.Int("at-once", 2, "how many are played at once")
-	program   = flag.String("program", "", "the built program; empty: it is built")
-	onlyRole  = flag.String("role", "", "the role of the daemons; empty: in turn")
-	servers   = flag.Int("servers", 3, "daemons with a disk")
-	proxies   = flag.Int("proxies", 2, "daemons without one")
-	clients   = flag.Int("clients", 40, "clients")
-	memory    = flag.Int("memory", 184, "the memory of each daemon that the settings name, in MB")
-	files     = flag.Uint64("files", 0, "open files of each daemon at most; 0: as this process may")
-	length    = flag.Duration("length", 12*time.Second, "how long a schedule is")
+	seedCount = flag.Int("seeds", 3, "number of seeds that TestSoak runs")
+	firstSeed = flag.Uint64("first", 1, "the first seed")
+	atOnce    = flag.Int("at-once", 2, "number of seeds that run concurrently")
+	program   = flag.String("program", "", "path of the program; if empty, it is built")
+	onlyRole  = flag.String("role", "", "role of the daemons; if empty, it depends on the seed")
+	servers   = flag.Int("servers", 3, "number of daemons with a disk")
+	proxies   = flag.Int("proxies", 2, "number of daemons without a disk")
+	clients   = flag.Int("clients", 40, "number of clients")
+	memory    = flag.Int("memory", 184, "memory limit in the settings of each daemon, in MB")
+	files     = flag.Uint64("files", 0, "limit of open files of each daemon; 0: the limit of this process")
+	length    = flag.Duration("length", 12*time.Second, "length of a schedule")
 )
 
-// graceTime is that of the operators' gateways.
-const graceTime = 6 * time.Second
+// gracePeriod is the grace period of the operators' gateways.
+const gracePeriod = 6 * time.Second
 
-// buildProgram returns the path of the built program.
+// buildProgram builds the program, unless one is given, and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	if *program != "" {
@@ -51,23 +51,24 @@
 	return path
 }
 
-// TestSoak plays schedules of signals, changes and restarts on real processes, by seed.
+// TestSoak runs schedules of signals, changes and restarts against real processes, one per seed, and
+// checks that no rule is violated.
 func TestSoak(t *testing.T) {
 	path := buildProgram(t)
-	places := make(chan struct{}, *atOnce)
+	semaphore := make(chan struct{}, *atOnce)
 	for i := range *seedCount {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			defer func() { <-places }()
-			playSeed(t, path, seed)
+			semaphore <- struct{}{}
+			defer func() { <-semaphore }()
+			runSeed(t, path, seed)
 		})
 	}
 }
 
-// roleOf returns the role of a seed's daemons: of three seeds one is of edges.
-func roleOf(seed uint64) string {
+// roleForSeed returns the role of the daemons of a seed. Every third seed uses edges.
+func roleForSeed(seed uint64) string {
 	switch {
 	case *onlyRole != "":
 		return *onlyRole
@@ -77,8 +78,8 @@
 	return gatewayRole
 }
 
-// playSeed plays a seed and reports what it found.
-func playSeed(t *testing.T, path string, seed uint64) {
+// runSeed runs the schedule of a seed and reports violations.
+func runSeed(t *testing.T, path string, seed uint64) {
 	t.Helper()
 	directory, err := os.MkdirTemp("", "soak")
 	if err != nil {
@@ -86,8 +87,8 @@
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	result, err := Run(t.Context(), Options{
-		Program: path, Role: roleOf(seed), Directory: directory, Seed: seed, Subnet: localcluster.Subnet{A: byte(80 + seed/200%100), B: byte(seed % 200)},
-		Servers: *servers, Proxies: *proxies, Runners: 6, Clients: *clients, Length: *length, Grace: graceTime, MemoryMb: *memory, MaxFiles: *files,
+		Program: path, Role: roleForSeed(seed), Directory: directory, Seed: seed, Subnet: localcluster.Subnet{A: byte(80 + seed/200%100), B: byte(seed % 200)},
+		Servers: *servers, Proxies: *proxies, Runners: 6, Clients: *clients, Length: *length, Grace: gracePeriod, MemoryMb: *memory, MaxFiles: *files,
 	})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, result.Schedule)
