--- a/internal/trial/calls.go
+++ b/internal/trial/calls.go
@@ -12,23 +12,24 @@
 	"tealpond/internal/protocol"
 )
 
-// Names in the trial's configuration.
+// Names in the configuration of the trial.
 const (
 	host      = "trial.example"
 	jobPrefix = "/jobs/"
 	service   = "trial"
 )
 
-// configuration has one route, whose jobs run on the trial's runners.
+// configuration has one route, which submits jobs to the runners of the trial.
 const configuration = `{"configVersion":1,"routeList":[{"name":"jobs","hostName":"` + host + `","pathPrefix":"` + jobPrefix +
 	`","kind":"writing","timeoutMs":3000,"targetMs":1000,"priority":0,"targetService":"` + service + `","maxTries":3,"stretch":2}],` +
 	`"serviceList":[{"name":"` + service + `","guards":true}],"limits":{"maxHeaderBytes":16384,"maxBodyBytes":262144}}`
 
-// callTimeout bounds one call: daemons answer within a second.
+// callTimeout is the time limit of one call; daemons answer within a second.
 const callTimeout = 1500 * time.Millisecond
 
-// call makes a call to a daemon's port. The error tells that there was no answer, or none
-// that could be decoded into the answer's type, which may be nil.
+// call makes an HTTP request to a daemon. A body that is not a string is encoded as JSON; an answer
+// with status 200 is decoded into answer unless that is nil. The error tells that the request failed or
+// that its answer could not be decoded.
 func (t *trial) call(method, address, path string, body, answer any, headers map[string]string) (status int, err error) {
 	ctx, cancel := context.WithTimeout(t.ctx, callTimeout)
 	defer cancel()
@@ -60,14 +61,14 @@
 	}
 	if response.StatusCode == http.StatusOK && answer != nil {
 		if err := json.Unmarshal(text, answer); err != nil {
-			return 0, fmt.Errorf("%s %s: unreadable answer: %w", method, path, err)
+			return 0, fmt.Errorf("%s %s: decode answer: %w", method, path, err)
 		}
 	}
 	return response.StatusCode, nil
 }
 
-// control makes a call to the control port of the daemon without a disk, which is never
-// killed.
+// control makes a call to the control port of the proxy, the daemon without a disk, which the trial
+// never kills.
 func (t *trial) control(method, path string, body, answer any, headers map[string]string) (status int, err error) {
 	daemon, err := t.cluster.Daemon(t.cluster.Names()[servers])
 	if err != nil {
@@ -76,7 +77,7 @@
 	return t.call(method, daemon.ControlAddress(), path, body, answer, headers)
 }
 
-// client makes a client's call to that daemon.
+// client makes a call to the client port of the proxy.
 func (t *trial) client(method, path string, body, answer any) (status int, err error) {
 	daemon, err := t.cluster.Daemon(t.cluster.Names()[servers])
 	if err != nil {
@@ -85,7 +86,7 @@
 	return t.call(method, daemon.ClientAddress(), path, body, answer, nil)
 }
 
-// isReady reports whether all daemons for clients say that they are ready.
+// isReady reports whether the readiness endpoints of the servers and the proxy answer OK.
 func (t *trial) isReady() bool {
 	for _, name := range t.cluster.Names()[:servers+1] {
 		daemon, err := t.cluster.Daemon(name)
@@ -99,19 +100,19 @@
 	return true
 }
 
-// configure sends the configuration; it reports whether it is in force.
+// configure sends the configuration and reports whether it was accepted.
 func (t *trial) configure() bool {
 	status, err := t.control(http.MethodPost, "/-/Config.Replace", configuration, nil, map[string]string{protocol.HeaderBasedOn: "0"})
 	return err == nil && status == http.StatusOK
 }
 
-// submit submits a job; it reports whether it was accepted.
+// submit submits a job and reports whether it was accepted.
 func (t *trial) submit(id string, job protocol.Job) bool {
 	status, err := t.client(http.MethodPost, jobPrefix+id, job, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// jobState is the state of a job; empty if there is no answer.
+// jobState returns the state of a job, or an empty string if there is no answer.
 func (t *trial) jobState(id string) string {
 	var answer struct {
 		State string `json:"state"`
@@ -122,8 +123,8 @@
 	return answer.State
 }
 
-// acquire asks for a lock: its fence, or 0 if another holds it. The error tells that there
-// was another answer.
+// acquire tries to acquire a lock. It returns the fencing token, or 0 if another holder has the lock,
+// and an error for any other answer.
 func (t *trial) acquire(lock, holder string) (fence int64, err error) {
 	var grant protocol.LockGrant
 	status, err := t.control(http.MethodPost, "/-/Locks.Begin/"+lock, protocol.LockRequest{Holder: holder, HoldMs: lockHold.Milliseconds()}, &grant, nil)
@@ -133,18 +134,19 @@
 	case status == http.StatusConflict:
 		return 0, nil
 	case status != http.StatusOK:
-		return 0, fmt.Errorf("the lock: answer %d", status)
+		return 0, fmt.Errorf("acquire lock: unexpected status %d", status)
 	}
 	return grant.Fence, nil
 }
 
-// renew asks for more time; it reports whether the lock is still held.
+// renew extends a lock and reports whether it is still held.
 func (t *trial) renew(lock, holder string, fence int64) bool {
 	status, err := t.control(http.MethodPost, "/-/Locks.Heartbeat/"+lock, protocol.LockRequest{Holder: holder, Fence: fence, HoldMs: lockHold.Milliseconds()}, nil, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// put sets a key; it tells its revision, 0 if that is unclear.
+// put sets the key to a value unless it has it already. It returns the revision of the key, or 0 if
+// that is not known.
 func (t *trial) put(value string) int64 {
 	var answer protocol.RevisionResponse
 	var known protocol.KeyResponse
@@ -152,7 +154,7 @@
 		return 0
 	}
 	if known.Value == value {
-		return known.Revision // a put without an answer was done
+		return known.Revision // an earlier put whose answer was lost took effect
 	}
 	status, err := t.control(http.MethodPost, "/-/Cells.Replace/"+keyName, protocol.PutRequest{Value: value, Expected: known.Revision}, &answer, nil)
 	if err != nil || status != http.StatusOK {
@@ -161,7 +163,7 @@
 	return answer.Revision
 }
 
-// watch waits for puts after a revision; nil if there is no answer.
+// watch waits up to 500 ms for puts after a revision. It returns nil if the request fails.
 func (t *trial) watch(after int64) *protocol.WatchResponse {
 	var answer protocol.WatchResponse
 	status, err := t.control(http.MethodGet, fmt.Sprintf("/-/watch/%s?dependsOn=%d&waitMs=500", keyGroup, after), nil, &answer, nil)
--- a/internal/trial/doc.go
+++ b/internal/trial/doc.go
@@ -1,5 +1,5 @@
-// Package trial shows a cluster at work on one machine: three servers, a daemon without a
-// disk and three agents as real processes on loopback addresses, each agent beside a
-// stand-in of a runner. A job with a gang runs through, a lock and a key are used, and the
-// leader is killed in the middle. It is for newcomers, and starts nothing but this program.
+// Package trial demonstrates a cluster on one machine: three servers, a daemon without a disk and
+// three agents run as real processes on loopback addresses, each agent with a fake runner. The trial
+// runs a job with a gang step, uses a lock and a key, and kills the leader while a job is running. It
+// is meant for newcomers and starts no other program than this one.
 package trial
--- a/internal/trial/steps.go
+++ b/internal/trial/steps.go
@@ -8,7 +8,7 @@
 	"tealpond/internal/protocol"
 )
 
-// Names of what the trial uses.
+// Names of locks and keys.
 const (
 	lockName   = "batch"
 	secondLock = "review"
@@ -16,14 +16,14 @@
 	keyGroup   = "board."
 )
 
-// Jobs of the trial. Their IDs are of 16 hex digits, as clients choose them.
+// IDs of jobs: 16 hex digits, chosen by the client.
 const (
 	firstJob  = "00000000000000a1"
 	secondJob = "00000000000000a2"
 )
 
-// threeSteps is a job whose second step is a gang and follows the first.
-func threeSteps() protocol.Job {
+// threeStepJob returns a job whose steps run one after the other; the second one is a gang.
+func threeStepJob() protocol.Job {
 	return protocol.Job{Spec: "ms=600 cpu=1000", Steps: []protocol.Step{
 		{TaskCount: 6, CPUUnits: 1000, MemoryMB: 64, EstimateMs: 600},
 		{TaskCount: 3, CPUUnits: 1000, MemoryMB: 64, EstimateMs: 600, Gang: true, DependsOn: []int{0}},
@@ -31,118 +31,119 @@
 	}}
 }
 
-// longer is a job that is under way for some seconds.
-func longer() protocol.Job {
+// longRunningJob returns a job that runs for several seconds.
+func longRunningJob() protocol.Job {
 	return protocol.Job{Spec: "ms=1500 cpu=2000", Steps: []protocol.Step{
 		{TaskCount: 12, CPUUnits: 2000, MemoryMB: 64, EstimateMs: 1500},
 		{TaskCount: 6, CPUUnits: 2000, MemoryMB: 64, EstimateMs: 1500, DependsOn: []int{0}},
 	}}
 }
 
-// stateDone is the state of a job all of whose tasks are done.
+// stateDone is the state of a job whose tasks are all done.
 const stateDone = "done"
 
-// runJob submits a job and follows it to its end.
+// runJob submits a job and waits until it is done.
 func (t *trial) runJob() error {
-	job := threeSteps()
-	if err := t.await("a job is accepted", readyTime, func() bool { return t.submit(firstJob, job) }); err != nil {
+	job := threeStepJob()
+	if err := t.await("a job to be accepted", readyTimeout, func() bool { return t.submit(firstJob, job) }); err != nil {
 		return err
 	}
-	t.say("submitted job %s: %d tasks, then a gang of %d, then %d tasks", firstJob, job.Steps[0].TaskCount, job.Steps[1].TaskCount, job.Steps[2].TaskCount)
+	t.printf("submitted job %s: %d tasks, then a gang of %d tasks, then %d tasks", firstJob, job.Steps[0].TaskCount, job.Steps[1].TaskCount, job.Steps[2].TaskCount)
 	return t.follow(firstJob)
 }
 
-// follow waits for the end of a job and prints its states.
+// follow waits until a job is done and prints each new state.
 func (t *trial) follow(id string) error {
 	last := ""
-	return t.await("job "+id+" is done", jobTime, func() bool {
+	return t.await("job "+id+" to be done", jobTimeout, func() bool {
 		state := t.jobState(id)
 		if state != "" && state != last {
-			t.say("job %s is %s", id, state)
+			t.printf("job %s is %s", id, state)
 			last = state
 		}
 		return state == stateDone
 	})
 }
 
-// passLockOn has one caller hold a lock and die, and another one get it.
-func (t *trial) passLockOn() error {
+// handOverLock acquires a lock for one holder that never renews it, and checks that another holder gets
+// the lock only after the lease has expired, with a higher fencing token.
+func (t *trial) handOverLock() error {
 	fence, err := t.acquire(lockName, "anna")
 	if err != nil {
 		return err
 	}
 	heldAt := time.Now()
-	t.say("anna holds the lock %q under fence %d", lockName, fence)
+	t.printf("anna acquired lock %q with fencing token %d", lockName, fence)
 	other, err := t.acquire(lockName, "bert")
 	if err != nil {
 		return err
 	}
 	if other != 0 {
-		return fmt.Errorf("bert got the lock too, under fence %d", other)
+		return fmt.Errorf("bert acquired the lock with fencing token %d while anna held it", other)
 	}
-	t.say("bert is told that another holds it; anna dies without a word")
-	next := int64(0)
-	if err := t.await("the lock of a dead holder is free", lockHold+freeTime, func() bool {
-		next, err = t.acquire(lockName, "bert")
-		return err == nil && next != 0
+	t.printf("bert was refused the lock, as anna holds it; anna stops renewing it")
+	newFence := int64(0)
+	if err := t.await("the lock to be released after its lease expired", lockHold+releaseTimeout, func() bool {
+		newFence, err = t.acquire(lockName, "bert")
+		return err == nil && newFence != 0
 	}); err != nil {
 		return err
 	}
-	if next <= fence {
-		return fmt.Errorf("bert's fence %d is not above anna's, %d", next, fence)
+	if newFence <= fence {
+		return fmt.Errorf("bert's fencing token %d is not higher than anna's token %d", newFence, fence)
 	}
-	t.say("bert holds it %.1f s after anna took it for %v, under fence %d", time.Since(heldAt).Seconds(), lockHold, next)
+	t.printf("bert acquired the lock %.1f s after anna, whose lease was %v, with fencing token %d", time.Since(heldAt).Seconds(), lockHold, newFence)
 	return nil
 }
 
-// watchKey sets a key and sees the put in a watch.
+// watchKey sets a key and reads the revision of its group by a watch.
 func (t *trial) watchKey() error {
-	if err := t.await("a key is set", readyTime, func() bool { return t.put("e4") != 0 }); err != nil {
+	if err := t.await("a key to be set", readyTimeout, func() bool { return t.put("e4") != 0 }); err != nil {
 		return err
 	}
 	answer := t.watch(0)
 	if answer == nil {
-		return fmt.Errorf("a watch of %s has no answer", keyGroup)
+		return fmt.Errorf("watch of %s failed", keyGroup)
 	}
-	t.say("the key %s is set, a watch of %s is at revision %d", keyName, keyGroup, answer.Revision)
+	t.printf("set key %s; a watch of %s is at revision %d", keyName, keyGroup, answer.Revision)
 	return nil
 }
 
-// loseLeader kills the leader's process while a job runs, a lock is held and a key is
-// watched: the job goes on, the lock stays with its holder, and the watch misses nothing.
+// loseLeader kills the leader's process while a job runs, a lock is held and a key is watched. It
+// checks that the job finishes, that the lock keeps its holder and that the watch misses no put.
 func (t *trial) loseLeader() error {
-	if err := t.await("a job is accepted", readyTime, func() bool { return t.submit(secondJob, longer()) }); err != nil {
+	if err := t.await("a job to be accepted", readyTimeout, func() bool { return t.submit(secondJob, longRunningJob()) }); err != nil {
 		return err
 	}
-	present := t.watch(0)
+	initial := t.watch(0)
 	fence, err := t.acquire(secondLock, "carl")
 	if err != nil {
 		return err
 	}
 	leader := t.leader()
-	if present == nil || fence == 0 || leader == "" {
-		return fmt.Errorf("before the leader is lost: watch %v, fence %d, leader %q", present, fence, leader)
+	if initial == nil || fence == 0 || leader == "" {
+		return fmt.Errorf("before the leader is killed: watch %v, fencing token %d, leader %q", initial, fence, leader)
 	}
 	t.killed = leader
 	if err := t.cluster.Signal(leader, syscall.SIGKILL); err != nil {
 		return err
 	}
 	killedAt := time.Now()
-	t.say("killed %s, the leader, while job %s runs and carl holds the lock", leader, secondJob)
-	if err := t.await("carl renews the lock", lockHold, func() bool { return t.renew(secondLock, "carl", fence) }); err != nil {
+	t.printf("killed the leader, %s, while job %s is running and carl holds a lock", leader, secondJob)
+	if err := t.await("carl's lock to be renewed", lockHold, func() bool { return t.renew(secondLock, "carl", fence) }); err != nil {
 		return err
 	}
-	t.say("%s leads %.1f s later; carl still holds the lock under fence %d", t.leader(), time.Since(killedAt).Seconds(), fence)
-	if err := t.await("the key is set again", readyTime, func() bool { return t.put("e5") != 0 }); err != nil {
+	t.printf("new leader %s after %.1f s; carl still holds the lock with fencing token %d", t.leader(), time.Since(killedAt).Seconds(), fence)
+	if err := t.await("the key to be set again", readyTimeout, func() bool { return t.put("e5") != 0 }); err != nil {
 		return err
 	}
 	var update *protocol.WatchResponse
-	if err := t.await("the watch tells of the put", readyTime, func() bool {
-		update = t.watch(present.Revision)
+	if err := t.await("the watch to report the put", readyTimeout, func() bool {
+		update = t.watch(initial.Revision)
 		return update != nil && len(update.Events) > 0
 	}); err != nil {
 		return err
 	}
-	t.say("the watch goes on from revision %d: %s is %s", present.Revision, update.Events[0].Name, update.Events[0].Value)
+	t.printf("the watch continued after revision %d: key %s has the value %s", initial.Revision, update.Events[0].Name, update.Events[0].Value)
 	return t.follow(secondJob)
 }
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -22,78 +22,79 @@
 const (
 	servers = 3
 	agents  = 3
-	// readyTime is how long a new cluster may take until it serves.
-	readyTime = time.Minute // it takes seconds, but the machine may be busy
-	// jobTime is how long a job of a few seconds may take.
-	jobTime = time.Minute
-	// pollPause is the time between two looks at something that is awaited.
-	pollPause = 50 * time.Millisecond
-	// heartbeatInterval is the time between two heartbeats of a runner.
+	// readyTimeout is how long a new cluster may take to become ready. It usually takes seconds, but
+	// the machine may be busy.
+	readyTimeout = time.Minute
+	// jobTimeout is the time limit for a job that takes a few seconds.
+	jobTimeout = time.Minute
+	// pollInterval is the pause between two checks of a condition.
+	pollInterval = 50 * time.Millisecond
+	// heartbeatInterval is the interval of the heartbeats of a runner.
 	heartbeatInterval = 500 * time.Millisecond
-	// lockHold is for how long the trial's lock is held.
+	// lockHold is the duration of a lock's lease.
 	lockHold = 4 * time.Second
-	// freeTime is how long it may take beyond that until the lock of a dead holder is free.
-	freeTime = 10 * time.Second
-	// freeAfter is the operators' bound on that.
-	freeAfter = 1500 * time.Millisecond
-	// subnetTries is how many loopback networks are tried.
-	subnetTries = 5
+	// releaseTimeout is how long after the end of its lease a lock may take to become free.
+	releaseTimeout = 10 * time.Second
+	// releaseBound is the operators' bound on that time, as the settings name it.
+	releaseBound = 1500 * time.Millisecond
+	// subnetAttempts is the number of loopback networks that are tried.
+	subnetAttempts = 5
 )
 
-// Options are what a trial is run with.
+// Options configure a trial.
 type Options struct {
-	Program   string // path of the built program
-	Directory string // for settings, data and logs; it must exist and be empty
+	Program   string // path of the daemon's executable
+	Directory string // for settings and data; it must exist and be empty, and is removed at the end
 	Output    io.Writer
-	// Keep leaves the cluster running until the context ends.
+	// Keep keeps the cluster running after the trial, until the context ends.
 	Keep bool
 }
 
-// trial is a trial under way.
+// trial is a trial in progress.
 type trial struct {
-	options Options
-	cluster *localcluster.Cluster
-	servers []*http.Server // of the runners
-	ctx     context.Context
-	stop    context.CancelFunc
-	running sync.WaitGroup
-	begunAt time.Time
-	killed  string // the daemon that the trial has killed; empty: none yet
+	options   Options
+	cluster   *localcluster.Cluster
+	servers   []*http.Server // of the fake runners
+	ctx       context.Context
+	stop      context.CancelFunc
+	running   sync.WaitGroup
+	startedAt time.Time
+	killed    string // name of the daemon that the trial has killed; empty before that
 
-	mu     sync.Mutex
-	ranOn  map[string]int // runs, by the worker
-	starts int
+	mu             sync.Mutex
+	startsByWorker map[string]int // number of started runs by worker
+	starts         int
 }
 
-// Run runs a trial. The error says what was not as it should be; nothing is left running
-// after it, and no file.
+// Run runs a trial. The error tells which check failed. When Run returns, all processes have ended and
+// all files are removed.
 func Run(ctx context.Context, options Options) error {
-	t := &trial{options: options, begunAt: time.Now(), ranOn: map[string]int{}}
+	t := &trial{options: options, startedAt: time.Now(), startsByWorker: map[string]int{}}
 	t.ctx, t.stop = context.WithCancel(ctx)
 	defer t.close()
-	for _, step := range []func() error{t.start, t.runJob, t.passLockOn, t.watchKey, t.loseLeader} {
+	for _, step := range []func() error{t.start, t.runJob, t.handOverLock, t.watchKey, t.loseLeader} {
 		if err := step(); err != nil {
-			return t.explain(err)
+			return t.withDiagnostics(err)
 		}
 	}
 	t.summarize()
 	if options.Keep {
-		t.invite()
+		t.printCommands()
 		<-ctx.Done()
 	}
 	return nil
 }
 
-// explain adds to an error what the daemons logged last as errors, and which have ended: the
-// cause is likely there.
-func (t *trial) explain(err error) error {
+// withDiagnostics adds the exits of daemons and their last logged error to an error, since these
+// probably show its cause.
+func (t *trial) withDiagnostics(err error) error {
 	if t.cluster == nil {
 		return err
 	}
 	for _, name := range t.cluster.Names() {
 		if daemon, unknown := t.cluster.Daemon(name); unknown == nil {
 			for _, exit := range daemon.Exits() {
-				err = fmt.Errorf("%w; %s ended: %s", err, name, exit.State)
+				err = fmt.Errorf("%w; %s exited: %s", err, name, exit.State)
 			}
 		}
 	}
@@ -109,12 +110,13 @@
 	return err
 }
 
-// say prints a line of progress.
-func (t *trial) say(format string, args ...any) {
-	_, _ = fmt.Fprintf(t.options.Output, "%5.1f s  %s\n", time.Since(t.begunAt).Seconds(), fmt.Sprintf(format, args...))
+// printf prints a line of progress with the time since the start.
+func (t *trial) printf(format string, args ...any) {
+	_, _ = fmt.Fprintf(t.options.Output, "%5.1f s  %s\n", time.Since(t.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// start starts the daemons and the runners, and waits until they serve.
+// start starts the daemons and the runners, waits until the daemons are ready and sends the
+// configuration.
 func (t *trial) start() error {
 	if err := t.startCluster(); err != nil {
 		return err
@@ -124,24 +126,24 @@
 			return err
 		}
 	}
-	t.say("started %d servers, a daemon without a disk and %d agents, each with a runner", servers, agents)
-	if err := t.await("the daemons serve", readyTime, t.isReady); err != nil {
+	t.printf("started %d servers, a daemon without a disk and %d agents, each with a runner", servers, agents)
+	if err := t.await("the daemons to become ready", readyTimeout, t.isReady); err != nil {
 		return err
 	}
-	if err := t.await("the configuration is in force", readyTime, t.configure); err != nil {
+	if err := t.await("the configuration to be accepted", readyTimeout, t.configure); err != nil {
 		return err
 	}
-	t.say("%s leads, the configuration is in force", t.leader())
+	t.printf("the leader is %s; the configuration is accepted", t.leader())
 	return nil
 }
 
-// startCluster starts the daemons on a loopback network that nobody uses.
+// startCluster starts the daemons on an unused loopback network.
 func (t *trial) startCluster() error {
 	var err error
-	for range subnetTries {
+	for range subnetAttempts {
 		subnet := localcluster.Subnet{A: byte(64 + rand.IntN(60)), B: byte(1 + rand.IntN(250))}
 		if subnet.InUse() {
-			err = fmt.Errorf("the loopback network %s is in use", subnet.Host(1))
+			err = fmt.Errorf("loopback network of %s is in use", subnet.Host(1))
 			continue
 		}
 		t.cluster, err = localcluster.Start(localcluster.Options{
@@ -153,7 +155,7 @@
 	return err
 }
 
-// trialSettings are those that all daemons share.
+// trialSettings returns the settings that are common to all daemons.
 func trialSettings() settings.File {
 	return settings.File{
 		HeartbeatIntervalMs: heartbeatInterval.Milliseconds(), AssignmentProtocol: "duty_call", TargetService: service,
@@ -161,11 +163,11 @@
 		Limits:    settings.Limits{MemoryMb: 256},
 		Tolerance: settings.Tolerance{LostMachines: 1},
 		Bounds: settings.Bounds{InTouchMs: 3000, GraceS: 6, MaxLeaseMs: 6000, StopGraceMs: 400, DrainMs: 2000, GangWaitMs: 3000, StatusS: 120,
-			SpreadFactor: 1.5, CheckpointEveryS: 1, ConfigApplyMs: 2000, HistoryS: 20, FreeAfterMs: freeAfter.Milliseconds()},
+			SpreadFactor: 1.5, CheckpointEveryS: 1, ConfigApplyMs: 2000, HistoryS: 20, FreeAfterMs: releaseBound.Milliseconds()},
 	}
 }
 
-// startRunner starts the stand-in of a runner beside an agent.
+// startRunner starts a fake runner for an agent.
 func (t *trial) startRunner(agent string) error {
 	daemon, err := t.cluster.Daemon(agent)
 	if err != nil {
@@ -174,7 +176,7 @@
 	worker := standin.NewWorker(standin.WorkerOptions{Node: agent, Service: service, Zone: daemon.Zone, Seed: int64(len(t.servers)), Observe: t.observe})
 	socket, err := net.Listen("tcp", daemon.RunnerAddress())
 	if err != nil {
-		return fmt.Errorf("the runner beside %s: %w", agent, err)
+		return fmt.Errorf("listen for the runner of %s: %w", agent, err)
 	}
 	server := &http.Server{Handler: worker.Handler(), ReadHeaderTimeout: time.Second}
 	t.servers = append(t.servers, server)
@@ -183,28 +185,29 @@
 	return nil
 }
 
-// observe records where runs start.
+// observe counts the started runs by worker.
 func (t *trial) observe(event standin.WorkerEvent) {
 	if event.Kind != standin.WorkerRunStarted {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ranOn[event.Node]++
+	t.startsByWorker[event.Node]++
 	t.starts++
 }
 
-// await waits until something is so. The error says what was not in time.
-func (t *trial) await(what string, most time.Duration, condition func() bool) error {
-	for until := time.Now().Add(most); !condition(); {
-		if t.anyEnded() {
-			return fmt.Errorf("a process has ended before this was so: %s", what)
+// await polls until condition is true. It fails on a time-out, when a daemon exits unexpectedly, or
+// when the trial is cancelled; the error names the condition, except after cancellation.
+func (t *trial) await(what string, timeout time.Duration, condition func() bool) error {
+	for until := time.Now().Add(timeout); !condition(); {
+		if t.anyExited() {
+			return fmt.Errorf("a daemon exited while waiting for %s", what)
 		}
 		if time.Now().After(until) {
-			return fmt.Errorf("not within %v: %s", most, what)
+			return fmt.Errorf("timed out after %v waiting for %s", timeout, what)
 		}
 		select {
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		case <-t.ctx.Done():
 			return t.ctx.Err()
 		}
@@ -212,8 +215,8 @@
 	return nil
 }
 
-// anyEnded reports whether a daemon has ended that the trial has not killed.
-func (t *trial) anyEnded() bool {
+// anyExited reports whether a daemon has exited that the trial has not killed.
+func (t *trial) anyExited() bool {
 	for _, name := range t.cluster.Names() {
 		daemon, err := t.cluster.Daemon(name)
 		if err == nil && name != t.killed && len(daemon.Exits()) > 0 {
@@ -223,7 +226,7 @@
 	return false
 }
 
-// leader is the name of the server that leads; empty if none says so.
+// leader returns the name of the server that reports itself as leader, or an empty string.
 func (t *trial) leader() string {
 	for _, name := range t.cluster.Names()[:servers] {
 		daemon, err := t.cluster.Daemon(name)
@@ -239,23 +242,23 @@
 	return ""
 }
 
-// summarize prints what ran where.
+// summarize prints the number of runs on each worker.
 func (t *trial) summarize() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range t.cluster.Names()[servers+1:] {
-		t.say("%s started %d runs", name, t.ranOn[name])
+		t.printf("%s started %d runs", name, t.startsByWorker[name])
 	}
-	t.say("all was as it should be")
+	t.printf("all checks passed")
 }
 
-// invite prints commands to try on the cluster that stays up.
-func (t *trial) invite() {
+// printCommands prints commands to try while the cluster keeps running.
+func (t *trial) printCommands() {
 	daemon, err := t.cluster.Daemon(t.cluster.Names()[0])
 	if err != nil {
 		return
 	}
-	t.say("the cluster stays up until you press ctrl-C; try:")
+	t.printf("the cluster keeps running until you press Ctrl-C; try:")
 	_, _ = fmt.Fprintf(t.options.Output, `
     %[1]s query --at %[2]s "SELECT id, state FROM jobs"
     %[1]s locks --at %[2]s
@@ -264,7 +267,7 @@
 `, t.options.Program, daemon.DaemonAddress(), daemon.ClientAddress(), host, jobPrefix)
 }
 
-// close ends all processes and runners, and removes their files.
+// close stops the runners, kills the daemons and removes all files.
 func (t *trial) close() {
 	t.stop()
 	for _, server := range t.servers {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// build builds the program into a directory of the test.
+// build builds the program into a temporary directory and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tealpond")
@@ -20,8 +20,7 @@
 	return path
 }
 
-// TestTrial runs a trial as a newcomer would: it ends well, says what a reader is to see, and
-// leaves no file behind.
+// TestTrial checks that a trial succeeds, prints the expected progress and removes its directory.
 func TestTrial(t *testing.T) {
 	directory, output := filepath.Join(t.TempDir(), "data"), &bytes.Buffer{}
 	if err := os.Mkdir(directory, 0o700); err != nil {
@@ -30,19 +29,19 @@
 	if err := Run(t.Context(), Options{Program: build(t), Directory: directory, Output: output}); err != nil {
 		t.Fatalf("%v\n%s", err, output)
 	}
-	for _, want := range []string{"is done", "bert is told", "bert holds it", "the leader, while job", "carl still holds the lock", "the watch goes on", "all was as it should be"} {
+	for _, want := range []string{"is done", "bert was refused", "bert acquired the lock", "killed the leader", "carl still holds the lock", "the watch continued", "all checks passed"} {
 		if !strings.Contains(output.String(), want) {
-			t.Errorf("%q is missing:\n%s", want, output)
+			t.Errorf("output lacks %q:\n%s", want, output)
 		}
 	}
 	if _, err := os.Stat(directory); !os.IsNotExist(err) {
-		t.Errorf("the directory is left behind: %v", err)
+		t.Errorf("the directory was not removed: %v", err)
 	}
 }
 
-// TestTrialThatFails: a program that ends at once is an error that says so, and nothing is
-// left behind.
-func TestTrialThatFails(t *testing.T) {
+// TestTrialReportsExitedDaemon checks that a daemon which exits at once makes the trial fail with an
+// error that names the exit status, and that the directory is removed.
+func TestTrialReportsExitedDaemon(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "data")
 	if err := os.Mkdir(directory, 0o700); err != nil {
 		t.Fatal(err)
@@ -50,10 +49,10 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	err := Run(ctx, Options{Program: "/bin/false", Directory: directory, Output: &bytes.Buffer{}})
-	if err == nil || !strings.Contains(err.Error(), "ended: exit status 1") {
-		t.Errorf("the error is %v", err)
+	if err == nil || !strings.Contains(err.Error(), "exited: exit status 1") {
+		t.Errorf("error %v, want one with the exit status", err)
 	}
 	if _, err := os.Stat(directory); !os.IsNotExist(err) {
-		t.Errorf("the directory is left behind: %v", err)
+		t.Errorf("the directory was not removed: %v", err)
 	}
 }
