--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares encodings with files of bytes that an earlier version
-// wrote. It serves tests alone: what is stored on disks or sent between daemons
-// must stay readable, and be written alike, whatever the code's names become.
+// Package golden compares encodings with golden files that an earlier version wrote. It is used only
+// by tests. Data that is stored on disks or sent between daemons must stay readable and must be
+// encoded identically, even when identifiers in the code are renamed.
 package golden
 
 import (
@@ -14,9 +14,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew from the present code")
+var update = flag.Bool("update", false, "rewrite the golden files with the output of the current code")
 
-// Updating reports whether golden files are to be written instead of compared.
+// Updating reports whether golden files are rewritten instead of compared.
 func Updating() bool { return *update }
 
 // Codec encodes and decodes values as the program does.
@@ -25,21 +25,21 @@
 	Decode func(raw []byte, into any) error
 }
 
-// Case is a named value, given by a pointer. Its fields must be filled with
-// values that differ from one another, so that a change of their order shows.
+// Case is a named value, which must be a pointer. The fields of the value must be set and differ from
+// one another, so that a change of their order is detected.
 type Case struct {
 	Name  string
 	Value any
 }
 
-// Check demands that each value encodes to the bytes of its line in the file, and
-// that these bytes decode to the value. A line holds a name and bytes in hex.
+// Check checks that each value encodes to the bytes in its line of the golden file, and that these
+// bytes decode to the value. A line holds a name and the bytes in hex.
 func Check(t *testing.T, file string, codec Codec, cases []Case) {
 	t.Helper()
 	var text strings.Builder
 	for _, c := range cases {
-		for _, fault := range unfilled(reflect.ValueOf(c.Value), c.Name) {
-			t.Error(fault)
+		for _, problem := range indistinctFields(reflect.ValueOf(c.Value), c.Name) {
+			t.Error(problem)
 		}
 		raw, err := codec.Encode(c.Value)
 		if err != nil {
@@ -56,7 +56,7 @@
 		}
 		decoded := reflect.New(reflect.TypeOf(c.Value).Elem())
 		if err := codec.Decode(raw, decoded.Interface()); err != nil {
-			t.Errorf("%s does not decode: %v", c.Name, err)
+			t.Errorf("decode %s: %v", c.Name, err)
 			continue
 		}
 		if !reflect.DeepEqual(decoded.Interface(), c.Value) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// Text demands that a file under testdata holds a text; with -update it writes it.
+// Text checks that a file under testdata holds a text; with -update it writes the text to the file.
 func Text(t *testing.T, file, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -96,7 +96,7 @@
 	return "(no line)"
 }
 
-// read returns the bytes of a golden file, in hex, by name.
+// read returns the hex strings of a golden file by name.
 func read(t *testing.T, file string) map[string]string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", file))
@@ -107,31 +107,31 @@
 	for l := range strings.Lines(string(raw)) {
 		name, bytes, _ := strings.Cut(strings.TrimSpace(l), " ")
 		if _, twice := lines[name]; twice {
-			t.Fatalf("%s: %s stands twice", file, name)
+			t.Fatalf("%s: duplicate entry %s", file, name)
 		}
 		lines[name] = bytes
 	}
 	return lines
 }
 
-// unfilled lists the fields of a value that are empty, and those that hold the
-// same as another field of their struct and type: bytes would not tell them
-// apart. Booleans are left to several cases with one of them set.
-func unfilled(v reflect.Value, path string) []string {
-	var faults []string
+// indistinctFields lists the fields of a value that are zero, and those that equal another field of
+// the same type in their struct, since their encodings could not be told apart. Boolean fields are
+// not checked: distinguish them by several cases with one of them set.
+func indistinctFields(v reflect.Value, path string) []string {
+	var problems []string
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
 			return []string{path + " is nil"}
 		}
-		return unfilled(v.Elem(), path)
+		return indistinctFields(v.Elem(), path)
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			faults = append(faults, unfilled(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
+			problems = append(problems, indistinctFields(v.Index(i), fmt.Sprintf("%s[%d]", path, i))...)
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			faults = append(faults, unfilled(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
+			problems = append(problems, indistinctFields(v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key))...)
 		}
 	case reflect.Struct:
 		seen := map[any]string{}
@@ -141,16 +141,16 @@
 				continue
 			}
 			if field.IsZero() {
-				faults = append(faults, path+"."+name+" is empty")
+				problems = append(problems, path+"."+name+" is zero")
 			}
 			if field.Comparable() && field.Kind() != reflect.Pointer {
 				if other, same := seen[field.Interface()]; same {
-					faults = append(faults, path+"."+name+" holds the same as "+other)
+					problems = append(problems, path+"."+name+" equals "+other)
 				}
 				seen[field.Interface()] = name
 			}
-			faults = append(faults, unfilled(field, path+"."+name)...)
+			problems = append(problems, indistinctFields(field, path+"."+name)...)
 		}
 	}
-	return faults
+	return problems
 }
