--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred reads the list of tests that are known to fail, prints it to the standard
-// error, and prints the pattern for the -skip flag of go test by which exactly those are passed
-// over. It fails if an entry is incomplete.
+// Command knownred reads the list of tests that are known to fail, prints it to standard error, and
+// prints a pattern for the -skip flag of go test that skips exactly these tests. It fails if an entry
+// is incomplete.
 package main
 
 import (
@@ -23,7 +23,7 @@
 		fail(fmt.Errorf("%s: %w", os.Args[1], err))
 	}
 	if len(entries) > 0 {
-		fmt.Fprintf(os.Stderr, "known to fail, passed over:\n%s\n", strings.TrimSpace(string(text)))
+		fmt.Fprintf(os.Stderr, "skipped tests that are known to fail:\n%s\n", strings.TrimSpace(string(text)))
 	}
 	fmt.Println(skipPattern(entries))
 }
@@ -36,13 +36,13 @@
 // entry is a test that is known to fail; each field is required.
 type entry struct{ test, command, seed, seen, issue string }
 
-// field returns an entry's field by its name in the file; nil if there is none of the name.
+// field returns a pointer to the field with the given name in the file, or nil if there is none.
 func (e *entry) field(name string) *string {
 	return map[string]*string{"test": &e.test, "command": &e.command, "seed": &e.seed, "seen": &e.seen, "issue": &e.issue}[name]
 }
 
-// parse reads entries, which are separated by blank lines; each line holds a field's name, a
-// colon and its value, or goes on with the value before it if it is indented.
+// parse parses entries, which are separated by blank lines. Each line holds the name of a field, a
+// colon and its value; an indented line continues the value of the line before.
 func parse(text string) ([]entry, error) {
 	var entries []entry
 	for block := range strings.SplitSeq(strings.TrimSpace(text), "\n\n") {
@@ -68,26 +68,26 @@
 		}
 		name, value, _ := strings.Cut(line, ":")
 		if last = parsed.field(strings.TrimSpace(name)); last == nil {
-			return entry{}, fmt.Errorf("%q is no field", line)
+			return entry{}, fmt.Errorf("line %q: unknown field", line)
 		}
 		*last = strings.TrimSpace(value)
 	}
 	for _, name := range []string{"test", "command", "seed", "seen", "issue"} {
 		if *parsed.field(name) == "" {
-			return entry{}, fmt.Errorf("the entry of test %q has no %s", parsed.test, name)
+			return entry{}, fmt.Errorf("entry of test %q: missing field %s", parsed.test, name)
 		}
 	}
 	if !issueNumber.MatchString(parsed.issue) {
-		return entry{}, fmt.Errorf("the entry of test %q: issue %q is no number", parsed.test, parsed.issue)
+		return entry{}, fmt.Errorf("entry of test %q: issue %q is not a number", parsed.test, parsed.issue)
 	}
 	return parsed, nil
 }
 
-// issueNumber is what an entry's issue looks like.
+// issueNumber matches the issue field of an entry.
 var issueNumber = regexp.MustCompile(`^[0-9]+$`)
 
-// skipPattern is the pattern that matches the entries' tests, and subtests if those are named,
-// and no others.
+// skipPattern returns a pattern that matches the tests of the entries, or the subtests if an entry
+// names one, and no others.
 func skipPattern(entries []entry) string {
 	var patterns []string
 	for _, e := range entries {
