--- a/internal/soak/profile.go
+++ b/internal/soak/profile.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// workQuery draws the query that sets the processing time of a request, in ms, at least least and less
-// than most.
-func workQuery(random *rand.Rand, least, most int) string {
-	return fmt.Sprintf("work=%d", least+random.IntN(most-least))
+// workQuery draws the query that sets the processing time of a request to at least minMs and less than
+// maxMs.
+func workQuery(random *rand.Rand, minMs, maxMs int) string {
+	return fmt.Sprintf("work=%d", minMs+random.IntN(maxMs-minMs))
 }
 
 func read(random *rand.Rand) requestSpec {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -227,7 +227,7 @@
 			r.signal(ctx, names[step.Daemon], syscall.SIGTERM)
 		case StepConfig:
 			r.background.Go(func() {
-				r.recordAction("", "configuration change sent")
+				r.recordAction("", "configuration change started")
 				if r.changeConfiguration(ctx) {
 					r.recordAction("", fmt.Sprint("configuration ", r.version.Load(), " acknowledged"))
 				}
