--- a/internal/simulation/addresses.go
+++ b/internal/simulation/addresses.go
@@ -6,18 +6,18 @@
 	"strconv"
 )
 
-// Ports of each node, as its settings name them.
+// Ports of each node, as given in its settings.
 const (
 	clientPort    = 8161
 	runnerPort    = 8165
 	controlPort   = 8166
 	readinessPort = 8167
-	daemonPort    = 7720 // the first of those for the daemons among themselves
+	daemonPort    = 7720 // the first port of the range for daemon-to-daemon traffic
 )
 
-// Numbers of hosts in a cluster's subnet. Servers and edges begin at 1.
+// Host numbers in a cluster's subnet. Servers and edges start at 1.
 const (
-	addedServerHost = 60 // the one before the first server added later
+	addedServerHost = 60 // the first server that is added later gets the next number
 	firstAgentHost  = 100
 	clientHost      = 250 // clients, and the runners' heartbeats
 	probeHost       = 251
@@ -26,8 +26,8 @@
 	unusedHost      = 254
 )
 
-// agentHost is the host of the i-th agent. The hosts of callers from outside are
-// left out.
+// agentHost returns the host number of the i-th agent. It skips the numbers of
+// external callers.
 func agentHost(i int) int {
 	if i += firstAgentHost; i >= clientHost {
 		return i + 10
@@ -41,7 +41,7 @@
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// NodeIP is a node's IP address, or one where nobody is for a node that was
+// NodeIP returns a node's IP address, or the address of unusedHost if the node was
 // removed.
 func (c *Cluster) NodeIP(name string) string {
 	if n := c.node(name); n != nil {
@@ -50,10 +50,10 @@
 	return c.hostIP(unusedHost)
 }
 
-// nodeAddress is the address of one of a node's ports.
+// nodeAddress returns the address of one of a node's ports.
 func (c *Cluster) nodeAddress(name string, port int) string { return address(c.NodeIP(name), port) }
 
-// nodeURL is a URL at one of a node's ports.
+// nodeURL returns a URL at one of a node's ports.
 func (c *Cluster) nodeURL(name string, port int, path string) string {
 	return "http://" + c.nodeAddress(name, port) + path
 }
--- a/internal/simulation/announcer.go
+++ b/internal/simulation/announcer.go
@@ -8,22 +8,23 @@
 	"tealpond/internal/protocol"
 )
 
-// drainTime is how long a runner goes on serving after its drain was acknowledged, or
+// drainTime is how long a runner continues to serve after its drain was acknowledged, or
 // after a sign-off without a drain.
 const drainTime = 2500 * time.Millisecond
 
-// announce sends the heartbeats of a runner that no list names, until it has ended: to the
-// daemons in turn, and to the next at once where one gives no acknowledgement.
-func (p *Platform) announce(ctx context.Context, id string) {
+// announceRunner sends the heartbeats of a runner that is not in a platform's list, until the
+// runner has ended. Heartbeats go to the daemons in turn; if one does not acknowledge, the next
+// daemon is tried at once.
+func (p *Platform) announceRunner(ctx context.Context, id string) {
 	for sequence := int64(1); ; sequence++ {
 		runner, alive := p.Runner(id)
 		if !alive || ctx.Err() != nil {
 			return
 		}
 		heartbeat := protocol.Heartbeat{Service: runner.TargetService, Address: runner.Address, Zone: runner.Zone, Slots: runner.Slots, State: runner.State, Sequence: sequence}
-		if p.tell(ctx, "/-/Runners.Heartbeat/"+id, int(sequence), heartbeat) && runner.State == protocol.RunnerDraining {
+		if p.callUntilAcknowledged(ctx, "/-/Runners.Heartbeat/"+id, int(sequence), heartbeat) && runner.State == protocol.RunnerDraining {
 			time.Sleep(drainTime)
-			p.tell(ctx, "/-/Runners.SignOff/"+id, int(sequence), nil)
+			p.callUntilAcknowledged(ctx, "/-/Runners.SignOff/"+id, int(sequence), nil)
 			p.Crash(id, 0)
 			return
 		}
@@ -34,9 +35,9 @@
 	}
 }
 
-// tell makes a runner's call at one daemon after another until it is acknowledged; false if
-// none does.
-func (p *Platform) tell(ctx context.Context, path string, first int, body any) bool {
+// callUntilAcknowledged makes a runner's call at one daemon after another until one acknowledges
+// it. It reports whether any did.
+func (p *Platform) callUntilAcknowledged(ctx context.Context, path string, first int, body any) bool {
 	nodes := p.cluster.nodeNames(gatewayRole)
 	for i := range nodes {
 		if ctx.Err() != nil {
--- a/internal/simulation/cluster.go
+++ b/internal/simulation/cluster.go
@@ -19,13 +19,13 @@
 // Roles of daemons, as their settings name them.
 const (
 	edgeRole  = "edge" // serves clients and operators, and may be a server
-	agentRole = "side" // works for the runner on its machine
-	// gatewayRole forwards requests of clients, and may be a server.
+	agentRole = "side" // is the agent of the runner on its machine
+	// gatewayRole forwards client requests to runners, and may be a server.
 	gatewayRole = "gateway"
 )
 
 // Cluster is a cluster of whole daemons on one simulated network. A node is a
-// daemon with its machine and is known by its name.
+// daemon with its machine and is identified by its name.
 type Cluster struct {
 	T       *testing.T
 	Network *Network
@@ -41,14 +41,14 @@
 	debug           bool
 	tallies         bool
 	addedServers    atomic.Int64
-	lastVersion     atomic.Int64 // the newest number given to a configuration
+	lastVersion     atomic.Int64 // the newest configuration version that was allocated
 	seeds           []string
 	logOutput       io.Writer
 	client          *http.Client
 	stopHeartbeats  context.CancelFunc
 	federationFile  string
 	onLog           atomic.Pointer[func(line string)] // called for each line of a log
-	platform        *Platform                         // of a cluster of gateways; nil: none
+	platform        *Platform                         // nil unless the cluster consists of gateways
 }
 
 // node is a daemon and its machine.
@@ -56,24 +56,24 @@
 	name       string
 	ip         string
 	role       string
-	server     bool // it holds a replica of the state
+	server     bool // holds a replica of the state
 	firstStart bool
 	zone       string
-	order      int // in which it was added
+	order      int // position in the order in which nodes were added
 	cancel     context.CancelCauseFunc
 	done       chan struct{} // closed when the daemon has ended
 	logGate    gate
-	syncTime   atomic.Int64 // that a sync of its disk takes, in ns
+	syncTime   atomic.Int64 // duration of a disk sync, in ns
 	reload     chan settings.File
 }
 
-// ClusterSpec says what a cluster is built of.
+// ClusterSpec specifies a cluster.
 type ClusterSpec struct {
-	// Servers hold the state, Edges serve clients without a disk, and each of
-	// Agents has a runner.
+	// Servers is the number of nodes that hold the state, Edges that of nodes that
+	// serve clients without a disk, and Agents that of nodes with a runner.
 	Servers, Edges, Agents int
-	// ToleratedLosses is the number of servers that may be lost; if it is 0, as
-	// many as leave a majority.
+	// ToleratedLosses is the number of servers that may be lost. 0 means as many
+	// as leave a majority.
 	ToleratedLosses int
 	// Zones is the number of zones over which the nodes are spread; at least one.
 	Zones int
@@ -82,23 +82,24 @@
 	Network *Network
 	Subnet  int
 	Name    string
-	// Federation is the text of the file that turns federation on, if any.
+	// Federation is the content of the file that enables federation, if any.
 	Federation string
 	// History is a history shared with another cluster, if any.
 	History *History
 	// Gateway makes all servers and edges gateways, with a platform that lists their
-	// runners. There are no jobs.
+	// runners. Such a cluster runs no jobs.
 	Gateway bool
-	// Announced has the gateways' runners tell of themselves by heartbeats, instead of
-	// a platform that lists them.
+	// Announced makes the gateways' runners register by heartbeats instead of being
+	// listed by a platform.
 	Announced bool
-	// Tallies has the rules on tallies in force, which go on at each side of a partition.
+	// Tallies enables tallies, which stay available on both sides of a partition.
 	Tallies bool
-	// Debug makes daemons log at the debug level, which the fault Frozen needs.
+	// Debug makes daemons log at the debug level. The fault Frozen needs it, since it
+	// blocks a daemon when it writes a log line.
 	Debug bool
 }
 
-// zone is the zone of the i-th node of a kind.
+// zone returns the zone of the i-th node of a kind.
 func (spec ClusterSpec) zone(i int) string {
 	if spec.Zones < 2 {
 		return "z"
@@ -106,7 +107,7 @@
 	return fmt.Sprint("z", i%spec.Zones)
 }
 
-// frontRole is the role of servers and edges.
+// frontRole returns the role of servers and edges.
 func (spec ClusterSpec) frontRole() string {
 	if spec.Gateway {
 		return gatewayRole
@@ -114,10 +115,10 @@
 	return edgeRole
 }
 
-// seedCount is the number of seeds in the settings of a new cluster.
+// seedCount is the number of seed nodes in the settings of a new cluster.
 const seedCount = 3
 
-// NewCluster starts a cluster and returns without waiting for it.
+// NewCluster starts a cluster and returns without waiting until it is ready.
 func NewCluster(t *testing.T, spec ClusterSpec) *Cluster {
 	if spec.Network == nil {
 		spec.Network = NewNetwork()
@@ -150,7 +151,7 @@
 	return c
 }
 
-// startAll starts all nodes and the heartbeats of the runners.
+// startAll starts all nodes and the runners' heartbeats.
 func (c *Cluster) startAll() {
 	for _, name := range c.nodeNames("") {
 		c.Start(name)
@@ -162,7 +163,7 @@
 	}
 }
 
-// addNodes adds the nodes of a new cluster and its runners.
+// addNodes adds the nodes and runners of a new cluster.
 func (c *Cluster) addNodes(spec ClusterSpec) {
 	for i := range spec.Servers + spec.Edges {
 		ip := c.hostIP(i + 1)
@@ -180,7 +181,7 @@
 	}
 }
 
-// addNode adds a node that isn't started yet.
+// addNode adds a node without starting it.
 func (c *Cluster) addNode(n *node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +223,7 @@
 	return servers
 }
 
-// AddServer starts a new server at a new address, with an empty disk.
+// AddServer starts a new server at a new address with an empty disk and returns its name.
 func (c *Cluster) AddServer(zone string) string {
 	number := int(c.addedServers.Add(1))
 	added := &node{zone: zone, name: fmt.Sprintf("%snew-%d", c.Name, number), ip: c.hostIP(addedServerHost + number), role: edgeRole, server: true}
@@ -231,14 +232,14 @@
 	return added.name
 }
 
-// RemoveNode removes a node that isn't running, for good.
+// RemoveNode permanently removes a node that isn't running.
 func (c *Cluster) RemoveNode(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.nodes, name)
 }
 
-// SetSeeds sets the seeds in all settings from now on.
+// SetSeeds sets the seed nodes in all settings that are written from now on.
 func (c *Cluster) SetSeeds(names ...string) {
 	c.seeds = nil
 	for _, name := range names {
@@ -246,14 +247,15 @@
 	}
 }
 
-// WaitReady sends the first configuration and waits until all workers are known.
+// WaitReady sends the first configuration, waits until it is accepted, and then waits long
+// enough for all workers to register.
 func (c *Cluster) WaitReady() {
 	c.T.Helper()
 	c.WaitUntil("the first configuration is accepted", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, "") == http.StatusOK })
 	time.Sleep(3 * time.Second)
 }
 
-// WaitUntil waits for a condition and fails the test if it isn't met in time.
+// WaitUntil waits for a condition and fails the test if it is not met in time.
 func (c *Cluster) WaitUntil(what string, timeout time.Duration, condition func() bool) {
 	c.T.Helper()
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -261,5 +263,5 @@
 			return
 		}
 	}
-	c.T.Fatalf("not within %v: %s", timeout, what)
+	c.T.Fatalf("condition not met within %v: %s", timeout, what)
 }
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// chunk is what one call of Write sent.
+// chunk is the data of one call of send.
 type chunk struct {
 	arrivesAt time.Time
 	data      []byte
@@ -21,20 +21,20 @@
 	local, remote string // IP addresses
 	peer          *conn
 	mu            sync.Mutex
-	inbox         []chunk       // on their way to this end
-	wake          chan struct{} // has an element if Read must look again
-	space         chan struct{} // has an element if Write must look again
+	inbox         []chunk       // sent to this end and not read yet
+	readWakeup    chan struct{} // has an element if Read must check again
+	writeWakeup   chan struct{} // has an element if Write must check again
 	closed        bool
 	peerClosed    bool
 	deadline      time.Time // of reads; zero if there is none
 	writeDeadline time.Time // zero if there is none
-	window        int       // how many bytes may be on their way to this end or unread
+	receiveWindow int       // maximum number of bytes in flight to this end or unread
 }
 
 // newConnPair connects two hosts.
 func newConnPair(n *Network, localIP, remoteIP string) (*conn, *conn) {
-	local := &conn{network: n, local: localIP, remote: remoteIP, wake: make(chan struct{}, 1), space: make(chan struct{}, 1), window: connWindow}
-	remote := &conn{network: n, local: remoteIP, remote: localIP, wake: make(chan struct{}, 1), space: make(chan struct{}, 1), window: connWindow}
+	local := &conn{network: n, local: localIP, remote: remoteIP, readWakeup: make(chan struct{}, 1), writeWakeup: make(chan struct{}, 1), receiveWindow: defaultReceiveWindow}
+	remote := &conn{network: n, local: remoteIP, remote: localIP, readWakeup: make(chan struct{}, 1), writeWakeup: make(chan struct{}, 1), receiveWindow: defaultReceiveWindow}
 	local.peer, remote.peer = remote, local
 	n.mu.Lock()
 	n.conns[local], n.conns[remote] = true, true
@@ -42,9 +42,9 @@
 	return local, remote
 }
 
-func (c *conn) wakeReader() { signal(c.wake) }
+func (c *conn) wakeReader() { signal(c.readWakeup) }
 
-// signal puts an element into a channel that has none.
+// signal puts an element into a channel of capacity one, unless it has one already.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -52,33 +52,33 @@
 	}
 }
 
-// errWouldBlock means that nothing can be read yet.
-var errWouldBlock = errors.New("simulation: nothing to read yet")
+// errWouldBlock means that no data can be read yet.
+var errWouldBlock = errors.New("simulation: no data to read yet")
 
-// Read waits for bytes that have arrived. A blocked way holds them back, and the end
-// of the connection too.
+// Read waits until data has arrived. While the direction to this end is blocked, neither
+// data nor the end of the connection arrives.
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		n, wait, err := c.readNow(p)
+		n, wait, err := c.tryRead(p)
 		if !errors.Is(err, errWouldBlock) {
 			return n, err
 		}
 		if wait < 0 {
-			<-c.wake
+			<-c.readWakeup
 			continue
 		}
 		timer := time.NewTimer(wait)
 		select {
-		case <-c.wake:
+		case <-c.readWakeup:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// readNow is Read without waiting. With errWouldBlock it gives the time until something
-// arrives or the deadline is over, or a negative one if neither is known.
-func (c *conn) readNow(p []byte) (n int, wait time.Duration, err error) {
+// tryRead is Read without waiting. With errWouldBlock it returns the time until data arrives
+// or the deadline expires, or a negative duration if neither is known.
+func (c *conn) tryRead(p []byte) (n int, wait time.Duration, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -93,7 +93,7 @@
 			if c.inbox[0].data = c.inbox[0].data[n:]; len(c.inbox[0].data) == 0 {
 				c.inbox = c.inbox[1:]
 			}
-			signal(c.peer.space)
+			signal(c.peer.writeWakeup)
 			return n, 0, nil
 		}
 	case c.peerClosed && !blocked:
@@ -110,27 +110,27 @@
 	return 0, wait, errWouldBlock
 }
 
-// Write sends bytes on their way. It waits only where a host's link has a rate, for the
-// other end to read.
+// Write sends data. It blocks only if the link of one of the hosts has a rate limit, until the
+// other end has room in its receive window.
 func (c *conn) Write(p []byte) (int, error) {
-	if !c.network.hasRate(c.local, c.remote) {
+	if !c.network.isRateLimited(c.local, c.remote) {
 		return len(p), c.send(p)
 	}
 	written := 0
 	for written < len(p) {
-		if err := c.awaitSpace(); err != nil {
+		if err := c.awaitWindow(); err != nil {
 			return written, err
 		}
-		part := p[written:min(written+linkPart, len(p))]
-		if err := c.send(part); err != nil {
+		segment := p[written:min(written+maxLinkSegment, len(p))]
+		if err := c.send(segment); err != nil {
 			return written, err
 		}
-		written += len(part)
+		written += len(segment)
 	}
 	return written, nil
 }
 
-// send sends bytes on their way at once.
+// send sends data without waiting.
 func (c *conn) send(p []byte) error {
 	c.mu.Lock()
 	closed := c.closed
@@ -145,12 +145,12 @@
 	if peer.closed {
 		return errReset
 	}
-	peer.inbox = append(peer.inbox, chunk{c.network.arrival(c.local, c.remote, len(p)), append([]byte(nil), p...)})
+	peer.inbox = append(peer.inbox, chunk{c.network.arrivalTime(c.local, c.remote, len(p)), append([]byte(nil), p...)})
 	return nil
 }
 
-// awaitSpace waits until the other end has read enough.
-func (c *conn) awaitSpace() error {
+// awaitWindow waits until the other end's receive window has room.
+func (c *conn) awaitWindow() error {
 	for {
 		c.mu.Lock()
 		closed, deadline := c.closed, c.writeDeadline
@@ -166,20 +166,19 @@
 		case !deadline.IsZero() && !time.Now().Before(deadline):
 			return os.ErrDeadlineExceeded
 		case deadline.IsZero():
-			<-c.space
+			<-c.writeWakeup
 			continue
 		}
 		timer := time.NewTimer(time.Until(deadline))
 		select {
-		case <-c.space:
+		case <-c.writeWakeup:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// isFull reports whether as much is on its way to this end, or not read yet, as its window
-// allows, and whether it is closed.
+// isFull reports whether the receive window of this end is full, and whether the end is closed.
 func (c *conn) isFull() (full, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,25 +186,25 @@
 	for _, chunk := range c.inbox {
 		unread += len(chunk.data)
 	}
-	return unread >= c.window, c.closed
+	return unread >= c.receiveWindow, c.closed
 }
 
-// SetReadBuffer sets how many bytes may be on their way to this end or unread.
+// SetReadBuffer sets the size of this end's receive window.
 func (c *conn) SetReadBuffer(bytes int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.window = bytes
+	c.receiveWindow = bytes
 	return nil
 }
 
-// Close closes both ways. What is on its way still arrives.
+// Close closes both directions. Data in flight still arrives.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
 	c.wakeReader()
-	signal(c.space)
-	signal(c.peer.space)
+	signal(c.writeWakeup)
+	signal(c.peer.writeWakeup)
 	c.peer.mu.Lock()
 	c.peer.peerClosed = true
 	c.peer.mu.Unlock()
@@ -216,10 +215,10 @@
 	return nil
 }
 
-// LocalAddr is the address of this end. Ports of dialers are not simulated.
+// LocalAddr returns the address of this end. The ports of dialers are not simulated.
 func (c *conn) LocalAddr() net.Addr { return simAddr(c.local + ":0") }
 
-// RemoteAddr is the address of the other end.
+// RemoteAddr returns the address of the other end.
 func (c *conn) RemoteAddr() net.Addr { return simAddr(c.remote + ":0") }
 
 // SetDeadline sets the deadlines of reads and writes.
@@ -237,11 +236,11 @@
 	return nil
 }
 
-// SetWriteDeadline sets the deadline of writes, which wait only where a link has a rate.
+// SetWriteDeadline sets the deadline of writes, which block only on links with a rate limit.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.writeDeadline = t
 	c.mu.Unlock()
-	signal(c.space)
+	signal(c.writeWakeup)
 	return nil
 }
--- a/internal/simulation/daemons.go
+++ b/internal/simulation/daemons.go
@@ -19,16 +19,16 @@
 	"tealpond/internal/transport"
 )
 
-// traceRingLength is the number of trace marks that a simulated daemon keeps.
+// traceRingLength is the number of trace entries that a simulated daemon keeps.
 const traceRingLength = 4096
 
-// Start starts a daemon that isn't running.
+// Start starts a daemon that is not running.
 func (c *Cluster) Start(name string) {
 	n := c.node(name)
 	ctx, cancel := context.WithCancelCause(transport.WithNetwork(context.Background(), c.Network.Host(n.ip)))
 	role := c.newRole(n, c.environment(n))
 	n.cancel, n.done, n.firstStart = cancel, make(chan struct{}), false
-	// By the labels a profile tells the daemons of the process apart.
+	// The labels identify each daemon of the process in a profile.
 	go pprof.Do(ctx, pprof.Labels("role", n.role, "node", name), func(ctx context.Context) {
 		if err := role.Run(ctx); err != nil {
 			c.T.Errorf("%s: %v", name, err)
@@ -37,7 +37,7 @@
 	})
 }
 
-// environment is what the process of a daemon hands to its role.
+// environment returns what a daemon's process passes to its role.
 func (c *Cluster) environment(n *node) daemon.Environment {
 	environment := daemon.Environment{Settings: c.nodeSettings(n), Log: log.NewLogfmtLogger(log.NewSyncWriter(logObserver{c})),
 		ProcessID: fmt.Sprint(n.name, "-", time.Now().UnixNano()), Reload: make(chan settings.File, 1), Trace: tracing.NewRing(traceRingLength)}
@@ -63,7 +63,7 @@
 	return role
 }
 
-// nodeSettings is a node's settings file.
+// nodeSettings returns a node's settings file.
 func (c *Cluster) nodeSettings(n *node) settings.File {
 	file := settings.File{NodeName: n.name, IPAddress: n.ip, Zone: n.zone, InnerPortRange: []int{daemonPort, daemonPort + 10}, SeedNodes: c.seeds,
 		FirstStart: n.firstStart, HeartbeatIntervalMs: heartbeatInterval.Milliseconds(), RunnerAddress: address(n.ip, runnerPort)}
@@ -104,7 +104,7 @@
 	return file
 }
 
-// ReloadSettings gives a daemon its settings anew, as the signal HUP does.
+// ReloadSettings makes a daemon reload its settings, as SIGHUP does.
 func (c *Cluster) ReloadSettings(name string) {
 	n := c.node(name)
 	select {
@@ -113,7 +113,7 @@
 	}
 }
 
-// Kill ends a daemon at once.
+// Kill ends a daemon at once, without a shutdown.
 func (c *Cluster) Kill(name string) {
 	n := c.node(name)
 	c.Network.TakeDown(n.ip)
@@ -122,7 +122,7 @@
 	c.Network.TakeDown(n.ip)
 }
 
-// Terminate asks a daemon to end and waits until it has.
+// Terminate asks a daemon to shut down and waits until it has ended.
 func (c *Cluster) Terminate(name string) {
 	n := c.node(name)
 	n.cancel(context.Canceled)
@@ -130,7 +130,7 @@
 	c.Network.TakeDown(n.ip)
 }
 
-// Restart kills daemons and starts them again after a while.
+// Restart kills daemons and starts them again after downtime.
 func (c *Cluster) Restart(downtime time.Duration, names ...string) {
 	for _, name := range names {
 		c.Kill(name)
@@ -141,7 +141,7 @@
 	}
 }
 
-// WipeDisk empties the disk of a daemon that isn't running.
+// WipeDisk deletes the data directory of a daemon that is not running.
 func (c *Cluster) WipeDisk(name string) {
 	if err := os.RemoveAll(filepath.Join(c.dir, name)); err != nil {
 		c.T.Fatal(err)
@@ -162,17 +162,18 @@
 		c.Network.TakeDown(n.ip)
 	}
 	c.client.CloseIdleConnections()
-	// Requests that a stand-in carries out late, and calls without an answer, end
-	// in this time.
+	// Within this time, requests that a simulated runner applies late and calls without
+	// a response have ended.
 	time.Sleep(15 * time.Second)
 }
 
-// logObserver writes the daemons' logs and passes each line to the test.
+// logObserver writes the daemons' logs and passes each line to the observer that the
+// test has set.
 type logObserver struct{ cluster *Cluster }
 
 func (o logObserver) Write(p []byte) (int, error) {
-	if f := o.cluster.onLog.Load(); f != nil {
-		(*f)(string(p))
+	if observe := o.cluster.onLog.Load(); observe != nil {
+		(*observe)(string(p))
 	}
 	return o.cluster.logOutput.Write(p)
 }
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -1,8 +1,8 @@
-// Package simulation runs whole daemons in one process, for tests. Stand-ins take
-// the place of the network, of the runners, and of clients and operators; the
-// daemons' own code is that of the real process. A History records what the
-// stand-ins saw, and its checkers hold that against the operators' rules.
+// Package simulation runs whole daemons in one process, for tests. The network,
+// the runners, the clients and the operators are simulated; the daemons run the
+// same code as the real process. A History records what the simulated parties
+// observed, and its checkers verify that record against the operators' rules.
 //
 // Time is that of a testing/synctest bubble, so that minutes of a cluster's life
-// take seconds. The package serves tests only; no daemon imports it.
+// take seconds. The package is for tests only; no daemon imports it.
 package simulation
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Faults of a node, which are also the names of subtests. Each but IsolateFromClients,
-// Frozen and Slowed leaves it without a majority.
+// Faults of a node. The values are also names of subtests. Each fault except
+// IsolateFromClients, Frozen and Slowed leaves the node without a majority.
 const (
 	IsolateBothWays    = "isolated"
 	IsolateInbound     = "inbound blocked"
@@ -14,11 +14,11 @@
 	Slowed             = "slowed"
 )
 
-// slowedDelay is how long a slowed node's bytes wait on each way: five times what a
-// command takes from its client to its commit.
+// slowedDelay is the added delay of a slowed node's data in each direction: five times what
+// a command takes from its client to its commit.
 const slowedDelay = 50 * time.Millisecond
 
-// InjectFault injects a fault into a node and returns what ends it.
+// InjectFault injects a fault into a node and returns a function that repairs it.
 func (c *Cluster) InjectFault(name, fault string) func() {
 	target := c.node(name)
 	var others []string
@@ -38,8 +38,8 @@
 		others = clients
 	case Frozen:
 		others = append(others, append(clients, c.hostIP(probeHost), c.hostIP(adminHost))...)
-		// The next line of its log holds up its event loop, which then meets what
-		// has gathered meanwhile, as after a thaw.
+		// The node's event loop blocks at its next log line. After the repair it has to
+		// process all that has queued up meanwhile, like a process that was suspended.
 		target.logGate.close()
 	case Slowed:
 		c.Network.SetDelay(target.ip, slowedDelay)
@@ -69,25 +69,25 @@
 	}
 }
 
-// SetSyncTime sets how long a sync of a server's disk takes; 0: no time.
+// SetSyncTime sets how long a sync of a server's disk takes. 0 means no delay.
 func (c *Cluster) SetSyncTime(name string, duration time.Duration) {
 	c.node(name).syncTime.Store(int64(duration))
 }
 
-// SetPartition blocks, or unblocks, both ways between a node and some others.
+// SetPartition blocks or unblocks both directions between a node and others.
 func (c *Cluster) SetPartition(name string, blocked bool, others ...string) {
 	for _, other := range others {
 		setPartition(c.Network, c.NodeIP(name), c.NodeIP(other), blocked)
 	}
 }
 
-// setPartition blocks, or unblocks, both ways between two hosts.
+// setPartition blocks or unblocks both directions between two hosts.
 func setPartition(network *Network, a, b string, blocked bool) {
-	for _, way := range [][2]string{{a, b}, {b, a}} {
+	for _, direction := range [][2]string{{a, b}, {b, a}} {
 		if blocked {
-			network.Block(way[0], way[1])
+			network.Block(direction[0], direction[1])
 		} else {
-			network.Unblock(way[0], way[1])
+			network.Unblock(direction[0], direction[1])
 		}
 	}
 }
--- a/internal/simulation/leader.go
+++ b/internal/simulation/leader.go
@@ -8,8 +8,8 @@
 	"tealpond/internal/transport"
 )
 
-// Leader returns a node that believes itself to be the leader, or that some server
-// believes to be: the first answer counts. It is empty if there is none.
+// Leader returns the leader according to the first server that names one, which may be the
+// server itself. It is empty if no server knows a leader.
 func (c *Cluster) Leader() string {
 	for _, name := range c.Servers() {
 		if leader := c.leaderKnownTo(name); leader != "" {
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// leaderKnownTo asks a node for the leader; empty if it knows none.
+// leaderKnownTo returns the leader according to a node, or an empty string if it knows none.
 func (c *Cluster) leaderKnownTo(name string) string {
 	response, err := c.probe(name)
 	var info rpc.LeaderInfo
@@ -32,7 +32,7 @@
 	return c.nodeAt(info.Leader)
 }
 
-// nodeAt returns the node whose daemon has an address, or nothing.
+// nodeAt returns the node whose daemon listens at an address, or an empty string.
 func (c *Cluster) nodeAt(addr string) string {
 	for _, name := range c.nodeNames("") {
 		if c.nodeAddress(name, daemonPort) == addr {
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// AppliedIndex is the index up to which a server has applied its log, or 0 if it
-// doesn't answer.
+// AppliedIndex returns the index up to which a server has applied its log, or 0 if the
+// server does not respond.
 func (c *Cluster) AppliedIndex(name string) uint64 {
 	response, err := c.probe(name)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return response.AppliedIndex
 }
 
-// probe asks a node for the leader, as daemons do.
+// probe sends a node the request for the leader that daemons send to each other.
 func (c *Cluster) probe(name string) (rpc.Response, error) {
 	ctx, stop := context.WithTimeout(transport.WithNetwork(context.Background(), c.Network.Host(c.hostIP(probeHost))), time.Second)
 	defer stop()
--- a/internal/simulation/log_gate.go
+++ b/internal/simulation/log_gate.go
@@ -6,13 +6,13 @@
 	"github.com/go-kit/log"
 )
 
-// gate holds up whoever passes while it is closed. The zero value is open.
+// gate blocks the callers of wait while it is closed. The zero value is open.
 type gate struct {
 	mu     sync.Mutex
 	closed chan struct{} // nil while open
 }
 
-func (g *gate) pass() {
+func (g *gate) wait() {
 	g.mu.Lock()
 	closed := g.closed
 	g.mu.Unlock()
@@ -36,13 +36,13 @@
 	g.mu.Unlock()
 }
 
-// gatedLogger is a logger whose lines wait at a gate, and their writers with them.
+// gatedLogger is a logger that blocks its callers while its gate is closed.
 type gatedLogger struct {
 	gate   *gate
 	logger log.Logger
 }
 
 func (g gatedLogger) Log(kv ...any) error {
-	g.gate.pass()
+	g.gate.wait()
 	return g.logger.Log(kv...)
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// networkDelay is the time that bytes take from one host to another.
+	// networkDelay is the one-way latency between two hosts.
 	networkDelay = 500 * time.Microsecond
-	// dialTimeout is how long a dial across a blocked way hangs.
+	// dialTimeout is how long a dial hangs if the path is blocked.
 	dialTimeout = 500 * time.Millisecond
-	// backlog is the number of connections that may wait to be accepted.
+	// backlog is the number of connections that may be waiting to be accepted.
 	backlog = 64
 )
 
@@ -26,19 +26,19 @@
 	errReset     = errors.New("simulation: connection reset")
 )
 
-// Network is a network of hosts, known by their IP addresses. What is forwarded a blocked
-// way is held back until it is unblocked; a host that is taken down resets its
-// connections.
+// Network is a simulated network of hosts, which are identified by their IP addresses. Data
+// sent in a blocked direction is held back until it is unblocked. A host that is taken down
+// closes its connections.
 type Network struct {
 	mu         sync.Mutex
 	listeners  map[string]*listener // by address
 	conns      map[*conn]bool
 	blocked    map[[2]string]bool       // from, to
-	extraDelay map[string]time.Duration // of what goes from or to a host
-	links      map[string]*link         // of hosts whose links have a rate
+	extraDelay map[string]time.Duration // of data from or to a host
+	links      map[string]*link         // of hosts whose links have a rate limit
 }
 
-// NewNetwork makes an empty network.
+// NewNetwork returns an empty network.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{}, blocked: map[[2]string]bool{}, extraDelay: map[string]time.Duration{}, links: map[string]*link{}}
 }
@@ -52,7 +52,7 @@
 // Host returns the network as a host sees it.
 func (n *Network) Host(ip string) *Host { return &Host{n, ip} }
 
-// hostPart is the host of an address.
+// hostPart returns the host of an address.
 func hostPart(addr string) string {
 	ip, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -61,23 +61,23 @@
 	return ip
 }
 
-// Block holds back what goes from one host to another, that way only.
+// Block holds back data from one host to another, in that direction only.
 func (n *Network) Block(from, to string) {
 	n.mu.Lock()
 	n.blocked[[2]string{from, to}] = true
 	n.mu.Unlock()
 }
 
-// Unblock ends Block; what was held back goes on.
+// Unblock ends Block. Data that was held back is delivered.
 func (n *Network) Unblock(from, to string) {
 	n.mu.Lock()
 	delete(n.blocked, [2]string{from, to})
-	var wake []*conn
+	var waiting []*conn
 	for c := range n.conns {
-		wake = append(wake, c)
+		waiting = append(waiting, c)
 	}
 	n.mu.Unlock()
-	for _, c := range wake {
+	for _, c := range waiting {
 		c.wakeReader()
 	}
 }
@@ -88,7 +88,7 @@
 	return n.blocked[[2]string{from, to}]
 }
 
-// SetDelay sets a delay for all that goes from or to a host, beside networkDelay.
+// SetDelay sets a delay for all data from or to a host, in addition to networkDelay.
 func (n *Network) SetDelay(ip string, delay time.Duration) {
 	n.mu.Lock()
 	n.extraDelay[ip] = delay
@@ -176,8 +176,8 @@
 	return l, nil
 }
 
-// Dial connects to an address. If a way there or back is blocked it hangs, as a real
-// dial does.
+// Dial connects to an address. If either direction is blocked it hangs for dialTimeout, as a
+// real dial would.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	to := hostPart(addr)
 	if h.network.isBlocked(h.ip, to) || h.network.isBlocked(to, h.ip) {
@@ -205,7 +205,7 @@
 	return nil, fmt.Errorf("%w: %s", errRefused, addr)
 }
 
-// DialContext is Dial in the form that http.Transport needs.
+// DialContext is Dial with the signature that http.Transport needs.
 func (h *Host) DialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	return h.Dial(ctx, addr)
 }
--- a/internal/simulation/operator.go
+++ b/internal/simulation/operator.go
@@ -11,60 +11,61 @@
 	"tealpond/internal/protocol"
 )
 
-// ConfigurationChange is a configuration that an operator sends, built on another one.
+// ConfigurationChange is a configuration that an operator sends, based on a previous version.
 type ConfigurationChange struct {
 	Version, Base int64
 	Text          string
-	Invalid       bool // it must not be accepted
-	Routes        int  // beside the one that each configuration has
+	Invalid       bool // the configuration must not be accepted
+	Routes        int  // in addition to the one that each configuration has
 }
 
-// NewChange makes a change on a version: one more route, of its own name.
+// NewChange returns a change of a version that adds one route with a unique name.
 func (c *Cluster) NewChange(base int64) ConfigurationChange {
 	version := c.lastVersion.Add(1 + c.lastVersion.Load()%3)
 	return ConfigurationChange{Version: version, Base: base, Text: configurationText(version, routeJSON(fmt.Sprint("v", version)))}
 }
 
-// routeJSON is a route as configurationFormat takes it.
+// routeJSON returns a route in the form that configurationFormat takes.
 func routeJSON(name string) string {
 	return fmt.Sprintf(`,{"name":%q,"hostName":"h","pathPrefix":"/%s/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"svc","maxTries":3,"stretch":1.5}`, name, name)
 }
 
-// Operator sends changes and reads the configuration, by the operators' protocol: at any
-// node that serves control, and again after no clear answer, with growing pauses.
+// Operator sends changes and reads the configuration by the operators' protocol: at any
+// node that serves the control API, with retries and exponential backoff while the outcome is
+// unknown.
 type Operator struct {
 	cluster *Cluster
 	random  *rand.Rand
 	client  *http.Client
-	// AckLossRate is the part of the answers that are lost on their way.
+	// AckLossRate is the fraction of the responses that are lost.
 	AckLossRate float64
 	// knownVersion is the newest version known to have been in force.
 	knownVersion int64
 }
 
-// NewOperator makes an operator that knows the first configuration.
+// NewOperator returns an operator that knows the first configuration.
 func (c *Cluster) NewOperator(seed int64) *Operator {
 	return &Operator{cluster: c, random: rand.New(rand.NewSource(seed)), knownVersion: 1,
 		client: &http.Client{Transport: &http.Transport{DialContext: c.Network.Host(c.hostIP(operatorHost)).DialContext}}}
 }
 
-// Close closes the operator's connections.
+// Close closes the operator's idle connections.
 func (operator *Operator) Close() { operator.client.CloseIdleConnections() }
 
-// requestTimeout is how long an operator waits for an answer.
+// requestTimeout returns how long an operator waits for a response.
 func requestTimeout(routes int) time.Duration {
 	return time.Second + time.Duration(3*routes)*time.Millisecond
 }
 
-// SendAt sends a change to one node, once, and gives the status code, or 0 if there was
-// no answer.
+// SendAt sends a change once to one node. It returns the status code, or 0 if there was no
+// response.
 func (operator *Operator) SendAt(node string, change ConfigurationChange) int {
 	call := Call{Node: node, Kind: CallReplace, Version: change.Version, Base: change.Base, Text: change.Text, Invalid: change.Invalid}
 	operator.perform(&call, http.MethodPost, "/-/Config.Replace", change.Text, change.Routes)
 	return call.Code
 }
 
-// ReadAt reads the configuration at one node, once.
+// ReadAt reads the configuration once at one node.
 func (operator *Operator) ReadAt(node string) Call {
 	call := Call{Node: node, Kind: CallRead}
 	operator.perform(&call, http.MethodGet, "/-/Config.Read", "", 0)
@@ -91,17 +92,17 @@
 			Version int64 `json:"configVersion"`
 		}
 		if err := json.Unmarshal(raw, &configuration); err != nil {
-			operator.cluster.T.Errorf("the configuration at %s: %v", call.Node, err)
+			operator.cluster.T.Errorf("decode the configuration of %s: %v", call.Node, err)
 		}
 		call.Version = configuration.Version
 	}
 	operator.cluster.History.recordCall(*call)
 }
 
-// tryNodes calls one node after another until an answer is clear or the time is up. It
-// gives the status code, or 0.
+// tryNodes calls random nodes until the outcome is known or the timeout expires. It returns
+// the status code, or 0 if the outcome is still unknown.
 func (operator *Operator) tryNodes(timeout time.Duration, call func(node string) int) int {
-	pause, otherRefusals := 50*time.Millisecond, 0
+	pause, unspecifiedRefusals := 50*time.Millisecond, 0
 	for end := time.Now().Add(timeout); time.Now().Before(end); {
 		edges := operator.cluster.nodeNames(edgeRole)
 		switch code := call(edges[operator.random.Intn(len(edges))]); {
@@ -109,8 +110,8 @@
 			code == http.StatusRequestEntityTooLarge, code == http.StatusUnprocessableEntity:
 			return code
 		case Call{Code: code}.isFinalRefusal():
-			// A refusal that the protocol doesn't name is believed the third time.
-			if otherRefusals++; otherRefusals == 3 {
+			// A refusal that the protocol doesn't specify counts as final the third time.
+			if unspecifiedRefusals++; unspecifiedRefusals == 3 {
 				return code
 			}
 		}
@@ -120,8 +121,8 @@
 	return 0
 }
 
-// Send sends a change until its answer is clear: 200, a refusal, or 0 if the time is up
-// and it may or may not be in force.
+// Send sends a change until its outcome is known. It returns 200, the code of a refusal, or 0
+// if the timeout expired and the change may or may not be in force.
 func (operator *Operator) Send(change ConfigurationChange, timeout time.Duration) int {
 	code := operator.tryNodes(timeout, func(node string) int { return operator.SendAt(node, change) })
 	if code == http.StatusOK {
@@ -130,7 +131,8 @@
 	return code
 }
 
-// Read reads the configuration at any node and gives its version, or 0.
+// Read reads the configuration at any node and returns its version, or 0 if it could not be
+// read.
 func (operator *Operator) Read(timeout time.Duration) int64 {
 	var call Call
 	operator.tryNodes(timeout, func(node string) int { call = operator.ReadAt(node); return call.Code })
@@ -141,8 +143,8 @@
 	return 0
 }
 
-// MakeChange makes a change on the newest version known, and reads the configuration if
-// it isn't accepted.
+// MakeChange sends a change of the newest known version, and reads the configuration if the
+// change is not acknowledged. It returns the change and its status code.
 func (operator *Operator) MakeChange(timeout time.Duration) (ConfigurationChange, int) {
 	change := operator.cluster.NewChange(operator.knownVersion)
 	code := operator.Send(change, timeout)
@@ -152,8 +154,8 @@
 	return change, code
 }
 
-// ReadAll reads at every node until it answers. All must give the same; that it isn't
-// older than what was acknowledged is left to the checkers.
+// ReadAll reads the configuration at every node, with retries. All nodes must return the same
+// one. The checkers verify that it is not older than what was acknowledged.
 func (operator *Operator) ReadAll(timeout time.Duration) {
 	operator.cluster.T.Helper()
 	texts := map[string][]string{}
@@ -163,11 +165,11 @@
 		texts[call.Text] = append(texts[call.Text], node)
 	}
 	if len(texts) != 1 {
-		operator.cluster.T.Errorf("the nodes give %d configurations: %v", len(texts), texts)
+		operator.cluster.T.Errorf("the nodes return %d different configurations: %v", len(texts), texts)
 	}
 }
 
-// Acknowledged returns the changes that were acknowledged, the oldest first.
+// Acknowledged returns the changes that were acknowledged, in order of their versions.
 func (h *History) Acknowledged() []ConfigurationChange {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/simulation/platform.go
+++ b/internal/simulation/platform.go
@@ -14,21 +14,22 @@
 	apiRunnerPort = 8080
 )
 
-// Platform is the stand-in of the platform and its runners, on the simulated network.
+// Platform simulates the platform and its runners on the simulated network.
 type Platform struct {
 	*standin.Platform
 	cluster *Cluster
-	// announces: there is no list, and the runners tell of themselves until stopAnnouncing.
-	announces      bool
-	announcing     context.Context
-	stopAnnouncing context.CancelFunc
-	announcers     sync.WaitGroup
+	// announces is set if there is no list and the runners send heartbeats themselves, until
+	// stopAnnouncing is called.
+	announces       bool
+	announceContext context.Context
+	stopAnnouncing  context.CancelFunc
+	announcers      sync.WaitGroup
 }
 
-// NewPlatform starts a platform without runners.
+// NewPlatform starts a platform that has no runners yet.
 func NewPlatform(c *Cluster) *Platform {
 	p := &Platform{cluster: c}
-	p.announcing, p.stopAnnouncing = context.WithCancel(context.Background())
+	p.announceContext, p.stopAnnouncing = context.WithCancel(context.Background())
 	var err error
 	p.Platform, err = standin.NewPlatform(standin.Options{
 		Address:       address(c.hostIP(platformHost), platformPort),
@@ -44,20 +45,21 @@
 	return p
 }
 
-// StartRunner starts a runner of a service in a zone, and lists it. It gives its ID.
+// StartRunner starts a runner of a service in a zone, and lists or announces it. It returns the
+// runner's ID.
 func (p *Platform) StartRunner(service, zone string) string {
 	id, err := p.Platform.StartRunner(service, zone)
 	if err != nil {
 		p.cluster.T.Fatal(err)
 	}
 	if p.announces {
-		p.announcers.Go(func() { p.announce(p.announcing, id) })
+		p.announcers.Go(func() { p.announceRunner(p.announceContext, id) })
 	}
 	return id
 }
 
-// Drain lists a runner as leaving, and ends it after a while. One that announces itself
-// says so with its next heartbeat, and ends after its sign-off.
+// Drain marks a runner as draining and ends it after a while. A runner that announces itself
+// sends the state with its next heartbeat and ends after its sign-off.
 func (p *Platform) Drain(id string) {
 	if p.announces {
 		p.MarkDraining(id)
@@ -66,7 +68,7 @@
 	p.Platform.Drain(id)
 }
 
-// Close ends the platform and all runners that are listed.
+// Close stops the announcements, the platform and all listed runners.
 func (p *Platform) Close() {
 	p.stopAnnouncing()
 	p.announcers.Wait()
--- a/internal/simulation/runner.go
+++ b/internal/simulation/runner.go
@@ -5,10 +5,10 @@
 	"tealpond/internal/standin"
 )
 
-// Runner is a stand-in for a runner, which tells a History what is called and run.
+// Runner is a simulated runner that records its events in a History.
 type Runner struct{ *standin.Worker }
 
-// NewRunner makes a runner in its first incarnation.
+// NewRunner returns a runner in its first incarnation.
 func NewRunner(history *History, node, service string, seed int64) *Runner {
 	return &Runner{standin.NewWorker(standin.WorkerOptions{
 		Node: node, Service: service, Zone: "z", Seed: seed,
@@ -21,10 +21,10 @@
 	})}
 }
 
-// update changes how the runner behaves from now on.
+// update changes the runner's behavior from now on.
 func (runner *Runner) update(change func()) { runner.Update(change) }
 
-// heartbeat is the runner's next heartbeat, and its incarnation.
+// heartbeat returns the runner's incarnation and its next heartbeat.
 func (runner *Runner) heartbeat() (incarnation string, heartbeat protocol.Heartbeat) {
 	return runner.Heartbeat()
 }
