--- a/internal/simulation/application_checkers.go
+++ b/internal/simulation/application_checkers.go
@@ -10,27 +10,27 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// checkCoordination holds what applications were told against the operators' rules on
-// locks, numbers, keys and watches; it gives a line for every violation. A watch may
-// resume for the length of the history.
+// checkCoordination verifies the responses to applications against the operators' rules on
+// locks, numbers, keys and watches. It returns a line for every violation. A watch can resume
+// from any revision it received within historyLength.
 func checkCoordination(h *CoordinationHistory, historyLength time.Duration) (violations []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	violations = append(violations, overlappingHolds(h.Holds)...)
 	violations = append(violations, fencesOutOfOrder(h.Holds)...)
 	violations = append(violations, numbersOutOfOrder(h.Numbers)...)
-	revisions, more := revisionsOfValues(h)
+	revisions, more := revisionsByValue(h)
 	violations = append(violations, more...)
-	violations = append(violations, refusedAndShown(h, revisions)...)
-	violations = append(violations, brokenWatches(h, revisions, historyLength)...)
+	violations = append(violations, visibleRefusedPuts(h, revisions)...)
+	violations = append(violations, watchViolations(h, revisions, historyLength)...)
 	return append(violations, nonLinearizableKeys(h, revisions)...)
 }
 
-// overlappingHolds: at one moment two callers count themselves holders of one lock.
+// overlappingHolds reports two callers that believe they hold the same lock at the same time.
 func overlappingHolds(holds []*LockHold) (violations []string) {
 	sorted := append([]*LockHold(nil), holds...)
 	sort.SliceStable(sorted, func(i, j int) bool { return sorted[i].From.Before(sorted[j].From) })
-	last := map[string]*LockHold{} // by lock, the hold that lasts longest so far
+	last := map[string]*LockHold{} // by lock, the hold that ends last so far
 	for _, hold := range sorted {
 		before := last[hold.Lock]
 		if before != nil && before.Holder != hold.Holder && hold.From.Before(before.Until) {
@@ -43,15 +43,15 @@
 	return violations
 }
 
-// fencesOutOfOrder: a fence isn't above one that another holder got before the call was
-// sent, or goes to two holders.
+// fencesOutOfOrder reports a fence that two holders received, or that is below one that another
+// holder received before the call was sent.
 func fencesOutOfOrder(holds []*LockHold) (violations []string) {
 	for _, hold := range holds {
 		for _, other := range holds {
 			if other.Lock != hold.Lock || other.Holder == hold.Holder {
 				continue
 			}
-			if other.Fence == hold.Fence || other.From.Before(hold.AskedAt) && other.Fence > hold.Fence {
+			if other.Fence == hold.Fence || other.From.Before(hold.RequestedAt) && other.Fence > hold.Fence {
 				violations = append(violations, fmt.Sprintf("ONE: %s gets fence %d of %s, %s had %d before", hold.Holder, hold.Fence, hold.Lock, other.Holder, other.Fence))
 			}
 		}
@@ -59,8 +59,9 @@
 	return violations
 }
 
-// numbersOutOfOrder: a number is given twice, or isn't above one given before its call.
-func numbersOutOfOrder(numbers []NumberGiven) (violations []string) {
+// numbersOutOfOrder reports a number that was issued twice, or that is below one that was issued
+// before its call was sent.
+func numbersOutOfOrder(numbers []IssuedNumber) (violations []string) {
 	for i, number := range numbers {
 		for j, other := range numbers {
 			if i != j && other.Name == number.Name && (other.Value == number.Value || other.Done.Before(number.Sent) && other.Value > number.Value) {
@@ -71,29 +72,30 @@
 	return violations
 }
 
-// shownValue is a value of a key as somebody was shown it.
-type shownValue struct {
+// keyRevision is a revision of a key.
+type keyRevision struct {
 	key      string
 	revision int64
 }
 
-// revisionsOfValues gathers the revision of each value that was acknowledged or shown:
-// each has one, of a key to which it was put.
-func revisionsOfValues(h *CoordinationHistory) (map[string]shownValue, []string) {
+// revisionsByValue returns the key and revision of each value that a put, a read or a watch
+// returned. Values are unique, so it reports a value that has two revisions or that was not put
+// to its key.
+func revisionsByValue(h *CoordinationHistory) (map[string]keyRevision, []string) {
 	var violations []string
-	puts, revisions := map[string]string{}, map[string]shownValue{}
+	puts, revisions := map[string]string{}, map[string]keyRevision{}
 	for _, call := range h.Keys {
 		if call.Put {
 			puts[call.Value] = call.Key
 		}
 	}
-	show := func(how, key, value string, revision int64) {
-		shown := shownValue{key, revision}
+	observe := func(source, key, value string, revision int64) {
+		shown := keyRevision{key, revision}
 		if puts[value] != key {
-			violations = append(violations, fmt.Sprintf("MIXED: %s of %s shows %q, which nobody put there", how, key, value))
+			violations = append(violations, fmt.Sprintf("MIXED: %s of %s shows %q, which was not put to that key", source, key, value))
 		}
 		if before, ok := revisions[value]; ok && before != shown {
-			violations = append(violations, fmt.Sprintf("MIXED: %q has revisions %d and, by a %s, %d", value, before.revision, how, revision))
+			violations = append(violations, fmt.Sprintf("MIXED: %q has revisions %d and, in a %s, %d", value, before.revision, source, revision))
 		}
 		revisions[value] = shown
 	}
@@ -101,42 +103,43 @@
 		switch {
 		case call.Code != http.StatusOK:
 		case call.Put:
-			show("put", call.Key, call.Value, call.Revision)
+			observe("put", call.Key, call.Value, call.Revision)
 		default:
-			show("read", call.Key, call.Value, call.Revision)
+			observe("read", call.Key, call.Value, call.Revision)
 		}
 	}
 	for _, watch := range h.Watches {
-		for _, event := range watch.WatchResult.Events {
-			show("watch", event.Name, event.Value, event.Revision)
+		for _, event := range watch.Response.Events {
+			observe("watch", event.Name, event.Value, event.Revision)
 		}
 	}
 	return revisions, violations
 }
 
-// refusedAndShown: a put was rejected and its value is shown, or a refusal names a
-// revision that the key never had.
-func refusedAndShown(h *CoordinationHistory, revisions map[string]shownValue) (violations []string) {
-	had := map[shownValue]bool{}
+// visibleRefusedPuts reports a put that was refused although its value is visible, and a refusal
+// with a revision that the key never had.
+func visibleRefusedPuts(h *CoordinationHistory, revisions map[string]keyRevision) (violations []string) {
+	existing := map[keyRevision]bool{}
 	for _, shown := range revisions {
-		had[shown] = true
+		existing[shown] = true
 	}
 	for _, call := range h.Keys {
 		if !call.Put || call.Code == http.StatusOK || call.Code == 0 {
 			continue
 		}
 		if _, shown := revisions[call.Value]; shown {
-			violations = append(violations, fmt.Sprintf("REFUSED: %q got %d and is shown", call.Value, call.Code))
+			violations = append(violations, fmt.Sprintf("REFUSED: %q got %d and is visible", call.Value, call.Code))
 		}
-		if call.Code == http.StatusPreconditionFailed && call.Revision != 0 && !had[shownValue{call.Key, call.Revision}] && !hasUnclearPut(h, call.Key) {
-			violations = append(violations, fmt.Sprintf("MIXED: a refusal names revision %d, which %s never had", call.Revision, call.Key))
+		if call.Code == http.StatusPreconditionFailed && call.Revision != 0 && !existing[keyRevision{call.Key, call.Revision}] && !hasUnconfirmedPut(h, call.Key) {
+			violations = append(violations, fmt.Sprintf("MIXED: a refusal has revision %d, which %s never had", call.Revision, call.Key))
 		}
 	}
 	return violations
 }
 
-// hasUnclearPut reports whether some put of a key may have got a revision that nobody saw.
-func hasUnclearPut(h *CoordinationHistory, key string) bool {
+// hasUnconfirmedPut reports whether a put of the key has an unknown outcome, so that it may have
+// created a revision that no caller saw.
+func hasUnconfirmedPut(h *CoordinationHistory, key string) bool {
 	for _, call := range h.Keys {
 		if call.Put && call.Key == key && call.Code == 0 {
 			return true
@@ -145,50 +148,51 @@
 	return false
 }
 
-// brokenWatches: the events of a watch don't rise, or skip a put in their span, or a
-// revision that was given lately can't be resumed from.
-func brokenWatches(h *CoordinationHistory, revisions map[string]shownValue, historyLength time.Duration) (violations []string) {
-	given := map[string]map[int64]time.Time{} // the last time, by group and revision
-	watches := append([]WatchAnswer(nil), h.Watches...)
+// watchViolations reports events of a watch whose revisions do not increase, puts within a
+// watched range that are missing, and a revision that was returned within historyLength and
+// cannot be resumed from.
+func watchViolations(h *CoordinationHistory, revisions map[string]keyRevision, historyLength time.Duration) (violations []string) {
+	issuedAt := map[string]map[int64]time.Time{} // by group and revision, when it was last returned
+	watches := append([]WatchCall(nil), h.Watches...)
 	sort.SliceStable(watches, func(i, j int) bool { return watches[i].Done.Before(watches[j].Done) })
 	for _, watch := range watches {
-		if given[watch.Group] == nil {
-			given[watch.Group] = map[int64]time.Time{}
+		if issuedAt[watch.Group] == nil {
+			issuedAt[watch.Group] = map[int64]time.Time{}
 		}
 		if watch.Code == http.StatusGone {
-			if at := given[watch.Group][watch.After]; !at.IsZero() && watch.Sent.Sub(at) < historyLength {
-				violations = append(violations, fmt.Sprintf("LOST: %s can't be resumed from %d after %v", watch.Group, watch.After, watch.Sent.Sub(at)))
+			if at := issuedAt[watch.Group][watch.After]; !at.IsZero() && watch.Sent.Sub(at) < historyLength {
+				violations = append(violations, fmt.Sprintf("LOST: %s cannot be resumed from %d after %v", watch.Group, watch.After, watch.Sent.Sub(at)))
 			}
 			continue
 		}
-		given[watch.Group][watch.WatchResult.Revision] = watch.Done
-		if watch.After == 0 && len(watch.WatchResult.Events) == 0 {
+		issuedAt[watch.Group][watch.Response.Revision] = watch.Done
+		if watch.After == 0 && len(watch.Response.Events) == 0 {
 			continue
 		}
 		shown, last := map[int64]bool{}, watch.After
-		for _, event := range watch.WatchResult.Events {
-			if event.Revision <= last || event.Revision > watch.WatchResult.Revision {
-				violations = append(violations, fmt.Sprintf("ORDER: a watch of %s shows %d after %d, up to %d", watch.Group, event.Revision, last, watch.WatchResult.Revision))
+		for _, event := range watch.Response.Events {
+			if event.Revision <= last || event.Revision > watch.Response.Revision {
+				violations = append(violations, fmt.Sprintf("ORDER: a watch of %s shows %d after %d, up to %d", watch.Group, event.Revision, last, watch.Response.Revision))
 			}
 			last, shown[event.Revision] = event.Revision, true
 		}
 		for value, put := range revisions {
-			if strings.HasPrefix(put.key, watch.Group) && put.revision > watch.After && put.revision <= watch.WatchResult.Revision && !shown[put.revision] {
-				violations = append(violations, fmt.Sprintf("ORDER: a watch of %s from %d to %d skips %d, %q", watch.Group, watch.After, watch.WatchResult.Revision, put.revision, value))
+			if strings.HasPrefix(put.key, watch.Group) && put.revision > watch.After && put.revision <= watch.Response.Revision && !shown[put.revision] {
+				violations = append(violations, fmt.Sprintf("ORDER: a watch of %s from %d to %d skips %d, %q", watch.Group, watch.After, watch.Response.Revision, put.revision, value))
 			}
 		}
 	}
 	return violations
 }
 
-// keyState is the state of one key in the model: the revision and the value.
+// keyState is the state of one key in the linearizability model.
 type keyState struct {
 	revision int64
 	value    string
 }
 
-// step is the sequential meaning of a call: a register that is written under the condition
-// of its revision.
+// step applies a call to the sequential model, a register with conditional writes: a put
+// succeeds only at the expected revision. It reports whether the response fits the state.
 func (s keyState) step(call KeyCall) (bool, keyState) {
 	if !call.Put {
 		return call.Revision == s.revision && call.Value == s.value, s
@@ -207,11 +211,11 @@
 	},
 }
 
-// nonLinearizableKeys: the calls of a key can't be put into an order, each between its
-// sending and its answer, in which each has the answer that it got. A put without a clear
-// answer took effect if its value was ever shown, at any time after its sending; if its
-// value was never shown nobody could know, and it is left out.
-func nonLinearizableKeys(h *CoordinationHistory, revisions map[string]shownValue) (violations []string) {
+// nonLinearizableKeys reports keys whose calls are not linearizable: no sequential order, with
+// each call between its sending and its response, explains all responses. A put with an unknown
+// outcome took effect if its value was ever visible, at any time after it was sent. If its value
+// was never visible, no caller can tell whether it took effect, and it is left out.
+func nonLinearizableKeys(h *CoordinationHistory, revisions map[string]keyRevision) (violations []string) {
 	calls := map[string][]porcupine.Operation{}
 	end := time.Now()
 	for _, call := range h.Keys {
--- a/internal/simulation/application_test.go
+++ b/internal/simulation/application_test.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// keyHistory and freeAfter are the operators' bounds on watches and abandoned locks.
-	keyHistory = 20 * time.Second
-	freeAfter  = 1500 * time.Millisecond
-	lockHold   = 2500 * time.Millisecond
+	// watchHistoryLength and abandonedLockTimeout are the operators' bounds historyS and freeAfterMs.
+	watchHistoryLength   = 20 * time.Second
+	abandonedLockTimeout = 1500 * time.Millisecond
+	lockHold             = 2500 * time.Millisecond
 )
 
-// applicationLoad is some applications at work in a cluster, until it is stopped.
+// applicationLoad runs applications in a cluster until it is stopped.
 type applicationLoad struct {
 	*scenario
-	history *CoordinationHistory
-	ended   chan struct{}
-	callers sync.WaitGroup
-	watches sync.Map // by group and watcher, the revision from which to go on
-	// onAnswer is called after each acknowledged change; tests set it.
-	mu       sync.Mutex
-	onAnswer func()
+	history  *CoordinationHistory
+	ended    chan struct{}
+	callers  sync.WaitGroup
+	watches  sync.Map   // by group, the revision to resume from
+	mu       sync.Mutex // guards onAnswer
+	onAnswer func()     // set by tests; called after each acknowledged change
 }
 
-// startApplications starts four callers and a watcher of each of two groups.
+// startApplications starts four users of locks, four users of keys and numbers, and a watcher of
+// each of two groups.
 func startApplications(s *scenario) *applicationLoad {
 	l := &applicationLoad{scenario: s, history: &CoordinationHistory{}, ended: make(chan struct{})}
 	for i := range 4 {
@@ -43,7 +43,7 @@
 	return l
 }
 
-// newCaller makes an application that tells the load of its answers.
+// newCaller returns an application that calls onAnswer after each acknowledged change.
 func (l *applicationLoad) newCaller(name string, seed int64) *Application {
 	caller := l.NewApplication(name, seed, l.history)
 	caller.OnAnswer = func() {
@@ -65,7 +65,8 @@
 	}
 }
 
-// useLocks takes and gives back locks, dies with some and sleeps beyond its time on others.
+// useLocks acquires, renews and releases locks. It abandons some of them, and pauses beyond the
+// hold time on others.
 func (l *applicationLoad) useLocks(a *Application) {
 	for l.running() {
 		time.Sleep(time.Duration(20+a.random.Intn(200)) * time.Millisecond)
@@ -80,9 +81,9 @@
 			}
 		}
 		switch a.random.Intn(5) {
-		case 0: // it dies, and comes back later under the same name
+		case 0: // abandons the lock, and returns later under the same name
 			time.Sleep(lockHold)
-		case 1: // it sleeps beyond its time and then renews
+		case 1: // pauses until the hold has expired and then renews
 			time.Sleep(lockHold + 300*time.Millisecond)
 			a.Renew(held, lockHold)
 		default:
@@ -91,7 +92,7 @@
 	}
 }
 
-// useKeys sets and reads keys and asks for numbers.
+// useKeys puts and reads keys and requests numbers.
 func (l *applicationLoad) useKeys(a *Application) {
 	known := map[string]int64{}
 	for l.running() {
@@ -99,7 +100,7 @@
 		key := fmt.Sprintf("g%d.k%d", a.random.Intn(2), a.random.Intn(2))
 		switch a.random.Intn(4) {
 		case 0:
-			a.Number("n")
+			a.NextNumber("n")
 		case 1:
 			if revision, ok := a.Read(key); ok {
 				known[key] = revision
@@ -110,7 +111,7 @@
 	}
 }
 
-// watch follows a group.
+// watch watches a group and resumes after each response.
 func (l *applicationLoad) watch(a *Application, group string) {
 	after := int64(0)
 	for l.running() {
@@ -123,8 +124,9 @@
 	}
 }
 
-// finish ends the load and requires that all is there: locks come free, numbers go on, keys
-// can be read, and watches resume from where they were.
+// finish ends the load and requires that the state is intact: locks become free, numbers are
+// issued, keys can be read, and watches resume from their last revision. Then it runs the
+// checkers and shows at most ten violations.
 func (l *applicationLoad) finish() {
 	l.T.Helper()
 	close(l.ended)
@@ -132,31 +134,31 @@
 	time.Sleep(contactBound)
 	last := l.NewApplication("last", 99, l.history)
 	defer last.Close()
-	end := time.Now().Add(lockHold + freeAfter)
+	end := time.Now().Add(lockHold + abandonedLockTimeout)
 	for lock := range 3 {
 		for last.Acquire(fmt.Sprint("lock", lock), lockHold) == nil {
 			if time.Now().After(end) {
-				l.T.Errorf("lock%d is not free %v after all callers ended", lock, lockHold+freeAfter)
+				l.T.Errorf("lock%d is not free %v after all callers ended", lock, lockHold+abandonedLockTimeout)
 				break
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	if !last.Number("n") {
-		l.T.Error("no number is given in the end")
+	if !last.NextNumber("n") {
+		l.T.Error("no number is issued at the end")
 	}
 	l.watches.Range(func(group, after any) bool {
 		for key := range 2 {
 			if _, ok := last.Read(fmt.Sprint(group, "k", key)); !ok {
-				l.T.Errorf("%sk%d is not read in the end", group, key)
+				l.T.Errorf("%sk%d can't be read at the end", group, key)
 			}
 		}
 		if _, ok := last.Watch(group.(string), after.(int64), 0); !ok {
-			l.T.Errorf("the watch of %s doesn't resume in the end", group)
+			l.T.Errorf("the watch of %s doesn't resume at the end", group)
 		}
 		return true
 	})
-	for i, violation := range checkCoordination(l.history, keyHistory) {
+	for i, violation := range checkCoordination(l.history, watchHistoryLength) {
 		if i < 10 {
 			l.T.Error(violation)
 		}
@@ -164,7 +166,7 @@
 	l.requireTraffic()
 }
 
-// requireTraffic requires that enough was served for the checks to say something.
+// requireTraffic requires that enough calls were served for the checks to be meaningful.
 func (l *applicationLoad) requireTraffic() {
 	l.T.Helper()
 	puts := 0
@@ -174,18 +176,18 @@
 		}
 	}
 	if len(l.history.Holds) < 15 || len(l.history.Numbers) < 15 || puts < 30 || len(l.history.Watches) < 15 {
-		l.T.Errorf("only %d holds, %d numbers, %d puts and %d answers to watches", len(l.history.Holds), len(l.history.Numbers), puts, len(l.history.Watches))
+		l.T.Errorf("only %d holds, %d numbers, %d puts and %d watch calls; want at least 15, 15, 30 and 15", len(l.history.Holds), len(l.history.Numbers), puts, len(l.history.Watches))
 	}
 }
 
-// coordinationPlay is what happens while applications are at work.
-type coordinationPlay struct {
+// coordinationScenario is what happens while applications are running.
+type coordinationScenario struct {
 	name    string
 	servers int
-	play    func(l *applicationLoad)
+	action  func(l *applicationLoad)
 }
 
-// fault injects a fault into the leader for a while.
+// leaderFault injects a fault into the leader for a while.
 func (l *applicationLoad) leaderFault(fault string, length time.Duration) {
 	repair := l.InjectFault(l.Leader(), fault)
 	time.Sleep(length)
@@ -193,15 +195,15 @@
 	time.Sleep(4 * time.Second)
 }
 
-// coordinationPlays are the troubles under which the operators' rules on locks, numbers,
+// coordinationScenarios are the faults under which the operators' rules on locks, numbers,
 // keys and watches must hold.
-var coordinationPlays = []coordinationPlay{
+var coordinationScenarios = []coordinationScenario{
 	{"calm", 3, func(*applicationLoad) { time.Sleep(12 * time.Second) }},
-	{"leader frozen beyond all holds", 3, func(l *applicationLoad) {
+	{"leader frozen longer than all holds", 3, func(l *applicationLoad) {
 		l.leaderFault(Frozen, 8*time.Second)
 		l.leaderFault(Frozen, 700*time.Millisecond)
 	}},
-	{"leader cut off one way", 3, func(l *applicationLoad) {
+	{"leader isolated in one direction", 3, func(l *applicationLoad) {
 		l.leaderFault(IsolateInbound, 5*time.Second)
 		l.leaderFault(IsolateOutbound, 5*time.Second)
 	}},
@@ -219,7 +221,7 @@
 		}
 		time.Sleep(4 * time.Second)
 	}},
-	{"a bridge of one", 5, func(l *applicationLoad) {
+	{"bridge of one server between two halves", 5, func(l *applicationLoad) {
 		servers := l.Servers()
 		for _, left := range servers[:2] {
 			l.SetPartition(left, true, servers[3:]...)
@@ -232,19 +234,19 @@
 	}},
 	{"all servers killed right after an answer", 3, func(l *applicationLoad) {
 		for range 4 {
-			l.afterAnAnswer(func() { l.Restart(700*time.Millisecond, l.Servers()...) })
+			l.afterAcknowledgement(func() { l.Restart(700*time.Millisecond, l.Servers()...) })
 			time.Sleep(2500 * time.Millisecond)
 		}
 	}},
 	{"leader killed right after an answer", 3, func(l *applicationLoad) {
 		for range 5 {
-			l.afterAnAnswer(func() { l.Restart(1500*time.Millisecond, l.Leader()) })
+			l.afterAcknowledgement(func() { l.Restart(1500*time.Millisecond, l.Leader()) })
 			time.Sleep(1500 * time.Millisecond)
 		}
 	}},
 	{"disks lost right after an answer", 5, func(l *applicationLoad) {
 		for range 3 {
-			l.afterAnAnswer(func() {
+			l.afterAcknowledgement(func() {
 				leader := l.Leader()
 				for _, victim := range []string{leader, without(l.Servers(), leader)[1]} {
 					l.Kill(victim)
@@ -276,7 +278,7 @@
 			time.Sleep(2500 * time.Millisecond)
 		}
 	}},
-	{"everything restarted, snapshots in between", 3, func(l *applicationLoad) {
+	{"everything restarted after snapshots", 3, func(l *applicationLoad) {
 		l.growLog(500, 8*time.Second)
 		time.Sleep(8 * time.Second)
 		l.Restart(2*time.Second, l.nodeNames("")...)
@@ -284,29 +286,29 @@
 	}},
 }
 
-// afterAnAnswer lets something happen as soon as an application's change is acknowledged.
-func (l *applicationLoad) afterAnAnswer(happen func()) {
+// afterAcknowledgement runs action as soon as the next change of an application is acknowledged.
+func (l *applicationLoad) afterAcknowledgement(action func()) {
 	answered := make(chan struct{})
 	var once sync.Once
 	l.mu.Lock()
 	l.onAnswer = func() { once.Do(func() { close(answered) }) }
 	l.mu.Unlock()
 	<-answered
-	happen()
+	action()
 }
 
-// TestCoordinationUnderTroubles: whatever fails, one caller holds a lock at a time, fences,
-// numbers and revisions rise, reads are not stale, refused puts are never shown, watches
-// skip nothing, and in the end all that was acknowledged is there.
-func TestCoordinationUnderTroubles(t *testing.T) {
-	for _, play := range coordinationPlays {
-		t.Run(play.name, func(t *testing.T) {
+// TestCoordinationUnderFaults checks that under each fault at most one caller holds a lock,
+// fences, numbers and revisions increase, reads are not stale, refused puts are never visible,
+// watches skip no put, and all acknowledged changes are kept.
+func TestCoordinationUnderFaults(t *testing.T) {
+	for _, action := range coordinationScenarios {
+		t.Run(action.name, func(t *testing.T) {
 			for _, seed := range testSeeds(1) {
-				runScenario(t, ClusterSpec{Servers: play.servers, Edges: 2, Agents: 1, Debug: strings.Contains(play.name, "frozen")}, seed, func(s *scenario) {
+				runScenario(t, ClusterSpec{Servers: action.servers, Edges: 2, Agents: 1, Debug: strings.Contains(action.name, "frozen")}, seed, func(s *scenario) {
 					s.setWorkload(newJob(400, 400, 1), 2*time.Second)
 					l := startApplications(s)
 					time.Sleep(2 * time.Second)
-					play.play(l)
+					action.action(l)
 					l.finish()
 				})
 			}
--- a/internal/simulation/checkers.go
+++ b/internal/simulation/checkers.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// checkers are the invariant checkers, by the names of the operators' rules. Each
-// gives a line for every violation.
+// checkers are the invariant checkers, keyed by the names of the operators' rules.
+// Each returns a line for every violation.
 var checkers = map[string]func(*History) []string{
 	"TWICE":    checkNoDoubleRun,
 	"ORDER":    checkDependencies,
@@ -26,10 +26,10 @@
 	"ROUTE":    checkKeys,
 }
 
-// Times within which what was acknowledged must have reached all runners.
+// Times within which an acknowledged order must have taken effect at all runners.
 const (
 	cancelGrace = 3 * time.Second
-	// evacuationGrace is evacuateMs of the operators.
+	// evacuationGrace is also the setting evacuateMs of the simulated nodes.
 	evacuationGrace = 5 * time.Second
 	drainGrace      = 2 * time.Second
 )
@@ -48,47 +48,47 @@
 	return violations
 }
 
-// runKey names a run on one runner.
+// runKey identifies a run on one incarnation of a runner.
 type runKey struct {
 	incarnation, task string
 	run               int
 }
 
-// completionKey names the end of a run, by its number in its runner's list.
+// completionKey identifies the end of a run by its sequence number at its runner.
 type completionKey struct {
 	incarnation string
 	number      int64
 }
 
-// durableCompletions returns the successful ends that were acknowledged before the
-// lease expired under which they were reached. Such a task stays done permanently.
+// durableCompletions returns the successful completions that were acknowledged before
+// the lease under which they happened expired. Such a task stays done permanently.
 func durableCompletions(h *History) map[completionKey]bool {
-	durable, open := map[completionKey]bool{}, map[completionKey]bool{}
+	durable, pending := map[completionKey]bool{}, map[completionKey]bool{}
 	for _, event := range h.Events {
 		key := completionKey{event.Incarnation, event.Completion}
 		switch event.Kind {
 		case EventRunEnded:
 			if event.Outcome == runDone {
-				open[key] = true
+				pending[key] = true
 			}
 		case EventLeaseExpired:
-			for other := range open {
+			for other := range pending {
 				if other.incarnation == event.Incarnation {
-					delete(open, other)
+					delete(pending, other)
 				}
 			}
 		case EventAcknowledged:
-			if open[key] {
+			if pending[key] {
 				durable[key] = true
-				delete(open, key)
+				delete(pending, key)
 			}
 		}
 	}
 	return durable
 }
 
-// checkNoDoubleRun: a task runs at most once at a time, and not again after its end
-// was durable. Jobs that allow copies are left out.
+// checkNoDoubleRun verifies that a task has at most one run at a time, and does not run
+// again after a durable completion. Jobs that allow copies are left out.
 func checkNoDoubleRun(h *History) (violations []string) {
 	running := map[string]map[runKey]bool{}
 	durable, done := durableCompletions(h), map[string]bool{}
@@ -108,7 +108,7 @@
 				violations = append(violations, fmt.Sprintf("%s run %d starts on %s while it runs elsewhere", event.Task, event.Run, event.Node))
 			}
 			if done[event.Task] {
-				violations = append(violations, event.Task+" starts again after it was done and noted")
+				violations = append(violations, event.Task+" starts again after its completion was acknowledged")
 			}
 			running[event.Task][key] = true
 		case EventRunEnded:
@@ -121,8 +121,9 @@
 	return violations
 }
 
-// checkNoRepeatedStart: no start is requested of a run whose end its runner had listed
-// by then. By the protocol an agent asks for the lists first, after silence.
+// checkNoRepeatedStart verifies that no start is requested for a run whose end its runner
+// has already listed. The protocol requires an agent to read the list of ends first when
+// it has had no contact with its runner.
 func checkNoRepeatedStart(h *History) (violations []string) {
 	listed := map[runKey]bool{}
 	for _, event := range h.Events {
@@ -139,8 +140,8 @@
 	return violations
 }
 
-// checkDependencies: a task starts only when the tasks of all steps on which its step
-// depends are done.
+// checkDependencies verifies that a task starts only when all tasks of the steps on which
+// its step depends are done.
 func checkDependencies(h *History) (violations []string) {
 	done := map[string]bool{}
 	for _, event := range h.Events {
@@ -166,8 +167,8 @@
 	return violations
 }
 
-// checkAttempts: a task doesn't start after as many failures as it has attempts were
-// acknowledged.
+// checkAttempts verifies that a task does not start once as many of its failures were
+// acknowledged as it has attempts.
 func checkAttempts(h *History) (violations []string) {
 	failures, failedTask := map[string]int{}, map[completionKey]string{}
 	for _, event := range h.Events {
@@ -190,8 +191,8 @@
 	return violations
 }
 
-// checkCapacity: runners that don't enforce their capacity themselves aren't given more
-// than that.
+// checkCapacity verifies that runners that don't enforce their capacity themselves are not
+// allocated more than it.
 func checkCapacity(h *History) (violations []string) {
 	for _, event := range h.Events {
 		if event.Kind == EventRunStarted && !event.EnforcesCapacity && event.CPUInUse > event.CPUCapacity {
@@ -201,8 +202,8 @@
 	return violations
 }
 
-// checkSubmitted: what starts was submitted, in that form, and its job hadn't been
-// canceled long ago.
+// checkSubmitted verifies that each task that starts belongs to a submitted job, has that
+// job's spec, and that the job was not canceled more than cancelGrace before.
 func checkSubmitted(h *History) (violations []string) {
 	for _, event := range h.Events {
 		if event.Kind != EventRunStarted {
@@ -212,9 +213,9 @@
 		submitted := h.Jobs[job]
 		switch {
 		case submitted == nil:
-			violations = append(violations, event.Task+" was submitted by nobody")
+			violations = append(violations, event.Task+" starts though its job was never submitted")
 		case submitted.JobSpec != event.JobSpec:
-			violations = append(violations, event.Task+" starts with another jobSpec")
+			violations = append(violations, event.Task+" starts with a jobSpec that differs from the submitted one")
 		case !submitted.CanceledAt.IsZero() && event.At.Sub(submitted.CanceledAt) > cancelGrace:
 			violations = append(violations, event.Task+" starts after its job was canceled")
 		}
@@ -222,7 +223,7 @@
 	return violations
 }
 
-// checkDoneIsComplete: a job is shown as done only when all its tasks are.
+// checkDoneIsComplete verifies that a job is reported as done only when all its tasks are.
 func checkDoneIsComplete(h *History) (violations []string) {
 	done := map[string]bool{}
 	for _, event := range h.Events {
@@ -231,7 +232,7 @@
 			if event.Outcome == runDone {
 				done[event.Task] = true
 			}
-		case EventJobShown:
+		case EventJobStateReported:
 			submitted := h.Jobs[event.Job]
 			if event.State != jobDone || submitted == nil {
 				continue
@@ -239,7 +240,7 @@
 			for step, n := range submitted.TaskCounts {
 				for index := range n {
 					if task := fmt.Sprintf("%s.0.%d.%d", event.Job, step, index); !done[task] {
-						violations = append(violations, event.Job+" is shown as done before "+task)
+						violations = append(violations, event.Job+" is reported as done before "+task)
 					}
 				}
 			}
@@ -248,25 +249,26 @@
 	return violations
 }
 
-// checkAcceptedJobsKept: an accepted job isn't forgotten, and none is shown as canceled
-// unless that was requested.
+// checkAcceptedJobsKept verifies that accepted jobs are not lost, and that no job is reported
+// as canceled unless a cancel was requested.
 func checkAcceptedJobsKept(h *History) (violations []string) {
 	for _, event := range h.Events {
 		submitted := h.Jobs[event.Job]
-		if event.Kind != EventJobShown || submitted == nil {
+		if event.Kind != EventJobStateReported || submitted == nil {
 			continue
 		}
 		if submitted.Accepted && event.State == jobGone {
-			violations = append(violations, event.Job+" was accepted and is unknown")
+			violations = append(violations, event.Job+" was accepted but is reported as unknown")
 		}
 		if event.State == jobCanceled && !submitted.CancelRequested {
-			violations = append(violations, event.Job+" is shown as canceled, which nobody requested")
+			violations = append(violations, event.Job+" is reported as canceled though no cancel was requested")
 		}
 	}
 	return violations
 }
 
-// checkRejectedJobsNeverRun: a job that every node clearly refused never runs.
+// checkRejectedJobsNeverRun verifies that a job never runs if every attempt to submit it was
+// refused.
 func checkRejectedJobsNeverRun(h *History) (violations []string) {
 	for _, event := range h.Events {
 		job, _, _ := splitTaskID(event.Task)
@@ -277,8 +279,8 @@
 	return violations
 }
 
-// checkDraining: nothing starts on a runner whose agent has acknowledged for some time
-// that it drains.
+// checkDraining verifies that nothing starts on a runner later than drainGrace after its agent
+// acknowledged that it drains.
 func checkDraining(h *History) (violations []string) {
 	since := map[string]time.Time{}
 	for _, event := range h.Events {
@@ -294,8 +296,8 @@
 	return violations
 }
 
-// checkEvacuations: nothing starts in a zone later than evacuationGrace after its evacuation
-// was acknowledged, until it is taken back.
+// checkEvacuations verifies that nothing starts in a zone later than evacuationGrace after its
+// evacuation was acknowledged, until the evacuation is ended.
 func checkEvacuations(h *History) (violations []string) {
 	since := map[string]time.Time{}
 	for _, event := range h.Events {
@@ -303,7 +305,7 @@
 		switch {
 		case event.Kind == EventEvacuated && since[event.Node].IsZero():
 			since[event.Node] = event.At
-		case event.Kind == EventTakenBack:
+		case event.Kind == EventEvacuationEnded:
 			delete(since, event.Node)
 		case event.Kind == EventRunStarted && !since[zone].IsZero() && event.At.Sub(since[zone]) > evacuationGrace:
 			violations = append(violations, event.Task+" starts on "+event.Node+" in an evacuated zone")
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -17,31 +17,32 @@
 	callTimeout = 3 * time.Second
 	// heartbeatInterval is the time between two heartbeats of a runner.
 	heartbeatInterval = 500 * time.Millisecond
-	// submitAttempts is how often a client submits a job until the answer is clear.
+	// submitAttempts is how often a client submits a job before it gives up.
 	submitAttempts = 12
-	// maxAttempts is the number of attempts that a task has, by the route.
+	// maxAttempts is the number of attempts that the route allows a task.
 	maxAttempts = 3
 )
 
-// defaultPathPrefix is the path of the route that each configuration has.
+// defaultPathPrefix is the path prefix of the route that each configuration contains.
 const defaultPathPrefix = "/p/"
 
-// configurationFormat is a configuration, given its version, more routes and tenants.
+// configurationFormat is the format of a configuration. Its arguments are the version, more
+// routes, and the tenants.
 const configurationFormat = `{"configVersion":%d,"routeList":[{"name":"a","hostName":"h","pathPrefix":"/p/","kind":"writing","timeoutMs":3000,"targetMs":250,"priority":0,"targetService":"svc","maxTries":3,"stretch":1.5}%s],"serviceList":[{"name":"svc","guards":true}],"tenantList":%s}`
 
-// configurationText is a configuration, given its version and more routes.
+// configurationText returns a configuration with a version and more routes.
 func configurationText[N int | int64](version N, moreRoutes string) string {
 	return fmt.Sprintf(configurationFormat, version, moreRoutes, tenantList)
 }
 
-// request makes a call as a client. It gives the status code, or 0 if there was no
-// answer, and the response's body and headers.
+// request makes a call as a client. It returns the status code, or 0 if there was no
+// response, and the response's body and headers.
 func (c *Cluster) request(method, url, host string, body any, headers map[string]string) (int, []byte, http.Header) {
 	return c.requestFrom(c.client, callTimeout, method, url, host, body, headers)
 }
 
-// requestFrom makes a call over a caller's own connections. A body that is a string
-// is sent as it is, any other as JSON.
+// requestFrom makes a call with a caller's own HTTP client. A body that is a string
+// is sent unchanged, any other is encoded as JSON.
 func (c *Cluster) requestFrom(client *http.Client, timeout time.Duration, method, url, host string, body any, headers map[string]string) (int, []byte, http.Header) {
 	text, ok := body.(string)
 	raw := []byte(text)
@@ -74,7 +75,7 @@
 	return response.StatusCode, received, response.Header
 }
 
-// PutConfiguration sends a configuration to a node, once, and gives the status code.
+// PutConfiguration sends a configuration to a node once and returns the status code.
 func (c *Cluster) PutConfiguration(node string, version, base int, moreRoutes string) int {
 	return c.putConfiguration(node, version, base, moreRoutes, tenantList)
 }
@@ -93,7 +94,7 @@
 	return c.clientRequestWithKey(key, node, kind, method, path, body)
 }
 
-// clientRequestWithKey is clientRequest with another key than that of the job's tenant.
+// clientRequestWithKey is clientRequest with an API key other than that of the job's tenant.
 func (c *Cluster) clientRequestWithKey(key, node, kind, method, path string, body any) (int, []byte) {
 	call := Call{Sent: time.Now(), Node: node, Kind: kind, UnknownKey: key == unknownKey}
 	headers := map[string]string{protocol.HeaderTimeLeft: "2000", protocol.HeaderAuthorization: authorization(key)}
@@ -102,14 +103,14 @@
 	return code, raw
 }
 
-// recordResponse completes a call with its response and records it.
+// recordResponse adds the response to a call and records the call.
 func (c *Cluster) recordResponse(call *Call, code int, headers http.Header) {
 	call.Done, call.Code, call.HasRetryAfter = time.Now(), code, headers.Get(protocol.HeaderRetryAfter) != ""
 	c.History.recordCall(*call)
 }
 
-// SubmitJob submits a job, again at other nodes, until the answer is clear. It
-// reports whether the job was accepted.
+// SubmitJob submits a job, and retries at other nodes, until it is accepted or
+// submitAttempts are used up. It reports whether the job was accepted.
 func (c *Cluster) SubmitJob(id string, job protocol.Job) bool {
 	return c.SubmitJobUnder(defaultPathPrefix, id, job)
 }
@@ -148,8 +149,8 @@
 	return false
 }
 
-// JobState asks a node for a job's state; it gives the status code if that isn't
-// 200.
+// JobState asks a node for a job's state. It returns the status code as text if that
+// is not 200.
 func (c *Cluster) JobState(node, id string) string {
 	return c.JobStateUnder(defaultPathPrefix, node, id)
 }
@@ -159,7 +160,7 @@
 	code, raw := c.clientRequest(node, CallStatus, http.MethodGet, pathPrefix+id, "")
 	if code != http.StatusOK {
 		if code == http.StatusGone {
-			c.History.record(Event{Kind: EventJobShown, Job: id, State: jobGone})
+			c.History.record(Event{Kind: EventJobStateReported, Job: id, State: jobGone})
 		}
 		return fmt.Sprint(code)
 	}
@@ -167,13 +168,13 @@
 		State string `json:"state"`
 	}
 	if err := json.Unmarshal(raw, &status); err != nil {
-		c.T.Errorf("the state of job %s at %s: %v", id, node, err)
+		c.T.Errorf("decode the state of job %s at %s: %v", id, node, err)
 	}
-	c.History.record(Event{Kind: EventJobShown, Job: id, State: status.State})
+	c.History.record(Event{Kind: EventJobStateReported, Job: id, State: status.State})
 	return status.State
 }
 
-// CancelJob cancels a job at a node, once, and gives the status code.
+// CancelJob sends one cancel of a job to a node and returns the status code.
 func (c *Cluster) CancelJob(node, id string) int {
 	return c.CancelJobUnder(defaultPathPrefix, node, id)
 }
--- a/internal/simulation/control_checkers.go
+++ b/internal/simulation/control_checkers.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// sentConfiguration is a configuration that was sent, with all that its callers were
-// told of it.
+// sentConfiguration is a configuration that was sent, with all responses about it.
 type sentConfiguration struct {
 	version, base int64
 	text          string
@@ -16,10 +15,10 @@
 	acknowledged  bool
 	refused       bool
 	refusalCode   int
-	inForce       bool // acknowledged, read, or built upon
+	inForce       bool // acknowledged, read, or the base of an acknowledged one
 }
 
-// sentConfigurations gathers the configurations that were sent, by their text.
+// sentConfigurations returns the configurations that were sent, keyed by their text.
 func sentConfigurations(h *History) map[string]*sentConfiguration {
 	byText, byVersion := map[string]*sentConfiguration{}, map[int64][]*sentConfiguration{}
 	for _, call := range h.Calls {
@@ -45,7 +44,7 @@
 	for _, sent := range byText {
 		if sent.acknowledged {
 			sent.inForce = true
-			// With two of that number it isn't known which.
+			// If two configurations have that version, it is unknown which one is the base.
 			if bases := byVersion[sent.base]; sent.base > 0 && len(bases) == 1 {
 				bases[0].inForce = true
 			}
@@ -54,9 +53,9 @@
 	return byText
 }
 
-// checkConfiguration: the configuration is a register with conditional writes. Each
-// version in force was built on the one before, what is acknowledged is in force and
-// what is refused is not, and reads are linearizable.
+// checkConfiguration verifies that the configuration behaves as a register with conditional
+// writes: each version in force is based on the previous one, acknowledged versions are in
+// force and refused ones are not, and reads are linearizable.
 func checkConfiguration(h *History) (violations []string) {
 	byText := sentConfigurations(h)
 	var inForce []*sentConfiguration
@@ -90,15 +89,15 @@
 	return append(violations, staleReads(h, byText)...)
 }
 
-// observation is a moment at which some caller was told that a version is in force.
+// observation is a response to some caller that shows that a version is in force.
 type observation struct {
 	at      time.Time
 	version int64
 	how     string
 }
 
-// observe returns all observations in the order of time, and for each the one of the
-// newest version up to then.
+// observe returns all observations in order of time, and for each the observation with the
+// newest version up to that time.
 func observe(h *History) (observations, newest []observation) {
 	for _, call := range h.Calls {
 		switch {
@@ -119,8 +118,7 @@
 	return observations, newest
 }
 
-// staleReads returns the reads that were answered with what was no longer, or never, in
-// force.
+// staleReads reports reads that returned a version that was no longer, or never, in force.
 func staleReads(h *History, byText map[string]*sentConfiguration) (violations []string) {
 	observations, newest := observe(h)
 	for _, call := range h.Calls {
@@ -128,7 +126,7 @@
 			continue
 		}
 		if call.Code == http.StatusOK && byText[call.Text] == nil {
-			violations = append(violations, fmt.Sprintf("%s answers with a version %d that nobody sent", call.Node, call.Version))
+			violations = append(violations, fmt.Sprintf("%s answers a read with version %d, which was never sent", call.Node, call.Version))
 			continue
 		}
 		i := sort.Search(len(observations), func(i int) bool { return !observations[i].at.Before(call.Sent) })
@@ -140,15 +138,16 @@
 }
 
 const (
-	// isolationGrace is how long a node may take to see that it has lost the majority:
-	// a leader's lease, and the request that was under way.
+	// isolationGrace is how long a node may take to detect that it has lost the majority:
+	// the duration of a leader's lease, plus a request that was in progress.
 	isolationGrace = 2 * time.Second
-	// isolatedAnswerTimeout is how long callers wait before they turn to another node.
+	// isolatedAnswerTimeout is how long callers wait before they try another node.
 	isolatedAnswerTimeout = time.Second
 )
 
-// checkIsolatedAnswers: a node without a majority answers everything soon, with 503 and
-// a time to come back, as the operators' page on control demands.
+// checkIsolatedAnswers verifies that a node without a majority answers every call within
+// isolatedAnswerTimeout, with 503 and a Retry-After header, as the operators' control API
+// requires.
 func checkIsolatedAnswers(h *History) (violations []string) {
 	type period struct{ from, to time.Time }
 	isolated, since := map[string][]period{}, map[string]time.Time{}
@@ -165,7 +164,7 @@
 			if call.Sent.Sub(p.from) < isolationGrace || !call.Done.Before(p.to) {
 				continue
 			}
-			if fault := call.faultWhileIsolated(); fault != "" {
+			if fault := call.isolationViolation(); fault != "" {
 				violations = append(violations, fmt.Sprintf("%s without a majority answers %s with %d after %v: %s", call.Node, call.Kind, call.Code, call.Done.Sub(call.Sent).Round(time.Millisecond), fault))
 			}
 		}
@@ -173,22 +172,22 @@
 	return violations
 }
 
-// faultWhileIsolated tells what is wrong with the answer of an isolated node; empty if
-// nothing is.
-func (c Call) faultWhileIsolated() string {
+// isolationViolation describes what is wrong with the response of an isolated node. It is
+// empty if the response is correct.
+func (c Call) isolationViolation() string {
 	switch {
 	case c.Code == 0:
-		return "no answer"
+		return "no response"
 	case c.Code/100 == 2:
-		return "it confirms"
+		return "success without a majority"
 	case c.isFinalRefusal():
-		return "it refuses for good"
+		return "final refusal"
 	case c.Code != http.StatusServiceUnavailable:
 		return "want 503"
 	case c.Done.Sub(c.Sent).Round(time.Millisecond) > isolatedAnswerTimeout:
-		return "too late"
+		return "response after the timeout"
 	case !c.HasRetryAfter:
-		return "no time to come back"
+		return "no Retry-After header"
 	}
 	return ""
 }
--- a/internal/simulation/evacuation_test.go
+++ b/internal/simulation/evacuation_test.go
@@ -10,16 +10,16 @@
 // evacuatedZone is the zone that tests evacuate.
 const evacuatedZone = "z1"
 
-// orderEvacuation has evacuatedZone evacuated, or taken back, by calls to a node until one is
-// acknowledged. It gives how long that took.
+// orderEvacuation begins or finishes the evacuation of evacuatedZone, with calls to a node until
+// one is acknowledged. It returns how long that took.
 func (c *Cluster) orderEvacuation(node, order string) time.Duration {
 	c.T.Helper()
 	const zone = evacuatedZone
 	begin := time.Now()
 	if order == "Finish" {
-		c.History.record(Event{Kind: EventTakenBack, Node: zone})
+		c.History.record(Event{Kind: EventEvacuationEnded, Node: zone})
 	}
-	c.WaitUntil(order+" of "+zone+" is acknowledged", 10*time.Second, func() bool {
+	c.WaitUntil(order+" of the evacuation of "+zone+" is acknowledged", 10*time.Second, func() bool {
 		code, _, _ := c.request(http.MethodPost, c.nodeURL(node, controlPort, "/-/Evacuation."+order+"/"+zone), "", "", nil)
 		return code == http.StatusOK
 	})
@@ -29,17 +29,17 @@
 	return time.Since(begin)
 }
 
-// TestEvacuation: a zone's runners get nothing more soon after the order, also under a leader
-// that is lost, agents that restart and runners that are slow to take a start, until it is
-// taken back; all jobs end.
+// TestEvacuation checks that soon after the evacuation of a zone begins nothing starts there until
+// the evacuation is finished, also if the leader is lost, servers or agents restart, or runners
+// reject starts or don't respond. All jobs must end.
 func TestEvacuation(t *testing.T) {
 	spec := ClusterSpec{Servers: 3, Edges: 1, Agents: 4, Zones: 2}
-	for name, trouble := range map[string]func(c *Cluster){
-		"calm":           func(*Cluster) {},
+	for name, fault := range map[string]func(c *Cluster){
+		"no fault":       func(*Cluster) {},
 		"leader lost":    func(c *Cluster) { c.Restart(time.Second, c.Leader()) },
 		"agents restart": func(c *Cluster) { c.Restart(300*time.Millisecond, "side-2", "side-4") },
 		"all killed":     func(c *Cluster) { c.Restart(500*time.Millisecond, c.Servers()...) },
-		"sick runners": func(c *Cluster) {
+		"runners reject starts": func(c *Cluster) {
 			c.changeRunners(3*time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, "side-2", "side-4")
 		},
 		"silent runners": func(c *Cluster) {
@@ -49,12 +49,12 @@
 		t.Run(name, func(t *testing.T) {
 			runWithFault(t, spec, func(c *Cluster) {
 				if took := c.orderEvacuation(disklessEdge, "Begin"); took > time.Second {
-					t.Errorf("acknowledged after %v", took)
+					t.Errorf("the evacuation was acknowledged after %v, want at most 1s", took)
 				}
-				trouble(c)
+				fault(c)
 				time.Sleep(6 * time.Second)
 			}, func(c *Cluster) {
-				// Jobs go on in the other zone.
+				// Jobs still run in the other zone.
 				for i := range 4 {
 					c.SubmitJob(jobID(900+i), newJob(200, 4000, 4))
 				}
@@ -82,8 +82,8 @@
 	return starts
 }
 
-// TestEvacuationOrders: they are answered alike when they are repeated, at any node; a zone
-// that nobody knows is refused.
+// TestEvacuationOrders checks that repeated orders get the same answer at any node, and that an
+// unknown zone is refused.
 func TestEvacuationOrders(t *testing.T) {
 	withCluster(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 2, Zones: 2}, func(t *testing.T, c *Cluster) {
 		for i, want := range []struct {
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -10,11 +10,11 @@
 	"tealpond/internal/standin"
 )
 
-// EventKind tells what a stand-in saw.
+// EventKind is the kind of an event.
 type EventKind string
 
-// What runners see. An agent requests a start and the run starts, or not; it ends;
-// its end is listed to the agent, which acknowledges it.
+// Events at runners. An agent requests a start; the run starts unless the runner
+// rejects it; the run ends; the runner lists the end to the agent, which acknowledges it.
 const (
 	EventStartRequested = EventKind(standin.WorkerStartRequested)
 	EventRunStarted     = EventKind(standin.WorkerRunStarted)
@@ -25,20 +25,20 @@
 	EventCrashed        = EventKind(standin.WorkerCrashed)
 )
 
-// What is seen from outside.
+// Events seen by clients, operators and tests.
 const (
-	EventDraining    EventKind = "draining"    // a heartbeat that said so was acknowledged
-	EventEvacuated   EventKind = "evacuated"   // an order to evacuate the zone Node was acknowledged
-	EventTakenBack   EventKind = "taken back"  // an order to use it again was sent
-	EventIsolated    EventKind = "isolated"    // a node lost its majority
-	EventReconnected EventKind = "reconnected" // and has it again
-	EventJobShown    EventKind = "job shown"   // a client was told a job's state
-	// EventLimitChanged: a configuration with another limit of boundTenant, CPUCapacity, was
-	// acknowledged if it is lower, or sent if it is higher.
+	EventDraining         EventKind = "draining"    // a heartbeat with the state draining was acknowledged
+	EventEvacuated        EventKind = "evacuated"   // the evacuation of the zone Node was acknowledged
+	EventEvacuationEnded  EventKind = "taken back"  // an order to end the evacuation of the zone Node was sent
+	EventIsolated         EventKind = "isolated"    // a node lost contact with the majority
+	EventReconnected      EventKind = "reconnected" // a node is connected to the majority again
+	EventJobStateReported EventKind = "job shown"   // a response told a client a job's state
+	// EventLimitChanged is a change of boundTenant's limit to CPUCapacity: a configuration with
+	// a lower limit was acknowledged, or one with a higher limit was sent.
 	EventLimitChanged EventKind = "limit changed"
 )
 
-// Outcomes of a run, as runners list them, and one for runs lost in a crash.
+// Outcomes of a run as listed by runners, and runCrashed for runs that were lost in a crash.
 const (
 	runDone    = standin.RunDone
 	runFailed  = standin.RunFailed
@@ -47,15 +47,15 @@
 	runCrashed = standin.RunCrashed
 )
 
-// States of a job that the checkers know, as clients are told them.
+// States of a job that the checkers use, as they are reported to clients.
 const (
 	jobDone     = "done"
 	jobCanceled = "called_off"
 	jobFailed   = "failed"
-	jobGone     = "410" // the status code for a job that isn't known (any more)
+	jobGone     = "410" // the status code for a job that is not known, or no longer
 )
 
-// Event is one thing that a stand-in saw. Which fields are set depends on its kind.
+// Event is one event of a history. Which fields are set depends on its kind.
 type Event struct {
 	At               time.Time
 	Kind             EventKind
@@ -66,7 +66,7 @@
 	Outcome          string
 	Completion       int64 // the sequence number of a run's end
 	JobSpec          string
-	CPUInUse         int64 // thousandths of a core, the run that starts included
+	CPUInUse         int64 // thousandths of a core, including the run that starts
 	CPUCapacity      int64
 	EnforcesCapacity bool
 	Job              string
@@ -89,52 +89,52 @@
 	Kind          string
 	Version       int64 // of the configuration sent or read
 	Base          int64
-	Text          string // the configuration sent or read, whole
-	Invalid       bool   // it must not be accepted
-	Code          int    // the status; 0 if there was no answer or it was lost
-	HasRetryAfter bool   // the answer said when to come back
-	UnknownKey    bool   // it bore a key of no tenant
+	Text          string // the whole configuration that was sent or read
+	Invalid       bool   // the configuration must not be accepted
+	Code          int    // the status code; 0 if there was no response or it was lost
+	HasRetryAfter bool   // the response had a Retry-After header
+	UnknownKey    bool   // the API key belongs to no tenant
 }
 
-// isFinalRefusal reports whether the answer refuses a call permanently. By the protocol its
-// caller doesn't send it again.
+// isFinalRefusal reports whether the response refuses a call permanently. By the protocol the
+// caller doesn't retry such a call.
 func (c Call) isFinalRefusal() bool {
 	return c.Code >= 400 && c.Code < 500 && c.Code != http.StatusRequestTimeout && c.Code != http.StatusTooManyRequests
 }
 
-// SubmittedJob is a job as its client knows it.
+// SubmittedJob is a job as seen by its client.
 type SubmittedJob struct {
 	JobSpec         string
-	Cluster         string  // the name of the one that it was submitted to
+	Cluster         string  // the name of the cluster that it was submitted to
 	Dependencies    [][]int // by step
 	TaskCounts      []int   // by step
 	MaxAttempts     int
 	MilliCPU        []int64   // of one task, by step
-	UnknownKey      bool      // it was submitted with a key of no tenant
-	AllowsCopies    bool      // of tasks of some step
-	Accepted        bool      // some attempt to submit it was accepted
-	Rejected        bool      // every attempt was clearly refused
-	CancelRequested bool      // a cancel was sent, with whatever answer
+	UnknownKey      bool      // the API key belongs to no tenant
+	AllowsCopies    bool      // some step allows copies of its tasks
+	Accepted        bool      // an attempt to submit it was accepted
+	Rejected        bool      // every attempt was refused
+	CancelRequested bool      // a cancel was sent, whatever its outcome
 	CanceledAt      time.Time // when a cancel was acknowledged; zero if none was
 }
 
-// History is what all stand-ins saw, in the order in which they did. Its methods
-// may be called by several goroutines.
+// History records the events and calls that all simulated parties observed, in order of
+// time. Its methods are safe for concurrent use.
 type History struct {
 	mu         sync.Mutex
 	Events     []Event
 	Calls      []Call
 	Jobs       map[string]*SubmittedJob
-	failedRuns map[string]int    // so far, by task
-	zones      map[string]string // of agents, by node
+	failedRuns map[string]int    // number of failed runs, by task
+	zones      map[string]string // zones of agents, by node
 }
 
-// NewHistory makes an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{Jobs: map[string]*SubmittedJob{}, failedRuns: map[string]int{}, zones: map[string]string{}}
 }
 
-// record adds an event that is seen now.
+// record adds an event with the current time.
 func (h *History) record(event Event) {
 	h.mu.Lock()
 	event.At = time.Now()
@@ -148,7 +148,7 @@
 	h.Calls = append(h.Calls, call)
 }
 
-// failsNow reports whether a run fails: the first runs of a task do, up to failures.
+// failsNow reports whether a run of a task is to fail: the first runs do, as many as failures.
 func (h *History) failsNow(task string, failures int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -159,8 +159,8 @@
 	return true
 }
 
-// splitTaskID splits a task's name into its job, step and instance. A name of
-// another form is all job.
+// splitTaskID splits a task ID into its job, step and instance. An ID of another form
+// is returned as the job.
 func splitTaskID(task string) (job string, step int, instance string) {
 	parts := strings.Split(task, ".")
 	if len(parts) != 4 {
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -57,7 +57,7 @@
 	"TestLossInMidChange":             {"^[a-l]", "^[m-z]"},
 	"TestFaultKinds":                  {"^[a-b]", "^[c-h]", "^[i-z]"},
 	"TestKindsOfWorkUnderTroubles":    {"^a", "^[b-z]"},
-	"TestCoordinationUnderTroubles":   {"^[a-d]", "^e", "^[f-z]"},
+	"TestCoordinationUnderFaults":     {"^[a-d]", "^e", "^[f-z]"},
 	"TestTroublesOfLargeFleets":       firstTroubles(),
 	"TestMoreTroublesOfLargeFleets":   firstTroubles(),
 }
--- a/internal/simulation/tenants.go
+++ b/internal/simulation/tenants.go
@@ -8,37 +8,37 @@
 	"tealpond/internal/protocol"
 )
 
-// The tenants of each configuration: one with a limit, and one without any.
+// The tenants of each configuration: one with a limit, and one without.
 const (
 	boundTenant   = "bound"
 	unboundTenant = "unbound"
 	// boundTenantMilliCPU is the limit of boundTenant.
 	boundTenantMilliCPU = 6000
-	// unknownKey is no tenant's.
+	// unknownKey is an API key that belongs to no tenant.
 	unknownKey = "key-of-nobody"
 )
 
-// tenantList is the tenants of each configuration, as operators send them.
+// tenantList is the list of tenants that operators send in each configuration.
 var tenantList = tenantsWithLimit(boundTenantMilliCPU)
 
-// tenantsWithLimit is the tenants with another limit of boundTenant.
+// tenantsWithLimit returns the list of tenants with a limit for boundTenant.
 func tenantsWithLimit(milliCPU int) string {
 	return fmt.Sprintf(`[{"name":%q,"apiKeys":[%q],"share":2,"upperLimit":{"cpuUnits":%d}},{"name":%q,"apiKeys":[%q,"spare"],"share":1000}]`,
 		boundTenant, keyOf(boundTenant), milliCPU, unboundTenant, keyOf(unboundTenant))
 }
 
-// limitGrace is how long after a lower limit was acknowledged starts may still go by the
-// limit before: quotaWindowS of the operators.
+// limitGrace is how long starts may still use the previous limit after a lower one was
+// acknowledged. It corresponds to the operators' quotaWindowS.
 const limitGrace = 5 * time.Second
 
-// boundLimit is the limit of boundTenant as it changes.
-type boundLimit struct {
+// tenantLimit is the limit of boundTenant over time.
+type tenantLimit struct {
 	inForce, next int64
-	nextAt        time.Time // when next is in force; zero: there is none
+	nextAt        time.Time // when next takes effect; zero if there is none
 }
 
-// change records a new limit. A higher one is in force at once.
-func (l *boundLimit) change(at time.Time, milliCPU int64) {
+// change records a new limit. A higher limit takes effect at once.
+func (l *tenantLimit) change(at time.Time, milliCPU int64) {
 	if milliCPU >= l.inForce {
 		l.inForce, l.nextAt = milliCPU, time.Time{}
 		return
@@ -46,18 +46,18 @@
 	l.next, l.nextAt = milliCPU, at.Add(limitGrace)
 }
 
-// at returns the limit that a start at a time must keep to.
-func (l *boundLimit) at(when time.Time) int64 {
+// at returns the limit that applies to a start at a time.
+func (l *tenantLimit) at(when time.Time) int64 {
 	if !l.nextAt.IsZero() && when.After(l.nextAt) {
 		return l.next
 	}
 	return l.inForce
 }
 
-// keyOf is the key of a tenant.
+// keyOf returns the API key of a tenant.
 func keyOf(tenant string) string { return "key-of-" + tenant }
 
-// tenantOf is the tenant that submits a job: the bound one submits one of eight.
+// tenantOf returns the tenant that submits a job. boundTenant submits one job of eight.
 func tenantOf(id string) string {
 	if id != "" && (id[len(id)-1] == '7' || id[len(id)-1] == 'f') {
 		return boundTenant
@@ -65,15 +65,15 @@
 	return unboundTenant
 }
 
-// authorization is the header that bears the key for calls about a job.
+// authorization returns the header that carries the API key in calls about a job.
 func authorization(key string) string { return protocol.AuthorizationScheme + " " + key }
 
-// checkQuotas: a start never lifts what the bound tenant has running past its limit,
-// unless it is the only run. Each cluster has a limit of its own; jobs that moved to
-// another one are bounded there by the loan alone.
+// checkQuotas verifies that a start never raises the CPU usage of boundTenant above its
+// limit, unless it is the only run. Each cluster enforces its own limit. Jobs that moved to
+// another cluster are limited there by the loan alone.
 func checkQuotas(h *History) (violations []string) {
 	running, inUse := map[string]map[runKey]int64{}, map[string]int64{}
-	limit := boundLimit{inForce: boundTenantMilliCPU}
+	limit := tenantLimit{inForce: boundTenantMilliCPU}
 	for _, event := range h.Events {
 		if event.Kind == EventLimitChanged {
 			limit.change(event.At, event.CPUCapacity)
@@ -96,7 +96,7 @@
 			running[cluster][key] = submitted.MilliCPU[step]
 			inUse[cluster] += submitted.MilliCPU[step]
 			if most := limit.at(event.At); inUse[cluster] > most && len(running[cluster]) > 1 {
-				violations = append(violations, fmt.Sprintf("%s run %d lifts its tenant to %d of %d", event.Task, event.Run, inUse[cluster], most))
+				violations = append(violations, fmt.Sprintf("%s run %d raises its tenant to %d of %d thousandths of a core", event.Task, event.Run, inUse[cluster], most))
 			}
 		case EventRunEnded:
 			inUse[cluster] -= running[cluster][key]
@@ -106,17 +106,17 @@
 	return violations
 }
 
-// checkKeys: no job is accepted that was submitted with a key of no tenant, and none with
-// a tenant's key is refused for it.
+// checkKeys verifies that no job is accepted with an unknown API key, and that no call with a
+// tenant's key is refused because of the key.
 func checkKeys(h *History) (violations []string) {
 	for id, job := range h.Jobs {
 		if job.UnknownKey && job.Accepted {
-			violations = append(violations, "job "+id+" is accepted with a key of no tenant")
+			violations = append(violations, "job "+id+" is accepted with an unknown API key")
 		}
 	}
 	for _, call := range h.Calls {
 		if !call.UnknownKey && (call.Code == 401 || call.Code == 403) {
-			violations = append(violations, fmt.Sprintf("%s at %s is refused with %d though its key is a tenant's", call.Kind, call.Node, call.Code))
+			violations = append(violations, fmt.Sprintf("%s at %s is refused with %d though its API key belongs to a tenant", call.Kind, call.Node, call.Code))
 		}
 	}
 	return violations
