--- a/internal/simulation/aggregator_test.go
+++ b/internal/simulation/aggregator_test.go
@@ -8,7 +8,7 @@
 	"tealpond/internal/transport"
 )
 
-// aggregator returns the node appointed as the zone's aggregator, or nothing.
+// aggregator returns the node appointed as the zone's aggregator, or an empty string.
 func (c *Cluster) aggregator() string {
 	for _, name := range c.nodeNames(edgeRole) {
 		response, err := rpc.Call(c.adminContext(), c.nodeAddress(name, daemonPort), rpc.KindClusterState, nil, time.Second)
@@ -33,13 +33,13 @@
 }
 
 // runWithAggregatorFault is runWithFault with a fault of the zone's aggregator. The zone
-// must have one again afterwards.
+// must have an aggregator again afterwards.
 func runWithAggregatorFault(t *testing.T, fault func(c *Cluster, aggregator string)) {
 	t.Helper()
 	runWithFault(t, fiveServers, func(c *Cluster) {
 		aggregator := c.aggregator()
 		if aggregator == "" || aggregator == c.Leader() {
-			t.Errorf("the zone's aggregator is %q, the leader %q", aggregator, c.Leader())
+			t.Errorf("the zone's aggregator is %q, the leader %q; want two nodes", aggregator, c.Leader())
 			return
 		}
 		fault(c, aggregator)
@@ -51,17 +51,17 @@
 func TestAggregatorKilled(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		c.Kill(aggregator)
-		c.WaitUntil("another one is appointed", 5*time.Second, func() bool { name := c.aggregator(); return name != "" && name != aggregator })
+		c.WaitUntil("another aggregator is appointed", 5*time.Second, func() bool { name := c.aggregator(); return name != "" && name != aggregator })
 		c.Start(aggregator)
 	})
 }
 
-// TestAggregatorTerminated: its standby is appointed before it has gone.
+// TestAggregatorTerminated checks that the standby is appointed before the aggregator has ended.
 func TestAggregatorTerminated(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		c.Terminate(aggregator)
 		if name := c.aggregator(); name == "" || name == aggregator {
-			t.Errorf("after its end the holder is %q, was %q", name, aggregator)
+			t.Errorf("the aggregator is %q after %q was terminated, want another one", name, aggregator)
 		}
 		c.Start(aggregator)
 	})
@@ -73,31 +73,31 @@
 	})
 }
 
-// TestAggregatorIsolatedFromServers: its agents still reach it, and so take it for their
-// aggregator when another one is.
+// TestAggregatorIsolatedFromServers isolates an aggregator that its agents still reach, so that
+// they keep using it after another one has been appointed.
 func TestAggregatorIsolatedFromServers(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		c.partitionFor(5*time.Second, aggregator, c.nodesExcept(edgeRole, aggregator)...)
 	})
 }
 
-// blockForAWhile blocks the way from one node to another for five seconds.
-func blockForAWhile(c *Cluster, from, to string) {
+// blockOneWay blocks the direction from one node to another for five seconds.
+func blockOneWay(c *Cluster, from, to string) {
 	c.Network.Block(c.NodeIP(from), c.NodeIP(to))
 	time.Sleep(5 * time.Second)
 	c.Network.Unblock(c.NodeIP(from), c.NodeIP(to))
 }
 
-func TestAggregatorDeafToTheLeader(t *testing.T) {
-	runWithAggregatorFault(t, func(c *Cluster, aggregator string) { blockForAWhile(c, c.Leader(), aggregator) })
+func TestLeaderToAggregatorBlocked(t *testing.T) {
+	runWithAggregatorFault(t, func(c *Cluster, aggregator string) { blockOneWay(c, c.Leader(), aggregator) })
 }
 
-func TestLeaderDeafToTheAggregator(t *testing.T) {
-	runWithAggregatorFault(t, func(c *Cluster, aggregator string) { blockForAWhile(c, aggregator, c.Leader()) })
+func TestAggregatorToLeaderBlocked(t *testing.T) {
+	runWithAggregatorFault(t, func(c *Cluster, aggregator string) { blockOneWay(c, aggregator, c.Leader()) })
 }
 
-// TestSlowAggregator: all that goes through it comes late, also what was sent before its
-// agents rejected from it.
+// TestSlowAggregator delays all messages through the aggregator, including those sent before its
+// agents switched to another one.
 func TestSlowAggregator(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		c.Network.SetDelay(c.NodeIP(aggregator), 700*time.Millisecond)
@@ -106,7 +106,7 @@
 	})
 }
 
-func TestAggregatorAndLeaderLostTogether(t *testing.T) {
+func TestAggregatorAndLeaderKilledTogether(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		leader := c.Leader()
 		c.Kill(aggregator)
@@ -121,18 +121,18 @@
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		c.restartWiped(time.Second, aggregator)
 		time.Sleep(4 * time.Second)
-		// The wiped one must count again by now, so that another may be lost.
+		// By now the wiped server must vote again, so that another server may be lost.
 		next := c.aggregator()
 		if next == "" {
-			t.Error("no aggregator while one of five is replaced")
+			t.Error("no aggregator while one of five servers is replaced")
 			return
 		}
 		c.Restart(3*time.Second, next)
 	})
 }
 
-// TestAgentSwitchesAggregatorsRepeatedly: an agent loses its aggregator again and again,
-// and comes back to it each time that it is named.
+// TestAgentSwitchesAggregatorsRepeatedly makes an agent lose its aggregator repeatedly. The agent
+// returns to it each time it is assigned again.
 func TestAgentSwitchesAggregatorsRepeatedly(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		for range 6 {
@@ -142,7 +142,7 @@
 	})
 }
 
-func TestRunnersCrashUnderAnAggregator(t *testing.T) {
+func TestRunnersOfOneAggregatorCrash(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		for _, name := range []string{"side-1", "side-2", "side-3"} {
 			c.Runners[name].Crash()
@@ -152,9 +152,9 @@
 	})
 }
 
-// TestRunnerRequestsCarriedOutLateUnderLostAggregators: late requests under one
-// aggregator meet those under the next.
-func TestRunnerRequestsCarriedOutLateUnderLostAggregators(t *testing.T) {
+// TestRunnerAppliesRequestsLateAcrossAggregatorLoss checks that requests sent under one
+// aggregator and applied late do not interfere with those sent under the next.
+func TestRunnerAppliesRequestsLateAcrossAggregatorLoss(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		for _, runner := range c.Runners {
 			runner.update(func() { runner.LateFraction = 0.3 })
--- a/internal/simulation/announced_test.go
+++ b/internal/simulation/announced_test.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// announcedDay runs a test on gateways whose runners tell of themselves.
-func announcedDay(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
+// runAnnounced runs a test on gateways whose runners register by heartbeats.
+func runAnnounced(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
 	t.Helper()
 	gatewayDayOf(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true, Announced: true}, test)
 }
 
-// TestAnnouncedRunnersComeAndGo: runners that no platform lists are used as soon as they
-// say that they are there, are not used once they have said that they leave, and are given
-// up when they fall silent.
-func TestAnnouncedRunnersComeAndGo(t *testing.T) {
-	announcedDay(t, func(c *Cluster, load *gatewayLoad) {
+// TestAnnouncedRunnersJoinAndLeave checks that runners that no platform lists are used as soon
+// as they announce themselves, are not used once they announce that they drain, and are removed
+// when their heartbeats stop.
+func TestAnnouncedRunnersJoinAndLeave(t *testing.T) {
+	runAnnounced(t, func(c *Cluster, load *gatewayLoad) {
 		all := c.nodeNames(gatewayRole)
 		begin := time.Now()
 		c.platform.Drain("i-01")
 		c.platform.StartRunner("svc", "z0")
 		load.run(5*time.Second, all...)
-		load.wantServed("one replaced", begin, 1)
+		load.wantServed("one runner replaced", begin, 1)
 		begin = time.Now()
 		time.AfterFunc(time.Second, func() { c.platform.Crash("i-02", 0) })
 		load.run(5*time.Second, all...)
-		load.wantServed("one crashed", begin, 0.95) // writes under way are lost
+		load.wantServed("one runner crashed", begin, 0.95) // writes in progress are lost
 		begin = time.Now()
 		load.run(2*time.Second, all...)
-		load.wantServed("afterwards", begin, 1)
+		load.wantServed("after the crash", begin, 1)
 	})
 }
 
-// TestAnnouncedRunnersUnderTheNextLeader: daemons go on by the list that they have until the
-// next leader has heard of the runners, and a daemon that is cut off goes on by it too; all
-// runners are replaced meanwhile.
-func TestAnnouncedRunnersUnderTheNextLeader(t *testing.T) { announcedDay(t, playLossOfTheLeader) }
+// TestAnnouncedRunnersUnderTheNextLeader checks that daemons keep using their list of runners
+// until the next leader has received the runners' heartbeats, and that an isolated daemon does so
+// too. All runners are replaced meanwhile.
+func TestAnnouncedRunnersUnderTheNextLeader(t *testing.T) { runAnnounced(t, playLossOfTheLeader) }
 
-// TestAllGatewaysRestartedWithAnnouncedRunners: nobody has a list after it, until the
-// runners have told of themselves.
+// TestAllGatewaysRestartedWithAnnouncedRunners restarts all gateways, after which no daemon has
+// a list until the runners have announced themselves again.
 func TestAllGatewaysRestartedWithAnnouncedRunners(t *testing.T) {
-	announcedDay(t, func(c *Cluster, load *gatewayLoad) {
+	runAnnounced(t, func(c *Cluster, load *gatewayLoad) {
 		all := c.nodeNames(gatewayRole)
 		c.Restart(300*time.Millisecond, all...)
 		time.Sleep(3 * time.Second)
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -21,17 +21,17 @@
 	runWithFault(t, threeServers, func(c *Cluster) {
 		c.restartWiped(time.Second, c.Leader())
 		time.Sleep(4 * time.Second)
-		// The wiped one must count again by now, so that another may be lost.
+		// By now the wiped server must vote again, so that another server may be lost.
 		c.Restart(2*time.Second, c.Leader())
 	}, nil)
 }
 
-func TestAllKilled(t *testing.T) {
+func TestAllNodesKilled(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) { c.Restart(time.Second, c.nodeNames("")...) }, nil)
 }
 
-// TestAllRestartedWithDisklessSeeds: after a restart of all nodes, seeds without a disk
-// know nobody at first.
+// TestAllRestartedWithDisklessSeeds restarts all nodes with seed nodes that have no disk, and so
+// know no other node at first.
 func TestAllRestartedWithDisklessSeeds(t *testing.T) {
 	runWithFault(t, ClusterSpec{Servers: 3, Edges: 3, Agents: 2}, func(c *Cluster) {
 		c.seeds = []string{address(c.hostIP(4), controlPort), address(c.hostIP(5), controlPort), address(c.hostIP(6), controlPort)}
@@ -46,7 +46,7 @@
 	}, nil)
 }
 
-func TestLeaderHearsNobody(t *testing.T) {
+func TestLeaderInboundBlocked(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		leader := c.Leader()
 		for _, name := range c.nodeNames("") {
@@ -81,9 +81,9 @@
 	}, nil)
 }
 
-func TestRunnerRequestsCarriedOutLate(t *testing.T) {
+func TestRunnerAppliesRequestsLate(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		c.changeRunners(6*time.Second, carryOutLate(0.3))
+		c.changeRunners(6*time.Second, applyRequestsLate(0.3))
 	}, nil)
 }
 
@@ -111,26 +111,26 @@
 	}, nil)
 }
 
-func TestConfigurationSurvivesAndRaces(t *testing.T) {
+func TestConcurrentConfigurationChangesAndDiskLoss(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		a, b := c.PutConfiguration("edge-1", 5, 1, ""), c.PutConfiguration("edge-2", 6, 1, "")
 		if a != http.StatusOK || b != http.StatusPreconditionFailed {
-			t.Errorf("two changes on one version: %d and %d", a, b)
+			t.Errorf("two changes of one version get %d and %d, want 200 and 412", a, b)
 		}
 		if again := c.PutConfiguration("edge-3", 5, 1, ""); again != http.StatusOK {
-			t.Errorf("the same one again: %d", again)
+			t.Errorf("the acknowledged change sent again gets %d, want 200", again)
 		}
 		c.restartWiped(0, c.Leader())
-		c.WaitUntil("read back", 10*time.Second, func() bool {
+		c.WaitUntil("the acknowledged configuration is read back", 10*time.Second, func() bool {
 			code, raw, _ := c.request(http.MethodGet, c.nodeURL(disklessEdge, controlPort, "/-/Config.Read"), "", "", nil)
 			return code == http.StatusOK && string(raw) == configurationText(5, "")
 		})
 	}, nil)
 }
 
-// TestSilentRunnersTasksAreFreedSoon: polls of a silent runner must not extend the lease
-// that it may have.
-func TestSilentRunnersTasksAreFreedSoon(t *testing.T) {
+// TestTasksOfASilentRunnerAreRescheduled checks that polls of a runner that does not respond
+// don't extend the lease that it may still have.
+func TestTasksOfASilentRunnerAreRescheduled(t *testing.T) {
 	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		c.SubmitJob(jobID(0), newJob(800, 500, 6))
 		time.Sleep(300 * time.Millisecond)
@@ -142,15 +142,15 @@
 		from := time.Now()
 		c.waitJobDone(jobID(0), 30*time.Second)
 		if d := time.Since(from); d > 5*time.Second {
-			t.Errorf("took %v", d)
+			t.Errorf("the job took %v, want at most 5s", d)
 		}
 		c.requireNoViolations()
 	})
 }
 
-// TestLongRunLeavesWithItsWorker: a run that can't end before its worker
-// leaves is stopped in time and goes on elsewhere.
-func TestLongRunLeavesWithItsWorker(t *testing.T) {
+// TestLongRunIsMovedOffADrainingWorker checks that a run that can't end before its worker
+// leaves is stopped in time and continues on another worker.
+func TestLongRunIsMovedOffADrainingWorker(t *testing.T) {
 	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		c.SubmitJob(jobID(0), newJob(7000, 500, 1))
 		time.Sleep(500 * time.Millisecond)
@@ -162,7 +162,7 @@
 		}
 		time.Sleep(5500 * time.Millisecond)
 		if left.Running() > 0 {
-			t.Error("it still runs on a worker that has left")
+			t.Error("the task still runs on a worker that has left")
 		}
 		c.waitJobDone(jobID(0), 20*time.Second)
 		c.requireNoViolations()
--- a/internal/simulation/connection_test.go
+++ b/internal/simulation/connection_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestConnectionsReset: the connections of random nodes, to each other and to clients,
-// are reset again and again while calls are under way; runners carry out part of the
-// requests late. Nothing is started twice, and no answer is taken for another call's.
+// TestConnectionsReset repeatedly resets all connections of random nodes while calls are in
+// progress, and runners apply part of the requests late. Nothing may be started twice, and no
+// response may be matched to another call.
 func TestConnectionsReset(t *testing.T) {
 	runScenarios(t, 4, threeServers, func(s *scenario, seed int64) {
 		s.setWorkload(newJob(150, 400, 6), 100*time.Millisecond)
@@ -26,10 +26,10 @@
 	})
 }
 
-// TestCompletionsUnderLostLeaders: completions of short tasks are on their way while
-// leaders, aggregators and agents are killed one after another, with answers held back
-// by partitions: what was acknowledged to a runner stays completed.
-func TestCompletionsUnderLostLeaders(t *testing.T) {
+// TestCompletionsAcrossLeaderLoss kills leaders, aggregators and agents one after another
+// while completions of short tasks are in flight and partitions hold back responses. A
+// completion that was acknowledged to a runner must be kept.
+func TestCompletionsAcrossLeaderLoss(t *testing.T) {
 	runScenarios(t, 4, ClusterSpec{Servers: 3, Edges: 1, Agents: 4}, func(s *scenario, _ int64) {
 		s.setWorkload(newJob(120, 200, 8), 100*time.Millisecond)
 		for range 6 {
@@ -39,7 +39,7 @@
 				continue
 			}
 			agent := s.nodeNames(agentRole)[s.random.Intn(4)]
-			// Some faults hold back its answers only.
+			// IsolateOutbound holds back only the responses of the leader.
 			repair := s.InjectFault(leader, []string{IsolateOutbound, IsolateBothWays, IsolateFromServers}[s.random.Intn(3)])
 			time.Sleep(time.Duration(s.random.Intn(4000)) * time.Millisecond)
 			s.Restart(time.Duration(100+s.random.Intn(500))*time.Millisecond, agent)
--- a/internal/simulation/divergence_test.go
+++ b/internal/simulation/divergence_test.go
@@ -15,9 +15,9 @@
 )
 
 // CorruptState changes a number in the stored state of a server that isn't running, as a
-// fault in its memory might.
+// memory error might.
 func (c *Cluster) CorruptState(name string) {
-	// The daemon that was killed may not have let go of the file yet.
+	// The daemon that was killed may not have released the file lock yet.
 	disk, recovered, err := storage.OpenWithRetry(context.Background(), filepath.Join(c.dir, name), func(error) {})
 	if err != nil {
 		c.T.Fatal(err)
@@ -36,7 +36,7 @@
 	go func() {
 		disk.Run(ctx, requests, func(_ []storage.WriteRequest, err error) {
 			if err != nil {
-				c.T.Errorf("the state was not corrupted: %v", err)
+				c.T.Errorf("write the corrupted state: %v", err)
 			}
 			stop()
 		})
@@ -45,8 +45,9 @@
 	<-done
 }
 
-// makeLeader has one of three servers elected, by construction: it is the only one
-// that the leader hears when it ends, and votes are for the leader and itself.
+// makeLeader makes a certain one of three servers the leader. While the leader shuts down, that
+// server is the only one it can reach, and the third server is partitioned from both. So no other
+// server can win the election: its votes are the leader's and its own.
 func (c *Cluster) makeLeader(name string) {
 	leader := c.Leader()
 	for leader == "" {
@@ -61,7 +62,8 @@
 			continue
 		}
 		c.SetPartition(other, true, leader, name)
-		// The leader forgets that it heard the other, whose log stays behind besides.
+		// After this time the leader no longer counts the other server as reachable, and that
+		// server's log has fallen behind.
 		time.Sleep(2 * timing.ElectionTimeout)
 		ended := make(chan struct{})
 		go func() {
@@ -75,9 +77,9 @@
 	}
 }
 
-// TestDivergedReplicaReplacesItsState: a replica whose state differs from that of the
-// majority notices, gives its identity up, and votes again once it has the state anew;
-// the same for one that leads.
+// TestDivergedReplicaReplacesItsState checks that a replica, follower or leader, whose state
+// differs from that of the majority detects this, gives up its identity, and votes again once it
+// has received the state.
 func TestDivergedReplicaReplacesItsState(t *testing.T) {
 	for _, leads := range []bool{false, true} {
 		t.Run(map[bool]string{false: "follower", true: "leader"}[leads], func(t *testing.T) {
@@ -111,16 +113,16 @@
 				for i := 0; i < 200 && rejoined.Load() == 0; i++ {
 					c.SubmitJob(jobID(1000+i), newJob(50, 100, 1))
 				}
-				c.WaitUntil("it voted again with a state of the majority", 30*time.Second, func() bool { return rejoined.Load() > 0 })
-				// It must vote again by now, or the loss of another leaves no majority.
+				c.WaitUntil("the diverged replica votes again with the state of the majority", 30*time.Second, func() bool { return rejoined.Load() > 0 })
+				// By now it must vote again; otherwise the loss of another server leaves no majority.
 				time.Sleep(6 * time.Second)
 				c.Restart(2*time.Second, c.Leader())
 			})
 			if diverged.Load() != 1 || rejoined.Load() != 1 {
-				t.Errorf("%d replicas found that they diverged, %d rejoined", diverged.Load(), rejoined.Load())
+				t.Errorf("%d replicas detected a divergence, %d rejoined; want 1 of each", diverged.Load(), rejoined.Load())
 			}
 			if leads && divergedLeading.Load() != 1 {
-				t.Error("the replica that diverged did not lead")
+				t.Error("the replica that diverged was not the leader")
 			}
 		})
 	}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// faultKinds are those faults of the operators' bench, under its names, that a simulated
-// cluster can have. Each takes about ten seconds.
+// faultKinds are the faults of the operators' bench that can occur in a simulated cluster, under
+// the bench's names. Each takes about ten seconds.
 var faultKinds = []namedPlay{
 	{"ack_lost", func(s *scenario) {
 		for _, operator := range s.newOperators(4, 0.7) {
@@ -48,10 +48,10 @@
 		defer closeAll(operators)
 		operators[0].Read(3 * time.Second)
 		base := operators[0].knownVersion
-		change, rival := s.NewChange(base), s.NewChange(base)
+		change, competing := s.NewChange(base), s.NewChange(base)
 		var sent sync.WaitGroup
 		sent.Go(func() { operators[1].SendAt(a, change) })
-		sent.Go(func() { operators[2].SendAt(b, rival) })
+		sent.Go(func() { operators[2].SendAt(b, competing) })
 		time.Sleep(4 * time.Second)
 		sent.Wait()
 		repair()
@@ -72,18 +72,18 @@
 		time.Sleep(10 * time.Second)
 	}},
 	{"big_config", func(s *scenario) {
-		// Several attempts are made, since another operator is at work and may win the race.
+		// There are several attempts, since the changes of another operator may be accepted first.
 		operator := s.newOperators(1, 0.3)[0]
 		defer operator.Close()
 		accepted := 0
 		for range 8 {
 			operator.Read(5 * time.Second)
 			change := s.NewChange(operator.knownVersion)
-			var more strings.Builder
+			var moreRoutes strings.Builder
 			for i := range 1000 {
-				more.WriteString(routeJSON(fmt.Sprintf("big-%d-%d", change.Version, i)))
+				moreRoutes.WriteString(routeJSON(fmt.Sprintf("big-%d-%d", change.Version, i)))
 			}
-			change.Text, change.Routes = configurationText(change.Version, more.String()), 1000
+			change.Text, change.Routes = configurationText(change.Version, moreRoutes.String()), 1000
 			if operator.Send(change, 20*time.Second) == http.StatusOK {
 				accepted++
 			}
@@ -122,10 +122,10 @@
 	}},
 }
 
-// restartAllOnceSubmitted kills all daemons right after a job was accepted, some times
-// over; the jobs are numbered from first on.
-func (s *scenario) restartAllOnceSubmitted(first, times int) {
-	for i := range times {
+// restartAllOnceSubmitted submits count jobs, numbered from first on, and restarts all daemons
+// right after each submission.
+func (s *scenario) restartAllOnceSubmitted(first, count int) {
+	for i := range count {
 		if s.SubmitJob(jobID(first+i), newJob(300, 400, 2)) {
 			s.recordAccepted(jobID(first + i))
 		}
@@ -134,8 +134,8 @@
 	}
 }
 
-// closingFaults are the faults at the end of a scenario, after which all that was
-// acknowledged must be there.
+// closingFaults are the faults at the end of a scenario, after which everything that was
+// acknowledged must still exist.
 var closingFaults = []namedPlay{
 	{"power off all", func(s *scenario) { s.Restart(1500*time.Millisecond, s.nodeNames("")...) }},
 	{"kill all", func(s *scenario) { s.Restart(300*time.Millisecond, s.nodeNames("")...) }},
@@ -144,8 +144,8 @@
 	{"wipe the leader, power off the others", func(s *scenario) { s.wipeOneRestartOthers(s.Leader()) }},
 }
 
-// wipeOneRestartOthers empties a server's disk, and starts it when all others were
-// restarted.
+// wipeOneRestartOthers kills a server and empties its disk, and starts it after all other
+// nodes of the edge role were restarted.
 func (s *scenario) wipeOneRestartOthers(name string) {
 	s.Kill(name)
 	s.WipeDisk(name)
@@ -153,14 +153,14 @@
 	s.Start(name)
 }
 
-// Moments of a closing fault.
+// Times at which a closing fault is injected.
 const (
 	onceChanged   = "acknowledged" // right after a change was acknowledged
 	whileChanging = "timed"        // at a random time after a change was sent
 	onceSubmitted = "taken"        // right after a job was accepted
 )
 
-// injectClosingFault plays a closing fault at one of its moments.
+// injectClosingFault injects a closing fault at one of the times above.
 func (s *scenario) injectClosingFault(moment string, fault func(s *scenario)) {
 	operator := s.newOperators(1, 0)[0]
 	defer operator.Close()
@@ -180,8 +180,8 @@
 	time.Sleep(catchUpBound)
 }
 
-// TestFaultKinds plays each kind of fault, and after it one of the closing faults in
-// turn.
+// TestFaultKinds injects each kind of fault, followed by one of the closing faults in
+// rotation.
 func TestFaultKinds(t *testing.T) {
 	for i, kind := range faultKinds {
 		t.Run(kind.name, func(t *testing.T) {
@@ -196,7 +196,7 @@
 	}
 }
 
-// TestClosingFaults plays each closing fault at each of its moments.
+// TestClosingFaults injects each closing fault at each of its times.
 func TestClosingFaults(t *testing.T) {
 	for i, fault := range closingFaults {
 		for k, moment := range []string{onceChanged, whileChanging, onceSubmitted} {
--- a/internal/simulation/harness_test.go
+++ b/internal/simulation/harness_test.go
@@ -10,32 +10,31 @@
 	"tealpond/internal/protocol"
 )
 
-// Clusters that many tests use. With five servers a leader and an aggregator may be
-// lost together.
+// Clusters that many tests use. With five servers, the leader and an aggregator may be
+// lost at the same time.
 var (
 	threeServers = ClusterSpec{Servers: 3, Edges: 1, Agents: 3}
 	fiveServers  = ClusterSpec{Servers: 5, Edges: 1, Agents: 6}
 )
 
-// disklessEdge is the node of clusters with three servers that serves clients without a
-// disk.
+// disklessEdge is the node without a disk that serves clients in clusters of three servers.
 const disklessEdge = "edge-4"
 
-// newJob makes a job of one step, with tasks that take so many ms and thousandths of a
-// core each.
+// newJob returns a job of one step. Each of its tasks runs for ms milliseconds and uses cpu
+// thousandths of a core.
 func newJob(ms, cpu, tasks int) protocol.Job {
 	return newJobOf(ms, cpu, protocol.Step{TaskCount: tasks, CPUUnits: int64(cpu), MemoryMB: 10, EstimateMs: int64(ms)})
 }
 
-// newJobOf makes a job of steps, with tasks that take so many ms and thousandths of a
-// core each.
+// newJobOf returns a job of several steps. Each of its tasks runs for ms milliseconds and uses
+// cpu thousandths of a core.
 func newJobOf(ms, cpu int, steps ...protocol.Step) protocol.Job {
 	return protocol.Job{Spec: fmt.Sprintf("ms=%d cpu=%d", ms, cpu), Steps: steps}
 }
 
 func jobID(i int) string { return fmt.Sprintf("%016x", i+1) }
 
-// withCluster runs a test on a cluster that is ready, in a bubble of its own.
+// withCluster runs a test on a ready cluster, in its own synctest bubble.
 func withCluster(t *testing.T, spec ClusterSpec, test func(t *testing.T, c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,18 +45,18 @@
 	})
 }
 
-// waitJobDone waits until disklessEdge tells that a job is done.
+// waitJobDone waits until disklessEdge reports that a job is done.
 func (c *Cluster) waitJobDone(id string, timeout time.Duration) {
 	c.T.Helper()
 	c.WaitUntil("job "+id+" is done", timeout, func() bool { return c.JobState(disklessEdge, id) == jobDone })
 }
 
-// nodesExcept returns all nodes of a role but some.
+// nodesExcept returns all nodes of a role, or all nodes, except some.
 func (c *Cluster) nodesExcept(role string, except ...string) []string {
 	return without(c.nodeNames(role), except...)
 }
 
-// without returns the names but some.
+// without returns names except some.
 func without(names []string, except ...string) []string {
 	var rest []string
 	for _, name := range names {
@@ -68,7 +67,7 @@
 	return rest
 }
 
-// restartWiped kills a node, empties its disk and starts it again after a while.
+// restartWiped kills a node, empties its disk and starts it again after downtime.
 func (c *Cluster) restartWiped(downtime time.Duration, name string) {
 	c.Kill(name)
 	c.WipeDisk(name)
@@ -76,15 +75,15 @@
 	c.Start(name)
 }
 
-// partitionFor blocks both ways between a node and some others for a while.
+// partitionFor blocks both directions between a node and others for a duration.
 func (c *Cluster) partitionFor(duration time.Duration, name string, others ...string) {
 	c.SetPartition(name, true, others...)
 	time.Sleep(duration)
 	c.SetPartition(name, false, others...)
 }
 
-// changeRunners changes runners, or all if none is named, and changes them back after a
-// while. What the change is says set: on at first, then off.
+// changeRunners changes the named runners, or all if none is named, and reverts the change after
+// a duration. It calls set with true to make the change, and with false to revert it.
 func (c *Cluster) changeRunners(duration time.Duration, set func(r *Runner, on bool), names ...string) {
 	if len(names) == 0 {
 		names = c.nodeNames(agentRole)
@@ -100,8 +99,8 @@
 	}
 }
 
-// carryOutLate is a change of runners: they carry out a part of the requests late.
-func carryOutLate(fraction float64) func(r *Runner, on bool) {
+// applyRequestsLate is a change for changeRunners: runners apply a fraction of the requests late.
+func applyRequestsLate(fraction float64) func(r *Runner, on bool) {
 	return func(r *Runner, on bool) {
 		r.LateFraction = 0
 		if on {
@@ -110,7 +109,7 @@
 	}
 }
 
-// requireNoViolations runs all checkers on what was seen.
+// requireNoViolations runs all checkers on the history.
 func (c *Cluster) requireNoViolations() {
 	c.T.Helper()
 	for _, violation := range c.History.Violations() {
@@ -118,8 +117,8 @@
 	}
 }
 
-// runWithFault runs jobs through a cluster with a fault in the middle, and then what is
-// in after, if anything. All jobs must end, and all checkers must pass.
+// runWithFault runs jobs in a cluster, injects a fault while they are submitted, and then calls
+// after, if it is not nil. All jobs must end, and all checkers must pass.
 func runWithFault(t *testing.T, spec ClusterSpec, fault func(c *Cluster), after func(c *Cluster)) {
 	t.Helper()
 	withCluster(t, spec, func(t *testing.T, c *Cluster) {
@@ -151,7 +150,7 @@
 				return state == jobDone || state == jobCanceled || state == jobFailed
 			})
 			if state := c.JobState(last, jobID(i)); state == jobFailed {
-				t.Errorf("%s failed without a cause", jobID(i))
+				t.Errorf("job %s failed, want done or canceled", jobID(i))
 			}
 		}
 		c.requireNoViolations()
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -18,14 +18,13 @@
 	"time"
 )
 
-// childEnvironment is the environment variable of a process that runs one test.
+// childEnvironment is the environment variable that marks a process that runs one test.
 const childEnvironment = "TEALPOND_SIM_CHILD"
 
-// TestMain runs each test in a process of its own that has one P, several side by side.
-// Under the race detector the timers of a synctest bubble were once run by another
-// thread than the bubble's, and the runtime itself failed; with one P there is no other.
-// The race detector orders events, not threads, so it sees as much. With -run, tests run
-// in this process as usual.
+// TestMain runs each test in its own process with GOMAXPROCS=1, several processes in parallel.
+// With more threads, under the race detector, the runtime once failed because another thread
+// than the bubble's ran the timers of a synctest bubble. The race detector orders events, not
+// threads, so it detects as much with one thread. With -run, tests run in this process as usual.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	named := false
@@ -38,28 +37,28 @@
 	os.Exit(runEachTest())
 }
 
-// splitTests names the tests whose subtests get processes of their own, with patterns of
-// the subtests' names at the first level. What none of them matches runs in one more
-// process, so that a subtest that is missing here still runs.
+// splitTests lists the tests whose subtests run in separate processes, with patterns of the
+// names of first-level subtests. Subtests that match no pattern run in one more process, so that
+// a subtest that is missing here still runs.
 var splitTests = map[string][]string{
-	"TestMoveAtEveryStep":             exactly(moveEvents...),
-	"TestLeaderIsolated":              exactly(isolations...),
-	"TestFollowerIsolated":            exactly(isolations...),
-	"TestStormyDay":                   seeds(5),
-	"TestFarBehind":                   seeds(2),
-	"TestHalvesOfSixServers":          seeds(6),
-	"TestLossesOfSixServersOneByOne":  seeds(3),
-	"TestCompletionsInTheDark":        seeds(4),
-	"TestOperatorsRace":               seeds(3),
-	"TestConnectionsReset":            seeds(4),
-	"TestCompletionsUnderLostLeaders": seeds(4),
-	"TestDisksLostInTheDark":          exactly("3 servers", "5 servers", "6 servers"),
-	"TestLossInMidChange":             {"^[a-l]", "^[m-z]"},
-	"TestFaultKinds":                  {"^[a-b]", "^[c-h]", "^[i-z]"},
-	"TestKindsOfWorkUnderTroubles":    {"^a", "^[b-z]"},
-	"TestCoordinationUnderFaults":     {"^[a-d]", "^e", "^[f-z]"},
-	"TestTroublesOfLargeFleets":       firstTroubles(),
-	"TestMoreTroublesOfLargeFleets":   firstTroubles(),
+	"TestMoveAtEveryStep":              exactly(moveEvents...),
+	"TestLeaderIsolated":               exactly(isolations...),
+	"TestFollowerIsolated":             exactly(isolations...),
+	"TestStormyDay":                    seeds(5),
+	"TestFarBehind":                    seeds(2),
+	"TestHalvesOfSixServers":           seeds(6),
+	"TestLossesOfSixServersOneByOne":   seeds(3),
+	"TestCompletionsDuringPowerOutage": seeds(4),
+	"TestOperatorsRace":                seeds(3),
+	"TestConnectionsReset":             seeds(4),
+	"TestCompletionsAcrossLeaderLoss":  seeds(4),
+	"TestDisksLostInPowerOutage":       exactly("3 servers", "5 servers", "6 servers"),
+	"TestLossInMidChange":              {"^[a-l]", "^[m-z]"},
+	"TestFaultKinds":                   {"^[a-b]", "^[c-h]", "^[i-z]"},
+	"TestKindsOfWorkUnderTroubles":     {"^a", "^[b-z]"},
+	"TestCoordinationUnderFaults":      {"^[a-d]", "^e", "^[f-z]"},
+	"TestTroublesOfLargeFleets":        firstFaults(),
+	"TestMoreTroublesOfLargeFleets":    firstFaults(),
 }
 
 // exactly returns the pattern of each name.
@@ -80,24 +79,24 @@
 	return exactly(names...)
 }
 
-// firstTroubles returns the patterns of the pairs of troubles, by the first of each.
-func firstTroubles() []string {
+// firstFaults returns a pattern for each first fault of the pairs of faults.
+func firstFaults() []string {
 	patterns := make([]string, len(largeFleetTroubles))
-	for i, trouble := range largeFleetTroubles {
-		patterns[i] = "^" + regexp.QuoteMeta(trouble.name) + " and "
+	for i, fault := range largeFleetTroubles {
+		patterns[i] = "^" + regexp.QuoteMeta(fault.name) + " and "
 	}
 	return patterns
 }
 
-// selection says which tests a process runs.
+// selection specifies the tests that a process runs.
 type selection struct{ run, skip string }
 
-// selections returns what each process runs, the longest first, so that the whole ends
-// soonest.
+// selections returns the selection of each process, those that take longest first, so that
+// the total time is shortest.
 func selections() ([]selection, error) {
 	raw, err := exec.Command(os.Args[0], "-test.list", ".").Output()
 	if err != nil {
-		return nil, fmt.Errorf("the tests can't be listed: %w", err)
+		return nil, fmt.Errorf("list the tests: %w", err)
 	}
 	var all []selection
 	split := 0
@@ -118,16 +117,16 @@
 		all = append(all, selection{run: test, skip: test + "/" + strings.Join(subtests, "|"+test+"/")})
 	}
 	if len(all) == 0 {
-		return nil, errors.New("no test was found")
+		return nil, errors.New("no tests found")
 	}
 	if split != len(splitTests) {
-		return nil, errors.New("splitTests names a test that doesn't exist")
+		return nil, errors.New("splitTests lists a test that does not exist")
 	}
 	sort.SliceStable(all, func(a, b int) bool { return startRank(all[a].run) > startRank(all[b].run) })
 	return all, nil
 }
 
-// runEachTest runs all tests and gives the exit code: 1 if one failed, or none ran.
+// runEachTest runs all tests and returns the exit code: 1 if a test failed or none ran.
 func runEachTest() int {
 	all, err := selections()
 	if err != nil {
@@ -162,9 +161,9 @@
 	return 0
 }
 
-// startRank is higher for tests that take longer.
+// startRank returns a rank that is higher for tests that take longer.
 func startRank(pattern string) int {
-	for i, name := range []string{"TestSecondLoss", "TestMoveAtEveryStep", "TestClosingFaults", "TestUpgrade", "TestPeak", "TestStormyDay", "TestFarBehind", "TroublesOfLargeFleets", "InTheDark"} {
+	for i, name := range []string{"TestSecondLoss", "TestMoveAtEveryStep", "TestClosingFaults", "TestUpgrade", "TestPeak", "TestStormyDay", "TestFarBehind", "TroublesOfLargeFleets", "PowerOutage"} {
 		if strings.Contains(pattern, name) {
 			return i + 1
 		}
@@ -172,13 +171,14 @@
 	return 0
 }
 
-// skipPattern is the pattern of what a process leaves out, also by the flag -skip.
+// skipPattern returns the pattern of the tests that a process skips, including those of the
+// flag -skip.
 func (s selection) skipPattern() string {
 	patterns := []string{s.skip, flag.Lookup("test.skip").Value.String()}
 	return strings.Join(slices.DeleteFunc(patterns, func(pattern string) bool { return pattern == "" }), "|")
 }
 
-// runChild runs a part of the tests in a process of its own.
+// runChild runs a selection of the tests in a child process.
 func runChild(selected selection) ([]byte, time.Duration, error) {
 	ctx, stop := context.WithTimeout(context.Background(), 18*time.Minute)
 	defer stop()
--- a/internal/simulation/darkness_test.go
+++ b/internal/simulation/power_outage_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// loseDisksInTheDark has all machines lose power at the same moment, those of the runners
-// and of the edges without a disk included; as many servers as may be lost come back with
-// empty disks.
-func (s *scenario) loseDisksInTheDark(downtime time.Duration) {
+// cutPowerAndLoseDisks makes all machines lose power at the same moment, including those of the
+// runners and of the edges without a disk. As many servers as may be lost restart with empty
+// disks.
+func (s *scenario) cutPowerAndLoseDisks(downtime time.Duration) {
 	servers := s.Servers()
 	s.random.Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
 	if leader := s.Leader(); leader != "" && s.random.Intn(2) == 0 {
@@ -33,10 +33,10 @@
 	}
 }
 
-// TestDisksLostInTheDark: right after a change was acknowledged or a job accepted, or at
-// a random moment of either, all machines lose power and as many disks are lost as may
-// be. Nothing that was acknowledged may rest on the memory of any daemon.
-func TestDisksLostInTheDark(t *testing.T) {
+// TestDisksLostInPowerOutage makes all machines lose power, and as many disks as may be lost,
+// right after a change was acknowledged or a job was accepted, or at a random time after a change
+// was sent. Nothing that was acknowledged may depend on the memory of a daemon.
+func TestDisksLostInPowerOutage(t *testing.T) {
 	for _, spec := range []ClusterSpec{threeServers, {Servers: 5, Edges: 1, Agents: 3}, sixServers} {
 		for i, moment := range []string{onceChanged, whileChanging, onceSubmitted} {
 			t.Run(fmt.Sprintf("%d servers/%s", spec.Servers, moment), func(t *testing.T) {
@@ -45,7 +45,7 @@
 					s.runOperator(int64(i+1), time.Second, nil)
 					for range 3 {
 						time.Sleep(2 * time.Second)
-						s.injectClosingFault(moment, func(s *scenario) { s.loseDisksInTheDark(800 * time.Millisecond) })
+						s.injectClosingFault(moment, func(s *scenario) { s.cutPowerAndLoseDisks(800 * time.Millisecond) })
 						time.Sleep(catchUpBound)
 					}
 				})
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestCompletionsInTheDark: short tasks complete all the while, their answers are lost and
-// requests are carried out late, as all machines lose power: a completion that was
-// acknowledged to its runner stays, and one that was not is run again or counted once.
-func TestCompletionsInTheDark(t *testing.T) {
+// TestCompletionsDuringPowerOutage makes all machines lose power while short tasks complete,
+// responses are lost and requests are applied late. A completion that was acknowledged to its
+// runner must be kept; the task of any other is run again or counted once.
+func TestCompletionsDuringPowerOutage(t *testing.T) {
 	runScenarios(t, 4, ClusterSpec{Servers: 5, Edges: 1, Agents: 4, ToleratedLosses: 2}, func(s *scenario, _ int64) {
 		s.setWorkload(newJob(60, 150, 12), 80*time.Millisecond)
 		for _, runner := range s.Runners {
@@ -65,7 +65,7 @@
 		}
 		for range 4 {
 			time.Sleep(time.Duration(1500+s.random.Intn(1000)) * time.Millisecond)
-			s.loseDisksInTheDark(time.Duration(300+s.random.Intn(900)) * time.Millisecond)
+			s.cutPowerAndLoseDisks(time.Duration(300+s.random.Intn(900)) * time.Millisecond)
 			time.Sleep(catchUpBound)
 		}
 		for _, runner := range s.Runners {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -15,12 +15,12 @@
 	"tealpond/internal/protocol"
 )
 
-// seedMultiplier multiplies the number of seeds of the tests that play several:
+// seedMultiplier multiplies the number of seeds of the tests that use several:
 //
 //	go test ./internal/simulation -run TestStormyDay -sim.longer 10
-var seedMultiplier = flag.Int("sim.longer", 1, "times as many seeds")
+var seedMultiplier = flag.Int("sim.longer", 1, "factor for the number of seeds")
 
-// testSeeds are the fixed seeds of a test, more with -sim.longer.
+// testSeeds returns the fixed seeds of a test, more with -sim.longer.
 func testSeeds(n int) []int64 {
 	var seeds []int64
 	for i := range n * *seedMultiplier {
@@ -29,15 +29,15 @@
 	return seeds
 }
 
-// Bounds that operators set for a cluster, as in the example of their page on deployment.
+// Bounds that operators set for a cluster, as in the example of the deployment documentation.
 const (
-	contactBound       = 3 * time.Second // a node that was cut off is in touch again
+	contactBound       = 3 * time.Second // an isolated node has contact again
 	configurationBound = 2 * time.Second // a configuration is applied
-	catchUpBound       = 4 * time.Second // a server that was away votes again
-	ackBound           = 6 * time.Second // a change is acknowledged, an election included
+	catchUpBound       = 4 * time.Second // a server that was down votes again
+	ackBound           = 6 * time.Second // a change is acknowledged, including an election
 )
 
-// scenario is a cluster under a light load of jobs.
+// scenario is a cluster with a light load of jobs.
 type scenario struct {
 	*Cluster
 	random     *rand.Rand
@@ -45,13 +45,13 @@
 	stop       context.CancelFunc
 	background sync.WaitGroup // the load
 
-	mu             sync.Mutex   // guards what follows
+	mu             sync.Mutex   // guards the fields below
 	acceptedJobs   []string     // IDs
-	workload       protocol.Job // submitted again and again
+	workload       protocol.Job // submitted repeatedly
 	submitInterval time.Duration
 }
 
-// lockedSource is a random source for plays that run at the same time.
+// lockedSource is a random source that is safe for concurrent use.
 type lockedSource struct {
 	mu     sync.Mutex
 	source rand.Source
@@ -71,9 +71,9 @@
 	l.source.Seed(seed)
 }
 
-// runScenario makes a cluster, lets something happen under load, and requires that
+// runScenario starts a cluster, calls run while the cluster is under load, and requires that
 // nothing acknowledged is lost and no rule is violated.
-func runScenario(t *testing.T, spec ClusterSpec, seed int64, play func(s *scenario)) {
+func runScenario(t *testing.T, spec ClusterSpec, seed int64, run func(s *scenario)) {
 	t.Helper()
 	withCluster(t, spec, func(t *testing.T, c *Cluster) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -82,7 +82,7 @@
 		defer stop()
 		c.failOnDivergence()
 		s.submitJobs(seed)
-		play(s)
+		run(s)
 		if !t.Failed() {
 			s.finish()
 		}
@@ -91,11 +91,11 @@
 }
 
 // runScenarios is runScenario with several seeds, each in a subtest.
-func runScenarios(t *testing.T, seeds int, spec ClusterSpec, play func(s *scenario, seed int64)) {
+func runScenarios(t *testing.T, seeds int, spec ClusterSpec, run func(s *scenario, seed int64)) {
 	t.Helper()
 	for _, seed := range testSeeds(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runScenario(t, spec, seed, func(s *scenario) { play(s, seed) })
+			runScenario(t, spec, seed, func(s *scenario) { run(s, seed) })
 		})
 	}
 }
@@ -114,8 +114,8 @@
 var digits = regexp.MustCompile(`[0-9]+`)
 
 // reportViolations fails the test if there are violations, and shows the first two of
-// each kind: hundreds of calls may fail alike. Violations that differ only in numbers
-// are of one kind.
+// each kind, since hundreds of calls may fail in the same way. Violations that differ only in
+// numbers are of one kind.
 func (s *scenario) reportViolations() {
 	s.T.Helper()
 	violations := s.History.Violations()
@@ -149,21 +149,21 @@
 	})
 }
 
-// recordAccepted notes a job that must be done in the end.
+// recordAccepted records a job that must be done at the end of the scenario.
 func (s *scenario) recordAccepted(id string) {
 	s.mu.Lock()
 	s.acceptedJobs = append(s.acceptedJobs, id)
 	s.mu.Unlock()
 }
 
-// setWorkload sets the job that is submitted from now on, and how often.
+// setWorkload sets the job that is submitted from now on, and the mean interval.
 func (s *scenario) setWorkload(job protocol.Job, interval time.Duration) {
 	s.mu.Lock()
 	s.workload, s.submitInterval = job, interval
 	s.mu.Unlock()
 }
 
-// growLog has clients cancel unknown jobs, about rate a second, so that the log grows by
+// growLog makes clients cancel unknown jobs, about rate a second, so that the log grows by
 // as many entries and snapshots are taken.
 func (s *scenario) growLog(rate int, duration time.Duration) {
 	const callers = 16
@@ -180,8 +180,8 @@
 	}
 }
 
-// runOperator has an operator make one change after another until the load stops or done
-// is closed. It returns a channel that is closed when the operator has ended.
+// runOperator runs an operator that makes one change after another until the load stops or done
+// is closed. It returns a channel that is closed when the operator has stopped.
 func (s *scenario) runOperator(seed int64, pause time.Duration, done <-chan struct{}) <-chan struct{} {
 	operator, ended := s.NewOperator(seed), make(chan struct{})
 	s.background.Go(func() {
@@ -202,8 +202,8 @@
 	return ended
 }
 
-// sendConcurrentChanges has an operator make a change each interval for a while, whatever
-// became of those before: up to eight are under way.
+// sendConcurrentChanges makes an operator start a change each interval, without waiting for the
+// previous ones. Up to eight are in progress at a time.
 func (s *scenario) sendConcurrentChanges(seed int64, interval, duration time.Duration) {
 	idle := make(chan *Operator, 8)
 	for i := range cap(idle) {
@@ -224,8 +224,8 @@
 	})
 }
 
-// requireAcknowledgement requires that a change is acknowledged within ackBound, since a
-// majority is left.
+// requireAcknowledgement requires that a change is acknowledged within ackBound. A majority must
+// be available.
 func (s *scenario) requireAcknowledgement(when string) {
 	s.T.Helper()
 	operator := s.NewOperator(s.random.Int63())
@@ -236,10 +236,10 @@
 			return
 		}
 	}
-	s.T.Errorf("%s: no change is acknowledged within %v", when, ackBound)
+	s.T.Errorf("%s: no change was acknowledged within %v", when, ackBound)
 }
 
-// finish stops the load and requires that all that was acknowledged is there.
+// finish stops the load and requires that everything that was acknowledged was kept.
 func (s *scenario) finish() {
 	s.T.Helper()
 	s.stop()
@@ -257,7 +257,8 @@
 	}
 }
 
-// requireJobDone requires that a job is done, and shows what was seen of it if not.
+// requireJobDone requires that a job becomes done within a minute. Otherwise it logs the events
+// of the job.
 func (s *scenario) requireJobDone(job, node string) {
 	s.T.Helper()
 	state := ""
@@ -266,7 +267,7 @@
 			return
 		}
 	}
-	s.T.Errorf("job %s was accepted and is %s at %s for a minute", job, state, node)
+	s.T.Errorf("job %s was accepted and is still %s at %s after a minute, want done", job, state, node)
 	s.History.mu.Lock()
 	defer s.History.mu.Unlock()
 	for _, event := range s.History.Events {
@@ -278,7 +279,7 @@
 
 // requireNewestConfiguration requires that a node is ready and applies the newest
 // acknowledged configuration, within the bounds after a fault was repaired. No other
-// operator may be at work.
+// operator may be sending changes.
 func (s *scenario) requireNewestConfiguration(name string, repairedAt time.Time) {
 	s.T.Helper()
 	operator := s.NewOperator(9)
@@ -286,7 +287,7 @@
 	operator.Read(5 * time.Second)
 	change, code := operator.MakeChange(5 * time.Second)
 	if code != http.StatusOK {
-		s.T.Errorf("a change after the fault gets %d", code)
+		s.T.Errorf("a change after the fault gets %d, want 200", code)
 		return
 	}
 	left := max(contactBound+configurationBound-time.Since(repairedAt), configurationBound)
@@ -301,8 +302,8 @@
 	s.WaitUntil(name+" is ready", left, func() bool { return s.IsReady(name) })
 }
 
-// exerciseNode has an operator and a client make all kinds of calls to one node, again and
-// again, until done is closed.
+// exerciseNode makes an operator and a client repeat all kinds of calls to one node until done
+// is closed.
 func (s *scenario) exerciseNode(name string, operator *Operator, done <-chan struct{}) *sync.WaitGroup {
 	var callers sync.WaitGroup
 	repeat := func(call func()) {
