--- a/internal/storage/checked_file.go
+++ b/internal/storage/checked_file.go
@@ -15,13 +15,13 @@
 // lockTimeout is how long one attempt to open the file waits for its lock.
 const lockTimeout = 100 * time.Millisecond
 
-// fileContent is what a file of this package holds. It is read anew with each attempt.
+// fileContent is the content of one kind of file of this package. Each attempt to open the file reads it again.
 type fileContent interface {
-	// read checks and reads a whole file without bbolt, and returns its newest meta page.
+	// read verifies and reads a whole file without bbolt, and returns its newest meta page.
 	read(reader io.ReaderAt, size int64) (boltMeta, error)
-	// isUnused reports whether nobody relies on what was read.
+	// isUnused reports whether the file holds no state that another component relies on.
 	isUnused() bool
-	// initialize writes what a new file begins with.
+	// initialize writes the initial content of a new file.
 	initialize(tx *bolt.Tx) error
 }
 
@@ -32,7 +32,7 @@
 	quarantineReason string // why an earlier file was quarantined; empty if none was
 }
 
-// openChecked opens a file of a directory, as Open describes it.
+// openChecked opens or creates the named file of a directory, with the guarantees described at Open.
 func (fs fileSystem) openChecked(dir, name string, content fileContent) (opened openedFile, err error) {
 	path := filepath.Join(dir, name)
 	opened.db, err = fs.loadChecked(path, content)
@@ -41,17 +41,17 @@
 	case err == nil:
 		if err := fs.syncDirectory(dir); err != nil && content.isUnused() {
 			_ = opened.db.Close()
-			return opened, unavailable("sync folder", err)
+			return opened, unavailable("sync directory", err)
 		}
 		return opened, nil
 	case errors.Is(err, errUninitialized):
 	case errors.As(err, &corruptErr):
 		opened.quarantineReason = corruptErr.Error()
 		if err := fs.rename(path, path+corruptSuffix); err != nil {
-			return opened, unavailable("put aside", err)
+			return opened, unavailable("quarantine corrupt file", err)
 		}
 		if err := fs.syncDirectory(dir); err != nil {
-			return opened, unavailable("sync folder", err)
+			return opened, unavailable("sync directory", err)
 		}
 	default:
 		return opened, err
@@ -61,7 +61,7 @@
 	}
 	if opened.db, err = fs.loadChecked(path, content); err != nil {
 		if errors.As(err, &corruptErr) || errors.Is(err, errUninitialized) {
-			err = unavailable("read what was just written", err)
+			err = unavailable("read newly created file", err)
 		}
 		return opened, err
 	}
@@ -69,15 +69,15 @@
 	return opened, nil
 }
 
-// errUninitialized means that there is no file, or one that never got an identity,
-// since the daemon ended between creating it and the first sync. Nobody relies on
-// such a file, so it is replaced without notice.
-var errUninitialized = errors.New("no identity yet")
+// errUninitialized means that the file does not exist, or that it never received an identity
+// because the daemon ended between creating it and the first sync. No member relies on
+// such a file, so it is replaced without a report.
+var errUninitialized = errors.New("file has no identity yet")
 
-// create makes the file under a temporary name, renames it once its content is
-// synced, and syncs the directory before the identity is used: a name that was not
-// synced may be lost with the power, and with it the votes and entries that this
-// member acknowledged.
+// create writes the file under a temporary name, renames it once its content is
+// synced, and syncs the directory before the identity is used. A directory entry that
+// was not synced may be lost in a power failure, together with the votes and entries
+// that this member acknowledged.
 func (fs fileSystem) create(dir, path string, initialize func(*bolt.Tx) error) error {
 	temp := path + tempSuffix
 	if err := os.Remove(temp); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -98,16 +98,16 @@
 		return unavailable("rename", err)
 	}
 	if err := fs.syncDirectory(dir); err != nil {
-		return unavailable("sync folder", err)
+		return unavailable("sync directory", err)
 	}
 	return nil
 }
 
-// openBolt opens a file that was checked. NoFreelistSync keeps the list of free
-// pages out of the file: bbolt finds it from the tree when it opens the file, so
-// that no page of it can be torn, and opening writes nothing. The order of bbolt's
-// writes stays: new pages, sync, meta page, sync; pages of the older meta are not
-// written again before the newer one is synced.
+// openBolt opens a file that was verified. NoFreelistSync keeps the list of free
+// pages out of the file: bbolt rebuilds it from the tree when it opens the file, so
+// that no freelist page can be torn, and opening writes nothing. The order of bbolt's
+// writes is unaffected: new pages, sync, meta page, sync. Pages that the older meta page
+// refers to are not overwritten before the newer meta page is synced.
 func (fs fileSystem) openBolt(path string) (db *bolt.DB, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -126,7 +126,7 @@
 	return db, nil
 }
 
-// loadChecked checks and reads an existing file and opens it for writing.
+// loadChecked verifies and reads an existing file and opens it for writing.
 func (fs fileSystem) loadChecked(path string, content fileContent) (*bolt.DB, error) {
 	f, err := fs.openFile(path, os.O_RDWR, fileMode)
 	if errors.Is(err, os.ErrNotExist) {
@@ -136,8 +136,8 @@
 		return nil, unavailable("open", err)
 	}
 	meta, err := checkFile(f, content)
-	// Closing releases the lock, which bbolt takes for itself. Nothing was written,
-	// so an error of it has no consequence.
+	// Close releases the lock, so that bbolt can take its own. Nothing was written,
+	// so an error from Close has no consequence.
 	_ = f.Close()
 	if err != nil {
 		return nil, err
@@ -153,13 +153,13 @@
 	})
 	if !unchanged {
 		_ = db.Close()
-		return nil, unavailable("open", errors.New("another process wrote to it"))
+		return nil, unavailable("open", errors.New("another process changed the file after it was verified"))
 	}
 	return db, nil
 }
 
-// checkFile checks and reads a file that no other process has open. It returns the
-// meta page.
+// checkFile locks, verifies and reads a file that no other process has locked. It
+// returns the meta page.
 func checkFile(f *os.File, content fileContent) (boltMeta, error) {
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		return boltMeta{}, unavailable("lock", err)
@@ -169,7 +169,7 @@
 		return boltMeta{}, unavailable("stat", err)
 	}
 	if !info.Mode().IsRegular() {
-		return boltMeta{}, unavailable("open", fmt.Errorf("%s is no file", info.Name()))
+		return boltMeta{}, unavailable("open", fmt.Errorf("%s is not a regular file", info.Name()))
 	}
 	meta, err := content.read(f, info.Size())
 	var corruptErr *CorruptError
@@ -186,8 +186,8 @@
 }
 
 // isUninitialized reports whether a corrupt file can never have held an identity: it
-// is blank, or it has no more pages than a new file of bbolt and starts like one. The
-// first transaction of this package grows the file before it writes.
+// is all zeros, or it has no more pages than a new bbolt file and starts with a valid meta page
+// of one. The first transaction of this package grows the file before it writes.
 func isUninitialized(reader io.ReaderAt, size int64) (bool, error) {
 	buffer := make([]byte, initialPageSize)
 	fewPages, validMeta := size <= initialPages*initialPageSize, false
@@ -204,8 +204,8 @@
 			meta, ok := parseMeta(buffer[pageHeaderSize:])
 			validMeta = ok && meta.highWaterMark <= initialPages
 		}
-		asCreated := fewPages && validMeta
-		if !blank && !asCreated {
+		isNewBolt := fewPages && validMeta
+		if !blank && !isNewBolt {
 			return false, nil
 		}
 	}
--- a/internal/storage/fuzz_test.go
+++ b/internal/storage/fuzz_test.go
@@ -10,8 +10,8 @@
 	"tealpond/internal/raft"
 )
 
-// FuzzRecord: a record is read or refused; one whose checksum holds is the one
-// that was written.
+// FuzzRecord checks that arbitrary bytes either decode or return an error, and that a record with a
+// valid checksum encodes to the same bytes again.
 func FuzzRecord(f *testing.F) {
 	f.Add(encodeKey(7), withChecksum(encodeKey(7), mustMarshal(raft.Entry{Index: 7, Term: 1, Data: []byte("x")})))
 	f.Add(keyHardState, withChecksum(keyHardState, mustMarshal(raft.HardState{Term: 3, Vote: "a"})))
@@ -26,7 +26,7 @@
 		}
 		body, summed, err := verifyChecksum(key, raw)
 		if err == nil && summed && !bytes.Equal(withChecksum(key, body), raw) {
-			t.Fatal("a record reads as what was not written")
+			t.Fatal("encoding the body of a valid record gives other bytes")
 		}
 		reader := &recordReader{meta: map[string][]byte{string(keySnapshotHeader): raw}}
 		_ = reader.readRecord("/meta", key, raw)
@@ -38,8 +38,9 @@
 	})
 }
 
-// FuzzFile: any bytes as a file are read, corrupt or uninitialized; no panic, no endless
-// walk, and what was read can be opened and read the same by bbolt.
+// FuzzFile checks that any file content is either read, or reported as corrupt or uninitialized, without a
+// panic or an endless traversal, and that a file that was read has the same content when it is opened
+// with bbolt, and can be written.
 func FuzzFile(f *testing.F) {
 	dir := f.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -63,7 +64,7 @@
 		f.Add(uint32(offset+10), byte(7), uint32(len(original)))
 		f.Add(uint32(offset+17), byte(0xff), uint32(offset+64))
 	}
-	// A change of a byte and a cut: bytes at random would end at the magic.
+	// The input changes one byte and truncates the file, since random content would be rejected at the magic number.
 	f.Fuzz(func(t *testing.T, offset uint32, change byte, cut uint32) {
 		content := bytes.Clone(original[:min(int(cut), len(original))])
 		if int(offset) < len(content) {
@@ -81,12 +82,12 @@
 		if err := os.WriteFile(copied, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		held := &storeContent{}
-		db, err := osFileSystem.loadChecked(copied, held)
+		reopenedContent := &storeContent{}
+		db, err := osFileSystem.loadChecked(copied, reopenedContent)
 		if err != nil {
 			t.Fatal(err)
 		}
-		store, reopened := held.newStore(db), held.recovered
+		store, reopened := reopenedContent.newStore(db), reopenedContent.recovered
 		if reopened.ID != recovered.ID || len(reopened.Entries) != len(recovered.Entries) {
 			t.Fatalf("%s with %d entries, was %s with %d", reopened.ID, len(reopened.Entries), recovered.ID, len(recovered.Entries))
 		}
--- a/internal/storage/golden_test.go
+++ b/internal/storage/golden_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/raft"
 )
 
-// recordsOf encodes records that stand under a key.
+// recordsOf returns the codec of records that are stored under a key.
 func recordsOf(key []byte) golden.Codec {
 	return golden.Codec{
 		Encode: func(value any) ([]byte, error) { return encodeRecord(key, value) },
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestRecordBytes holds the records of the file, with their checksums, against
-// the golden bytes.
+// TestRecordBytes compares the encoding of the records of the file, with their checksums, with
+// the golden files.
 func TestRecordBytes(t *testing.T) {
 	voters := []raft.Member{{Node: "node", ID: "disk", Addr: "address"}, {Node: "other-node", ID: "other-disk", Addr: "other-address"}}
 	snapshot := raft.Snapshot{Index: 11, Term: 12, Voters: voters[:1], Data: []byte("snapshot"), OutgoingVoters: voters[1:]}
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestLayout holds the names of the file, its buckets and keys against the
-// golden list, as they stand in a file with a log and a snapshot.
+// TestLayout compares the names of the file, its buckets and its keys with the
+// golden file, for a file with a log and a snapshot.
 func TestLayout(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := Open(dir)
@@ -94,7 +94,7 @@
 	golden.Text(t, "layout.txt", text.String())
 }
 
-// listBuckets writes the names of keys and, below theirs, of buckets.
+// listBuckets writes the names of the keys and nested buckets of a bucket, recursively.
 func listBuckets(text *strings.Builder, bucket *bolt.Bucket, indent string) error {
 	return bucket.ForEach(func(name, value []byte) error {
 		if value != nil {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -9,16 +9,16 @@
 	bolt "go.etcd.io/bbolt"
 )
 
-// Names of files, which operators know.
+// File names and suffixes. Operators rely on them.
 const (
 	fileName         = "tealpond.db"
-	tempSuffix       = ".new"     // of a file that is not complete yet
-	corruptSuffix    = ".foreign" // of a file that could not be used
+	tempSuffix       = ".new"     // of a file that is still being created
+	corruptSuffix    = ".foreign" // of a corrupt file that was quarantined
 	wrongStateSuffix = ".differs" // of a file that ResetIdentity replaced
 	fileMode         = 0o600
 )
 
-// fileSystem holds the system calls that opening makes; tests let them fail.
+// fileSystem holds the system calls made while a file is opened, so that tests can inject failures.
 type fileSystem struct {
 	openFile      func(name string, flag int, mode os.FileMode) (*os.File, error)
 	rename        func(from, to string) error
@@ -27,7 +27,7 @@
 
 var osFileSystem = fileSystem{openFile: os.OpenFile, rename: os.Rename, syncDirectory: syncDirectory}
 
-// syncDirectory makes names that were added, changed or removed in dir durable.
+// syncDirectory makes created, renamed and removed directory entries of dir durable.
 func syncDirectory(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -37,28 +37,28 @@
 	return f.Sync()
 }
 
-// newIdentity draws the random ID of a new file.
+// newIdentity returns a random ID for a new file.
 func newIdentity() string {
 	var b [12]byte
-	_, _ = rand.Read(b[:]) // never fails, as its documentation says
+	_, _ = rand.Read(b[:]) // documented never to return an error
 	return hex.EncodeToString(b[:])
 }
 
-// Open opens the file of a directory once, and creates it if there is none. A good
-// file is read without any write, so that a full disk keeps no daemon from its
-// identity. The directory is synced each time, since the daemon may have ended
-// before it came to that; a failure of this sync counts only while the file holds
+// Open makes one attempt to open the file of a directory, and creates the file if there is none. A
+// valid file is read without any write, so that a daemon keeps its identity even if the disk
+// is full. The directory is synced each time, since an earlier run of the daemon may have ended
+// before that sync. A failure of this sync is an error only while the file holds
 // nothing but an identity.
 //
-// A file that is provably corrupt or of another program is quarantined under another
-// name (only the newest of them is kept) and the daemon goes on under a new identity;
-// Recovered.QuarantineReason tells why, also beside an error. What can still be read of such a file is
-// not used, since an entry or a vote that this identity acknowledged may be in the other
-// part, and the cluster relies on it. Under a new identity the daemon is another member,
-// which neither votes nor counts until the leader has brought it up to date.
+// A file that is provably corrupt, or belongs to another program, is quarantined by renaming it
+// (only the newest one is kept), and the daemon continues under a new identity.
+// Recovered.QuarantineReason holds the reason, also when an error is returned. The readable part of
+// such a file is not used: the unreadable part may hold an entry or a vote that this identity
+// acknowledged and that the cluster relies on. Under a new identity the daemon is another member,
+// which neither votes nor counts towards a quorum until the leader has brought it up to date.
 //
-// Any other fault is an *UnavailableError or a *VersionError, and leaves all files
-// as they are.
+// Any other failure is an *UnavailableError or a *VersionError, and leaves all files
+// unchanged.
 func Open(dir string) (*Store, Recovered, error) {
 	return osFileSystem.open(dir)
 }
@@ -83,13 +83,13 @@
 	return &Store{db: db, commit: db.Update, snapshotGeneration: c.generation}
 }
 
-// read checks and reads a whole file.
+// read verifies and reads a whole file.
 func (c *storeContent) read(reader io.ReaderAt, size int64) (meta boltMeta, err error) {
 	c.recovered, meta, c.generation, err = recoverFile(reader, size)
 	return meta, err
 }
 
-// isUnused reports whether nothing but an identity was ever written.
+// isUnused reports whether only an identity was ever written.
 func (c *storeContent) isUnused() bool { return c.recovered.isUnused() }
 
 // initialize writes a new identity.
--- a/internal/storage/open_retry.go
+++ b/internal/storage/open_retry.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxStorageRetryBackoff is the longest pause before a failed operation of the storage is retried;
+	// maxStorageRetryBackoff is the longest pause before a failed storage operation is retried;
 	// it is well below catchUpS.
 	maxStorageRetryBackoff = 500 * time.Millisecond
-	// WarningInterval is the time between two log lines about a disk that keeps failing.
+	// WarningInterval is the interval between log lines about a disk that keeps failing.
 	WarningInterval = time.Second
 )
 
-// OpenWithRetry is Open, repeated for as long as it fails, with a backoff that grows
-// to a bound. It calls onWait after each failure, and at regular intervals while a
+// OpenWithRetry calls Open until it succeeds, with a bounded exponential backoff.
+// It calls onWait after each failure, and at regular intervals while a
 // call hangs. The only error that it returns is that of ctx.
 func OpenWithRetry(ctx context.Context, dir string, onWait func(error)) (*Store, Recovered, error) {
 	return osFileSystem.openWithRetry(ctx, dir, onWait)
@@ -57,7 +57,7 @@
 	}
 }
 
-// awaitOpen waits for one attempt. An attempt that outlives ctx closes what it opened.
+// awaitOpen waits for the result of one attempt. If ctx ends first, a store that the attempt opens later is closed.
 func awaitOpen(ctx context.Context, results chan openResult, onWait func(error)) (openResult, error) {
 	ticker := time.NewTicker(WarningInterval)
 	defer ticker.Stop()
@@ -67,7 +67,7 @@
 		case result := <-results:
 			return result, nil
 		case <-ticker.C:
-			onWait(unavailable("open", fmt.Errorf("no answer from the disk for %v", time.Since(startedAt).Round(time.Second))))
+			onWait(unavailable("open", fmt.Errorf("no response from disk for %v", time.Since(startedAt).Round(time.Second))))
 		case <-ctx.Done():
 			go func() {
 				if result := <-results; result.store != nil {
--- a/internal/storage/open_retry_test.go
+++ b/internal/storage/open_retry_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-func TestOpenWithRetryUntilDiskServes(t *testing.T) {
+func TestOpenWithRetryUntilDiskRecovers(t *testing.T) {
 	dir, _, id := newStoreFile(t)
 	synctest.Test(t, func(t *testing.T) {
 		fs, opened := osFileSystem, 0
 		fs.openFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 			opened++
 			if opened == 3 {
-				time.Sleep(2500 * time.Millisecond) // a stalled disk, in virtual time
+				time.Sleep(2500 * time.Millisecond) // a stalled disk, in synctest's virtual time
 			}
 			if opened < 20 {
 				return nil, syscall.EIO
@@ -35,7 +35,7 @@
 			t.Fatalf("%v %q %+v", err, reason, recovered)
 		}
 		if reports < 19+2 || longestGap > WarningInterval+maxStorageRetryBackoff {
-			t.Errorf("reported %d times, once %v apart", reports, longestGap)
+			t.Errorf("reported %d times, with a longest gap of %v", reports, longestGap)
 		}
 		_ = store.Close()
 	})
--- a/internal/storage/open_test.go
+++ b/internal/storage/open_test.go
@@ -16,7 +16,7 @@
 	"tealpond/internal/raft"
 )
 
-// newStoreFile makes a directory with a file that holds a vote and entries.
+// newStoreFile creates a directory with a file that holds a vote and entries.
 func newStoreFile(t *testing.T) (dir, path, id string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -40,13 +40,13 @@
 func requireAbsent(t *testing.T, path string) {
 	t.Helper()
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Fatalf("%s is there: %v", path, err)
+		t.Fatalf("%s exists, want no such file: %v", path, err)
 	}
 }
 
-// TestLockedFileIsLeftAlone: a lock stands for all faults that pass by themselves. The
-// file once was renamed then, and a new identity taken.
-func TestLockedFileIsLeftAlone(t *testing.T) {
+// TestLockedFileIsNotQuarantined guards against an earlier bug in which a locked file was renamed and
+// replaced by one with a new identity. The lock represents all transient faults.
+func TestLockedFileIsNotQuarantined(t *testing.T) {
 	dir, path, id := newStoreFile(t)
 	other, err := bolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestOpeningAGoodFileWritesNothing(t *testing.T) {
+func TestOpeningValidFileWritesNothing(t *testing.T) {
 	dir, path, _ := newStoreFile(t)
 	before := mustReadFile(t, path)
 	store, _ := reopen(t, nil, dir)
@@ -72,13 +72,13 @@
 	_ = store.db.Close()
 }
 
-func TestSystemErrorsLeaveTheFile(t *testing.T) {
+func TestSystemErrorsLeaveFileUnchanged(t *testing.T) {
 	for _, fault := range []error{
 		syscall.ENOSPC, syscall.EIO, syscall.EAGAIN, syscall.EACCES, syscall.EROFS, syscall.ETIMEDOUT, syscall.EMFILE, syscall.ENOMEM,
 	} {
 		dir, path, id := newStoreFile(t)
 		before := mustReadFile(t, path)
-		for succeeding := range 2 { // the check's own call, then bbolt's
+		for succeeding := range 2 { // the call for the verification, then that of bbolt
 			fs, opened := osFileSystem, 0
 			fs.openFile = func(name string, flag int, mode os.FileMode) (*os.File, error) {
 				if opened++; opened > succeeding {
@@ -98,13 +98,13 @@
 			}
 		}
 		if _, recovered := reopen(t, nil, dir); recovered.ID != id {
-			t.Fatalf("%v: a new identity", fault)
+			t.Fatalf("%v: opened with a new identity", fault)
 		}
 	}
 }
 
-// TestDirectoryIsSyncedBeforeIdentityIsUsed: a name may be lost with the power as long
-// as its directory is not synced.
+// TestDirectoryIsSyncedBeforeIdentityIsUsed checks that Open fails until the directory is synced: a power
+// failure before that may lose the directory entry of the file.
 func TestDirectoryIsSyncedBeforeIdentityIsUsed(t *testing.T) {
 	for _, foreign := range []string{"", "a file of another program, of some length at least"} {
 		dir := t.TempDir()
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestFileOfFailedFirstStartIsSyncedBeforeUse: a first start whose directory could not
-// be synced left a complete file behind. Its identity was not used, but another one
-// must not be drawn beside it either.
+// TestFileOfFailedFirstStartIsSyncedBeforeUse checks a start after a first one that created the file
+// but could not sync its directory. The identity of the file must not be used before a sync
+// succeeds, and no second identity may be created.
 func TestFileOfFailedFirstStartIsSyncedBeforeUse(t *testing.T) {
 	dir := t.TempDir()
 	fs, synced := osFileSystem, 0
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestUninitializedFileIsReplacedSilently(t *testing.T) {
+func TestUninitializedFileIsReplacedWithoutReport(t *testing.T) {
 	createEmpty := func(path string) {
 		db, err := bolt.Open(path, 0o600, nil)
 		if err != nil {
@@ -208,9 +208,9 @@
 	}
 }
 
-// TestCorruptPagesGetNewIdentity: each page that is in use is blanked, one byte of each
-// is changed, and the file is cut at each page. None of it may end the process, and
-// what opens under the old identity must hold all that was written.
+// TestCorruptPagesGetNewIdentity zeroes each page, changes single bytes of its header, and truncates
+// the file in each page. None of these may end the process, and
+// a file that opens under the old identity must hold everything that was written.
 func TestCorruptPagesGetNewIdentity(t *testing.T) {
 	_, path, id := newStoreFile(t)
 	original := mustReadFile(t, path)
@@ -236,8 +236,8 @@
 			}
 			return true
 		}
-		// A loss of power during the last write, which was never reported, leaves
-		// such a meta page: the state before it is the right one.
+		// A power failure during the last write, which was then never acknowledged, leaves
+		// an invalid meta page as well, so the state before that write is correct.
 		isBefore := what == "meta" && len(recovered.Entries) == 0 && recovered.HardState == (raft.HardState{})
 		isWritten := reflect.DeepEqual(recovered.Entries, want.Entries) && recovered.HardState == want.HardState
 		if !isBefore && !isWritten {
--- a/internal/storage/page.go
+++ b/internal/storage/page.go
@@ -8,8 +8,8 @@
 	"math/bits"
 )
 
-// Layout of a bbolt file, version 2, as its documentation and its own checker give
-// it. Sizes and offsets are in bytes; the numbers in the file are little-endian on
+// Layout of a bbolt file, version 2, as described by bbolt's documentation and its consistency
+// checker. Sizes and offsets are in bytes. The numbers in the file are little-endian on
 // all machines that the daemons run on.
 const (
 	boltMagic             = 0xED0CDAED
@@ -43,12 +43,12 @@
 	txid          uint64
 }
 
-// newestMeta chooses among the two meta pages as bbolt does: the valid one with the
-// higher transaction ID. One that is not valid was torn by a loss of power before
-// its sync, so that its transaction was never reported, and the other one is right.
-// (A page that decays after its sync looks the same.) The older one can't
-// be used instead if the tree of the newer one is corrupt: the newer one was written
-// after its pages were synced, and what it holds may have been acknowledged.
+// newestMeta selects one of the two meta pages as bbolt does: the valid one with the
+// higher transaction ID. An invalid one was torn by a power failure before
+// its sync, so its transaction was never acknowledged and the other page is current.
+// (A page that is corrupted after its sync looks the same.) The older page must not
+// be used if the tree of the newer one is corrupt: the newer page was written
+// after the pages of its tree were synced, and their content may have been acknowledged.
 func newestMeta(reader io.ReaderAt, size int64) (boltMeta, error) {
 	var newest boltMeta
 	found := false
@@ -61,7 +61,7 @@
 			return err
 		}
 		meta, ok := parseMeta(buffer[pageHeaderSize:])
-		// The second meta page is at one page size, whatever that is.
+		// The second meta page starts at an offset of one page, and the page size is not known yet.
 		if ok && (offset == 0 || offset == meta.pageSize) && (!found || meta.txid > newest.txid) {
 			newest, found = meta, true
 		}
@@ -81,7 +81,7 @@
 	return newest, nil
 }
 
-// hasBothMetas reports whether both meta pages of a file are valid. One that isn't says that the
+// hasBothMetas reports whether both meta pages of a file are valid. If one is not, the
 // newest transaction may be missing.
 func hasBothMetas(reader io.ReaderAt, size, pageSize int64) (bool, error) {
 	for _, offset := range []int64{0, pageSize} {
@@ -116,8 +116,8 @@
 	return meta, isBolt && isPageSize && order.Uint64(b[metaChecksumOffset:]) == checksum.Sum64()
 }
 
-// page is a page with its overflow pages, or the page inside the value of a small
-// bucket. It holds at least a header.
+// page is a page with its overflow pages, or the page that is stored inline in the value of a small
+// bucket. It holds at least a page header.
 type page []byte
 
 func (p page) id() uint64 { return binary.LittleEndian.Uint64(p) }
@@ -130,11 +130,10 @@
 // overflow returns the number of overflow pages.
 func (p page) overflow() uint64 { return uint64(binary.LittleEndian.Uint32(p[12:])) }
 
-// hasAllElements reports whether the page has room for its elements.
+// hasAllElements reports whether the element headers of the page lie within it.
 func (p page) hasAllElements() bool { return pageHeaderSize+p.count()*elementSize <= len(p) }
 
-// branchElement returns an element of a branch page: a key, and the page with the keys
-// from that one on.
+// branchElement returns an element of a branch page: the first key of a child page, and the ID of that page.
 func (p page) branchElement(i int) (key []byte, child uint64, err error) {
 	order := binary.LittleEndian
 	offset := pageHeaderSize + i*elementSize
@@ -143,7 +142,7 @@
 	return key, order.Uint64(element[8:]), err
 }
 
-// leafElement returns an element of a leaf page, and whether the value is a bucket.
+// leafElement returns an element of a leaf page and reports whether its value is a bucket.
 func (p page) leafElement(i int) (key, value []byte, isBucket bool, err error) {
 	order := binary.LittleEndian
 	offset := pageHeaderSize + i*elementSize
@@ -157,20 +156,20 @@
 	return key, value, order.Uint32(element)&bucketLeafFlag != 0, err
 }
 
-// slice returns size bytes of the page from start on.
+// slice returns size bytes of the page, beginning at start.
 func (p page) slice(start, size uint64) ([]byte, error) {
 	if start > uint64(len(p)) || size > uint64(len(p))-start {
-		return nil, corrupt("page", "a record of %d bytes at %d runs past the page", size, start)
+		return nil, corrupt("page", "element of %d bytes at offset %d runs past the end of the page", size, start)
 	}
 	return p[start : start+size : start+size], nil
 }
 
-// readAt fills a buffer. A file that ends too early is a *CorruptError, any other
+// readAt fills a buffer. A file that ends too early gives a *CorruptError, any other
 // failure an *UnavailableError.
 func readAt(reader io.ReaderAt, buffer []byte, offset int64) error {
 	_, err := reader.ReadAt(buffer, offset)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return corrupt("file", "ends before byte %d", offset+int64(len(buffer)))
+		return corrupt("file", "ends before offset %d", offset+int64(len(buffer)))
 	}
 	if err != nil {
 		return unavailable("read", err)
--- a/internal/storage/record_test.go
+++ b/internal/storage/record_test.go
@@ -14,7 +14,7 @@
 	"tealpond/internal/raft"
 )
 
-// editRecords changes records of a closed file in ways that the package never does.
+// editRecords applies changes to a closed file that the package itself never makes.
 func editRecords(t *testing.T, path string, edit func(meta, log *bolt.Bucket) error) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{NoFreelistSync: true})
@@ -37,8 +37,8 @@
 	return raw
 }
 
-// TestInvalidLogGetsNewIdentity: a log that no longer is as it was acknowledged must
-// not be trusted, wholly or in part.
+// TestInvalidLogGetsNewIdentity checks that no part of a log is used if the log differs from
+// what was acknowledged.
 func TestInvalidLogGetsNewIdentity(t *testing.T) {
 	encode := func(entry raft.Entry) []byte { return withChecksum(encodeKey(entry.Index), mustMarshal(entry)) }
 	for name, edit := range map[string]func(meta, log *bolt.Bucket) error{
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestRecordOfAnotherVersionIsLeftAlone: a record with a valid checksum that can't be
-// decoded is left to the program that wrote it.
-func TestRecordOfAnotherVersionIsLeftAlone(t *testing.T) {
+// TestRecordOfAnotherVersionIsNotQuarantined checks that a file with a record that has a valid checksum but
+// cannot be decoded stays in place for the version that wrote it.
+func TestRecordOfAnotherVersionIsNotQuarantined(t *testing.T) {
 	dir, path, _ := newStoreFile(t)
 	editRecords(t, path, func(meta, _ *bolt.Bucket) error {
 		return meta.Put(keyHardState, withChecksum(keyHardState, mustMarshal("newer")))
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -7,21 +7,21 @@
 	"tealpond/internal/raft"
 )
 
-// Recovered is what a file held when it was opened.
+// Recovered is the content of a file when it was opened.
 type Recovered struct {
 	ID          string // identity of the file, and of the member
 	HardState   raft.HardState
 	Snapshot    raft.Snapshot
-	Entries     []raft.Entry  // those after the snapshot, without a gap
+	Entries     []raft.Entry  // the entries after the snapshot, without a gap
 	Founders    []raft.Member // see Bootstrap; empty before it
-	Commit      uint64        // entries up to here were known to be committed; 0 in files of earlier versions
+	Commit      uint64        // highest index known to be committed; 0 in files of earlier versions
 	NewIdentity bool          // the file was created by this call
 	FirstStart  bool          // see MarkFirstStart
 	// QuarantineReason says why an earlier file was quarantined; empty if none was.
 	QuarantineReason string
 }
 
-// isUnused reports whether nothing but an identity was ever written.
+// isUnused reports whether only an identity was ever written.
 func (r *Recovered) isUnused() bool {
 	return r.HardState == (raft.HardState{}) && r.Snapshot.Index == 0 && len(r.Entries) == 0 && len(r.Founders) == 0
 }
@@ -30,11 +30,11 @@
 type recordReader struct {
 	recovered Recovered
 	buckets   int
-	meta      map[string][]byte // records of the bucket by key
+	meta      map[string][]byte // records of the bucket "meta" by key
 	snapshot  snapshotReader
 }
 
-// recoverFile checks and reads a whole file. It returns the contents, the meta page
+// recoverFile verifies and reads a whole file. It returns the content, the meta page
 // and the generation of the snapshot.
 func recoverFile(reader io.ReaderAt, size int64) (Recovered, boltMeta, uint64, error) {
 	records := &recordReader{meta: map[string][]byte{}}
@@ -54,7 +54,7 @@
 	return records.recovered, meta, records.snapshot.header.Generation, nil
 }
 
-// readRecord takes one record in the order of the file; at the start of a bucket the
+// readRecord processes one record, in the order of the file. At the start of a bucket the
 // key is nil.
 func (r *recordReader) readRecord(bucket string, key, value []byte) error {
 	generation, isFrame := strings.CutPrefix(bucket, "/"+string(bucketSnapshots)+"/")
@@ -73,10 +73,10 @@
 	case isFrame:
 		return r.snapshot.addFrame(generation, key, value)
 	}
-	return corrupt("bucket", "%q is none of ours", bucket)
+	return corrupt("bucket", "unknown name %q", bucket)
 }
 
-// readSnapshotHeader decodes the header of the snapshot in force, if there is one.
+// readSnapshotHeader decodes the header of the active snapshot, if there is one.
 func (r *recordReader) readSnapshotHeader() error {
 	raw := r.meta[string(keySnapshotHeader)]
 	if raw == nil {
@@ -88,20 +88,20 @@
 
 func (r *recordReader) readEntry(key, value []byte) error {
 	if len(key) != keyBytes {
-		return corrupt("log", "a key of %d bytes", len(key))
+		return corrupt("log", "unexpected key length of %d bytes", len(key))
 	}
 	var entry raft.Entry
 	if err := decodeRecord(key, value, &entry); err != nil {
 		return err
 	}
 	if keyIndex := decodeKey(key); entry.Index != keyIndex {
-		return corrupt("log", "entry %d stands in the place of %d", entry.Index, keyIndex)
+		return corrupt("log", "entry %d is stored under the key of entry %d", entry.Index, keyIndex)
 	}
 	r.recovered.Entries = append(r.recovered.Entries, entry)
 	return nil
 }
 
-// finish decodes what can only be read once all records are known.
+// finish decodes the records that can only be interpreted once all records were read, and checks the log.
 func (r *recordReader) finish() error {
 	recovered := &r.recovered
 	id, _, err := verifyChecksum(keyIdentity, r.meta[string(keyIdentity)])
@@ -109,7 +109,7 @@
 		return err
 	}
 	if recovered.ID = string(id); recovered.ID == "" {
-		return corrupt("meta", "no identity")
+		return corrupt("meta", "identity is missing")
 	}
 	for _, field := range []struct {
 		key  []byte
@@ -131,14 +131,14 @@
 			return err
 		}
 	}
-	// Earlier versions may have left entries that the snapshot includes.
+	// Earlier versions may have left entries that the snapshot already covers.
 	for len(recovered.Entries) > 0 && recovered.Entries[0].Index <= recovered.Snapshot.Index {
 		recovered.Entries = recovered.Entries[1:]
 	}
 	return checkLog(recovered.Snapshot, recovered.Entries)
 }
 
-// legacySnapshot is a snapshot as the first version wrote it.
+// legacySnapshot is a snapshot in the format of the first version.
 type legacySnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	Index  uint64
@@ -147,8 +147,8 @@
 	Data   []byte
 }
 
-// decodeLegacySnapshot decodes a snapshot that is one record. One of the first
-// version is read whatever form raft.Snapshot has taken since.
+// decodeLegacySnapshot decodes a snapshot that is stored as one record. A record of the first
+// version can be read even if the encoding of raft.Snapshot has changed since.
 func decodeLegacySnapshot(raw []byte) (raft.Snapshot, error) {
 	var snapshot raft.Snapshot
 	err := decodeRecord(keyLegacySnapshot, raw, &snapshot)
@@ -159,14 +159,14 @@
 	return snapshot, err
 }
 
-// checkLog checks the rules by which the log was written: it follows the snapshot
-// without a gap, and terms never fall.
+// checkLog verifies the invariants of the log: its indexes follow the snapshot
+// without a gap, and its terms never decrease.
 //
-// A log that breaks them has lost records that were synced. The part below the gap
-// can't be kept under this identity: entries above it may have been acknowledged
-// and counted by the leader, and this member's vote would then help to elect a
-// leader that lacks them. What is there does not show what is missing, so the
-// whole file counts as corrupt.
+// A log that violates them has lost records that were synced. The part below the gap
+// cannot be kept under this identity: entries above it may have been acknowledged
+// and counted by the leader, and this member's vote could then help to elect a
+// leader that lacks them. The remaining records do not show which ones are missing, so the
+// whole file is treated as corrupt.
 func checkLog(snapshot raft.Snapshot, entries []raft.Entry) error {
 	index, term := snapshot.Index, snapshot.Term
 	for _, entry := range entries {
@@ -174,7 +174,7 @@
 			return corrupt("log", "entry %d follows %d", entry.Index, index)
 		}
 		if entry.Term < term {
-			return corrupt("log", "entry %d: term %d follows term %d", entry.Index, entry.Term, term)
+			return corrupt("log", "entry %d: term decreases to %d from %d", entry.Index, entry.Term, term)
 		}
 		index, term = entry.Index, entry.Term
 	}
--- a/internal/storage/reset.go
+++ b/internal/storage/reset.go
@@ -5,10 +5,9 @@
 	"path/filepath"
 )
 
-// ResetIdentity sets the file of a daemon whose state is known to be wrong aside, and
-// opens an empty one with a new identity. The old file may still be open; what is
-// written to it from then on is lost, as it must be. A file that an earlier call set
-// aside is replaced.
+// ResetIdentity renames the file of a daemon whose state is known to be wrong, and
+// opens an empty one with a new identity. The old file may still be open; later writes
+// to it are lost, as intended. A file that an earlier call renamed is replaced.
 func ResetIdentity(dir string) (*Store, Recovered, error) {
 	path := filepath.Join(dir, fileName)
 	if err := os.Rename(path, path+wrongStateSuffix); err != nil && !os.IsNotExist(err) {
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// snapshotFrameBytes is the size of a stored frame of a snapshot, in bytes; two of them, with the
-	// headers of bbolt, fill a whole number of pages.
+	// snapshotFrameBytes is the size of a stored snapshot frame, in bytes. Two frames and their
+	// bbolt headers fill a whole number of pages.
 	snapshotFrameBytes = 64<<10 - 128
-	// snapshotFramesPerTransaction is the number of frames written in one transaction, for which log
-	// entries wait.
+	// snapshotFramesPerTransaction is the number of frames written in one transaction. Log
+	// entries wait for that transaction.
 	snapshotFramesPerTransaction = 16
 )
 
-// A snapshot is written in frames, in a bucket of its generation, which is a number
-// that no earlier snapshot had. Each transaction adds some frames, so that entries of
-// the log need not wait for a large snapshot; the last one names the new generation
-// in the header and removes the old one. Until that is synced, the old snapshot and
-// the log after it are complete; from then on the new ones are. What a crash leaves
-// of a generation that the header does not name is removed when the next one begins.
+// A snapshot is written in frames, in the bucket of its generation, which is a number
+// that no earlier snapshot had. Each transaction adds some frames, so that log entries
+// need not wait for a whole large snapshot. The last transaction stores the new generation
+// in the header and removes the old generation. Until it is synced, the old snapshot and
+// the log after it are complete; afterwards the new ones are. Frames that a crash leaves
+// of a generation other than that of the header are removed when the next snapshot begins.
 
-// snapshotHeader describes the snapshot in force. It is stored as an array: fields
-// must not be moved.
+// snapshotHeader describes the active snapshot. It is stored as an array, so the order of
+// its fields must not change.
 type snapshotHeader struct {
 	_          struct{}      `cbor:",toarray"`
 	Snapshot   raft.Snapshot // without its data
@@ -40,7 +40,7 @@
 type snapshotWriter struct {
 	snapshot  *raft.Snapshot
 	header    snapshotHeader
-	nextFrame uint64 // the first frame that is not on disk
+	nextFrame uint64 // the first frame that is not stored yet
 }
 
 func newSnapshotWriter(snapshot *raft.Snapshot, generation uint64) *snapshotWriter {
@@ -56,15 +56,15 @@
 	return &snapshotWriter{snapshot: snapshot, header: header}
 }
 
-// nextBatch returns the end of the frames that the next transaction writes, and
-// whether they are the last ones.
+// nextBatch returns the end of the range of frames that the next transaction writes, and
+// reports whether they are the last frames.
 func (w *snapshotWriter) nextBatch() (uint64, bool) {
 	end := min(w.nextFrame+snapshotFramesPerTransaction, w.header.FrameCount)
 	return end, end == w.header.FrameCount
 }
 
-// writeFrames writes the frames up to end. Before the first frame it removes what a
-// crash left of other generations than the current one.
+// writeFrames writes the frames up to end. Before the first frame it removes the frames that
+// a crash left of generations other than the current one.
 func (w *snapshotWriter) writeFrames(tx *bolt.Tx, current, end uint64) error {
 	snapshots, err := tx.CreateBucketIfNotExists(bucketSnapshots)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// activate puts the snapshot in force and removes the one before it.
+// activate makes the snapshot the active one and removes the previous one.
 func (w *snapshotWriter) activate(tx *bolt.Tx) error {
 	meta := tx.Bucket(bucketMeta)
 	raw, err := encodeRecord(keySnapshotHeader, w.header)
@@ -107,7 +107,7 @@
 	return deleteOtherGenerations(tx.Bucket(bucketSnapshots), w.header.Generation)
 }
 
-// deleteOtherGenerations removes the frames of all generations but one.
+// deleteOtherGenerations removes the frames of all generations except the given one.
 func deleteOtherGenerations(snapshots *bolt.Bucket, generation uint64) error {
 	var obsolete [][]byte
 	err := snapshots.ForEachBucket(func(k []byte) error {
@@ -128,39 +128,40 @@
 type snapshotReader struct {
 	header     snapshotHeader
 	hasHeader  bool
-	frameCount uint64 // of the frames so far
+	frameCount uint64 // number of frames added so far
 	data       []byte
 }
 
-// addFrame takes one frame, in order, of the generation with the given key.
+// addFrame appends one frame of the generation with the given key. Frames are passed in order.
 func (r *snapshotReader) addFrame(generation string, key, raw []byte) error {
 	if len(generation) != keyBytes {
-		return corrupt("snapshot", "a generation named %q", generation)
+		return corrupt("snapshot", "invalid generation key %q", generation)
 	}
 	if !r.hasHeader || binary.BigEndian.Uint64([]byte(generation)) != r.header.Generation {
-		return nil // a crash left it over
+		return nil // left behind by a crash
 	}
 	if len(key) != keyBytes || decodeKey(key) != r.frameCount {
-		return corrupt("snapshot", "frame %x in the place of %d", key, r.frameCount)
+		return corrupt("snapshot", "found frame key %x, want that of frame %d", key, r.frameCount)
 	}
 	body, checksummed, err := verifyChecksum(key, raw)
 	if err != nil {
 		return err
 	}
 	if !checksummed || uint64(len(body)) > r.header.Size-uint64(len(r.data)) {
-		return corrupt("snapshot", "frame %d of %d bytes does not fit", r.frameCount, len(body))
+		return corrupt("snapshot", "frame %d of %d bytes has no checksum or exceeds the snapshot size",
+			r.frameCount, len(body))
 	}
 	r.frameCount++
 	r.data = append(r.data, body...)
 	return nil
 }
 
-// assemble returns the snapshot once all frames were added.
+// assemble returns the snapshot after all frames were added.
 func (r *snapshotReader) assemble() (raft.Snapshot, error) {
 	header := r.header
 	isComplete := r.frameCount == header.FrameCount && uint64(len(r.data)) == header.Size
 	if !isComplete || crc32.Checksum(r.data, castagnoli) != header.Checksum {
-		return raft.Snapshot{}, corrupt("snapshot", "%d of %d frames, %d of %d bytes, or their sum",
+		return raft.Snapshot{}, corrupt("snapshot", "incomplete or checksum mismatch: %d of %d frames, %d of %d bytes",
 			r.frameCount, header.FrameCount, len(r.data), header.Size)
 	}
 	snapshot := header.Snapshot
--- a/internal/storage/snapshot_test.go
+++ b/internal/storage/snapshot_test.go
@@ -12,14 +12,14 @@
 	"tealpond/internal/raft"
 )
 
-// randomBytes returns bytes that depend on the seed only.
+// randomBytes returns pseudo-random bytes that depend only on the seed and size.
 func randomBytes(seed int64, size int) []byte {
 	out := make([]byte, size)
 	_, _ = rand.New(rand.NewSource(seed)).Read(out)
 	return out
 }
 
-// openBytes opens bytes as the file of a daemon that starts.
+// openBytes opens a store file with the given content.
 func openBytes(t *testing.T, content []byte) Recovered {
 	t.Helper()
 	dir := t.TempDir()
@@ -35,20 +35,20 @@
 	return recovered
 }
 
-// crashChecker opens, after each transaction of a snapshot, what a crash could have
-// left of the file.
+// crashChecker opens, after each transaction of a snapshot, the states of the file that a crash
+// could have left.
 type crashChecker struct {
 	t        *testing.T
 	path     string
 	old, new raft.Snapshot
 	random   *rand.Rand
-	before   []byte // the file after the transaction before
-	switched bool   // the new snapshot is in force
-	steps    int    // transactions so far
+	before   []byte // content of the file after the previous transaction
+	switched bool   // the new snapshot is active
+	steps    int    // number of transactions so far
 }
 
-// openCrashed opens a file. It must hold the old snapshot and its log, or, if it may
-// be in force, the new one; whether it is the new one is returned.
+// openCrashed opens a file, which must hold the old snapshot and its log or, if mayBeNew is set,
+// the new snapshot. It reports whether the file holds the new one.
 func (c *crashChecker) openCrashed(content []byte, mayBeNew bool) bool {
 	c.t.Helper()
 	recovered := openBytes(c.t, content)
@@ -62,8 +62,8 @@
 	return isNew
 }
 
-// checkTransaction checks the file after a transaction, and with the transaction
-// written but not synced, whole and in part.
+// checkTransaction checks the file after a transaction, and the states in which the pages of the
+// transaction are written in full or in part but its meta page is not.
 func (c *crashChecker) checkTransaction() {
 	c.t.Helper()
 	const pageSize, metaPages = 4096, 2
@@ -80,12 +80,12 @@
 	c.openCrashed(torn, c.switched)
 	isNew := c.openCrashed(after, true)
 	if c.switched && !isNew {
-		c.t.Fatal("the old snapshot is back")
+		c.t.Fatal("the old snapshot is active again")
 	}
 	c.before, c.switched = after, isNew
 }
 
-// requireSnapshot fails unless a file holds a snapshot and a number of entries.
+// requireSnapshot fails the test unless a file held the given snapshot and number of entries.
 func requireSnapshot(t *testing.T, recovered Recovered, want raft.Snapshot, entries int) {
 	t.Helper()
 	if recovered.Snapshot.Index != want.Index || !bytes.Equal(recovered.Snapshot.Data, want.Data) || len(recovered.Entries) != entries {
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestCrashDuringSnapshotLeavesOldOrNewOne: after each transaction of a snapshot, and
-// with any part of the next one written but not synced, the old snapshot or the new
-// one is complete, each with the log that follows it.
-func TestCrashDuringSnapshotLeavesOldOrNewOne(t *testing.T) {
+// TestCrashDuringSnapshotLeavesOldOrNewSnapshot checks that a crash after a transaction of a snapshot,
+// or with part of the next one written but not synced, leaves either the old snapshot or the new
+// one complete, with the log that follows it.
+func TestCrashDuringSnapshotLeavesOldOrNewSnapshot(t *testing.T) {
 	old := raft.Snapshot{Index: 100, Term: 1, Data: randomBytes(1, 3<<20)}
 	for name, test := range map[string]struct {
 		requests []WriteRequest
@@ -136,14 +136,14 @@
 			}
 			mustWrite(t, store, test.requests...)
 			if !checker.switched {
-				t.Fatal("the new snapshot was never in force")
+				t.Fatal("the new snapshot was never active")
 			}
-			if most := len(test.want.Data)/(snapshotFrameBytes*snapshotFramesPerTransaction) + 7; checker.steps > most {
-				t.Errorf("%d transactions, want %d at most", checker.steps, most)
+			if limit := len(test.want.Data)/(snapshotFrameBytes*snapshotFramesPerTransaction) + 7; checker.steps > limit {
+				t.Errorf("%d transactions, want %d at most", checker.steps, limit)
 			}
 			store, recovered := reopen(t, store, dir)
 			requireSnapshot(t, recovered, test.want, test.entries)
-			// A generation that a crash left half written is gone with the next.
+			// The next snapshot removes the incomplete generation that a crash left.
 			next := raft.Snapshot{Index: 900, Term: 9, Data: randomBytes(4, 100)}
 			mustWrite(t, store, WriteRequest{Ready: raft.Ready{Snapshot: &next}})
 			_, recovered = reopen(t, store, dir)
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestFileStaysBoundedOverManySnapshots: the file must not grow with the number of
-// snapshots, since freed pages are used again.
+// TestFileStaysBoundedOverManySnapshots checks that the file does not grow with the number of
+// snapshots, since freed pages are reused.
 func TestFileStaysBoundedOverManySnapshots(t *testing.T) {
 	const size, rounds, each = 1 << 20, 300, 300
 	dir := t.TempDir()
@@ -219,7 +219,7 @@
 	t.Logf("file of snapshots of 1 to 1.5 MB and 300 entries: %d KB after 10, %d KB after 100, %d KB after %d",
 		sizes[10]>>10, sizes[100]>>10, sizes[rounds]>>10, rounds)
 	if sizes[rounds] > 16<<20 || sizes[rounds] > 2*sizes[10] {
-		t.Errorf("it grew from %d to %d bytes", sizes[10], sizes[rounds])
+		t.Errorf("the file grew from %d to %d bytes", sizes[10], sizes[rounds])
 	}
 	if _, recovered := reopen(t, store, dir); recovered.Snapshot.Index != last-each/2 || len(recovered.Entries) != each/2 {
 		t.Fatalf("%d, %d entries", recovered.Snapshot.Index, len(recovered.Entries))
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -10,35 +10,35 @@
 	"tealpond/internal/raft"
 )
 
-// Error is the class of errors of the disk.
+// Error is the class of disk errors.
 var Error = errs.Class("disk")
 
-// Names of buckets and keys. They are stored, and older than the names in the code.
+// Names of buckets and keys. They are part of the file format, so some differ from the names in the code.
 var (
 	bucketMeta        = []byte("meta")
 	bucketLog         = []byte("log")
-	bucketSnapshots   = []byte("snapshots") // read after bucketMeta, since buckets are ordered by name
+	bucketSnapshots   = []byte("snapshots") // read after bucketMeta, since bbolt orders buckets by name
 	keyIdentity       = []byte("disk")
 	keyHardState      = []byte("hard")
 	keyFounders       = []byte("founders")
 	keyFirstStart     = []byte("first-start")
 	keyCommit         = []byte("commit")
 	keySnapshotHeader = []byte("snapshot")
-	// keyLegacySnapshot holds a whole snapshot in one record, as Bootstrap and
-	// earlier versions write it.
+	// keyLegacySnapshot holds a whole snapshot in one record, as written by Bootstrap and
+	// by earlier versions.
 	keyLegacySnapshot = []byte("point")
 )
 
-// Store is the open file of one daemon. Its methods, but for WriteLag, are not
+// Store is the open file of one daemon. Its methods, except WriteLag, are not
 // safe for concurrent use.
 type Store struct {
 	db                 *bolt.DB
 	commit             func(func(*bolt.Tx) error) error // runs a transaction and syncs it
-	snapshotGeneration uint64                           // of the snapshot in force
-	lastProgress       atomic.Pointer[time.Time]        // see WriteLag; nil while nothing waits
+	snapshotGeneration uint64                           // of the active snapshot
+	lastProgress       atomic.Pointer[time.Time]        // see WriteLag; nil while no request waits
 }
 
-// AfterSync has a function called after each sync of Run, before it is reported.
+// AfterSync registers a function that Run calls after each commit attempt, before it reports the result.
 func (s *Store) AfterSync(synced func()) {
 	commit := s.commit
 	s.commit = func(transaction func(*bolt.Tx) error) error {
@@ -51,7 +51,7 @@
 // Close closes a store on which Run was not called.
 func (s *Store) Close() error { return Error.Wrap(s.db.Close()) }
 
-// MarkFirstStart records permanently that the file was created as the whole system started
+// MarkFirstStart records durably that the file was created when the whole system started
 // for the first time.
 func (s *Store) MarkFirstStart() error {
 	encoded, err := encodeRecord(keyFirstStart, true)
@@ -62,7 +62,7 @@
 }
 
 // Bootstrap stores the founders of a cluster and its first snapshot. It fails if
-// founders are stored already.
+// founders are already stored.
 func (s *Store) Bootstrap(founders []raft.Member, snapshot raft.Snapshot) error {
 	encodedFounders, err := encodeRecord(keyFounders, founders)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return s.db.Update(func(tx *bolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
 		if meta.Get(keyFounders) != nil {
-			return Error.New("already bound")
+			return Error.New("already bootstrapped")
 		}
 		if err := meta.Put(keyFounders, encodedFounders); err != nil {
 			return err
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -9,7 +9,7 @@
 	"tealpond/internal/raft"
 )
 
-// writeAll writes all requests, as Run does.
+// writeAll writes all requests with the transactions that Run would use.
 func (s *Store) writeAll(requests []WriteRequest) error {
 	var queue writeQueue
 	queue.add(requests...)
@@ -21,17 +21,17 @@
 	return nil
 }
 
-// entriesRequest is a request to write entries.
+// entriesRequest returns a request to write entries.
 func entriesRequest(entries ...raft.Entry) WriteRequest {
 	return WriteRequest{Ready: raft.Ready{Entries: entries}}
 }
 
-// localSnapshot is a request to write a snapshot, in term 1, that this member took.
+// localSnapshot returns a request to write a snapshot of term 1 that this member took.
 func localSnapshot(index uint64, data []byte) WriteRequest {
 	return WriteRequest{LocalSnapshot: &raft.Snapshot{Index: index, Term: 1, Data: data}}
 }
 
-// receivedSnapshot is a request to write a received snapshot and entries after it.
+// receivedSnapshot returns a request to write a received snapshot and the entries after it.
 func receivedSnapshot(index, term uint64, data []byte, entries ...raft.Entry) WriteRequest {
 	return WriteRequest{Ready: raft.Ready{Snapshot: &raft.Snapshot{Index: index, Term: term, Data: data}, Entries: entries}}
 }
@@ -44,7 +44,7 @@
 }
 
 // reopen closes a store, unless it is nil, and opens the directory, which must hold a
-// good file or none.
+// valid file or none.
 func reopen(t *testing.T, open *Store, dir string) (*Store, Recovered) {
 	t.Helper()
 	if open != nil {
@@ -71,7 +71,7 @@
 	store, recovered := reopen(t, nil, dir)
 	id := recovered.ID
 	if !recovered.NewIdentity {
-		t.Fatal("an empty disk has an identity")
+		t.Fatal("a new file does not report a new identity")
 	}
 	mustWrite(t, store, WriteRequest{Ready: raft.Ready{HardState: &raft.HardState{Term: 2, Vote: "x"}, Entries: entries(1, 9, 1)}})
 	mustWrite(t, store, entriesRequest(entries(5, 6, 2)...))
@@ -150,13 +150,13 @@
 	<-done
 }
 
-// TestCommitIndexSurvivesReopen: the newest commit index that was stored along with
-// entries or a vote is there after a restart; a file without one has none.
+// TestCommitIndexSurvivesReopen checks that a restart restores the newest commit index that was stored with
+// entries or a vote, and that a new file has none.
 func TestCommitIndexSurvivesReopen(t *testing.T) {
 	dir := t.TempDir()
 	store, recovered := reopen(t, nil, dir)
 	if recovered.Commit != 0 {
-		t.Fatalf("a new file knows %d entries to be committed", recovered.Commit)
+		t.Fatalf("commit index of a new file is %d, want 0", recovered.Commit)
 	}
 	mustWrite(t, store,
 		WriteRequest{Ready: raft.Ready{Entries: entries(1, 5, 1), CommitIndex: 2}},
@@ -164,21 +164,22 @@
 		entriesRequest(entries(6, 6, 2)...))
 	store, recovered = reopen(t, store, dir)
 	if recovered.Commit != 4 || len(recovered.Entries) != 6 {
-		t.Errorf("after a restart %d of %d entries are known to be committed, want 4 of 6", recovered.Commit, len(recovered.Entries))
+		t.Errorf("after a restart: commit index %d, %d entries, want 4 and 6", recovered.Commit, len(recovered.Entries))
 	}
 	mustWrite(t, store, localSnapshot(5, []byte("x")))
 	if _, recovered = reopen(t, store, dir); recovered.Commit != 4 || recovered.Snapshot.Index != 5 {
-		t.Errorf("after a snapshot: %d, snapshot at %d", recovered.Commit, recovered.Snapshot.Index)
+		t.Errorf("after a snapshot: commit index %d, snapshot index %d", recovered.Commit, recovered.Snapshot.Index)
 	}
 }
 
-// TestMarkOfTheFirstStartSurvivesReopen: a file without the mark has none.
-func TestMarkOfTheFirstStartSurvivesReopen(t *testing.T) {
+// TestFirstStartMarkSurvivesReopen checks that the mark of the first start is durable, and that a file
+// without it is not reported as marked.
+func TestFirstStartMarkSurvivesReopen(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := reopen(t, nil, dir)
 	store, recovered := reopen(t, store, dir)
 	if recovered.FirstStart {
-		t.Error("a file that was never marked is marked")
+		t.Error("a file without the mark is reported as marked")
 	}
 	if err := store.MarkFirstStart(); err != nil {
 		t.Fatal(err)
--- a/internal/storage/tallies.go
+++ b/internal/storage/tallies.go
@@ -12,59 +12,60 @@
 	"tealpond/internal/tally"
 )
 
-// talliesFileName is the file of the tallies, which no log contains.
+// talliesFileName is the name of the file of the tallies, which are not in the Raft log.
 const talliesFileName = "tallies.db"
 
-// Layout of the file: the bucket "meta" holds the file's origin and the number of its adds,
-// the bucket "runs" a bucket for each origin, with an add under its number (8 bytes, the
-// highest first). Files of earlier versions have all adds in the bucket "adds" instead, each
-// under its origin, a zero byte and its number; they are read, and go on in the new form.
+// Layout of the file: the bucket "meta" holds the origin of the file and the number of its adds.
+// The bucket "runs" holds a bucket for each origin, with each add under its number (8 bytes,
+// big-endian). Files of earlier versions hold all adds in the bucket "adds" instead, each
+// under its origin, a zero byte and its number. They can be read, and new adds are written in the
+// new format.
 var (
-	bucketRuns = []byte("runs")
-	bucketAdds = []byte("adds")
-	keyOrigin  = []byte("origin")
-	keyCount   = []byte("count")
+	bucketRuns       = []byte("runs")
+	bucketLegacyAdds = []byte("adds")
+	keyOrigin        = []byte("origin")
+	keyCount         = []byte("count")
 )
 
 const (
-	// numberBytes is the length of a number in a key.
+	// numberBytes is the length of the number of an add in a key.
 	numberBytes = 8
-	// talliesGrowth is by how much the file grows at a time, in bytes: its bound is a
-	// quarter of a disk of some hundred megabytes.
+	// talliesGrowth is the number of bytes by which the file grows at a time. The limit of the file is a
+	// quarter of a disk of a few hundred megabytes, so it grows in small steps.
 	talliesGrowth = 1 << 20
-	// appendFillPercent is how full pages are made: adds of an origin come in order.
+	// appendFillPercent is the fill factor of pages: the adds of an origin are appended in order.
 	appendFillPercent = 0.95
 )
 
-// Tallies is the open file of a replica's tallies. It is not safe for concurrent use.
+// Tallies is the open tallies file of a replica. It is not safe for concurrent use.
 type Tallies struct {
 	db     *bolt.DB
-	count  uint64 // of its adds
-	origin string // to be written with the next adds; empty if it is in the file
+	count  uint64 // number of adds in the file
+	origin string // to be written with the next adds; empty if it is already stored
 }
 
-// RecoveredTallies is what the file of the tallies held when it was opened.
+// RecoveredTallies is the content of the tallies file when it was opened.
 type RecoveredTallies struct {
-	// Origin is that of this file. It is written with the first adds.
+	// Origin is the origin of this file. It is stored with the first adds.
 	Origin string
 	Runs   []tally.Run
-	// Bytes is what the file has in use.
+	// Bytes is the size of the pages in use.
 	Bytes int64
-	// QuarantineReason says why an earlier file was quarantined; empty if none was. Its adds are
-	// to come from the other replicas, as after the loss of a disk.
+	// QuarantineReason says why an earlier file was quarantined; empty if none was. Its adds must be
+	// fetched from the other replicas, as after the loss of a disk.
 	QuarantineReason string
-	// LastWriteLost: one of the two meta pages is not valid. Either the power was lost during
-	// the last write, which then nobody was notified of, or the page has decayed and adds of the
-	// last write are missing. They come back from other replicas, and the file goes on under
-	// a new origin, so that no number is given twice.
+	// LastWriteLost reports that one of the two meta pages is invalid. Either power failed during
+	// the last write, which then was never acknowledged, or the page was corrupted later and the adds
+	// of the last write are missing. They are fetched from other replicas, and the file continues under
+	// a new origin, so that no number is assigned twice.
 	LastWriteLost bool
-	// Created: there was no file, or one to which nothing had ever been written.
+	// Created reports that there was no file, or one to which nothing had ever been written.
 	Created bool
 }
 
-// OpenTallies opens the file in a directory, or creates it, and reads what it holds. As with
-// Open, a good file is opened without a write, one that is provably corrupt is quarantined, and
-// any other fault leaves the files as they are and may pass.
+// OpenTallies opens the tallies file in a directory, or creates it, and reads its content. As with
+// Open, a valid file is opened without a write, a provably corrupt one is quarantined, and
+// any other fault may be transient and leaves the files unchanged.
 func OpenTallies(dir string) (*Tallies, RecoveredTallies, error) {
 	return osFileSystem.openTallies(dir)
 }
@@ -89,18 +90,18 @@
 	return file, recovered, nil
 }
 
-// tallyContent is the content of the file of the tallies.
+// tallyContent is the content of the tallies file.
 type tallyContent struct {
 	origin        string
-	runs          []tally.Run // in the order of their origins, one of each
+	runs          []tally.Run // one for each origin, ordered by origin
 	byOrigin      map[string]int
 	adds          uint64
-	count         *uint64 // as it stands in the file; nil in files of earlier versions
+	count         *uint64 // number of adds as stored in the file; nil in files of earlier versions
 	bytes         int64
 	lastWriteLost bool
 }
 
-// initialize makes the buckets of a new file.
+// initialize creates the buckets of a new file.
 func (c *tallyContent) initialize(tx *bolt.Tx) error {
 	if _, err := tx.CreateBucket(bucketMeta); err != nil {
 		return err
@@ -109,10 +110,10 @@
 	return err
 }
 
-// isUnused reports whether the file holds nothing yet.
+// isUnused reports whether the file holds neither adds nor an origin.
 func (c *tallyContent) isUnused() bool { return c.adds == 0 && c.origin == "" }
 
-// read checks and reads a whole file.
+// read verifies and reads a whole file.
 func (c *tallyContent) read(reader io.ReaderAt, size int64) (boltMeta, error) {
 	*c = tallyContent{byOrigin: map[string]int{}}
 	if size == 0 {
@@ -132,7 +133,7 @@
 		return meta, errUninitialized
 	}
 	if c.count != nil && *c.count != c.adds {
-		return meta, corrupt("adds", "%d, where %d were written", c.adds, *c.count)
+		return meta, corrupt("adds", "found %d adds, want %d", c.adds, *c.count)
 	}
 	c.bytes = int64(meta.highWaterMark) * meta.pageSize
 	bothValid, err := hasBothMetas(reader, size, meta.pageSize)
@@ -141,7 +142,7 @@
 	return meta, err
 }
 
-// readRecord takes one record; at the start of a bucket the key is nil.
+// readRecord processes one record. At the start of a bucket the key is nil.
 func (c *tallyContent) readRecord(bucket string, key, value []byte) error {
 	originName, isRun := strings.CutPrefix(bucket, "/"+string(bucketRuns)+"/")
 	switch {
@@ -155,14 +156,14 @@
 		if err := decodeRecord(addKey(originName, number), value, &add); err != nil {
 			return err
 		}
-		return c.take(originName, number, add)
-	case bucket == "/"+string(bucketAdds):
-		return c.readEarlierAdd(key, value)
+		return c.appendAdd(originName, number, add)
+	case bucket == "/"+string(bucketLegacyAdds):
+		return c.readLegacyAdd(key, value)
 	}
-	return corrupt("bucket", "%q: unreadable key %x", bucket, key)
+	return corrupt("bucket", "%q: invalid key %x", bucket, key)
 }
 
-// readMeta takes a record of the bucket "meta".
+// readMeta decodes a record of the bucket "meta".
 func (c *tallyContent) readMeta(key, value []byte) error {
 	switch {
 	case bytes.Equal(key, keyOrigin):
@@ -174,31 +175,31 @@
 	return corrupt("meta", "unknown key %q", key)
 }
 
-// earlierAdd is an add as earlier versions wrote it, with the caller's ID.
-type earlierAdd struct {
+// legacyAdd is an add in the format of earlier versions, with the ID given by the caller.
+type legacyAdd struct {
 	_      struct{} `cbor:",toarray"`
 	Tally  string
 	ID     string
 	Amount int64
 }
 
-// readEarlierAdd takes an add in the form of earlier versions.
-func (c *tallyContent) readEarlierAdd(key, value []byte) error {
+// readLegacyAdd decodes an add in the format of earlier versions.
+func (c *tallyContent) readLegacyAdd(key, value []byte) error {
 	end := len(key) - numberBytes - 1
 	if end < 0 || key[end] != 0 || bytes.IndexByte(key[:end], 0) >= 0 {
-		return corrupt("adds", "unreadable key %x", key)
+		return corrupt("adds", "invalid key %x", key)
 	}
-	var add earlierAdd
+	var add legacyAdd
 	if err := decodeRecord(key, value, &add); err != nil {
 		return err
 	}
-	taken := tally.Add{Tally: add.Tally, ID: tally.NewID(add.Tally, add.ID), Amount: add.Amount}
-	return c.take(string(key[:end]), binary.BigEndian.Uint64(key[end+1:]), taken)
+	converted := tally.Add{Tally: add.Tally, ID: tally.NewID(add.Tally, add.ID), Amount: add.Amount}
+	return c.appendAdd(string(key[:end]), binary.BigEndian.Uint64(key[end+1:]), converted)
 }
 
-// take takes over an add. The numbers of an origin have no gap: one would mean that records
-// were lost which other replicas rely on.
-func (c *tallyContent) take(originName string, number uint64, add tally.Add) error {
+// appendAdd appends an add to the run of its origin. The numbers of an origin have no gap: a gap
+// would mean that records were lost which other replicas rely on.
+func (c *tallyContent) appendAdd(originName string, number uint64, add tally.Add) error {
 	index, known := c.byOrigin[originName]
 	if !known {
 		index = len(c.runs)
@@ -214,14 +215,13 @@
 	return nil
 }
 
-// addKey is what the checksum of an add covers beside it.
+// addKey returns the key that the checksum of an add covers.
 func addKey(originName string, number uint64) []byte {
 	return binary.BigEndian.AppendUint64(append([]byte(originName), 0), number)
 }
 
-// Append writes runs of adds, and returns once they are synced. An add at a number that is in
-// the file already takes the place of the one there. It gives what the file has in use then, in
-// bytes.
+// Append writes runs of adds and returns once they are synced. An add replaces a stored add of the
+// same origin and number. Append returns the size of the file in bytes.
 func (t *Tallies) Append(runs []tally.Run) (size int64, err error) {
 	count := t.count
 	err = t.db.Update(func(tx *bolt.Tx) error {
@@ -231,7 +231,7 @@
 			return err
 		}
 		for _, run := range runs {
-			if err := moveEarlierAdds(tx, runsBucket, run.Origin); err != nil {
+			if err := migrateLegacyAdds(tx, runsBucket, run.Origin); err != nil {
 				return err
 			}
 			added, err := putRun(runsBucket, run)
@@ -250,7 +250,7 @@
 	return size, nil
 }
 
-// putMeta writes the number of adds, and the origin if the file hasn't it yet.
+// putMeta writes the number of adds, and the origin if it is not stored yet.
 func (t *Tallies) putMeta(tx *bolt.Tx, count uint64) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
@@ -272,19 +272,19 @@
 	return meta.Put(keyCount, record)
 }
 
-// moveEarlierAdds brings an origin's adds that stand in the form of earlier versions into the
-// new one, so that one of them can be replaced.
-func moveEarlierAdds(tx *bolt.Tx, runsBucket *bolt.Bucket, originName string) error {
-	earlier := tx.Bucket(bucketAdds)
-	if earlier == nil {
+// migrateLegacyAdds rewrites the adds of an origin from the format of earlier versions into the
+// new one, so that a single add can be replaced.
+func migrateLegacyAdds(tx *bolt.Tx, runsBucket *bolt.Bucket, originName string) error {
+	legacyBucket := tx.Bucket(bucketLegacyAdds)
+	if legacyBucket == nil {
 		return nil
 	}
 	content := &tallyContent{byOrigin: map[string]int{}}
 	var keys [][]byte
 	prefix := append([]byte(originName), 0)
-	cursor := earlier.Cursor()
+	cursor := legacyBucket.Cursor()
 	for key, value := cursor.Seek(prefix); bytes.HasPrefix(key, prefix); key, value = cursor.Next() {
-		if err := content.readEarlierAdd(key, value); err != nil {
+		if err := content.readLegacyAdd(key, value); err != nil {
 			return err
 		}
 		keys = append(keys, bytes.Clone(key))
@@ -295,14 +295,14 @@
 		}
 	}
 	for _, key := range keys {
-		if err := earlier.Delete(key); err != nil {
+		if err := legacyBucket.Delete(key); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// putRun writes a run, and gives how many of its adds were not there.
+// putRun writes a run and returns the number of its adds that were not stored yet.
 func putRun(runsBucket *bolt.Bucket, run tally.Run) (added uint64, err error) {
 	bucket, err := runsBucket.CreateBucketIfNotExists([]byte(run.Origin))
 	if err != nil {
--- a/internal/storage/tallies_test.go
+++ b/internal/storage/tallies_test.go
@@ -18,7 +18,7 @@
 	"tealpond/internal/tally"
 )
 
-// mustOpenTallies opens the file in a directory.
+// mustOpenTallies opens the tallies file in a directory.
 func mustOpenTallies(t *testing.T, dir string) (*Tallies, RecoveredTallies) {
 	t.Helper()
 	file, recovered, err := OpenTallies(dir)
@@ -38,13 +38,13 @@
 	return size
 }
 
-// testAdd is an add with a caller's ID.
+// testAdd returns an add whose ID is derived from that of the caller.
 func testAdd(name, id string, amount int64) tally.Add {
 	return tally.Add{Tally: name, ID: tally.NewID(name, id), Amount: amount}
 }
 
-// newTalliesFile makes a directory with a file of so many adds of three origins, written in
-// some transactions, and gives what it holds.
+// newTalliesFile creates a directory with a file that holds the given number of adds of three origins,
+// written in batches of 50. It returns the runs in the file.
 func newTalliesFile(t *testing.T, adds int) (dir string, want []tally.Run) {
 	t.Helper()
 	dir = t.TempDir()
@@ -66,13 +66,13 @@
 	return dir, want
 }
 
-// TestTalliesAreReadAgain: what was appended is there after the file is opened again, in
-// order, and twice the same is there once.
-func TestTalliesAreReadAgain(t *testing.T) {
+// TestTalliesSurviveReopen checks that appended adds are read in order after the file is reopened, and that
+// an add that was appended twice is stored once.
+func TestTalliesSurviveReopen(t *testing.T) {
 	dir := t.TempDir()
 	file, recovered := mustOpenTallies(t, dir)
 	if len(recovered.Runs) != 0 || recovered.Origin == "" || recovered.QuarantineReason != "" || recovered.LastWriteLost {
-		t.Errorf("a new file has %+v", recovered)
+		t.Errorf("unexpected content of a new file: %+v", recovered)
 	}
 	a := tally.Run{Origin: "a", First: 1, Adds: []tally.Add{testAdd("t", "1", 5), testAdd("u", "2", -3)}}
 	b := tally.Run{Origin: "b", First: 1, Adds: []tally.Add{testAdd("t", "3", 1)}}
@@ -91,7 +91,7 @@
 	_ = file.Close()
 }
 
-// TestOpeningTalliesWritesNothing: a full disk doesn't keep a good file away.
+// TestOpeningTalliesWritesNothing checks that a valid file can be opened even if the disk is full.
 func TestOpeningTalliesWritesNothing(t *testing.T) {
 	dir, _ := newTalliesFile(t, 500)
 	path := filepath.Join(dir, talliesFileName)
@@ -103,11 +103,11 @@
 	_ = file.Close()
 }
 
-// TestTalliesOfEarlierVersionAreRead: a file with callers' IDs, all in one bucket, is read and
-// goes on in the new form, under an origin of its own.
-func TestTalliesOfEarlierVersionAreRead(t *testing.T) {
+// TestLegacyTalliesAreRead checks that a file of an earlier version, with callers' IDs and all
+// adds in one bucket, is read, and that new adds are written in the new format under a new origin.
+func TestLegacyTalliesAreRead(t *testing.T) {
 	dir := t.TempDir()
-	writeEarlierTallies(t, filepath.Join(dir, talliesFileName), 300)
+	writeLegacyTallies(t, filepath.Join(dir, talliesFileName), 300)
 	file, recovered := mustOpenTallies(t, dir)
 	if len(recovered.Runs) != 1 || len(recovered.Runs[0].Adds) != 300 || recovered.Runs[0].Adds[7] != testAdd("t", "7", 7) {
 		t.Fatalf("%d runs", len(recovered.Runs))
@@ -122,11 +122,11 @@
 	_ = file.Close()
 }
 
-// TestAddsAreReplaced: an add at a number that is in the file takes the place of the one there,
-// also if that one is in the form of earlier versions.
-func TestAddsAreReplaced(t *testing.T) {
+// TestAppendReplacesStoredAdds checks that an add replaces a stored add of the same number,
+// also if the stored one is in the format of earlier versions.
+func TestAppendReplacesStoredAdds(t *testing.T) {
 	dir := t.TempDir()
-	writeEarlierTallies(t, filepath.Join(dir, talliesFileName), 300)
+	writeLegacyTallies(t, filepath.Join(dir, talliesFileName), 300)
 	file, recovered := mustOpenTallies(t, dir)
 	want := tally.Run{Origin: recovered.Runs[0].Origin, First: 1, Adds: slices.Clone(recovered.Runs[0].Adds)}
 	for _, number := range []uint64{150, 300, 1, 150} {
@@ -137,13 +137,13 @@
 	_ = file.Close()
 	file, again := mustOpenTallies(t, dir)
 	if again.QuarantineReason != "" || !reflect.DeepEqual(again.Runs, []tally.Run{want}) {
-		t.Errorf("set aside: %q, runs %v", again.QuarantineReason, again.Runs)
+		t.Errorf("quarantine reason %q, runs %v", again.QuarantineReason, again.Runs)
 	}
 	_ = file.Close()
 }
 
-// writeEarlierTallies writes a file as earlier versions did.
-func writeEarlierTallies(t *testing.T, path string, adds int) {
+// writeLegacyTallies writes a file in the format of earlier versions.
+func writeLegacyTallies(t *testing.T, path string, adds int) {
 	t.Helper()
 	db, err := bolt.Open(path, 0o600, &bolt.Options{NoFreelistSync: true})
 	if err != nil {
@@ -151,13 +151,13 @@
 	}
 	defer func() { _ = db.Close() }()
 	err = db.Update(func(tx *bolt.Tx) error {
-		bucket, err := tx.CreateBucket(bucketAdds)
+		bucket, err := tx.CreateBucket(bucketLegacyAdds)
 		if err != nil {
 			return err
 		}
 		for i := range adds {
 			key := binary.BigEndian.AppendUint64([]byte("process\x00"), uint64(i+1))
-			record, err := encodeRecord(key, earlierAdd{Tally: "t", ID: fmt.Sprint(i), Amount: int64(i)})
+			record, err := encodeRecord(key, legacyAdd{Tally: "t", ID: fmt.Sprint(i), Amount: int64(i)})
 			if err != nil {
 				return err
 			}
@@ -172,8 +172,8 @@
 	}
 }
 
-// talliesDamages are the ways in which a file is damaged.
-var talliesDamages = map[string]func(random *rand.Rand, content []byte) []byte{
+// fileCorruptions are the ways in which the tests corrupt a file.
+var fileCorruptions = map[string]func(random *rand.Rand, content []byte) []byte{
 	"cut":         func(random *rand.Rand, content []byte) []byte { return content[:random.Intn(len(content))] },
 	"cut to half": func(_ *rand.Rand, content []byte) []byte { return content[:len(content)/2] },
 	"page zeroed": func(random *rand.Rand, content []byte) []byte { clear(randomPage(random, content)); return content },
@@ -194,13 +194,13 @@
 	},
 }
 
-// randomPage is one of the pages of a file.
+// randomPage returns a random page of a file.
 func randomPage(random *rand.Rand, content []byte) []byte {
 	offset := random.Intn(len(content)/initialPageSize) * initialPageSize
 	return content[offset : offset+initialPageSize]
 }
 
-// flipBytes changes some bytes.
+// flipBytes changes count random bytes.
 func flipBytes(random *rand.Rand, content []byte, count int) []byte {
 	for range count {
 		content[random.Intn(len(content))] ^= byte(1 + random.Intn(255))
@@ -208,28 +208,29 @@
 	return content
 }
 
-// TestDamagedTalliesEndNoProcess: 300 damaged files by seed. None ends the process, which a
-// panic in a goroutine of the library would, and none holds fewer adds without saying so.
-func TestDamagedTalliesEndNoProcess(t *testing.T) {
+// TestOpeningDamagedTalliesDoesNotCrash opens some 300 damaged files, 40 seeds for each kind of damage. None may
+// end the process, as a panic in a goroutine of bbolt would, and none may silently lose adds.
+func TestOpeningDamagedTalliesDoesNotCrash(t *testing.T) {
 	dir, want := newTalliesFile(t, 2000)
 	original := mustReadFile(t, filepath.Join(dir, talliesFileName))
 	const seeds = 40
 	outcomes := map[string]int{}
-	for name, damage := range talliesDamages {
+	for name, damage := range fileCorruptions {
 		for seed := range int64(seeds) {
 			what := fmt.Sprintf("%s, seed %d", name, seed)
 			damaged := damage(rand.New(rand.NewSource(seed)), bytes.Clone(original))
-			outcomes[name+": "+tryDamagedTallies(t, what, damaged, want)]++
+			outcomes[name+": "+openDamagedTallies(t, what, damaged, want)]++
 		}
 	}
 	t.Log(outcomes)
-	if outcomes["cut to half: set aside"] != seeds || outcomes["another program's: set aside"] != seeds || outcomes["meta zeroed: last write lost"] != seeds {
+	if outcomes["cut to half: quarantined"] != seeds || outcomes["another program's: quarantined"] != seeds ||
+		outcomes["meta zeroed: last write lost"] != seeds {
 		t.Errorf("%v", outcomes)
 	}
 }
 
-// tryDamagedTallies opens a damaged file, and again after more was written to it.
-func tryDamagedTallies(t *testing.T, what string, damaged []byte, want []tally.Run) (outcome string) {
+// openDamagedTallies opens a damaged file, appends an add, and opens the file again.
+func openDamagedTallies(t *testing.T, what string, damaged []byte, want []tally.Run) (outcome string) {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, talliesFileName)
@@ -243,24 +244,24 @@
 	defer func() { _ = file.Close() }()
 	switch {
 	case recovered.QuarantineReason != "":
-		outcome = "set aside"
+		outcome = "quarantined"
 		if len(recovered.Runs) != 0 || !bytes.Equal(mustReadFile(t, path+corruptSuffix), damaged) {
-			t.Fatalf("%s: %d runs beside %q", what, len(recovered.Runs), recovered.QuarantineReason)
+			t.Fatalf("%s: %d runs, or the quarantined file differs; reason %q", what, len(recovered.Runs), recovered.QuarantineReason)
 		}
 	case recovered.LastWriteLost:
 		outcome = "last write lost"
 		if recovered.Origin == want[0].Origin {
-			t.Fatalf("%s: numbers may be given twice", what)
+			t.Fatalf("%s: the origin is reused, so numbers may be assigned twice", what)
 		}
 	case recovered.Created:
-		outcome = "made anew"
+		outcome = "created"
 		if len(damaged) > 0 {
-			t.Fatalf("%s: a file was replaced without a word", what)
+			t.Fatalf("%s: a file was replaced without a report", what)
 		}
 	default:
-		outcome = "good"
+		outcome = "valid"
 		if !reflect.DeepEqual(recovered.Runs, sortedRuns(want)) {
-			t.Fatalf("%s: fewer adds in silence", what)
+			t.Fatalf("%s: adds differ without a report", what)
 		}
 	}
 	first := uint64(1)
@@ -273,7 +274,7 @@
 	_ = file.Close()
 	reopened, again := mustOpenTallies(t, dir)
 	if again.Origin != recovered.Origin || again.QuarantineReason != "" || again.LastWriteLost {
-		t.Fatalf("%s: opened again: %q", what, again.QuarantineReason)
+		t.Fatalf("%s: unexpected state after reopening, quarantine reason %q", what, again.QuarantineReason)
 	}
 	_ = reopened.Close()
 	return outcome
@@ -290,9 +291,9 @@
 	return append(sorted, runs[0])
 }
 
-// TestDamagedTalliesAreNotUsed: a record that isn't what was written makes the whole file one
-// that is quarantined, as it is, and none of its adds is used.
-func TestDamagedTalliesAreNotUsed(t *testing.T) {
+// TestTalliesWithDamagedRecordAreQuarantined checks that a single damaged record quarantines the whole file
+// unchanged, and that none of its adds is used.
+func TestTalliesWithDamagedRecordAreQuarantined(t *testing.T) {
 	dir, want := newTalliesFile(t, 100)
 	path := filepath.Join(dir, talliesFileName)
 	file, _ := mustOpenTallies(t, dir)
@@ -313,12 +314,12 @@
 		t.Errorf("a damaged record was read: %q, %d runs", recovered.QuarantineReason, len(recovered.Runs))
 	}
 	if !bytes.Equal(mustReadFile(t, path+corruptSuffix), damaged) {
-		t.Error("the file that was set aside is not the damaged one")
+		t.Error("the quarantined file differs from the damaged one")
 	}
 }
 
-// TestFaultsOfTheDiskLeaveTallies: a fault that may pass leaves the file as it is.
-func TestFaultsOfTheDiskLeaveTallies(t *testing.T) {
+// TestSystemErrorsLeaveTalliesUnchanged checks that a fault that may be transient leaves the file unchanged.
+func TestSystemErrorsLeaveTalliesUnchanged(t *testing.T) {
 	dir, _ := newTalliesFile(t, 100)
 	path := filepath.Join(dir, talliesFileName)
 	before := mustReadFile(t, path)
@@ -338,9 +339,9 @@
 	}
 }
 
-// TestMissingAddsAreNoticed: records that are gone from a sound file, at the end of an origin
-// or in between, make it a corrupt one.
-func TestMissingAddsAreNoticed(t *testing.T) {
+// TestMissingAddsAreDetected checks that an otherwise valid file counts as corrupt if a record at the
+// beginning, in the middle or at the end of an origin is missing.
+func TestMissingAddsAreDetected(t *testing.T) {
 	for name, number := range map[string]uint64{"last": 350, "middle": 100, "first": 1} {
 		dir, want := newTalliesFile(t, 1000)
 		file, _ := mustOpenTallies(t, dir)
@@ -353,16 +354,16 @@
 		_ = file.Close()
 		file, recovered := mustOpenTallies(t, dir)
 		if recovered.QuarantineReason == "" {
-			t.Errorf("%s: not noticed", name)
+			t.Errorf("%s: missing add was not detected", name)
 		}
 		_ = file.Close()
 	}
 }
 
-// TestSizeOfTallies: what an add takes on the disk, by which the bound on the file is told in
-// adds (docs/CAPACITY.md).
-func TestSizeOfTallies(t *testing.T) {
-	const adds, most = 20_000, 80
+// TestBytesPerAdd checks the size of an add on disk, from which docs/CAPACITY.md derives the limit of the
+// file as a number of adds.
+func TestBytesPerAdd(t *testing.T) {
+	const adds, maxBytesPerAdd = 20_000, 80
 	file, recovered := mustOpenTallies(t, t.TempDir())
 	defer func() { _ = file.Close() }()
 	size := int64(0)
@@ -373,8 +374,8 @@
 		}
 		size = mustAppend(t, file, run)
 	}
-	if size/adds > most {
-		t.Errorf("%d bytes an add", size/adds)
+	if size/adds > maxBytesPerAdd {
+		t.Errorf("%d bytes per add", size/adds)
 	}
-	t.Logf("%d bytes an add", size/adds)
+	t.Logf("%d bytes per add", size/adds)
 }
--- a/internal/storage/write_queue.go
+++ b/internal/storage/write_queue.go
@@ -11,19 +11,19 @@
 )
 
 // WriteRequest is one write: either a Ready of the Raft node, or a snapshot that this
-// member took itself. A snapshot in Ready was received and replaces the whole log
-// before the entries of the same Ready are added; a local one removes the entries
-// that it includes.
+// member took itself. A snapshot in Ready was received from the leader and replaces the whole log
+// before the entries of the same Ready are added. A local snapshot removes the entries
+// that it covers.
 type WriteRequest struct {
 	Ready         raft.Ready
 	LocalSnapshot *raft.Snapshot
 }
 
-// writeQueue holds the requests that are not synced yet.
+// writeQueue holds the write requests that are not synced yet.
 type writeQueue struct {
-	requests       []WriteRequest  // with a Ready, in order
-	localSnapshots []WriteRequest  // written beside the others
-	writing        *snapshotWriter // of localSnapshots[0] or requests[0], once it has begun
+	requests       []WriteRequest  // requests with a Ready, in order
+	localSnapshots []WriteRequest  // written alongside the requests
+	writing        *snapshotWriter // writer of the snapshot of localSnapshots[0] or requests[0], once begun
 }
 
 func (q *writeQueue) add(requests ...WriteRequest) {
@@ -38,7 +38,7 @@
 
 func (q *writeQueue) empty() bool { return len(q.requests) == 0 && len(q.localSnapshots) == 0 }
 
-// nextSnapshot chooses the snapshot to go on with, or nil. A received one is newer
+// nextSnapshot returns the snapshot to begin or continue writing, or nil. A received snapshot is newer
 // than any local one, and the requests after it wait for it.
 func (q *writeQueue) nextSnapshot(generation uint64) *snapshotWriter {
 	var next *raft.Snapshot
@@ -56,17 +56,17 @@
 	return q.writing
 }
 
-// batch is what one transaction writes.
+// batch is the content of one transaction.
 type batch struct {
-	requests  []WriteRequest  // those that it completes, but for a local snapshot
+	requests  []WriteRequest  // requests that it completes, except a local snapshot
 	snapshot  *snapshotWriter // the snapshot whose frames it writes, or nil
-	received  bool            // the snapshot is that of the queue's first request
-	endFrame  uint64          // frames up to here are written
-	activates bool            // the frames are the last: the snapshot comes into force
+	received  bool            // the snapshot belongs to the first request of the queue
+	endFrame  uint64          // end of the range of frames to write
+	activates bool            // these are the last frames, so the snapshot becomes active
 }
 
-// nextBatch chooses the next transaction. The requests up to the next received
-// snapshot go into it, and after its last frames also those that follow it.
+// nextBatch returns the content of the next transaction. It includes the requests up to the next
+// received snapshot or, together with the last frames of a received snapshot, the requests after it.
 func (q *writeQueue) nextBatch(generation uint64) batch {
 	next := batch{snapshot: q.nextSnapshot(generation)}
 	if next.snapshot != nil {
@@ -87,7 +87,7 @@
 	return next
 }
 
-// write writes the batch. The generation is that of the snapshot in force.
+// write writes the batch. The generation is that of the active snapshot.
 func (b *batch) write(tx *bolt.Tx, generation uint64) error {
 	if b.snapshot != nil {
 		if err := b.snapshot.writeFrames(tx, generation, b.endFrame); err != nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// complete removes the requests of a batch that is synced, and returns them.
+// complete removes the requests that a synced batch completed, and returns them.
 func (q *writeQueue) complete(b batch) []WriteRequest {
 	q.requests = q.requests[len(b.requests):]
 	if b.snapshot == nil {
@@ -127,7 +127,7 @@
 	q.writing = nil
 	localCount := 1
 	if b.received {
-		// The local snapshots that waited are older than the received one.
+		// All queued local snapshots are older than the received one.
 		localCount = len(q.localSnapshots)
 	}
 	done := slices.Concat(b.requests, q.localSnapshots[:localCount])
@@ -135,8 +135,8 @@
 	return done
 }
 
-// commitNext runs the next transaction of the queue, and removes from it and returns
-// the requests that this completes. After an error the queue is as it was.
+// commitNext runs the next transaction of the queue. It removes the requests that the transaction
+// completes from the queue and returns them. After an error the queue is unchanged.
 func (s *Store) commitNext(q *writeQueue) ([]WriteRequest, error) {
 	next := q.nextBatch(s.snapshotGeneration)
 	err := s.commit(func(tx *bolt.Tx) error { return next.write(tx, s.snapshotGeneration) })
@@ -149,12 +149,11 @@
 	return q.complete(next), nil
 }
 
-// logFillPercent is how full bbolt makes a page of the log before it starts the next;
-// keys are only ever added at the end.
+// logFillPercent is the fill factor of log pages: keys are only appended at the end.
 const logFillPercent = 0.95
 
-// putReadies writes hard states, entries and the newest commit index. An entry replaces those at and above its
-// index that were there before.
+// putReadies writes hard states, entries and the newest commit index. An entry replaces all stored entries
+// at and above its index.
 func putReadies(tx *bolt.Tx, requests []WriteRequest) error {
 	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
 	log.FillPercent = logFillPercent
@@ -188,7 +187,7 @@
 	return putRecord(meta, keyCommit, commit)
 }
 
-// putRecord stores a value under a key, with its checksum.
+// putRecord stores a value under a key, with a checksum.
 func putRecord(bucket *bolt.Bucket, key []byte, value any) error {
 	raw, err := encodeRecord(key, value)
 	if err != nil {
@@ -201,14 +200,14 @@
 const keyBytes = 8
 
 // encodeKey returns the key of an entry, a frame or a generation: its number,
-// big-endian, so that bbolt keeps them in order.
+// big-endian, so that bbolt orders the keys by number.
 func encodeKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func decodeKey(key []byte) uint64 { return binary.BigEndian.Uint64(key) }
 
-// clearLog removes all entries: those above a received snapshot need not follow it.
-// The bucket is created anew, since bbolt's search for the last key of a bucket whose
-// pages were all emptied in the same transaction never ends.
+// clearLog removes all entries, since those above a received snapshot need not be consistent with it.
+// It deletes and recreates the bucket, because bbolt's search for the last key of a bucket whose
+// pages were all emptied in the same transaction never terminates.
 func clearLog(tx *bolt.Tx) error {
 	if err := tx.DeleteBucket(bucketLog); err != nil {
 		return err
@@ -217,9 +216,9 @@
 	return err
 }
 
-// compactLog removes the entries up to an index. The keys are collected first: a
+// compactLog removes the entries up to an index. It collects the keys first, because a
 // bbolt cursor that deletes from a page which the same transaction has changed skips
-// the key that moves into the place of the deleted one.
+// the key that moves into the position of the deleted one.
 func compactLog(log *bolt.Bucket, upTo uint64) error {
 	var keys [][]byte
 	c := log.Cursor()
--- a/internal/storage/write_queue_test.go
+++ b/internal/storage/write_queue_test.go
@@ -24,31 +24,33 @@
 	return indexes
 }
 
-// TestLogDeletionsAreExact: of thousands of entries over many pages, each deletion
-// takes exactly its range. A cursor that deletes and goes on may skip the key that
-// moved up.
+// TestLogDeletionsAreExact checks that deletions from a log of thousands of entries on many pages remove
+// exactly their range. A bbolt cursor that deletes and then advances may skip the key that
+// moved into the freed position.
 func TestLogDeletionsAreExact(t *testing.T) {
-	const most = 6000
+	const lastIndex = 6000
 	for _, test := range []struct {
 		name     string
 		requests []WriteRequest
-		from, to uint64 // indexes that are left
+		from, to uint64 // indexes that remain
 	}{
-		{"local snapshot", []WriteRequest{localSnapshot(4321, nil)}, 4322, most},
-		{"local snapshot of almost all", []WriteRequest{localSnapshot(most-1, nil)}, most, most},
-		{"local snapshot of all", []WriteRequest{localSnapshot(most, nil)}, most + 1, most},
+		{"local snapshot", []WriteRequest{localSnapshot(4321, nil)}, 4322, lastIndex},
+		{"local snapshot of almost all", []WriteRequest{localSnapshot(lastIndex-1, nil)}, lastIndex, lastIndex},
+		{"local snapshot of all", []WriteRequest{localSnapshot(lastIndex, nil)}, lastIndex + 1, lastIndex},
 		{"received snapshot", []WriteRequest{receivedSnapshot(3000, 1, nil)}, 1, 0},
 		{"received snapshot and entries", []WriteRequest{receivedSnapshot(3000, 1, nil, entries(3001, 3005, 1)...)}, 3001, 3005},
 		{"entries and received snapshot in one write",
-			[]WriteRequest{entriesRequest(entries(most+1, most+900, 1)...), receivedSnapshot(7000, 2, nil)}, 7001, 7000},
+			[]WriteRequest{entriesRequest(entries(lastIndex+1, lastIndex+900, 1)...), receivedSnapshot(7000, 2, nil)},
+			7001, 7000},
 		{"entries and local snapshot in one write",
-			[]WriteRequest{entriesRequest(entries(most+1, most+900, 1)...), localSnapshot(most+500, nil)}, most + 501, most + 900},
+			[]WriteRequest{entriesRequest(entries(lastIndex+1, lastIndex+900, 1)...), localSnapshot(lastIndex+500, nil)},
+			lastIndex + 501, lastIndex + 900},
 		{"overwritten suffix", []WriteRequest{entriesRequest(entries(17, 18, 2)...)}, 1, 18},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			dir := t.TempDir()
 			store, _ := reopen(t, nil, dir)
-			for i := uint64(1); i <= most; i += 1000 {
+			for i := uint64(1); i <= lastIndex; i += 1000 {
 				batch := entries(i, i+999, 1)
 				for j := range batch {
 					// Sizes differ, so that pages hold from few to many entries.
@@ -59,11 +61,11 @@
 			mustWrite(t, store, test.requests...)
 			indexes := store.logIndexes(t)
 			if uint64(len(indexes)) != test.to+1-test.from {
-				t.Fatalf("%d entries left, want %d to %d", len(indexes), test.from, test.to)
+				t.Fatalf("%d entries remain, want indexes %d to %d", len(indexes), test.from, test.to)
 			}
 			for i, index := range indexes {
 				if index != test.from+uint64(i) {
-					t.Fatalf("place %d holds %d, want %d", i, index, test.from+uint64(i))
+					t.Fatalf("entry at position %d has index %d, want %d", i, index, test.from+uint64(i))
 				}
 			}
 			reopen(t, store, dir)
@@ -71,8 +73,8 @@
 	}
 }
 
-// TestRepeatedTransactionsAreIdempotent: a sync may fail though the write was made, so
-// that the transaction is repeated on top of itself. The outcome is the same.
+// TestRepeatedTransactionsAreIdempotent checks that applying a transaction twice has the same effect as once:
+// a sync may fail although the data was written, and the transaction is then retried.
 func TestRepeatedTransactionsAreIdempotent(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := reopen(t, nil, dir)
@@ -99,7 +101,7 @@
 	for !queue.empty() {
 		completed, err := store.commitNext(&queue)
 		if err != nil && len(completed) > 0 {
-			t.Fatal("completed though it failed")
+			t.Fatal("a failed transaction completed requests")
 		}
 		done += len(completed)
 	}
@@ -111,8 +113,8 @@
 	_ = store.Close()
 }
 
-// TestBatchesOfQueue: a transaction takes the requests up to the next received
-// snapshot, and the frames of at most one snapshot.
+// TestBatchesOfQueue checks that a transaction contains the requests up to the next received
+// snapshot, and frames of at most one snapshot.
 func TestBatchesOfQueue(t *testing.T) {
 	large := make([]byte, snapshotFrameBytes*(snapshotFramesPerTransaction+1))
 	ready := entriesRequest(entries(1, 1, 1)...)
@@ -159,7 +161,7 @@
 				}
 			}
 			if !queue.empty() {
-				t.Errorf("%d requests and %d local snapshots are left", len(queue.requests), len(queue.localSnapshots))
+				t.Errorf("%d requests and %d local snapshots remain", len(queue.requests), len(queue.localSnapshots))
 			}
 		})
 	}
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// QueueLength is the number of writes that may wait for the storage goroutine.
+	// QueueLength is the capacity of the channel of writes to the storage goroutine.
 	QueueLength = 8192
-	// RetryBackoff is the first pause before a failed operation of the storage is retried; each
-	// further pause is longer.
+	// RetryBackoff is the first pause before a failed storage operation is retried. Each
+	// further pause is longer, up to a limit.
 	RetryBackoff = 50 * time.Millisecond
 )
 
-// inbox accepts requests at any time, so that a disk that stalls or fails never
-// blocks the sender. It has no bound of its own: what it holds are mostly entries
-// that the Raft node holds in memory anyway, and the sender sees from WriteLag when
+// inbox always accepts requests, so that a disk that stalls or fails never
+// blocks the sender. It is unbounded: it mostly holds entries
+// that the Raft node keeps in memory anyway, and the sender uses WriteLag to decide when
 // to send less.
 type inbox struct {
 	mu       sync.Mutex
@@ -46,13 +46,13 @@
 func (b *inbox) drain() []WriteRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	taken := b.requests
+	drained := b.requests
 	b.requests = nil
-	return taken
+	return drained
 }
 
-// WriteLag returns for how long requests have waited without any transaction being
-// synced, or 0 while none wait. It stays low on a disk that is slow, and rises on one
+// WriteLag returns how long requests have waited without any transaction being
+// synced, or 0 while no request waits. It stays low on a slow disk, and rises on one
 // that hangs or fails. It is safe for concurrent use.
 func (s *Store) WriteLag(now time.Time) time.Duration {
 	if since := s.lastProgress.Load(); since != nil {
@@ -61,16 +61,16 @@
 	return 0
 }
 
-// Run writes requests, all that wait with one sync, until ctx ends; it then closes
-// the store. It calls report with the requests that are synced. Those of a Ready are
-// reported in order; a local snapshot is written in frames between them, and is
-// reported once it is in force.
+// Run writes requests until ctx ends, and then closes the store. It writes all waiting requests
+// with one sync where possible, and calls report with the requests that are synced. Requests with
+// a Ready are reported in order. A local snapshot is written in frames between them, and is
+// reported once it is active.
 //
-// A write that fails is repeated, with a backoff that grows to a bound, since nothing
-// may rely on it before. Run calls report with an *UnavailableError after the first
+// A failed write is retried with a bounded exponential backoff, since nothing
+// may rely on it before it is synced. Run calls report with an *UnavailableError after the first
 // failure, and then at regular intervals.
 func (s *Store) Run(ctx context.Context, requests <-chan WriteRequest, report func([]WriteRequest, error)) {
-	// All that was reported is synced, so an error of closing has no consequence.
+	// Everything that was reported is synced, so an error from Close has no consequence.
 	defer func() { _ = s.db.Close() }()
 	var queue writeQueue
 	received := inbox{ready: make(chan struct{}, 1)}
@@ -112,7 +112,7 @@
 	}
 }
 
-// markProgress records that a transaction was synced, or that requests begin to
+// markProgress records that a transaction was synced, or that requests have started to
 // wait.
 func (s *Store) markProgress() {
 	now := time.Now()
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -15,7 +15,7 @@
 )
 
 // runningStore is a store on which Run was called. Its transactions fail with fault
-// while that is set, and each waits for a value or the end of stalled if that is set.
+// while that is set. If stalled is set, each waits to receive from it or until it is closed.
 type runningStore struct {
 	mu             sync.Mutex
 	requests       chan WriteRequest
@@ -76,33 +76,33 @@
 	r.fault = err
 }
 
-// quiesce waits until no goroutine can go on, and locks the counts until release.
+// quiesce waits until all goroutines are blocked, and locks the counters until release is called.
 func (r *runningStore) quiesce() (release func()) {
 	synctest.Wait()
 	r.mu.Lock()
 	return r.mu.Unlock
 }
 
-// sendEntries sends one request for each entry; the store must accept it at once.
+// sendEntries sends one request for each entry. The store must accept each within a second.
 func (r *runningStore) sendEntries(t *testing.T, from, to uint64) {
 	t.Helper()
 	for i := from; i <= to; i++ {
 		select {
 		case r.requests <- WriteRequest{Ready: raft.Ready{Entries: entries(i, i, 1), WriteToken: raft.WriteToken{LastIndex: i, LastTerm: 1}}}:
 		case <-time.After(time.Second):
-			t.Fatalf("the caller is blocked at write %d", i)
+			t.Fatalf("the sender is blocked at entry %d", i)
 		}
 	}
 }
 
-// checkAndStop fails unless exactly the first requests were completed, in order.
+// checkAndStop fails the test unless exactly the first want requests were completed in order, and stops the store.
 func (r *runningStore) checkAndStop(t *testing.T, want uint64) {
 	t.Helper()
 	release := r.quiesce()
 	defer release()
 	for i, index := range r.completed {
 		if index != uint64(i+1) {
-			t.Fatalf("place %d holds %d", i, index)
+			t.Fatalf("completion %d has index %d", i, index)
 		}
 	}
 	if uint64(len(r.completed)) != want || r.store.WriteLag(time.Now()) != 0 {
@@ -111,9 +111,9 @@
 	r.cancel()
 }
 
-// TestFailedWritesDoNotBlockCallers: writes to a full disk are repeated at a bounded
-// rate, reported once a second, and never block the caller; what waited is written in
-// order once there is room.
+// TestFailedWritesDoNotBlockCallers checks that writes to a full disk are retried at a bounded
+// rate, reported once a second, and never block the caller, and that waiting requests are written in
+// order once there is space.
 func TestFailedWritesDoNotBlockCallers(t *testing.T) {
 	store, _ := reopen(t, nil, t.TempDir())
 	synctest.Test(t, func(t *testing.T) {
@@ -121,15 +121,15 @@
 		r.sendEntries(t, 1, 10)
 		synctest.Wait()
 		r.failWith(syscall.ENOSPC)
-		const most = QueueLength * 5 / 2
-		r.sendEntries(t, 11, most)
+		const lastIndex = QueueLength * 5 / 2
+		r.sendEntries(t, 11, lastIndex)
 		time.Sleep(9*time.Second + 900*time.Millisecond)
 		release := r.quiesce()
 		if len(r.completed) != 10 || len(r.reported) < 9 || len(r.reported) > 10 || !errors.Is(r.reported[0], syscall.ENOSPC) {
 			t.Errorf("%d completed, reported %d times", len(r.completed), len(r.reported))
 		}
 		if r.attempts > 30 {
-			t.Errorf("tried %d times", r.attempts)
+			t.Errorf("too many attempts: %d", r.attempts)
 		}
 		if lag := store.WriteLag(time.Now()); lag < 9*time.Second || lag > 10*time.Second {
 			t.Errorf("lag %v", lag)
@@ -137,11 +137,11 @@
 		release()
 		r.failWith(nil)
 		time.Sleep(maxStorageRetryBackoff)
-		r.checkAndStop(t, most)
+		r.checkAndStop(t, lastIndex)
 	})
 }
 
-// TestStalledWriteIsReported: WriteLag shows a call that hangs.
+// TestStalledWriteIsReported checks that WriteLag grows while a write hangs.
 func TestStalledWriteIsReported(t *testing.T) {
 	store, _ := reopen(t, nil, t.TempDir())
 	synctest.Test(t, func(t *testing.T) {
@@ -159,8 +159,8 @@
 	})
 }
 
-// TestEntriesAreNotBlockedByLargeSnapshot: entries that come while a large snapshot is
-// written don't wait for its end.
+// TestEntriesAreNotBlockedByLargeSnapshot checks that entries that arrive while a large snapshot is being
+// written do not wait until it is complete.
 func TestEntriesAreNotBlockedByLargeSnapshot(t *testing.T) {
 	dir := t.TempDir()
 	store, _ := reopen(t, nil, dir)
@@ -170,7 +170,7 @@
 		synctest.Wait()
 		r.stalled = make(chan struct{})
 		r.requests <- localSnapshot(100, randomBytes(1, 8<<20))
-		synctest.Wait() // the first part is under way
+		synctest.Wait() // the transaction of the first frames is in progress
 		r.sendEntries(t, 101, 110)
 		synctest.Wait()
 		r.stalled <- struct{}{}
@@ -189,6 +189,6 @@
 		r.checkAndStop(t, 110)
 	})
 	if _, recovered := reopen(t, nil, dir); recovered.Snapshot.Index != 100 || len(recovered.Entries) != 10 {
-		t.Fatalf("%d, %d entries", recovered.Snapshot.Index, len(recovered.Entries))
+		t.Fatalf("snapshot index %d, %d entries", recovered.Snapshot.Index, len(recovered.Entries))
 	}
 }
