--- a/internal/transport/compression_test.go
+++ b/internal/transport/compression_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestRepetitiveFramesAreCompressed: frames of a stream, compressed and not, come out as they
-// went in, and those that repeat each other get smaller.
+// TestRepetitiveFramesAreCompressed checks that compressed and uncompressed frames of a stream decode to what was
+// encoded, and that repetitive frames take less space.
 func TestRepetitiveFramesAreCompressed(t *testing.T) {
 	sender, receiver := &frameEncoding{}, &frameEncoding{}
 	random := rand.New(rand.NewSource(1))
@@ -38,13 +38,13 @@
 		}
 	}
 	if sent*3 > received*2 {
-		t.Errorf("%d bytes were sent for %d", sent, received)
+		t.Errorf("%d bytes were sent for %d uncompressed bytes", sent, received)
 	}
 }
 
-// TestDamagedCompressedBodies: none is taken for another body than was sent, but for what no
-// checksum of a connection would let through, and none panics or promises much memory.
-func TestDamagedCompressedBodies(t *testing.T) {
+// TestDamagedCompressedBodiesAreRejected checks that truncated bodies and false lengths give an error, without a
+// panic or a large allocation. Other damage is not tested, since the checksums of the connection detect it.
+func TestDamagedCompressedBodiesAreRejected(t *testing.T) {
 	raw, err := new(frameEncoding).Marshal(&Frame{Kind: 1, Body: bytes.Repeat([]byte("entry"), 100), Repetitive: true})
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	} {
 		var frame Frame
 		if err := new(frameEncoding).Unmarshal(damaged, &frame); err == nil {
-			t.Errorf("%s: read %d bytes", name, len(frame.Body))
+			t.Errorf("%s: decoded %d bytes, want an error", name, len(frame.Body))
 		}
 	}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -14,20 +14,20 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// MaxFrameBytes is the size of the largest frame, and of the largest snapshot that is accepted, in
+// MaxFrameBytes is the maximum size of a frame, and of a snapshot that is accepted, in
 // bytes.
 const MaxFrameBytes = 64 << 20
 
-// Error is the class of errors of streams.
+// Error is the class of stream errors.
 var Error = errs.Class("link")
 
-// joinRPC is the only call, which opens a stream. The name is sent, and older than
-// the names in the code.
+// joinRPC is the name of the only RPC, which opens a stream. It is part of the wire protocol, so it
+// does not follow the names in the code.
 const joinRPC = "/tealpond.Link/Join"
 
 const (
-	writeBufferBytes    = 4096     // DRPC collects small packets up to this size
-	packetBytes         = 64 << 10 // DRPC splits larger messages
+	writeBufferBytes    = 4096     // DRPC buffers small packets up to this size
+	packetBytes         = 64 << 10 // DRPC splits larger messages into packets of this size
 	acceptRetryInterval = 10 * time.Millisecond
 )
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// Dial opens a stream to a daemon, which outlives ctx and is to be closed. It calls
-// deliver with the stream's events from one goroutine; the last one has Closed set.
+// Dial opens a stream to a daemon. The stream outlives ctx, and the caller must close it. Dial calls
+// deliver with the stream's events from one goroutine; the last event has Closed set.
 // Errors are of class Error.
 func Dial(ctx context.Context, addr string, deliver func(Event)) (*Stream, error) {
 	netConn, err := networkOf(ctx).Dial(ctx, addr)
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// Serve opens a port and accepts streams there, in goroutines that end with ctx. It
-// calls deliver with the events of all streams, from a goroutine for each stream; the
-// last one of a stream has Closed set. Errors are of class Error.
+// Serve listens on an address and accepts streams there, in goroutines that end with ctx. It
+// calls deliver with the events of all streams, from one goroutine for each stream. The
+// last event of a stream has Closed set. Errors are of class Error.
 func Serve(ctx context.Context, addr string, deliver func(Event)) error {
 	listener, err := networkOf(ctx).Listen(ctx, addr)
 	if err != nil {
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,4 +1,4 @@
-// Package transport carries frames between daemons over DRPC, on one two-way stream
-// for each pair. It never looks into the body of a frame, repeats a frame, or opens a
-// stream again: that is up to the senders.
+// Package transport carries frames between daemons over DRPC, on one bidirectional stream
+// for each pair. It does not interpret the body of a frame, resend a frame, or reopen a
+// stream: that is the responsibility of the senders.
 package transport
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// minCompressedBytes is the least size of a body that is compressed, in bytes; heartbeats and
+	// minCompressedBytes is the minimum size of a body that is compressed, in bytes. Heartbeats and
 	// acknowledgements are smaller.
 	minCompressedBytes = 128
-	// maxFrameElements is the number of elements of one list or map in a frame.
+	// maxFrameElements is the maximum number of elements of a list or map in a frame.
 	maxFrameElements = 1 << 16
-	// maxFrameNesting is how deep lists in a frame may be nested, in levels.
+	// maxFrameNesting is the maximum nesting depth of a frame body, in levels.
 	maxFrameNesting = 12
 )
 
-// Frame is one message between daemons. What the kinds mean, and whether the ID
-// joins a response to its request, is up to the daemons.
+// Frame is one message between daemons. The daemons define the meaning of the kinds, and whether the ID
+// correlates a response with its request.
 type Frame struct {
 	Kind byte
 	ID   uint64
 	Body []byte // see Encode
-	// Repetitive says that the body repeats much of those before it on the stream. Such
-	// bodies are compressed, which costs memory for each stream that has any.
+	// Repetitive marks a body that repeats much of the earlier bodies on the stream. Such
+	// bodies are compressed, which uses memory for each stream that carries them.
 	Repetitive bool
 }
 
-// frameHeaderBytes is the size of kind and ID before the body.
+// frameHeaderBytes is the size of the kind and ID that precede the body, in bytes.
 const frameHeaderBytes = 9
 
-// frameEncoding encodes a frame as its kind, its ID (big-endian) and its body. It is that of
-// one direction of one stream, since a compressed body rests on those before it.
+// frameEncoding encodes a frame as its kind, its ID (big-endian) and its body. Each direction of
+// each stream needs its own, since the compression of a body depends on the earlier bodies.
 type frameEncoding struct {
 	compressor   bodyCompressor
 	decompressor bodyDecompressor
@@ -57,7 +57,7 @@
 
 func (e *frameEncoding) Unmarshal(raw []byte, message drpc.Message) error {
 	if len(raw) < frameHeaderBytes {
-		return Error.New("short frame")
+		return Error.New("truncated frame")
 	}
 	frame := message.(*Frame)
 	frame.Kind = raw[0] &^ compressedFlag
@@ -71,19 +71,19 @@
 	return nil
 }
 
-// Encode encodes the body of a frame as CBOR. It panics if the type has no CBOR
-// form, which is an error in the program.
+// Encode encodes the body of a frame as CBOR. It panics if the type cannot be encoded as
+// CBOR, which is a programming error.
 func Encode(body any) []byte {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
-		panic("link: " + err.Error())
+		panic("transport: " + err.Error())
 	}
 	return raw
 }
 
-// decoder decodes the bodies of frames. A body is checked as a whole before anything
-// is allocated for it, so that a length can't promise more than is there; these
-// limits keep a few bytes from becoming a large number of elements.
+// decoder decodes the bodies of frames. It validates a whole body before it allocates
+// memory for it, so that a declared length cannot exceed the data that is present. The
+// limits prevent a few bytes from decoding to a large number of elements.
 var decoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxFrameElements,
@@ -92,7 +92,7 @@
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic("link: " + err.Error())
+		panic("transport: " + err.Error())
 	}
 	return mode
 }()
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// FuzzFrame: any bytes are a frame or an error, and a frame is encoded as it came.
+// FuzzFrame checks that arbitrary bytes decode to a frame or an error, and that an uncompressed frame encodes
+// to the same bytes.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{1, 2, 3})
@@ -27,7 +28,7 @@
 		frame.Repetitive = isCompressed
 		again, err := new(frameEncoding).Marshal(&frame)
 		if isCompressed {
-			// There are many forms of one body; what is read of any is the same.
+			// A body has many compressed forms, so compare the decoded bodies.
 			var reread Frame
 			if err := new(frameEncoding).Unmarshal(again, &reread); err != nil || !bytes.Equal(reread.Body, frame.Body) {
 				t.Fatalf("%x became %x: %v", frame.Body, reread.Body, err)
@@ -42,7 +43,7 @@
 	})
 }
 
-// TestOversizedBodiesAreRejected: what a hostile body can make of few bytes is bounded.
+// TestOversizedBodiesAreRejected checks that a malicious body cannot make the decoder use excessive memory or stack.
 func TestOversizedBodiesAreRejected(t *testing.T) {
 	deep := bytes.Repeat([]byte{0x81}, 20)
 	wide := append([]byte{0x9a, 0, 1, 0x86, 0xa0}, make([]byte, 100_000)...)
--- a/internal/transport/golden_test.go
+++ b/internal/transport/golden_test.go
@@ -6,7 +6,7 @@
 	"tealpond/internal/golden"
 )
 
-// TestFrameBytes holds the layout of frames against the golden bytes.
+// TestFrameBytes compares the encoding of frames and the name of the RPC with the golden files.
 func TestFrameBytes(t *testing.T) {
 	codec := golden.Codec{
 		Encode: func(value any) ([]byte, error) { return new(frameEncoding).Marshal(value) },
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -8,17 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// The incident, one more cause: clients that left a large answer unread for two seconds had
-// their connections reset. No signal was sent, the daemon ran on, and its log showed nothing.
-// TCP_USER_TIMEOUT, with which daemons notice a lost peer, was set on the ports for clients
-// too: the kernel counts a receiver's full window like bytes that are not acknowledged. What
-// proved it: with the library's Multipath TCP, on whose ports the option can't be set, no
-// answer was lost, and without it, as on kernels that don't have it, every one of them.
-
-// TestListenersTimeOutDaemonsOnly: a client may be slow to read; a daemon that acknowledges
-// nothing is gone, whatever kinds of TCP the kernel has.
+// TestListenersTimeOutDaemonsOnly checks that TCP_USER_TIMEOUT is set on listeners for daemons only, with and
+// without Multipath TCP.
+//
+// It guards against a failure in which clients that left a large response unread for two seconds had
+// their connections reset, while the daemon kept running and logged nothing. TCP_USER_TIMEOUT, with which
+// daemons detect a lost peer, was set on the listeners for clients too, and the kernel treats a receiver's
+// full window like unacknowledged data. With Multipath TCP, Go's default for listeners, the option cannot be set
+// and no response was lost. Without it, as on kernels that lack it, every one was lost.
 func TestListenersTimeOutDaemonsOnly(t *testing.T) {
-	// 0: never; 2: on ports, the library's default.
+	// 0: never; 2: for listeners only, the default of package net.
 	for _, multipath := range []string{"multipathtcp=0", "multipathtcp=2"} {
 		t.Setenv("GODEBUG", multipath)
 		clients, err := Listen(t.Context(), "127.0.0.1:0")
@@ -38,7 +37,7 @@
 	}
 }
 
-// acceptedUserTimeout returns the option of a connection that a listener accepts, in ms.
+// acceptedUserTimeout returns TCP_USER_TIMEOUT of a connection that a listener accepts, in ms.
 func acceptedUserTimeout(t *testing.T, listener net.Listener) int {
 	t.Helper()
 	defer func() { _ = listener.Close() }()
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// DialTimeout is how long opening a connection may take.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout = 500 * time.Millisecond
-	// TCPUserTimeout is the socket option TCP_USER_TIMEOUT of each connection: how long sent bytes may
-	// stay unacknowledged.
+	// TCPUserTimeout is the socket option TCP_USER_TIMEOUT of each connection between daemons: how long sent
+	// data may remain unacknowledged.
 	TCPUserTimeout = 1500 * time.Millisecond
 )
 
-// Network opens connections and ports between daemons. They use TCP; tests put a network
-// of their own, with partitions and delays, into the context.
+// Network opens connections and listeners between daemons. Production uses TCP. Tests put a simulated
+// network, with partitions and delays, into the context.
 type Network interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(ctx context.Context, addr string) (net.Listener, error)
@@ -26,7 +26,7 @@
 
 type networkKey struct{}
 
-// WithNetwork returns a context in which Dial, Serve and Listen use a network.
+// WithNetwork returns a context with which Dial, DialWith, Serve and Listen use the given network.
 func WithNetwork(ctx context.Context, network Network) context.Context {
 	return context.WithValue(ctx, networkKey{}, network)
 }
@@ -38,11 +38,11 @@
 	return tcpNetwork{}
 }
 
-// Listen opens a port for clients, operators and runners on the context's network. Errors
+// Listen opens a listener for clients, operators and runners on the network of the context. Errors
 // are of class Error.
 //
-// They may be slow to read: no option of the socket may end a connection on which they leave
-// an answer unread for a while, as TCP_USER_TIMEOUT does. Who answers bounds the time.
+// These peers may read slowly. No socket option may close a connection on which they leave
+// a response unread for a while, as TCP_USER_TIMEOUT would. The responding server limits the time instead.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	var listener net.Listener
 	var err error
@@ -54,7 +54,7 @@
 	return listener, Error.Wrap(err)
 }
 
-// DialWith opens a connection with a caller's own dialer, or on the network that a test
+// DialWith opens a connection with the given dialer, or on the network that a test
 // has put into the context.
 func DialWith(ctx context.Context, dialer *net.Dialer, addr string) (net.Conn, error) {
 	if network, ok := ctx.Value(networkKey{}).(Network); ok {
@@ -63,25 +63,25 @@
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// tcpNetwork is the network of real machines.
+// tcpNetwork is the Network that uses TCP.
 type tcpNetwork struct{}
 
-// Dial opens a TCP connection that notices a lost peer.
+// Dial opens a TCP connection that detects a lost peer by TCPUserTimeout.
 func (tcpNetwork) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: DialTimeout, Control: UserTimeoutControl(TCPUserTimeout), KeepAlive: -1}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// Listen opens a TCP port whose connections notice a lost peer.
+// Listen opens a TCP listener whose connections detect a lost peer by TCPUserTimeout.
 func (tcpNetwork) Listen(ctx context.Context, addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: UserTimeoutControl(TCPUserTimeout), KeepAlive: -1}
-	config.SetMultipathTCP(false) // its ports refuse the option
+	config.SetMultipathTCP(false) // Multipath TCP listeners do not support the option
 	return config.Listen(ctx, "tcp", addr)
 }
 
 // UserTimeoutControl returns a Control function for net.Dialer and net.ListenConfig
-// that ends a connection whose data is not acknowledged within a limit (rounded down
-// to ms), by the option TCP_USER_TIMEOUT. A socket that refuses the option is used
+// that sets TCP_USER_TIMEOUT, so that a connection is closed if its data is not acknowledged within the
+// limit (rounded down to ms). A socket that does not support the option is used
 // without it.
 func UserTimeoutControl(limit time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -7,14 +7,14 @@
 	"storj.io/drpc"
 )
 
-// streamQueueLength is the number of frames that may wait to be written to a peer.
+// streamQueueLength is the maximum number of frames queued for writing to a peer.
 const streamQueueLength = 512
 
-// Stream is one end of a two-way stream between two daemons. Its methods are safe for
+// Stream is one end of a bidirectional stream between two daemons. Its methods are safe for
 // concurrent use.
 type Stream struct {
-	Addr string // that was dialled, empty for a stream that the peer opened
-	// UserData belongs to the receiver of the stream's events, which alone sets and
+	Addr string // the dialed address; empty for a stream that the peer opened
+	// UserData belongs to the receiver of the stream's events. Only the receiver sets and
 	// reads it.
 	UserData  any
 	outbox    chan *Frame
@@ -23,7 +23,7 @@
 	cancel    context.CancelFunc
 }
 
-// Event is a frame that came in or, with Closed, the end of the stream.
+// Event is a received frame or, if Closed is set, the end of the stream.
 type Event struct {
 	Stream *Stream
 	Frame  Frame
@@ -39,9 +39,9 @@
 	}
 }
 
-// Send queues a frame. It returns false if the stream has ended, or if its queue is
-// full: it then closes the stream, since later frames rely on the one that was
-// dropped, and a peer that does not read must open a new stream.
+// Send queues a frame. It returns false if the stream is closed or its queue is
+// full. A full queue closes the stream, since later frames depend on the one that was
+// dropped; a peer that does not read must use a new stream.
 func (s *Stream) Send(frame Frame) bool {
 	if s.Closed() {
 		return false
@@ -55,12 +55,12 @@
 	}
 }
 
-// Close ends the stream. Frames in its queue are dropped.
+// Close closes the stream. Frames in its queue are dropped.
 func (s *Stream) Close() {
 	s.closeOnce.Do(func() { close(s.done); s.cancel() })
 }
 
-// Closed reports whether the stream has ended.
+// Closed reports whether the stream is closed.
 func (s *Stream) Closed() bool {
 	select {
 	case <-s.done:
@@ -70,11 +70,11 @@
 	}
 }
 
-// Done returns a channel that is closed once the stream has ended.
+// Done returns a channel that is closed when the stream is closed.
 func (s *Stream) Done() <-chan struct{} { return s.done }
 
-// pump moves frames both ways until the stream ends. It calls deliver with each frame
-// that comes in, then with the end.
+// pump sends and receives frames until the stream ends. It calls deliver with each received
+// frame, and finally with an event that has Closed set.
 func (s *Stream) pump(raw drpc.Stream, deliver func(Event)) {
 	go s.sendQueued(raw)
 	encoding := &frameEncoding{}
@@ -89,7 +89,7 @@
 	deliver(Event{Stream: s, Closed: true})
 }
 
-// sendQueued sends what Send queues until the stream ends.
+// sendQueued sends the queued frames until the stream ends.
 func (s *Stream) sendQueued(raw drpc.Stream) {
 	encoding := &frameEncoding{}
 	for {
--- a/internal/transport/stream_test.go
+++ b/internal/transport/stream_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// pipeNetwork connects streams in memory. It has one port.
+// pipeNetwork is an in-memory Network with a single address.
 type pipeNetwork chan net.Conn
 
 func (n pipeNetwork) Dial(context.Context, string) (net.Conn, error) {
@@ -37,7 +37,7 @@
 
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connect opens a stream, and returns both its ends and the events of each.
+// connect opens a stream and returns both ends and the events of each.
 func connect(t *testing.T) (client, server *Stream, atClient, atServer chan Event) {
 	t.Helper()
 	ctx := WithNetwork(t.Context(), make(pipeNetwork, 1))
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if !client.Send(Frame{Kind: 1, ID: 2, Body: Encode("hello")}) {
-		t.Fatal("the first frame was refused")
+		t.Fatal("the first frame was rejected")
 	}
 	first := <-atServer
 	var body string
@@ -60,7 +60,7 @@
 	return client, first.Stream, atClient, atServer
 }
 
-func TestFramesPassBothWays(t *testing.T) {
+func TestFramesPassInBothDirections(t *testing.T) {
 	client, server, atClient, _ := connect(t)
 	if client.Addr != "server" || server.Addr != "" {
 		t.Errorf("addresses %q and %q", client.Addr, server.Addr)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestBothEndsLearnOfTheEnd(t *testing.T) {
+func TestCloseIsReportedAtBothEnds(t *testing.T) {
 	client, server, atClient, atServer := connect(t)
 	client.Close()
 	client.Close()
@@ -86,17 +86,17 @@
 	}
 }
 
-// TestFullQueueClosesTheStream: a peer that reads nothing gets no frame after one that
-// was dropped.
-func TestFullQueueClosesTheStream(t *testing.T) {
-	cancelled := 0
-	stream := newStream("", func() { cancelled++ })
+// TestFullQueueClosesStream checks that a stream whose peer does not read is closed when a frame is dropped, so
+// that no later frame is sent.
+func TestFullQueueClosesStream(t *testing.T) {
+	cancelCount := 0
+	stream := newStream("", func() { cancelCount++ })
 	for i := range streamQueueLength {
 		if !stream.Send(Frame{ID: uint64(i)}) {
-			t.Fatalf("frame %d was refused", i)
+			t.Fatalf("frame %d was rejected", i)
 		}
 	}
-	if stream.Send(Frame{}) || !stream.Closed() || cancelled != 1 {
-		t.Errorf("closed %v, cancelled %d times", stream.Closed(), cancelled)
+	if stream.Send(Frame{}) || !stream.Closed() || cancelCount != 1 {
+		t.Errorf("closed %v, canceled %d times", stream.Closed(), cancelCount)
 	}
 }
