--- a/internal/bootstrap/constants_test.go
+++ b/internal/bootstrap/constants_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-// TestAnnouncementsFitIntoACandidatesTime: three of them.
-func TestAnnouncementsFitIntoACandidatesTime(t *testing.T) {
+// TestCandidateTTLCoversSeveralAnnouncements checks that a candidate does not expire until more than three
+// announcement intervals have passed.
+func TestCandidateTTLCoversSeveralAnnouncements(t *testing.T) {
 	if candidateTTL <= 3*AnnounceInterval {
-		t.Errorf("a candidate counts for %v after an announcement, the next is due after %v", candidateTTL, AnnounceInterval)
+		t.Errorf("candidates expire after %v, want more than three intervals of %v", candidateTTL, AnnounceInterval)
 	}
 }
--- a/internal/bootstrap/coordinator_test.go
+++ b/internal/bootstrap/coordinator_test.go
@@ -9,10 +9,9 @@
 	"tealpond/internal/rpc"
 )
 
-// TestExactlyOneClusterIsBootstrapped: whatever the number of candidates, the order
-// in which they and the seeds start, announcements without a response, a seed that
-// forgets, and candidates that are restarted, one cluster is formed, and all belong
-// to it or know of it.
+// TestExactlyOneClusterIsBootstrapped checks that exactly one cluster with an odd number of voters is formed, and
+// that all candidates belong to it or know of it. The model varies the number of candidates and the order
+// in which they and the seeds start, loses responses, restarts candidates, and lets a seed lose its state.
 func TestExactlyOneClusterIsBootstrapped(t *testing.T) {
 	for seed := range int64(1500) {
 		model := newBootstrapModel(seed)
@@ -27,15 +26,15 @@
 		}
 		for _, candidate := range model.candidates {
 			if !candidate.member && !candidate.leftOut && !candidate.newcomer {
-				t.Errorf("seed %d, %d candidates: %s belongs to none; bound to %v", seed, len(model.candidates), candidate.voter.Node, candidate.bound)
+				t.Errorf("seed %d, %d candidates: %s is in no cluster; bound to %v", seed, len(model.candidates), candidate.voter.Node, candidate.bound)
 			}
 		}
 	}
 }
 
-// TestCoordinatorCountsEachIdentifiedMachineOnce: a candidate whose disk isn't open
-// yet has no identity to be bound to, and one that came back with another disk
-// before the cluster was formed takes its own place.
+// TestCoordinatorCountsEachIdentifiedMachineOnce checks that a candidate without an identity, because its disk
+// is not open yet, is not counted, and that one that restarts with another disk
+// before the cluster is formed replaces its earlier announcement.
 func TestCoordinatorCountsEachIdentifiedMachineOnce(t *testing.T) {
 	coordinator := Coordinator{MinVoters: 3}
 	now := time.Unix(1000, 0)
@@ -51,32 +50,32 @@
 	}
 	coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{Node: "a", ID: "a1"}}, now)
 	if proposal := announce([2]string{"a", "a2"}, [2]string{"b", "b1"}, [2]string{"c", ""}); len(proposal.Voters) != 0 {
-		t.Fatalf("two machines were proposed as %v", proposal.Voters)
+		t.Fatalf("two identified machines, proposed %v", proposal.Voters)
 	}
 	if proposal := announce([2]string{"a", "a2"}, [2]string{"b", "b1"}, [2]string{"c", "c1"}); len(proposal.Voters) != 3 || proposal.Voters[0].ID != "a2" {
 		t.Errorf("proposed %v", proposal.Voters)
 	}
 }
 
-// TestRestartedCandidatesBootstrapNothing: however many candidates with empty disks
-// announce themselves, without one that runs for the first time the system isn't
-// starting for the first time.
-func TestRestartedCandidatesBootstrapNothing(t *testing.T) {
+// TestRestartedCandidatesFormNoCluster checks that candidates with empty disks, however many there are, form no
+// cluster if none of them runs for the first time: the system as a whole is not
+// starting for the first time then.
+func TestRestartedCandidatesFormNoCluster(t *testing.T) {
 	now := time.Unix(1000, 0)
 	coordinator := Coordinator{MinVoters: 3}
 	for range 100 {
 		now = now.Add(AnnounceInterval)
 		for i := range 6 {
 			if proposal := coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: fmt.Sprint("d", i)}, NotFirstStart: true}, now); len(proposal.Voters) != 0 {
-				t.Fatalf("a cluster of %d", len(proposal.Voters))
+				t.Fatalf("proposed a cluster of %d voters, want none", len(proposal.Voters))
 			}
 		}
 	}
 }
 
-// TestProposalLeavesOutSilentCandidates: the first cluster must not wait for a machine that
-// announced itself and was lost.
-func TestProposalLeavesOutSilentCandidates(t *testing.T) {
+// TestProposalExcludesExpiredCandidates checks that the first cluster does not wait for a machine that
+// announced itself and then failed.
+func TestProposalExcludesExpiredCandidates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	coordinator := Coordinator{MinVoters: 3}
 	coordinator.HandleAnnouncement(rpc.BootstrapAnnouncement{Voter: raft.Member{ID: "gone"}}, now)
@@ -88,7 +87,7 @@
 		}
 	}
 	if len(proposal.Voters) != 0 {
-		t.Fatalf("a cluster of %d, two of them there", len(proposal.Voters))
+		t.Fatalf("proposed a cluster of %d voters with two live candidates", len(proposal.Voters))
 	}
 	for range 20 {
 		now = now.Add(AnnounceInterval)
@@ -101,8 +100,8 @@
 	}
 }
 
-// TestOddNumberOfVotersIsProposed: of an even number of candidates one is left out, the
-// same one whoever asks; it is proposed nothing that it could bind itself to.
+// TestOddNumberOfVotersIsProposed checks that one of an even number of candidates is left out, the
+// same one for every caller, so the proposal that it receives does not include it.
 func TestOddNumberOfVotersIsProposed(t *testing.T) {
 	for candidates, want := range map[int]int{3: 3, 4: 3, 5: 5, 6: 5, 7: 7, 8: 7} {
 		coordinator := Coordinator{MinVoters: 3}
--- a/internal/bootstrap/model_test.go
+++ b/internal/bootstrap/model_test.go
@@ -11,49 +11,49 @@
 	"tealpond/internal/transport"
 )
 
-// seedNode is a seed of the model: a coordinator that listens from a time on, and
-// may lose its memory.
+// seedNode is a seed of the model: a coordinator that starts at a given time and
+// may lose its state.
 type seedNode struct {
 	coordinator Coordinator
 	startsAt    time.Time
 	wipedAt     time.Time
 }
 
-// candidateNode is a candidate of the model, and a member once it may start.
+// candidateNode is a candidate of the model. It becomes a member once it may start.
 type candidateNode struct {
 	voter    raft.Member
 	nextAt   time.Time
-	turns    int
+	rounds   int
 	selector SeedSelector
 	bound    []raft.Member
-	member   bool // started with bound
+	member   bool // started as a voter of bound
 	leftOut  bool // a cluster was formed without it
 	killedAt time.Time
-	newcomer bool // its disk is none of the first start
+	newcomer bool // its disk was added after the first start
 }
 
-// bootstrapModel is a first start of some candidates and three seeds.
+// bootstrapModel simulates the first start of several candidates and three seeds.
 type bootstrapModel struct {
 	random     *rand.Rand
 	now        time.Time
 	seeds      map[string]*seedNode
 	addresses  []string
 	candidates []*candidateNode
-	lossRate   float64 // part of the announcements without a response
+	lossRate   float64 // fraction of the announcements that get no response
 }
 
-// newBootstrapModel draws the numbers, times and faults of a first start by a seed.
+// newBootstrapModel generates the numbers, times and faults of a first start from a random seed.
 func newBootstrapModel(seed int64) *bootstrapModel {
 	m := &bootstrapModel{random: rand.New(rand.NewSource(seed)), now: time.Unix(1000, 0), seeds: map[string]*seedNode{}}
 	candidateCount := 3 + m.random.Intn(6)
-	// At least 3: 2 x lostMachines + 1, and no more than there are.
+	// At least 3, of the form 2 x lostMachines + 1, and at most candidateCount.
 	minVoters := 3 + 2*m.random.Intn((candidateCount-1)/2)
 	m.lossRate = m.random.Float64() * 0.2
-	// allKilled has all candidates killed before any of them can be bound, and the seeds
-	// with them or not.
+	// allKilled kills all candidates before any of them can be bound; seedsKilled kills the seeds
+	// with them.
 	allKilled, seedsKilled := m.random.Intn(5) == 0, m.random.Intn(2) == 0
-	// halfLate has half of the candidates start after the others have formed the cluster,
-	// when all seeds have just forgotten it.
+	// halfLate starts half of the candidates after the others have formed the cluster,
+	// just when all seeds lose their state.
 	halfLate := !allKilled && m.random.Intn(5) == 0
 	if halfLate {
 		candidateCount, minVoters = 6+m.random.Intn(3), 3
@@ -100,7 +100,7 @@
 	return m
 }
 
-// announce announces to one seed; false without a response.
+// announce sends an announcement to one seed. It returns false if there is no response.
 func (m *bootstrapModel) announce(addr string, announcement rpc.BootstrapAnnouncement) (rpc.BootstrapProposal, bool) {
 	seed := m.seeds[addr]
 	if !seed.wipedAt.IsZero() && !m.now.Before(seed.wipedAt) {
@@ -115,25 +115,25 @@
 	return proposal, m.random.Float64() >= m.lossRate/2
 }
 
-// step is one announcement of a candidate, as the server's announcer makes it.
+// step performs one announcement round of a candidate, like the announcer of package server.
 func (m *bootstrapModel) step(candidate *candidateNode) {
 	if !candidate.killedAt.IsZero() && !m.now.Before(candidate.killedAt) {
-		// What is on its disk stays: its identity, what it is bound to, and that it is a
+		// Its disk keeps its identity, the set that it is bound to, and whether it is a
 		// disk of the first start.
 		candidate.nextAt = m.now.Add(time.Duration(300+m.random.Intn(1500)) * time.Millisecond)
 		candidate.killedAt = time.Time{}
-		candidate.turns, candidate.selector = 0, SeedSelector{}
+		candidate.rounds, candidate.selector = 0, SeedSelector{}
 		return
 	}
 	candidate.nextAt = m.now.Add(AnnounceInterval)
-	candidate.turns++
+	candidate.rounds++
 	announcement := rpc.BootstrapAnnouncement{
 		Voter:         candidate.voter,
 		BoundVoters:   candidate.bound,
 		NotFirstStart: candidate.newcomer,
 	}
 	if candidate.member {
-		if candidate.turns < AnnounceRounds && candidate.turns%4 == 1 || candidate.turns%40 == 0 {
+		if candidate.rounds < AnnounceRounds && candidate.rounds%4 == 1 || candidate.rounds%40 == 0 {
 			for _, addr := range m.addresses {
 				m.announce(addr, announcement)
 			}
@@ -161,8 +161,7 @@
 	}
 }
 
-// run runs the model for a duration and gives the sets of voters that have started,
-// with their sizes.
+// run runs the model for a duration and returns the sizes of the sets of voters that have started.
 func (m *bootstrapModel) run(duration time.Duration) map[string]int {
 	for end := m.now.Add(duration); m.now.Before(end); {
 		sort.SliceStable(m.candidates, func(a, b int) bool { return m.candidates[a].nextAt.Before(m.candidates[b].nextAt) })
--- a/internal/bootstrap/seed_selector.go
+++ b/internal/bootstrap/seed_selector.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// seedTimeout is the silence of the seed that collects the candidates after which a candidate
-// turns to the next seed.
+// seedTimeout is how long a candidate waits for a response of the selected seed before it
+// selects the next one.
 const seedTimeout = 5 * time.Second
 
-// SeedSelector chooses the seed to which a candidate for the first cluster
-// announces itself. All candidates choose the same one, the lowest of the seeds:
-// two seeds that gather at the same time could each propose a set, and form a
-// cluster of its own or block each other. Another seed is chosen only after the
-// present one was silent for seedTimeout. The zero value is ready
-// for use; it isn't safe for concurrent use.
+// SeedSelector selects the seed to which a candidate for the first cluster
+// announces itself. All candidates select the same one, the first in lexical order:
+// two seeds that collect candidates at the same time could each propose a set, and either form
+// separate clusters or block each other. Another seed is selected only after the
+// current one has not responded for seedTimeout. The zero value is ready
+// for use. It is not safe for concurrent use.
 type SeedSelector struct {
-	respondedAt time.Time // the last response, or when the present seed was chosen
-	rotations   int       // how often another seed was chosen
+	respondedAt time.Time // the last response, or when the current seed was selected
+	rotations   int       // how often the next seed was selected
 }
 
-// Select returns the seed to announce to now, empty if there is none. The order of
+// Select returns the seed to announce to now, or an empty string if there are no seeds. The order of
 // the seeds does not matter.
 func (s *SeedSelector) Select(seeds []string, now time.Time) string {
 	if len(seeds) == 0 {
@@ -37,5 +37,5 @@
 	return sorted[s.rotations%len(sorted)]
 }
 
-// OnResponse notes that the present seed responded.
+// OnResponse records a response of the current seed.
 func (s *SeedSelector) OnResponse(now time.Time) { s.respondedAt = now }
