--- a/internal/rpc/call.go
+++ b/internal/rpc/call.go
@@ -8,12 +8,12 @@
 	"tealpond/internal/transport"
 )
 
-// callID is the frame ID of the one request of a Call.
+// callID is the frame ID of the single request of a Call.
 const callID = 1
 
-// Call sends one request to one daemon, on a connection of its own, and waits for
+// Call sends one request to one daemon on a new connection, and waits for
 // the response for at most the timeout. The error is of class transport.Error, or
-// that of the context: whether the request had an effect is then unknown.
+// that of the context. After an error it is unknown whether the request took effect.
 func Call(ctx context.Context, addr, kind string, body []byte, timeout time.Duration) (Response, error) {
 	responses := make(chan Response, 1)
 	stream, err := transport.Dial(ctx, addr, func(event transport.Event) {
@@ -37,16 +37,16 @@
 	case response := <-responses:
 		return response, nil
 	case <-stream.Done():
-		return Response{}, transport.Error.New("%s ended the stream", addr)
+		return Response{}, transport.Error.New("%s closed the stream before it responded", addr)
 	case <-timer.C:
-		return Response{}, transport.Error.New("%s did not answer", addr)
+		return Response{}, transport.Error.New("%s did not respond in time", addr)
 	case <-ctx.Done():
 		return Response{}, ctx.Err()
 	}
 }
 
-// HandleTrace answers KindTrace from a daemon's own ring of events; id is the name
-// of the change.
+// HandleTrace handles a KindTrace request with the event ring buffer of the daemon. The id is the name
+// of the traced change.
 func HandleTrace(ring *tracing.Ring, node, role string, id []byte) Response {
 	result := TraceResult{Node: node, Role: role}
 	result.Events, result.Since = ring.History(string(id))
--- a/internal/rpc/call_test.go
+++ b/internal/rpc/call_test.go
@@ -11,9 +11,9 @@
 	"tealpond/internal/transport"
 )
 
-// TestCallEndsWithOneResponseOrAnError: a daemon that is silent, ends the stream or
-// answers another request gives an error in time, and never a response of its own.
-func TestCallEndsWithOneResponseOrAnError(t *testing.T) {
+// TestCallReturnsResponseOrError checks that Call returns the first response to its request, and an error within
+// the timeout if the daemon does not respond, closes the stream or responds to another request.
+func TestCallReturnsResponseOrError(t *testing.T) {
 	const timeout = time.Second
 	respond := func(event transport.Event, id uint64, value int64) {
 		event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: id, Body: transport.Encode(rpc.Response{Code: rpc.CodeOK, Value: value})})
@@ -26,8 +26,8 @@
 		{"one response", func(event transport.Event) { respond(event, event.Frame.ID, 7) }, true},
 		{"two responses", func(event transport.Event) { respond(event, event.Frame.ID, 7); respond(event, event.Frame.ID, 8) }, true},
 		{"a response to another request", func(event transport.Event) { respond(event, event.Frame.ID+1, 7) }, false},
-		{"the stream is ended", func(event transport.Event) { event.Stream.Close() }, false},
-		{"silence", func(transport.Event) {}, false},
+		{"stream is closed", func(event transport.Event) { event.Stream.Close() }, false},
+		{"no response", func(transport.Event) {}, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			network := simulation.NewNetwork()
@@ -46,7 +46,7 @@
 				t.Errorf("%s: %+v, %v", test.name, response, err)
 			}
 			if took := time.Since(start); took > timeout+100*time.Millisecond {
-				t.Errorf("%s: it took %v", test.name, took)
+				t.Errorf("%s: Call took %v", test.name, took)
 			}
 			cancel()
 			network.TakeDown("10.0.0.1")
--- a/internal/rpc/codes.go
+++ b/internal/rpc/codes.go
@@ -1,59 +1,59 @@
 package rpc
 
-// Code tells how a request ended. Those below MinHTTPCode are tealpond's own and
-// never reach a client; those from it on have the meaning of the HTTP status of the
+// Code is the outcome of a request. Codes below MinHTTPCode are specific to tealpond and
+// never reach a client. Codes from MinHTTPCode on have the meaning of the HTTP status with the
 // same number, and package api passes most of them to clients. The numbers are part
-// of the messages between daemons.
+// of the wire protocol between daemons.
 type Code int
 
-// MinHTTPCode is the lowest code that is an HTTP status, given by the leader. The
-// codes below it are used between daemons only: no leader has carried the request
-// out, as far as is known.
+// MinHTTPCode is the lowest code that is an HTTP status, returned by the leader. The
+// codes below it are used between daemons only, and mean that no leader is known to have
+// executed the request.
 const MinHTTPCode Code = 100
 
-// The codes that responses hold.
+// Codes of responses.
 const (
-	// CodeNotLeader: the replica does not lead, and the request had no effect;
-	// Response.Leader is the address of the leader, if it is known.
+	// CodeNotLeader: the replica is not the leader, and the request had no effect.
+	// Response.Leader is the address of the leader, if known.
 	CodeNotLeader Code = 1
-	// CodeLeadershipLost: the leader lost its term while the command was under
-	// way; whether it was committed is unknown.
+	// CodeLeadershipLost: the leader lost its leadership while the command was in
+	// progress; whether the command was committed is unknown.
 	CodeLeadershipLost Code = 2
-	// CodeNoLeader is given by package discovery itself: no leader was found in
-	// time, and the request was never taken by any.
+	// CodeNoLeader is set by package discovery itself: no leader was found in
+	// time, and no leader accepted the request.
 	CodeNoLeader Code = 3
-	// CodeTimeout is given by package discovery itself: the time ran out after the
-	// request had been sent; whether it had an effect is unknown.
+	// CodeTimeout is set by package discovery itself: the timeout expired after the
+	// request had been sent; whether it took effect is unknown.
 	CodeTimeout Code = 4
 
-	// CodeOK: the request was answered, and its effect is committed.
+	// CodeOK: the request succeeded, and its effect is committed.
 	CodeOK Code = 200
-	// CodeAccepted: the request is committed, and its effect follows.
+	// CodeAccepted: the request is committed, and will take effect later.
 	CodeAccepted Code = 202
-	// CodeBadRequest: the request can't be read or breaks a rule of its kind.
+	// CodeBadRequest: the request cannot be decoded or is invalid for its kind.
 	CodeBadRequest Code = 400
-	// CodeUnauthorized: the call bears no key of a tenant.
+	// CodeUnauthorized: the call has no valid tenant key.
 	CodeUnauthorized Code = 401
-	// CodeForbidden: the caller may not do this, or did not prove who it is.
+	// CodeForbidden: the caller is not permitted to do this, or did not authenticate itself.
 	CodeForbidden Code = 403
-	// CodeNotFound: what the request names is not known.
+	// CodeNotFound: the object of the request does not exist.
 	CodeNotFound Code = 404
-	// CodeConflict: a fence or a state that was overtaken by another.
+	// CodeConflict: a newer fence or state supersedes that of the request.
 	CodeConflict Code = 409
-	// CodeGone: what the request names has ended.
+	// CodeGone: the object of the request has ended.
 	CodeGone Code = 410
 	// CodePreconditionFailed: the version or fence that the request is based on is
-	// not the present one, which Response.Value holds.
+	// not the current one, which is in Response.Value.
 	CodePreconditionFailed Code = 412
-	// CodeUnknownSet: the leader does not know the set of members that a
-	// LeaseBatch numbers; it must be sent with its members.
+	// CodeUnknownSet: the leader does not know the set of members with the number given
+	// by a LeaseBatch. The batch must be sent again with its members.
 	CodeUnknownSet Code = 428
-	// CodeTooManyRequests: the request is refused for want of room; it may be
-	// repeated after Response.RetryAfterMs.
+	// CodeTooManyRequests: the request is rejected for lack of capacity. It may be
+	// retried after Response.RetryAfterMs.
 	CodeTooManyRequests Code = 429
-	// CodeUnavailable: the replica can't serve the request now.
+	// CodeUnavailable: the replica cannot serve the request at the moment.
 	CodeUnavailable Code = 503
-	// CodeOutcomeForgotten: the request was decided so long ago that the decision
-	// is not kept any more.
+	// CodeOutcomeForgotten: the request was decided so long ago that its outcome
+	// is no longer stored.
 	CodeOutcomeForgotten Code = 504
 )
--- a/internal/rpc/fuzz_test.go
+++ b/internal/rpc/fuzz_test.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/transport"
 )
 
-// testRoundTrip checks that a body that decodes as a T encodes and decodes to the
-// same bytes again.
+// testRoundTrip checks that a body that decodes as a T can be encoded and decoded again, and that
+// both encodings are equal.
 func testRoundTrip[T any](t *testing.T, raw []byte) {
 	t.Helper()
 	var value T
@@ -20,14 +20,14 @@
 	first := transport.Encode(value)
 	var again T
 	if err := transport.Decode(first, &again); err != nil {
-		t.Fatalf("%T does not read what it wrote: %v", value, err)
+		t.Fatalf("%T: decode of its own encoding: %v", value, err)
 	}
 	if second := transport.Encode(again); !bytes.Equal(first, second) {
-		t.Fatalf("%T changed on its way: %x, %x", value, first, second)
+		t.Fatalf("%T: encoding changed from %x to %x", value, first, second)
 	}
 }
 
-// FuzzMessages covers the bodies that daemons send one another.
+// FuzzMessages checks the round trip of the message bodies between daemons.
 func FuzzMessages(f *testing.F) {
 	f.Add(transport.Encode(Request{Kind: KindGetConfig, Body: []byte{1}}))
 	f.Add(transport.Encode(Response{Code: 200, Text: "x", Body: []byte{2}, AppliedIndex: 7}))
--- a/internal/rpc/golden_test.go
+++ b/internal/rpc/golden_test.go
@@ -14,21 +14,24 @@
 	"tealpond/internal/transport"
 )
 
-// packed encodes the bodies of frames.
-var packed = golden.Codec{Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil }, Decode: transport.Decode}
+// bodyCodec encodes the bodies of frames.
+var bodyCodec = golden.Codec{
+	Encode: func(value any) ([]byte, error) { return transport.Encode(value), nil },
+	Decode: transport.Decode,
+}
 
-// filledJob returns a client's job whose fields differ.
-func filledJob() protocol.Job {
+// jobWithDistinctFields returns a client's job whose fields all have different values.
+func jobWithDistinctFields() protocol.Job {
 	return protocol.Job{Spec: "spec", PeriodicInstances: 41, FirstRunMs: 42, IntervalMs: 43, Steps: []protocol.Step{{
 		TaskCount: 51, CPUUnits: 52, MemoryMB: 53, GPUs: 54, EstimateMs: 55, DependsOn: []int{56, 57}, Checkpoints: true,
 		RequiredLabels: protocol.Labels{"label-a", "label-b"}, PreferredRack: "rack", MaxPerWorker: 58, LongRunning: true}}}
 }
 
-// TestMessageBytes holds the messages between daemons against the golden bytes.
+// TestMessageBytes compares the encoding of the messages between daemons with the golden file.
 func TestMessageBytes(t *testing.T) {
 	voter := raft.Member{Node: "node", ID: "disk", Addr: "address"}
 	other := raft.Member{Node: "other-node", ID: "other-disk", Addr: "other-address"}
-	golden.Check(t, "messages.txt", packed, []golden.Case{
+	golden.Check(t, "messages.txt", bodyCodec, []golden.Case{
 		{Name: "request", Value: &Request{Kind: "kind", Body: []byte("body")}},
 		{Name: "response", Value: &Response{Code: 200, Text: "text", Value: 2, Leader: "leader", RetryAfterMs: 3, Body: []byte("body"), ConfigVersion: 4, AppliedIndex: 5, Aggregator: "home", StandbyAggregator: "next"}},
 		{Name: "leader-view-leading", Value: &LeaderInfo{IsLeader: true, Term: 7, Leader: "leader", KnownServers: []string{"a", "b"}}},
@@ -40,7 +43,7 @@
 		{Name: "trace", Value: &TraceResult{Node: "node", Role: "role", Since: 11, Events: []tracing.Event{{TimeNs: 12, Subject: "id", Action: "what", Value: 13, Detail: "text"}}}},
 		{Name: "table", Value: &Table{Name: "name", Columns: []string{"column-a", "column-b"}, Rows: [][]any{{"cell", uint64(21)}}, Truncated: true}},
 		{Name: "tables", Value: &ClusterState{Node: "node", IsLeader: true, AppliedIndex: 22, Clock: 23, Tables: []Table{{Name: "name", Columns: []string{"column"}, Rows: [][]any{{"cell"}}}}}},
-		{Name: "client-call", Value: &JobRequest{Host: "host", Path: "path", Job: filledJob(), Key: "key", BeyondShare: true}},
+		{Name: "client-call", Value: &JobRequest{Host: "host", Path: "path", Job: jobWithDistinctFields(), Key: "key", BeyondShare: true}},
 		{Name: "runner-announcement", Value: &RunnerAnnouncement{Sequence: 87, SignsOff: true, Runner: registry.Runner{ID: "runner", Service: "service", Address: "address", Zone: "zone", Slots: 88, Draining: true, ColdMs: 89,
 			Health: registry.Health{LatencyMs: 90, FailedPct: 101}}}},
 		{Name: "runner-watch", Value: &RunnerWatch{Node: "node", Zone: "zone", Epoch: "epoch", Version: 82, ConfigVersion: 83, Observations: []registry.Observation{{ID: "runner", Answers: 84, LatencyMs: 85, Failures: 86}}, Digest: 105, Scope: "scope"}},
@@ -72,8 +75,8 @@
 	})
 }
 
-// TestKindsAndCodes holds the kinds of frames and of requests and the codes of
-// answers against the golden list.
+// TestKindsAndCodes compares the kinds of frames and requests and the codes of
+// responses with the golden file.
 func TestKindsAndCodes(t *testing.T) {
 	var text strings.Builder
 	for _, entry := range []struct {
