--- a/internal/protocol/golden_test.go
+++ b/internal/protocol/golden_test.go
@@ -9,8 +9,8 @@
 	"tealpond/internal/golden"
 )
 
-// TestBodyBytes holds the JSON bodies that callers and runners see, and the rows
-// that the log holds, against the golden bytes.
+// TestBodyBytes compares the JSON bodies used by callers and runners, and the CBOR rows
+// stored in the log, with the golden files.
 func TestBodyBytes(t *testing.T) {
 	step := Step{TaskCount: 11, CPUUnits: 12, MemoryMB: 13, GPUs: 14, EstimateMs: 15, DependsOn: []int{16}, RequiredLabels: Labels{"label-a", "label-b"},
 		PreferredRack: "rack", MaxPerWorker: 17}
--- a/internal/protocol/headers.go
+++ b/internal/protocol/headers.go
@@ -2,24 +2,24 @@
 
 // Headers of requests and responses.
 const (
-	// HeaderBasedOn names the version that a configuration is to follow.
+	// HeaderBasedOn is the version that a configuration change is based on.
 	HeaderBasedOn = "X-Tealpond-Based-On"
-	// HeaderTargetRunner names the incarnation of a runner that a call is for;
-	// any other answers 421.
+	// HeaderTargetRunner is the incarnation of a runner that a call is addressed to;
+	// any other responds with 421.
 	HeaderTargetRunner = "X-Tealpond-Target-Runner"
-	// HeaderTimeLeft is how long a client waits for its answer, in ms.
+	// HeaderTimeLeft is the time that a client still waits for the response, in ms.
 	HeaderTimeLeft = "X-Tealpond-Time-Left"
-	// HeaderNotRun says, in an answer of a runner, that it did not run the request.
+	// HeaderNotRun reports, in a response of a runner, that the runner did not execute the request.
 	HeaderNotRun = "X-Tealpond-Not-Run"
-	// HeaderAttemptID names one attempt of a client; runners repeat it.
+	// HeaderAttemptID identifies one attempt of a client; runners echo it.
 	HeaderAttemptID = "X-Tealpond-Attempt-Id"
-	// HeaderTenant names, to a runner, the tenant whose key a request bears.
+	// HeaderTenant tells a runner which tenant's key a request carries.
 	HeaderTenant = "X-Tealpond-Tenant"
-	// HeaderAuthorization bears a tenant's key, after AuthorizationScheme.
+	// HeaderAuthorization carries a tenant's key after AuthorizationScheme.
 	HeaderAuthorization = "Authorization"
-	// AuthorizationScheme is the scheme of the Authorization header with which a
-	// call bears a tenant's key.
+	// AuthorizationScheme is the scheme of the Authorization header that carries
+	// a tenant's key.
 	AuthorizationScheme = "Bearer"
-	// HeaderRetryAfter is when to come again, in whole seconds.
+	// HeaderRetryAfter is the time after which a request may be retried, in whole seconds.
 	HeaderRetryAfter = "Retry-After"
 )
--- a/internal/protocol/job.go
+++ b/internal/protocol/job.go
@@ -5,9 +5,9 @@
 	_                 struct{} `cbor:",toarray"`
 	Spec              string   `json:"jobSpec"` // passed to the runner unchanged
 	Steps             []Step   `json:"steps"`
-	PeriodicInstances int      `json:"runTimes,omitempty"`   // of a periodic job; 0: the steps run once, at once
-	FirstRunMs        int64    `json:"firstRunMs,omitempty"` // when the first is due, in ms since 1970
-	IntervalMs        int64    `json:"intervalMs,omitempty"` // between two that are due
+	PeriodicInstances int      `json:"runTimes,omitempty"`   // of a periodic job; 0: the steps run once, immediately
+	FirstRunMs        int64    `json:"firstRunMs,omitempty"` // when the first instance is due, in ms since 1970
+	IntervalMs        int64    `json:"intervalMs,omitempty"` // between the due times of instances
 }
 
 // Step is one step of a job: a number of tasks with the same requirements.
@@ -18,25 +18,25 @@
 	MemoryMB    int64    `json:"memMb,omitempty"`    // of one task
 	GPUs        int      `json:"gpus,omitempty"`     // of one task
 	EstimateMs  int64    `json:"estimateMs,omitempty"`
-	DependsOn   []int    `json:"dependsOn,omitempty"`   // indexes of steps that must be done before
-	Checkpoints bool     `json:"checkpoints,omitempty"` // its tasks keep their progress
-	// Gang: the tasks only work together, and start and end together.
+	DependsOn   []int    `json:"dependsOn,omitempty"`   // indexes of steps that must be done first
+	Checkpoints bool     `json:"checkpoints,omitempty"` // its tasks write checkpoints of their progress
+	// Gang: the tasks can only run together, and start and end together.
 	Gang bool `json:"allTogether,omitempty"`
 	// SameRack: a gang that spans racks takes longer.
 	SameRack       bool   `json:"sameRack,omitempty"`
 	RequiredLabels Labels `json:"neededLabels,omitempty"`
-	// PreferredRack is the rack with the data; a task takes longer elsewhere.
+	// PreferredRack is the rack that has the data; a task takes longer on another rack.
 	PreferredRack string `json:"nearTo,omitempty"`
-	// MaxPerWorker bounds the tasks of the step on one worker; 0: no bound.
+	// MaxPerWorker limits the tasks of the step on one worker; 0: no limit.
 	MaxPerWorker int `json:"apartFrom,omitempty"`
-	// Speculative: copies of a task may run side by side; the first end counts.
+	// Speculative: copies of a task may run concurrently; the first one to end counts.
 	Speculative bool `json:"twice,omitempty"`
-	// LongRunning: the tasks run until the job is canceled, and are started again
-	// whatever their result.
+	// LongRunning: the tasks run until the job is canceled, and are restarted
+	// regardless of their result.
 	LongRunning bool `json:"longRunning,omitempty"`
 }
 
-// Resources is what a runner offers or a task requires.
+// Resources are the resources that a runner offers or a task requires.
 type Resources struct {
 	_        struct{} `cbor:",toarray"`
 	CPUUnits int64    `json:"cpuUnits"` // in thousandths of a core
--- a/internal/protocol/labels.go
+++ b/internal/protocol/labels.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Labels reads either one label or a list of them, since the protocol names
-// one label under a plural field.
+// Labels decodes from either a single label or a list of labels, since the protocol
+// has a single label in a field with a plural name.
 type Labels []string
 
-// UnmarshalJSON takes a text or a list of texts.
+// UnmarshalJSON decodes a string or a list of strings.
 func (l *Labels) UnmarshalJSON(raw []byte) error {
 	if strings.HasPrefix(strings.TrimSpace(string(raw)), "[") {
 		var labels []string
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,5 +1,5 @@
 package protocol
 
-// MaxControlBodyBytes is the size of the largest body of an operator's request, in bytes: 4 MiB by
-// the protocol.
+// MaxControlBodyBytes is the maximum size of the body of an operator's request, in bytes. The protocol
+// specifies 4 MiB.
 const MaxControlBodyBytes = 4 << 20
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// HeaderSize is the size in bytes that the limit of headers bounds: the target and all
-// fields as they are sent.
+// HeaderSize returns the size in bytes to which the header limit applies: the request target and all
+// header fields as sent.
 func HeaderSize(request *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(request.RequestURI)
@@ -20,7 +20,7 @@
 	return size
 }
 
-// BearerKey is the tenant's key that a request bears; empty if it bears none.
+// BearerKey returns the tenant's key that a request carries, or an empty string if it carries none.
 func BearerKey(request *http.Request) string {
 	scheme, key, _ := strings.Cut(request.Header.Get(HeaderAuthorization), " ")
 	if !strings.EqualFold(scheme, AuthorizationScheme) {
@@ -29,20 +29,20 @@
 	return strings.TrimSpace(key)
 }
 
-// TimeLeft is how long a client will wait for its answer; the given time if it doesn't
-// say, or says more than that.
-func TimeLeft(request *http.Request, most time.Duration) time.Duration {
+// TimeLeft returns how long a client will wait for the response, as given by HeaderTimeLeft and at most limit.
+// Without a valid header it returns limit.
+func TimeLeft(request *http.Request, limit time.Duration) time.Duration {
 	header := request.Header.Get(HeaderTimeLeft)
 	if ms, err := strconv.ParseFloat(header, 64); err == nil && ms > 0 {
-		return min(most, time.Duration(ms*float64(time.Millisecond)))
+		return min(limit, time.Duration(ms*float64(time.Millisecond)))
 	}
-	return most
+	return limit
 }
 
 // Kinds of routes for requests.
 const (
 	KindReadOnly = "read_only" // may run more than once
-	KindDownload = "download"  // likewise, with large answers
+	KindDownload = "download"  // like KindReadOnly, with large responses
 	KindWriting  = "writing"   // runs at most once for each attempt of a client
-	KindUpload   = "upload"    // likewise, with large bodies
+	KindUpload   = "upload"    // like KindWriting, with large bodies
 )
--- a/internal/protocol/runner.go
+++ b/internal/protocol/runner.go
@@ -1,6 +1,6 @@
 package protocol
 
-// States of a runner in its heartbeats.
+// States that a runner reports in its heartbeats.
 const (
 	RunnerReady    = "ready"
 	RunnerDraining = "draining" // it will leave, and accepts no new runs
@@ -14,13 +14,13 @@
 	ConfigVersion string    `json:"configVersion"` // of the runner's software
 	Slots         int       `json:"slots"`
 	State         string    `json:"state"`      // RunnerReady or RunnerDraining
-	WarmupLeftMs  int64     `json:"coldLeftMs"` // how much longer it is slow after its start
+	WarmupLeftMs  int64     `json:"coldLeftMs"` // remaining time of slow operation after its start
 	FreeResources Resources `json:"freeRoom"`
 	Labels        []string  `json:"labels"` // its kind and its rack
 	ClockMs       int64     `json:"clockMs"`
-	// LeavesInMs is the least time until it leaves, while it drains.
+	// LeavesInMs is the minimum time until the runner leaves, while it is draining.
 	LeavesInMs *int64 `json:"leavesAtMs,omitempty"`
-	// Sequence rises with each heartbeat, so that a late one is recognised.
+	// Sequence increases with each heartbeat, so that a late one is recognized.
 	Sequence int64 `json:"callSeq"`
 }
 
@@ -29,7 +29,7 @@
 	TaskID       string `json:"taskId"`
 	RunID        int    `json:"runId"`
 	Spec         string `json:"jobSpec"`
-	LeaseUntilMs int64  `json:"untilMs"` // on the runner's clock, for all that runs there
+	LeaseUntilMs int64  `json:"untilMs"` // on the runner's clock, for all runs on the runner
 	Fence        int64  `json:"fenceNumber"`
 	Checkpoint   string `json:"lastCheckpoint,omitempty"`
 }
@@ -41,31 +41,31 @@
 	Fence  int64  `json:"fenceNumber"`
 }
 
-// RunResponse is a runner's answer to a StartRequest or a StopRequest.
+// RunResponse is a runner's response to a StartRequest or a StopRequest.
 type RunResponse struct {
 	ClockMs int64  `json:"clockMs"`          // the runner's monotonic clock
-	Reason  string `json:"reason,omitempty"` // of a refusal by 409
+	Reason  string `json:"reason,omitempty"` // of a rejection with status 409
 }
 
-// Reasons of a runner's refusal.
+// Reasons for a rejection by a runner.
 const (
-	ReasonStaleFence     = "fence" // it has seen a higher fence
-	ReasonAlreadyStarted = "old"   // that run, or a later one of the task, was started there
+	ReasonStaleFence     = "fence" // the runner has seen a higher fence
+	ReasonAlreadyStarted = "old"   // the run, or a later one of the same task, was already started there
 	ReasonLeaseEnded     = "late"  // the lease had expired when the start arrived
-	ReasonNoResources    = "room"  // too few resources are free
+	ReasonNoResources    = "room"  // not enough resources are free
 )
 
-// KeepAliveRequest extends the lease of all that runs, acknowledges completions
-// and requests both lists of runs.
+// KeepAliveRequest extends the lease of all runs on a runner, acknowledges completions,
+// and requests the lists of running and ended runs.
 type KeepAliveRequest struct {
 	LeaseUntilMs         int64 `json:"untilMs,omitempty"` // on the runner's clock; 0: not extended
 	Fence                int64 `json:"fenceNumber"`
-	AcknowledgedSequence int64 `json:"lastSeen"`         // the runner may forget completions up to here
-	WaitMs               int64 `json:"waitMs,omitempty"` // how long to wait for a completion
+	AcknowledgedSequence int64 `json:"lastSeen"`         // the runner may discard completions up to this one
+	WaitMs               int64 `json:"waitMs,omitempty"` // how long the runner may wait for a completion
 }
 
-// KeepAliveResponse is a runner's answer to a KeepAliveRequest: its clock and the
-// lists of what runs and what ended, which Progress and Completions decode.
+// KeepAliveResponse is a runner's response to a KeepAliveRequest: its clock and the
+// lists of running and ended runs, which Progress and Completions decode.
 type KeepAliveResponse struct {
 	ClockMs int64   `json:"clockMs"`
 	Running [][]any `json:"runningCount"`
--- a/internal/protocol/runner_lists_test.go
+++ b/internal/protocol/runner_lists_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestListsDecode: lines that are too short are left out, and a value of another
-// kind reads as empty.
-func TestListsDecode(t *testing.T) {
+// TestDecodeRunLists checks that rows that are too short are skipped, and that a value of an unexpected
+// type decodes as the zero value.
+func TestDecodeRunLists(t *testing.T) {
 	response := KeepAliveResponse{
 		Running: [][]any{{"a", 1.0, "saved", 40.0}, {"b", 2.0, ""}, {"c", "2", nil, 5.0}},
 		Ended:   [][]any{{7.0, "a", 1.0, "done", "saved"}, {8.0, "b", 1.0, "done"}, {"9", "c", 2.0, nil, ""}},
