--- a/internal/simulation/part_pairs_test.go
+++ b/internal/simulation/activity_pairs_test.go
@@ -12,71 +12,73 @@
 	"tealpond/internal/protocol"
 )
 
-// partPairSeeds is how many pairs of parts are drawn and played:
+// activityPairSeeds is the number of seeds, each of which draws and plays one pair of
+// activities:
 //
-//	go test ./internal/simulation -run TestPairsOfParts -sim.pairs 200 -timeout 60m
-var partPairSeeds = flag.Int64("sim.pairs", 6, "seeds of TestPairsOfParts")
+//	go test ./internal/simulation -run TestActivityPairs -sim.pairs 200 -timeout 60m
+var activityPairSeeds = flag.Int64("sim.pairs", 6, "number of seeds of TestActivityPairs")
 
-// firstPartPairSeed is the first of these seeds.
-var firstPartPairSeed = flag.Int64("sim.firstpair", 1, "first seed of TestPairsOfParts")
+// firstActivityPairSeed is the first of these seeds.
+var firstActivityPairSeed = flag.Int64("sim.firstpair", 1, "first seed of TestActivityPairs")
 
-// pairSpec is a cluster in which all parts are at work.
+// pairSpec is a cluster in which all features are in use.
 var pairSpec = ClusterSpec{Servers: 5, Edges: 1, Agents: 6, Zones: 3, Tallies: true}
 
-// pairTime is how long callers are at work at least, so that the checks say something after
-// an outage too.
-const pairTime = 14 * time.Second
+// minPairDuration is how long callers run at least, so that the checks are meaningful
+// after an outage too.
+const minPairDuration = 14 * time.Second
 
 // loweredMilliCPU is the limit of boundTenant while it is lowered.
 const loweredMilliCPU = 2000
 
-// pairScenario is a scenario in which two parts are at work, each under its trouble.
+// pairScenario is a scenario in which two activities overlap.
 type pairScenario struct {
 	*scenario
-	// restarts keeps two parts from restarting the same daemon at a time, configurations
-	// from building on one version. Each holds a token while nobody is at it: a task that
-	// waits for a mutex would hold up the virtual time.
+	// restarts prevents two activities from restarting the same daemon at the same
+	// time, and configurations prevents them from basing changes on the same version.
+	// Each holds a token while it is free. Channels are used since a goroutine that
+	// waits for a mutex would block the virtual time.
 	restarts, configurations chan struct{}
 	tallies                  *tallyCallers
 	applications             *applicationLoad
 }
 
-// part is one part of the system with its trouble, which ends by itself.
-type part struct {
+// activity uses one feature of the system or injects one fault, for a limited time.
+type activity struct {
 	name string
-	play func(s *pairScenario)
+	run  func(s *pairScenario)
 }
 
-// parts are those of docs/interactions.md.
-var parts = []part{
+// activities are the ones of docs/interactions.md.
+var activities = []activity{
 	{"narrow links", func(s *pairScenario) {
-		for _, node := range everySecond(s.nodeNames("")) {
+		for _, node := range everyOther(s.nodeNames("")) {
 			s.Network.SetRate(s.NodeIP(node), narrowRate)
 			defer s.Network.SetRate(s.NodeIP(node), 0)
 		}
 		time.Sleep(8 * time.Second)
 	}},
-	{"copies of slow runs", func(s *pairScenario) {
+	{"speculative copies", func(s *pairScenario) {
 		job := newJobOf(500, 300, protocol.Step{TaskCount: 6, CPUUnits: 300, MemoryMB: 10, EstimateMs: 500, Speculative: true})
 		for i := range 12 {
-			s.submitPair(600000+i, job)
+			s.submitRequired(600000+i, job)
 		}
 		s.changeRunners(6*time.Second, func(r *Runner, on bool) { r.Stalled = on }, "side-1", "side-4")
 	}},
-	{"flood of a tenant", func(s *pairScenario) {
-		for _, id := range s.floodFor(floodShape{"", 8 * time.Second, 40 * time.Millisecond}) {
+	{"tenant flood", func(s *pairScenario) {
+		for _, id := range s.submitFlood(floodProfile{"", 8 * time.Second, 40 * time.Millisecond}) {
 			s.recordAccepted(id)
 		}
 	}},
-	{"lost zone", func(s *pairScenario) {
+	{"zone lost", func(s *pairScenario) {
 		inside, _ := s.inZone("z1")
 		s.restart(2*time.Second, inside...)
 	}},
 	{"locks and keys", func(s *pairScenario) { time.Sleep(8 * time.Second) }},
-	{"tallies at both sides", func(s *pairScenario) {
-		join := s.cutZone("z2")
+	{"tallies across a partition", func(s *pairScenario) {
+		heal := s.isolateZone("z2")
 		time.Sleep(5 * time.Second)
-		join()
+		heal()
 	}},
 	{"large configurations", func(s *pairScenario) {
 		for range 3 {
@@ -84,7 +86,7 @@
 			time.Sleep(time.Second)
 		}
 	}},
-	{"lower limit", func(s *pairScenario) {
+	{"lowered limit", func(s *pairScenario) {
 		lowered := tenantsWithLimit(loweredMilliCPU)
 		s.replaceConfiguration("", lowered)
 		s.History.record(Event{Kind: EventLimitChanged, CPUCapacity: loweredMilliCPU})
@@ -93,8 +95,8 @@
 		s.replaceConfiguration("", tenantList)
 	}},
 	{"evacuation", func(s *pairScenario) {
-		// Runners of the zone are sick until after the order's bound: what waits for them
-		// must not be started then.
+		// Runners of the zone reject starts until the evacuation deadline has passed. Tasks that
+		// wait for them must not be started afterwards.
 		s.background.Go(func() {
 			s.changeRunners(evacuationGrace+time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, s.agentsIn(evacuatedZone)...)
 		})
@@ -111,7 +113,7 @@
 			time.Sleep(3 * time.Second)
 		}
 	}},
-	{"half restarts", func(s *pairScenario) { s.restart(time.Second, everySecond(s.nodeNames(""))...) }},
+	{"half of the nodes restarted", func(s *pairScenario) { s.restart(time.Second, everyOther(s.nodeNames(""))...) }},
 }
 
 // agentsIn returns the agents of a zone.
@@ -124,7 +126,7 @@
 	return agents
 }
 
-// restart kills nodes and starts them again.
+// restart kills nodes and starts them again after a downtime.
 func (s *pairScenario) restart(downtime time.Duration, names ...string) {
 	<-s.restarts
 	defer func() { s.restarts <- struct{}{} }()
@@ -133,8 +135,8 @@
 	s.tallies.restarted(names...)
 }
 
-// submitPair submits a job that must be done in the end.
-func (s *pairScenario) submitPair(id int, job protocol.Job) {
+// submitRequired submits a job that must be done in the end if it is accepted.
+func (s *pairScenario) submitRequired(id int, job protocol.Job) {
 	s.background.Go(func() {
 		if s.SubmitJob(jobID(id), job) {
 			s.recordAccepted(jobID(id))
@@ -156,35 +158,35 @@
 	s.lastVersion.Store(int64(base + 1))
 }
 
-// TestPairsOfParts: two parts, drawn by a seed, are at work under their troubles at the same
-// time, above a load of jobs, and all rules hold that a caller can see.
-func TestPairsOfParts(t *testing.T) {
-	for seed := *firstPartPairSeed; seed < *firstPartPairSeed+*partPairSeeds; seed++ {
+// TestActivityPairs: two activities, chosen by a seed, overlap under a load of jobs.
+// All invariants that a caller can observe hold.
+func TestActivityPairs(t *testing.T) {
+	for seed := *firstActivityPairSeed; seed < *firstActivityPairSeed+*activityPairSeeds; seed++ {
 		random := rand.New(rand.NewSource(seed))
-		first := random.Intn(len(parts))
-		second := (first + 1 + random.Intn(len(parts)-1)) % len(parts)
-		t.Run(fmt.Sprintf("%d %s with %s", seed, parts[first].name, parts[second].name), func(t *testing.T) {
-			playPairOfParts(t, seed, parts[first], parts[second], time.Duration(random.Intn(3000))*time.Millisecond)
+		first := random.Intn(len(activities))
+		second := (first + 1 + random.Intn(len(activities)-1)) % len(activities)
+		t.Run(fmt.Sprintf("%d %s with %s", seed, activities[first].name, activities[second].name), func(t *testing.T) {
+			runActivityPair(t, seed, activities[first], activities[second], time.Duration(random.Intn(3000))*time.Millisecond)
 		})
 	}
 }
 
-// playPairOfParts plays two parts, the second one a while after the first.
-func playPairOfParts(t *testing.T, seed int64, first, second part, later time.Duration) {
+// runActivityPair runs two activities, the second one after a delay.
+func runActivityPair(t *testing.T, seed int64, first, second activity, delay time.Duration) {
 	t.Helper()
 	runScenario(t, pairSpec, seed, func(s *scenario) {
 		pair := &pairScenario{scenario: s, tallies: s.startTallyCallers(), applications: startApplications(s),
 			restarts: make(chan struct{}, 1), configurations: make(chan struct{}, 1)}
 		pair.restarts <- struct{}{}
 		pair.configurations <- struct{}{}
-		leastEnd := time.Now().Add(pairTime)
+		earliestEnd := time.Now().Add(minPairDuration)
 		time.Sleep(time.Second)
 		var playing sync.WaitGroup
-		playing.Go(func() { first.play(pair) })
-		time.Sleep(later)
-		playing.Go(func() { second.play(pair) })
+		playing.Go(func() { first.run(pair) })
+		time.Sleep(delay)
+		playing.Go(func() { second.run(pair) })
 		playing.Wait()
-		time.Sleep(max(catchUpBound, time.Until(leastEnd)))
+		time.Sleep(max(catchUpBound, time.Until(earliestEnd)))
 		pair.applications.finish()
 		pair.tallies.requireMerged()
 	})
--- a/internal/simulation/flood_test.go
+++ b/internal/simulation/flood_test.go
@@ -9,46 +9,48 @@
 	"tealpond/internal/protocol"
 )
 
-// floodShape is a flood of the bound tenant: how long it lasts, and the time between two
-// of its jobs, of which its limit takes one in a third of a second.
-type floodShape struct {
-	name             string
-	lasts, betweenAt time.Duration
+// floodProfile describes a flood of jobs from the bound tenant: its duration and the
+// interval between submissions. The limit of the tenant admits one job every third of a
+// second.
+type floodProfile struct {
+	name               string
+	duration, interval time.Duration
 }
 
-var floodShapes = []floodShape{
+var floodProfiles = []floodProfile{
 	{"short and strong", 4 * time.Second, 15 * time.Millisecond},
 	{"long", 15 * time.Second, 50 * time.Millisecond},
 	{"long and weak", 15 * time.Second, 150 * time.Millisecond},
 }
 
-// queueEmptyWithin is how long after the end of a flood what was accepted of it may run on.
-const queueEmptyWithin = 3 * time.Second
+// floodDrainBound is how long after the end of a flood its accepted jobs may still run.
+const floodDrainBound = 3 * time.Second
 
-// TestFloodOfOneTenant: while a tenant submits many times what it may run, none of the
-// others' jobs is refused, and these take about as long as on a quiet day. What the
-// flooding tenant is promised is done within seconds of its end; the rest is refused.
+// TestFloodOfOneTenant: while one tenant submits many times its limit, no job of other
+// tenants is refused, and their median latency stays close to the one without the
+// flood. The accepted jobs of the flood are done within seconds after it ends; the
+// others are refused.
 func TestFloodOfOneTenant(t *testing.T) {
-	for _, shape := range floodShapes {
-		t.Run(shape.name, func(t *testing.T) {
+	for _, profile := range floodProfiles {
+		t.Run(profile.name, func(t *testing.T) {
 			withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
-				calm := c.submitSteadily(700000, 5*time.Second)
+				baseline := c.measureJobLatencies(700000, 5*time.Second)
 				var accepted []string
 				var flood sync.WaitGroup
-				flood.Go(func() { accepted = c.floodFor(shape) })
-				flooded := c.submitSteadily(710000, shape.lasts)
+				flood.Go(func() { accepted = c.submitFlood(profile) })
+				duringFlood := c.measureJobLatencies(710000, profile.duration)
 				flood.Wait()
-				if limit := median(calm)*3/2 + 100*time.Millisecond; median(flooded) > limit {
-					t.Errorf("the others' jobs took %v in the middle, %v on a quiet day", median(flooded), median(calm))
+				if limit := median(baseline)*3/2 + 100*time.Millisecond; median(duringFlood) > limit {
+					t.Errorf("median latency of the other tenant's jobs: %v during the flood, %v without it", median(duringFlood), median(baseline))
 				}
-				submitted := int(shape.lasts / shape.betweenAt)
+				submitted := int(profile.duration / profile.interval)
 				if len(accepted) == 0 || len(accepted) >= submitted {
 					t.Errorf("%d of %d jobs of the flood were accepted", len(accepted), submitted)
 				}
-				time.Sleep(queueEmptyWithin)
+				time.Sleep(floodDrainBound)
 				for _, id := range accepted {
-					if shown := c.JobState(disklessEdge, id); shown != jobDone {
-						t.Errorf("%v after the flood job %s is %s", queueEmptyWithin, id, shown)
+					if state := c.JobState(disklessEdge, id); state != jobDone {
+						t.Errorf("%v after the flood, job %s is %s, want done", floodDrainBound, id, state)
 					}
 				}
 				c.requireNoViolations()
@@ -57,37 +59,38 @@
 	}
 }
 
-// submitSteadily submits small jobs of the other tenant for a while, waits for each, and
-// gives how long they took.
-func (c *Cluster) submitSteadily(firstID int, lasts time.Duration) []time.Duration {
-	const betweenJobs, pollEach = 100 * time.Millisecond, 20 * time.Millisecond
-	took := make([]time.Duration, int(lasts/betweenJobs))
+// measureJobLatencies submits small jobs of the other tenant at a constant rate and
+// returns how long each of them took.
+func (c *Cluster) measureJobLatencies(firstID int, duration time.Duration) []time.Duration {
+	const jobInterval, pollInterval = 100 * time.Millisecond, 20 * time.Millisecond
+	took := make([]time.Duration, int(duration/jobInterval))
 	var jobs sync.WaitGroup
 	for i := range took {
 		jobs.Go(func() {
 			id := jobID(firstID + 8*i) // its last digit is 1 or 9
-			begunAt := time.Now()
+			submittedAt := time.Now()
 			if !c.SubmitJob(id, newJob(200, 300, 2)) {
 				c.T.Errorf("job %s of the other tenant was refused", id)
 				return
 			}
 			for c.JobState(disklessEdge, id) != jobDone {
-				time.Sleep(pollEach)
+				time.Sleep(pollInterval)
 			}
-			took[i] = time.Since(begunAt)
+			took[i] = time.Since(submittedAt)
 		})
-		time.Sleep(betweenJobs)
+		time.Sleep(jobInterval)
 	}
 	jobs.Wait()
 	return took
 }
 
-// floodFor submits jobs of the bound tenant, and gives those that were accepted.
-func (c *Cluster) floodFor(shape floodShape) []string {
+// submitFlood submits jobs of the bound tenant and returns the IDs of the accepted
+// ones.
+func (c *Cluster) submitFlood(profile floodProfile) []string {
 	var mu sync.Mutex
 	var accepted []string
 	var calls sync.WaitGroup
-	for i := range int(shape.lasts / shape.betweenAt) {
+	for i := range int(profile.duration / profile.interval) {
 		calls.Go(func() {
 			id := jobID(800000 + 8*i + 6) // its last digit is 7 or f
 			if c.SubmitJob(id, newJobOf(500, 1000, protocol.Step{TaskCount: 4, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 500})) {
@@ -96,13 +99,13 @@
 				mu.Unlock()
 			}
 		})
-		time.Sleep(shape.betweenAt)
+		time.Sleep(profile.interval)
 	}
 	calls.Wait()
 	return accepted
 }
 
-// median is the middle one of some durations.
+// median returns the upper median of durations.
 func median(durations []time.Duration) time.Duration {
 	sorted := slices.Sorted(slices.Values(durations))
 	return sorted[len(sorted)/2]
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -16,13 +16,14 @@
 	"tealpond/internal/timing"
 )
 
-// gatewayConfiguration is a configuration for gateways, given its version.
+// gatewayConfiguration is the format of a gateway configuration: it takes the version
+// and more routes.
 const gatewayConfiguration = `{"configVersion":%d,"routeList":[` +
 	`{"name":"r","hostName":"h","pathPrefix":"/read/","kind":"read_only","timeoutMs":2000,"targetMs":500,"targetService":"svc","maxTries":3},` +
 	`{"name":"w","hostName":"h","pathPrefix":"/write/","kind":"writing","timeoutMs":2000,"targetMs":500,"targetService":"svc","maxTries":3}%s],` +
 	`"serviceList":[{"name":"svc"}],"limits":{"maxHeaderBytes":4000,"maxBodyBytes":100000}}`
 
-// gatewayLoad is a load on a cluster of gateways, and what became of it.
+// gatewayLoad sends requests to a cluster of gateways and records the outcomes.
 type gatewayLoad struct {
 	c      *Cluster
 	random *rand.Rand
@@ -32,22 +33,23 @@
 	attempts []gatewayAttempt
 }
 
-// gatewayAttempt is an attempt of a client.
+// gatewayAttempt is one request of a client and its outcome.
 type gatewayAttempt struct {
 	id, path, node string
 	sentAt         time.Time
 	code           int
 	took           time.Duration
-	wrong          string // what is wrong with the answer; empty: nothing
+	problem        string // what is wrong with the response; empty if nothing
 }
 
-// gatewayDay runs a test on a ready cluster of gateways with four runners in two zones.
-func gatewayDay(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
+// runGatewayTest runs a test on a ready cluster of gateways with four runners in two
+// zones.
+func runGatewayTest(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
 	t.Helper()
 	gatewayDayOf(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true}, test)
 }
 
-// gatewayDayOf is gatewayDay on a cluster of another kind.
+// gatewayDayOf is runGatewayTest with a given cluster specification.
 func gatewayDayOf(t *testing.T, spec ClusterSpec, test func(c *Cluster, load *gatewayLoad)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -66,7 +68,7 @@
 	})
 }
 
-// putGatewayConfiguration sends a configuration until it is accepted.
+// putGatewayConfiguration sends a configuration until a daemon accepts it.
 func (c *Cluster) putGatewayConfiguration(version, base int, moreRoutes string) {
 	c.T.Helper()
 	c.WaitUntil(fmt.Sprintf("configuration %d is accepted", version), 20*time.Second, func() bool {
@@ -80,7 +82,7 @@
 	})
 }
 
-// allServe reports whether each daemon serves a path.
+// allServe reports whether every daemon serves a path prefix.
 func (l *gatewayLoad) allServe(prefix string) bool {
 	for _, node := range l.c.nodeNames(gatewayRole) {
 		if l.send(node, prefix).code != http.StatusOK {
@@ -90,13 +92,13 @@
 	return true
 }
 
-// send makes an attempt at a daemon and records it.
+// send sends a request to a daemon and records the outcome.
 func (l *gatewayLoad) send(node, prefix string) gatewayAttempt {
 	l.mu.Lock()
 	id := fmt.Sprintf("%08x", len(l.attempts))
 	attempt := gatewayAttempt{id: id, path: prefix + id, node: node, sentAt: time.Now()}
 	l.attempts = append(l.attempts, attempt)
-	place := len(l.attempts) - 1
+	index := len(l.attempts) - 1
 	l.mu.Unlock()
 	method, body := http.MethodGet, ""
 	if strings.HasPrefix(prefix, "/write/") {
@@ -105,18 +107,19 @@
 	code, raw, header := l.c.request(method, l.c.nodeURL(node, clientPort, attempt.path), "h", body, map[string]string{protocol.HeaderAttemptID: id, protocol.HeaderTimeLeft: "2000"})
 	attempt.code, attempt.took = code, time.Since(attempt.sentAt)
 	if want := fmt.Sprintf("%s %s %d", id, attempt.path, len(body)); code == http.StatusOK && string(raw) != want {
-		attempt.wrong = fmt.Sprintf("the answer is %q, want %q", raw, want)
+		attempt.problem = fmt.Sprintf("response is %q, want %q", raw, want)
 	}
 	if code == http.StatusServiceUnavailable && header.Get(protocol.HeaderRetryAfter) == "" {
-		attempt.wrong = "no time to come back"
+		attempt.problem = "response 503 without Retry-After"
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.attempts[place] = attempt
+	l.attempts[index] = attempt
 	return attempt
 }
 
-// run sends requests to daemons by lot for a time, reads and writes alternately.
+// run sends requests to randomly chosen daemons for some time, alternating reads and
+// writes.
 func (l *gatewayLoad) run(duration time.Duration, nodes ...string) {
 	const pause = 20 * time.Millisecond
 	for i := range int(duration / pause) {
@@ -130,28 +133,29 @@
 	}
 }
 
-// check holds all attempts against the rules: a write ran once at most, a promise that
-// nothing ran is true, and each answer is that of its request.
+// check verifies all attempts: a write ran at most once, a request that was answered
+// with 503 did not run, a request that was answered with 200 ran, and each response
+// belongs to its request.
 func (l *gatewayLoad) check() {
 	l.c.T.Helper()
 	for _, attempt := range l.attempts {
 		runs := l.c.platform.RunsOf(attempt.id)
-		if attempt.wrong != "" {
-			l.c.T.Errorf("%s at %s: %s", attempt.path, attempt.node, attempt.wrong)
+		if attempt.problem != "" {
+			l.c.T.Errorf("%s at %s: %s", attempt.path, attempt.node, attempt.problem)
 		}
 		if strings.HasPrefix(attempt.path, "/write/") && runs > 1 {
 			l.c.T.Errorf("%s at %s ran %d times", attempt.path, attempt.node, runs)
 		}
 		if attempt.code == http.StatusServiceUnavailable && runs > 0 {
-			l.c.T.Errorf("%s at %s ran, and the client was promised that it did not", attempt.path, attempt.node)
+			l.c.T.Errorf("%s at %s ran although the client got 503", attempt.path, attempt.node)
 		}
 		if attempt.code == http.StatusOK && runs == 0 {
-			l.c.T.Errorf("%s at %s was answered and never ran", attempt.path, attempt.node)
+			l.c.T.Errorf("%s at %s got 200 but never ran", attempt.path, attempt.node)
 		}
 	}
 }
 
-// served is the part of the attempts sent since a time that were served.
+// served returns the fraction of the attempts since a time that were answered with 200.
 func (l *gatewayLoad) served(since time.Time) float64 {
 	l.wait.Wait()
 	l.mu.Lock()
@@ -169,18 +173,19 @@
 	return float64(served) / float64(max(all, 1))
 }
 
-// wantServed fails the test if less than a part of what was sent since a time was served.
+// wantServed fails the test if less than a fraction of the attempts since a time was
+// served.
 func (l *gatewayLoad) wantServed(what string, since time.Time, part float64) {
 	l.c.T.Helper()
 	if got := l.served(since); got < part {
-		l.c.T.Errorf("%s: %.3f served, want %.3f", what, got, part)
+		l.c.T.Errorf("%s: served fraction is %.3f, want at least %.3f", what, got, part)
 	}
 }
 
-// TestGatewayWithRunnersThatComeAndGo: runners are replaced, crash and come to life; what
-// is sent goes to those that are there.
-func TestGatewayWithRunnersThatComeAndGo(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, load *gatewayLoad) {
+// TestGatewayDuringRunnerChurn: while runners are replaced, crash and restart, requests
+// go to the available ones.
+func TestGatewayDuringRunnerChurn(t *testing.T) {
+	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
 		all := c.nodeNames(gatewayRole)
 		begin := time.Now()
 		c.platform.Drain("i-01")
@@ -191,26 +196,27 @@
 		time.AfterFunc(time.Second, func() { c.platform.Crash("i-02", 3*time.Second) })
 		time.AfterFunc(2*time.Second, func() { c.platform.Crash("i-03", 3*time.Second) })
 		load.run(5*time.Second, all...)
-		load.wantServed("two crashed", begin, 0.95) // writes under way are lost
+		load.wantServed("two crashed", begin, 0.95) // writes in flight are lost
 		begin = time.Now()
 		load.run(2*time.Second, all...)
 		load.wantServed("afterwards", begin, 1)
 	})
 }
 
-// TestGatewayWithoutTheLeader: daemons go on by what they know while the leader is lost,
-// while the core is cut off from them, and a new one reads the list.
-func TestGatewayWithoutTheLeader(t *testing.T) { gatewayDay(t, playLossOfTheLeader) }
+// TestGatewayWithoutLeader: daemons keep serving from the state they have while there
+// is no leader, while they are partitioned from the servers, and until a new leader has
+// read the list of runners.
+func TestGatewayWithoutLeader(t *testing.T) { runGatewayTest(t, playLossOfTheLeader) }
 
-// playLossOfTheLeader kills the leader, has all runners replaced under the next one, and
-// cuts a daemon off; all that clients send is served.
+// playLossOfTheLeader kills the leader, replaces all runners under the next leader, and
+// partitions a daemon from the servers. All client requests must be served.
 func playLossOfTheLeader(c *Cluster, load *gatewayLoad) {
 	leader := c.Leader()
 	others := c.nodesExcept(gatewayRole, leader)
 	begin := time.Now()
 	c.Kill(leader)
 	load.run(3*time.Second, others...)
-	load.wantServed("leader lost", begin, 1)
+	load.wantServed("without the leader", begin, 1)
 	c.platform.StartRunner("svc", "z0")
 	for _, old := range []string{"i-01", "i-02", "i-03", "i-04"} {
 		c.platform.Drain(old)
@@ -223,14 +229,14 @@
 	begin = time.Now()
 	c.partitionFor(4*time.Second, "edge-6", c.Servers()...)
 	load.run(6*time.Second, "edge-6")
-	load.wantServed("cut off", begin, 1)
+	load.wantServed("partitioned from the servers", begin, 1)
 }
 
-// TestGatewayFollowsConfigurations: each daemon serves new routes soon, and refuses what
-// never was one with 404 only if it is sure.
-func TestGatewayFollowsConfigurations(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, load *gatewayLoad) {
-		// It hears late of changes, and must ask before it refuses.
+// TestGatewayAppliesConfigurationChanges: every daemon soon serves new routes, and
+// answers 404 only if it is certain that a route does not exist.
+func TestGatewayAppliesConfigurationChanges(t *testing.T) {
+	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
+		// This daemon learns late of changes and must ask a server before it answers 404.
 		c.Network.SetDelay(c.NodeIP("edge-6"), 150*time.Millisecond)
 		for version := 2; version < 8; version++ {
 			route := fmt.Sprintf(`,{"name":"n%d","hostName":"h","pathPrefix":"/new%d/","kind":"read_only","timeoutMs":2000,"targetService":"svc","maxTries":2}`, version, version)
@@ -238,11 +244,11 @@
 				c.Kill(c.Leader())
 			}
 			c.putGatewayConfiguration(version, version-1, route)
-			c.WaitUntil("all that run serve it", 3*time.Second, func() bool {
+			c.WaitUntil("all running daemons serve the new route", 3*time.Second, func() bool {
 				for _, node := range c.nodeNames(gatewayRole) {
 					attempt := load.send(node, fmt.Sprintf("/new%d/", version))
 					if attempt.code == http.StatusNotFound {
-						c.T.Errorf("%s refuses a route that is in force", node)
+						c.T.Errorf("%s answers 404 for a route in force", node)
 					}
 					if attempt.code != http.StatusOK && attempt.code != 0 {
 						return false
@@ -253,35 +259,36 @@
 		}
 		for _, node := range c.nodeNames(gatewayRole) {
 			if attempt := load.send(node, "/new2/"); attempt.code != http.StatusNotFound && attempt.code != 0 {
-				c.T.Errorf("%s answers %d on a route that was removed", node, attempt.code)
+				c.T.Errorf("%s answers %d for a removed route, want 404", node, attempt.code)
 			}
 		}
 	})
 }
 
-// TestAllGatewaysRestarted: what comes while no daemon knows its configuration waits for
-// it, and is served.
+// TestAllGatewaysRestarted: requests that arrive before a daemon has loaded its
+// configuration wait for it and are then served.
 func TestAllGatewaysRestarted(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, load *gatewayLoad) {
+	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
 		all := c.nodeNames(gatewayRole)
 		c.Restart(300*time.Millisecond, all...)
 		begin := time.Now()
 		load.run(2*time.Second, all...)
-		load.wantServed("from the restart on", begin, 0.9)
+		load.wantServed("right after the restart", begin, 0.9)
 		begin = time.Now()
 		load.run(2*time.Second, all...)
 		load.wantServed("afterwards", begin, 1)
 	})
 }
 
-// TestRunnersAreReadFromTheLeader: it shows those that the platform lists and what the
-// daemons' requests tell of them; a leader that can't be reached is said to be.
-func TestRunnersAreReadFromTheLeader(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, load *gatewayLoad) {
+// TestRunnerListReadFromLeader: the admin interface of the leader lists the runners of
+// the platform with the latencies that daemons observed. An unreachable leader is
+// reported as such.
+func TestRunnerListReadFromLeader(t *testing.T) {
+	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
 		load.run(2*time.Second, c.nodeNames(gatewayRole)...)
 		cluster, err := admin.FetchLeaderState(c.adminContext(), []string{c.nodeAddress("edge-6", daemonPort)})
 		if err != nil || !cluster.IsLeader {
-			t.Fatalf("leads %v, %v", cluster.IsLeader, err)
+			t.Fatalf("leader: %v, %v, want true", cluster.IsLeader, err)
 		}
 		for _, table := range cluster.Tables {
 			if table.Name != "runners" {
@@ -292,17 +299,17 @@
 			}
 			for _, row := range table.Rows {
 				if latency := fmt.Sprint(row[6]); latency == "0" {
-					t.Errorf("of %v no latency is known", row[0])
+					t.Errorf("runner %v has no latency", row[0])
 				}
 			}
 		}
-		left := c.Servers()[2]
+		remaining := c.Servers()[2]
 		for _, server := range c.Servers()[:2] {
 			c.Kill(server)
 		}
-		time.Sleep(2 * timing.QuorumLossTimeout) // the third may have led
-		if _, err := admin.FetchLeaderState(c.adminContext(), []string{c.nodeAddress(left, daemonPort)}); !errors.Is(err, admin.ErrUnreachable) {
-			t.Errorf("without a leader: %v", err)
+		time.Sleep(2 * timing.QuorumLossTimeout) // the remaining server may have been the leader
+		if _, err := admin.FetchLeaderState(c.adminContext(), []string{c.nodeAddress(remaining, daemonPort)}); !errors.Is(err, admin.ErrUnreachable) {
+			t.Errorf("without a leader: error is %v, want ErrUnreachable", err)
 		}
 	})
 }
--- a/internal/simulation/isolation_test.go
+++ b/internal/simulation/isolation_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// isolations are the faults that cut a node off, wholly or in part.
+// isolations are the faults that isolate or slow down a node, wholly or partly.
 var isolations = []string{IsolateBothWays, IsolateInbound, IsolateOutbound, IsolateFromServers, IsolateFromClients, Frozen, Slowed}
 
-// testIsolation injects each fault into a node for 20 s while operators and clients call
-// it, and requires that it serves again within the bounds afterwards.
-func testIsolation(t *testing.T, choose func(s *scenario) string) {
+// testIsolation injects each fault into a node for 20 s while operators and clients
+// call it, and requires that the node serves again within the bounds once the fault is
+// repaired.
+func testIsolation(t *testing.T, selectNode func(s *scenario) string) {
 	for i, fault := range isolations {
 		t.Run(fault, func(t *testing.T) {
 			runScenario(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 3, Debug: true}, int64(i+1), func(s *scenario) {
-				name := choose(s)
+				name := selectNode(s)
 				done := make(chan struct{})
 				operatorEnded := s.runOperator(1, 900*time.Millisecond, done)
 				time.Sleep(2 * time.Second)
@@ -30,7 +31,7 @@
 				}
 				time.Sleep(10 * time.Second)
 				if ready := edge && s.IsReady(name); ready && fault != Slowed {
-					t.Errorf("%s is ready after 10 s: %s", name, fault)
+					t.Errorf("%s is ready 10 s after fault %s", name, fault)
 				}
 				time.Sleep(10 * time.Second)
 				close(done)
--- a/internal/simulation/load_test.go
+++ b/internal/simulation/load_test.go
@@ -9,22 +9,22 @@
 	"tealpond/internal/protocol"
 )
 
-// The size of the cluster and the load of TestLoad. Larger ones are for profiles:
+// The size of the cluster and the load of TestLoad. Larger values are for profiling:
 //
 //	go test ./internal/simulation -run TestLoad -load.side 62 -load.core 8 -load.edge 8 -load.jobs 28 -cpuprofile cpu.out
 //	go tool pprof -tagfocus leader cpu.out
 var (
 	loadServers  = flag.Int("load.core", 3, "servers")
-	loadEdges    = flag.Int("load.edge", 1, "edges without a disk")
-	loadAgents   = flag.Int("load.side", 4, "workers, each with its agent")
+	loadEdges    = flag.Int("load.edge", 1, "diskless edges")
+	loadAgents   = flag.Int("load.side", 4, "workers, each with an agent")
 	loadZones    = flag.Int("load.zones", 1, "zones")
-	loadJobRate  = flag.Float64("load.jobs", 3, "jobs a second")
-	loadTasks    = flag.Int("load.tasks", 22, "tasks of a job's first step, at the mean")
+	loadJobRate  = flag.Float64("load.jobs", 3, "jobs submitted a second")
+	loadTasks    = flag.Int("load.tasks", 22, "mean number of tasks in the first step of a job")
 	loadDuration = flag.Duration("load.for", 4*time.Second, "how long jobs are submitted")
 )
 
-// TestLoad runs an open load of short jobs through a whole cluster: each is accepted and
-// done, and no rule is violated.
+// TestLoad runs an open-loop load of short jobs through a whole cluster. Every job is
+// accepted and done, and no invariant is violated.
 func TestLoad(t *testing.T) {
 	withCluster(t, ClusterSpec{Servers: *loadServers, Edges: *loadEdges, Agents: *loadAgents, Zones: *loadZones}, func(t *testing.T, c *Cluster) {
 		random := rand.New(rand.NewSource(1))
@@ -49,11 +49,11 @@
 		}
 		for i := range n {
 			if !<-done {
-				t.Errorf("job %d of %d did not end as done", i, n)
+				t.Errorf("job result %d of %d: not done", i, n)
 			}
 		}
 		c.requireNoViolations()
-		c.History.mu.Lock() // agents go on polling
+		c.History.mu.Lock() // agents are still polling
 		defer c.History.mu.Unlock()
 		t.Logf("%d jobs, %d events", n, len(c.History.Events))
 	})
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// replaceServer replaces a server and gives the name of the new one. In a planned
-// replacement the new one comes first, otherwise the loss does. Settings files written
-// later name seeds that are there; nodes that run keep the old ones.
+// replaceServer replaces a server and returns the name of the new one. A planned
+// replacement adds the new server before it terminates the old one; otherwise the old
+// one is killed first. Settings files that are written later name seeds that exist;
+// running nodes keep the old seeds.
 func (s *scenario) replaceServer(old string, planned bool) string {
 	zone := s.node(old).zone
 	end := s.Kill
@@ -30,18 +31,18 @@
 	return added
 }
 
-// follower returns a server that doesn't lead.
+// follower returns a server that is not the leader.
 func (s *scenario) follower() string {
 	return s.nodesExcept(edgeRole, s.Leader(), disklessEdge, "edge-6")[0]
 }
 
-// namedPlay is something that happens in a scenario, and the name of its subtest.
+// namedPlay is a sequence of steps in a scenario with the name of its subtest.
 type namedPlay struct {
 	name string
 	play func(s *scenario)
 }
 
-// firstLosses are losses of a server that are followed by a second one.
+// firstLosses are the losses of a server that precede a second one.
 var firstLosses = []namedPlay{
 	{"repair of a follower", func(s *scenario) { s.Restart(3*time.Second, s.follower()) }},
 	{"repair of the leader", func(s *scenario) { s.Restart(3*time.Second, s.Leader()) }},
@@ -64,8 +65,8 @@
 	}},
 }
 
-// TestSecondLoss: after each kind of first loss the leader is lost, once the first server
-// votes again. A majority is left, and all that was acknowledged is there.
+// TestSecondLoss: after each kind of first loss, the leader is killed once the first
+// server votes again. A majority remains, and no acknowledged change is lost.
 func TestSecondLoss(t *testing.T) {
 	for i, first := range firstLosses {
 		t.Run(first.name, func(t *testing.T) {
@@ -76,21 +77,21 @@
 				time.Sleep(catchUpBound)
 				leader := s.Leader()
 				if leader == "" {
-					t.Errorf("nobody leads %v after %s", catchUpBound, first.name)
+					t.Errorf("no leader %v after %s", catchUpBound, first.name)
 					return
 				}
 				s.Kill(leader)
-				s.requireAcknowledgement("with the leader lost")
+				s.requireAcknowledgement("with the leader killed")
 				s.restartWiped(0, leader)
 				time.Sleep(catchUpBound)
-				s.requireAcknowledgement("with it back, its disk lost")
+				s.requireAcknowledgement("with the leader restarted on a wiped disk")
 			})
 		})
 	}
 }
 
-// TestLossInMidChange: five voters tolerate two losses. One server is replaced or wiped,
-// and while that is under way the leader is lost.
+// TestLossInMidChange: five voters tolerate two losses. One server is restarted,
+// replaced or wiped, and the leader is killed while that is in progress.
 func TestLossInMidChange(t *testing.T) {
 	for i, first := range firstLosses {
 		t.Run(first.name, func(t *testing.T) {
@@ -105,11 +106,11 @@
 					leader = s.Leader()
 				}
 				if leader == "" {
-					t.Error("nobody leads a second after " + first.name)
+					t.Error("no leader a second after " + first.name)
 					return
 				}
 				s.Kill(leader)
-				s.requireAcknowledgement("with the leader lost in mid-change")
+				s.requireAcknowledgement("with the leader killed during the first change")
 				s.Start(leader)
 				time.Sleep(catchUpBound)
 			})
--- a/internal/simulation/narrow_link_test.go
+++ b/internal/simulation/narrow_link_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// narrowRate is the rate of a link that narrows, in bytes a second each way: half of
-	// what the operators' narrowed links carry at the least.
+	// narrowRate is the rate of a narrow link, in bytes a second each way: half of the
+	// minimum that operators provide on narrow links.
 	narrowRate = 625_000
-	// narrowFor is how long links are narrow.
-	narrowFor = 20 * time.Second
-	// narrowRoutes is how many routes the configurations have that come meanwhile: some 70
-	// KB, a ninth of a second of such a link.
+	// narrowDuration is how long links are narrow.
+	narrowDuration = 20 * time.Second
+	// narrowRoutes is the number of routes in each configuration that is sent
+	// meanwhile: about 70 KB, which take a ninth of a second on such a link.
 	narrowRoutes = 600
 )
 
-// manyRoutes is a part of a configuration with many routes.
+// manyRoutes returns the routes of a large configuration.
 func manyRoutes(version int) string {
 	var text strings.Builder
 	for i := range narrowRoutes {
@@ -29,16 +29,16 @@
 	return text.String()
 }
 
-// TestNarrowLinks: behind links that are narrow for 20 s, while large configurations come,
-// jobs run, clients upload and a zone is evacuated and taken back, no lease lapses and
-// leadership stays, but for one leadership transfer.
+// TestNarrowLinks: links are narrow for 20 s while large configurations are sent, jobs
+// run, clients upload, and a zone is evacuated and restored. No lease expires, and
+// there is at most one leadership transfer.
 func TestNarrowLinks(t *testing.T) {
 	for name, narrow := range map[string]func(c *Cluster) []string{
 		"leader":         func(c *Cluster) []string { return []string{c.Leader()} },
 		"follower":       func(c *Cluster) []string { return without(c.Servers(), c.Leader())[:1] },
 		"edge":           func(c *Cluster) []string { return []string{c.nodesExcept(edgeRole, c.Servers()...)[0]} },
 		"agents":         func(c *Cluster) []string { return c.nodeNames(agentRole)[:2] },
-		"half of all":    func(c *Cluster) []string { return everySecond(c.nodeNames("")) },
+		"half of all":    func(c *Cluster) []string { return everyOther(c.nodeNames("")) },
 		"all but leader": func(c *Cluster) []string { return without(c.nodeNames(""), c.Leader()) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -57,21 +57,22 @@
 					s.Network.SetRate(s.NodeIP(node), narrowRate)
 					defer s.Network.SetRate(s.NodeIP(node), 0)
 				}
-				s.liveWithNarrowLinks(t)
+				s.operateOverNarrowLinks(t)
 				if elected.Load() > 1 || lapsed.Load() > 0 {
-					t.Errorf("%d changes of leader, %d leases lapsed", elected.Load(), lapsed.Load())
+					t.Errorf("%d leaders elected, want at most 1; %d leases expired, want 0", elected.Load(), lapsed.Load())
 				}
 			})
 		})
 	}
 }
 
-// liveWithNarrowLinks has operators and clients go on for narrowFor.
-func (s *scenario) liveWithNarrowLinks(t *testing.T) {
+// operateOverNarrowLinks has operators order evacuations and send configurations for
+// narrowDuration.
+func (s *scenario) operateOverNarrowLinks(t *testing.T) {
 	edges := s.nodeNames(edgeRole)
-	until := time.Now().Add(narrowFor)
+	end := time.Now().Add(narrowDuration)
 	worst := time.Duration(0)
-	for i := 0; time.Now().Before(until); i++ {
+	for i := 0; time.Now().Before(end); i++ {
 		order := []string{"Begin", "Finish"}[i%2]
 		s.orderEvacuation(edges[i%len(edges)], order)
 		base := int(s.lastVersion.Load())
@@ -79,21 +80,21 @@
 		begin := time.Now()
 		attempt := i
 		s.WaitUntil("a large configuration is accepted", ackBound, func() bool {
-			attempt++ // an operator turns to another daemon
+			attempt++ // an operator retries at another daemon
 			return s.PutConfiguration(edges[attempt%len(edges)], base+1, base, manyRoutes(base+1)) == http.StatusOK
 		})
 		worst = max(worst, time.Since(begin))
 		time.Sleep(3 * time.Second)
 	}
 	s.orderEvacuation(edges[0], "Finish")
-	t.Logf("a configuration was accepted after %v at the latest", worst)
+	t.Logf("slowest configuration change was accepted after %v", worst)
 }
 
-// everySecond returns every second one of some names.
-func everySecond(names []string) []string {
-	var some []string
+// everyOther returns every other name, starting with the first.
+func everyOther(names []string) []string {
+	var selected []string
 	for i := 0; i < len(names); i += 2 {
-		some = append(some, names[i])
+		selected = append(selected, names[i])
 	}
-	return some
+	return selected
 }
--- a/internal/simulation/operator_races_test.go
+++ b/internal/simulation/operator_races_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// raceOperators has all operators send a change at once, each on the version that the
-// first of them reads. If shared, two and two of the changes have the same version.
+// raceOperators has all operators send a change at the same time, each based on the
+// version that the first of them reads. If shared is set, each pair of changes has the
+// same version.
 func (s *scenario) raceOperators(operators []*Operator, shared bool) []ConfigurationChange {
 	base := operators[0].Read(10 * time.Second)
 	changes := make([]ConfigurationChange, len(operators))
@@ -18,7 +19,7 @@
 	for i, operator := range operators {
 		changes[i] = s.NewChange(base)
 		if shared && i%2 == 1 {
-			// Two operators pick one version for different changes.
+			// Two operators choose the same version for different changes.
 			changes[i].Version = changes[i-1].Version
 			changes[i].Text = configurationText(changes[i].Version, routeJSON(fmt.Sprint("other", changes[i].Version)))
 		}
@@ -28,8 +29,8 @@
 	return changes
 }
 
-// resendAcknowledged sends acknowledged changes again, to random nodes, and requires that
-// none is refused.
+// resendAcknowledged resends acknowledged changes to random nodes and requires that all
+// are acknowledged again.
 func (s *scenario) resendAcknowledged(random *rand.Rand, when string, n int) {
 	s.T.Helper()
 	operator := s.NewOperator(random.Int63())
@@ -38,12 +39,12 @@
 	for range n {
 		change := acknowledged[random.Intn(len(acknowledged))]
 		if code := operator.Send(change, 10*time.Second); code != http.StatusOK {
-			s.T.Errorf("%s: version %d, acknowledged, sent again, gets %d", when, change.Version, code)
+			s.T.Errorf("%s: resent change %d, which was acknowledged, gets %d, want 200", when, change.Version, code)
 		}
 	}
 }
 
-// newOperators makes n operators that lose a part of the answers.
+// newOperators creates n operators that lose a fraction of the responses.
 func (s *scenario) newOperators(n int, ackLossRate float64) []*Operator {
 	var operators []*Operator
 	for range n {
@@ -60,9 +61,9 @@
 	}
 }
 
-// TestOperatorsRace: up to eight changes are under way, on one base, some two with the
-// same version, while answers are lost. Each is in force wholly or not at all, one wins
-// each race, and it stays acknowledged ever after.
+// TestOperatorsRace: up to eight concurrent changes have the same base, some pairs of
+// them the same version, while responses are lost. Each change is applied wholly or not
+// at all, at most one wins each race, and an acknowledged change stays acknowledged.
 func TestOperatorsRace(t *testing.T) {
 	runScenarios(t, 3, threeServers, func(s *scenario, _ int64) {
 		operators := s.newOperators(8, 0.7)
@@ -77,16 +78,16 @@
 				}
 			}
 			if winners > 1 {
-				s.T.Errorf("round %d: %d of 8 changes on one base were acknowledged", i, winners)
+				s.T.Errorf("round %d: %d of 8 changes on one base were acknowledged, want at most 1", i, winners)
 			}
 		}
-		s.resendAcknowledged(s.random, "at once", 4)
+		s.resendAcknowledged(s.random, "right after the races", 4)
 		closeAll(operators)
 	})
 }
 
-// TestChangeResent: an acknowledged change that is sent again, to any node, is
-// acknowledged again: after another one, after hundreds, after a change of leader, a
+// TestChangeResent: an acknowledged change that is resent to any node is acknowledged
+// again: after another change, after hundreds of changes, after a change of leader, a
 // restart of all nodes, a snapshot, and the loss of a disk.
 func TestChangeResent(t *testing.T) {
 	runScenario(t, threeServers, 1, func(s *scenario) {
@@ -95,7 +96,7 @@
 		makeChanges := func(n int) {
 			for range n {
 				if _, code := operator.MakeChange(20 * time.Second); code != http.StatusOK {
-					t.Errorf("a change with no other under way gets %d", code)
+					t.Errorf("a change without a concurrent one gets %d, want 200", code)
 				}
 			}
 		}
@@ -115,12 +116,12 @@
 		makeChanges(2)
 		s.restartWiped(0, s.Leader())
 		time.Sleep(6 * time.Second)
-		s.resendAcknowledged(s.random, "after a new disk", 8)
+		s.resendAcknowledged(s.random, "after the disk of the leader was wiped", 8)
 	})
 }
 
-// TestOperatorsDuringRestarts: eight operators go on sending while the leader or all
-// servers are restarted, soon after a change was sent.
+// TestOperatorsDuringRestarts: eight operators keep sending changes while the leader or
+// all servers are restarted shortly after a change was sent.
 func TestOperatorsDuringRestarts(t *testing.T) {
 	runScenarios(t, 3, threeServers, func(s *scenario, _ int64) {
 		operators := s.newOperators(8, 0.5)
--- a/internal/simulation/operator_test.go
+++ b/internal/simulation/operator_test.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// TestOperatorsUseAnIsolatedServer: for 20 s a node is isolated while changes are made
-// elsewhere. Operators that turn to it are answered within the second, later at once.
-// They are given nothing old and refused nothing. It isn't ready, and soon is again.
-func TestOperatorsUseAnIsolatedServer(t *testing.T) {
+// TestOperatorsUseIsolatedNode: a node is isolated for 20 s while changes are made at
+// other nodes. Operators that call it get a response within a second, and within 400 ms
+// after the first seconds. They are given no stale configuration, and no change is
+// refused permanently. The node is not ready meanwhile, and is ready again soon
+// afterwards.
+func TestOperatorsUseIsolatedNode(t *testing.T) {
 	leader := (*Cluster).Leader
 	follower := func(c *Cluster) string { return without(c.Servers(), c.Leader())[0] }
 	diskless := func(c *Cluster) string { return disklessEdge }
@@ -21,11 +23,11 @@
 		node func(*Cluster) string
 		from func(*Cluster) []string
 	}{
-		{"leader from all", leader, all},
+		{"leader from all nodes", leader, all},
 		{"leader from the servers", leader, (*Cluster).Servers},
-		{"follower from all", follower, all},
+		{"follower from all nodes", follower, all},
 		{"follower from the servers", follower, (*Cluster).Servers},
-		{"node without a disk from the servers", diskless, (*Cluster).Servers},
+		{"diskless node from the servers", diskless, (*Cluster).Servers},
 	} {
 		t.Run(isolation.name, func(t *testing.T) {
 			withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
@@ -37,18 +39,18 @@
 					if edge := edges[newest%len(edges)]; c.PutConfiguration(edge, newest+1, newest, "") == http.StatusOK {
 						newest++
 					}
-					// What was sent to a leader that fell silent then takes longer.
+					// Requests that were forwarded to a leader that became unreachable take longer.
 					limit := 900 * time.Millisecond
 					if time.Since(start) > 4*time.Second {
 						limit = 400 * time.Millisecond
 						if c.IsReady(isolated) {
-							t.Errorf("ready after %v", time.Since(start))
+							t.Errorf("isolated node is ready after %v", time.Since(start))
 						}
 					}
-					c.requireNoStaleAnswer(isolated, newest, limit)
+					c.requireNoStaleResponse(isolated, newest, limit)
 				}
 				if newest < 5 {
-					t.Errorf("only %d changes were made meanwhile", newest-1)
+					t.Errorf("only %d changes were made during the isolation, want at least 4", newest-1)
 				}
 				c.SetPartition(isolated, false, others...)
 				c.WaitUntil("the newest configuration is read", 3*time.Second, func() bool { return c.configurationVersionAt(isolated) == newest })
@@ -58,29 +60,30 @@
 	}
 }
 
-// requireNoStaleAnswer has operators read at a node and send to it. Answers may take as
-// long as limit.
-func (c *Cluster) requireNoStaleAnswer(node string, newest int, limit time.Duration) {
+// requireNoStaleResponse reads the configuration at a node and sends an accepted change
+// to it. It requires that neither response is stale and that both arrive within limit.
+func (c *Cluster) requireNoStaleResponse(node string, newest int, limit time.Duration) {
 	c.T.Helper()
 	start := time.Now()
 	if got := c.configurationVersionAt(node); got >= 100 && got < 500 || got > 0 && got < 100 && got != newest {
-		c.T.Errorf("a read gives %d, the newest is %d", got, newest)
+		c.T.Errorf("read returned %d, newest version is %d", got, newest)
 	}
 	if took := time.Since(start); took > limit {
-		c.T.Errorf("a read was answered after %v", took)
+		c.T.Errorf("read took %v", took)
 	}
 	start = time.Now()
-	// The first configuration was accepted: a leader says so again, others say nothing.
+	// The first configuration was accepted: a leader confirms it again, and a node without one can
+	// only fail with a 5xx status.
 	if got := c.PutConfiguration(node, 1, 0, ""); got != http.StatusOK && got < 500 {
-		c.T.Errorf("what was accepted is answered with %d", got)
+		c.T.Errorf("resent accepted change gets %d, want 200 or a server error", got)
 	}
 	if took := time.Since(start); took > limit {
-		c.T.Errorf("a change was answered after %v", took)
+		c.T.Errorf("change took %v", took)
 	}
 }
 
-// configurationVersionAt reads the configuration at a node and gives its version; else the
-// status code, or 0.
+// configurationVersionAt reads the configuration at a node and returns its version, or
+// the status code if it is not 200, or 0 without a response.
 func (c *Cluster) configurationVersionAt(node string) int {
 	code, raw, _ := c.request(http.MethodGet, c.nodeURL(node, controlPort, "/-/Config.Read"), "", "", nil)
 	if code != http.StatusOK {
@@ -88,14 +91,14 @@
 	}
 	version := 0
 	if n, err := fmt.Sscanf(strings.TrimSpace(string(raw)), `{"configVersion":%d`, &version); n != 1 || err != nil {
-		c.T.Errorf("a read brings %.60s", raw)
+		c.T.Errorf("unexpected configuration: %.60s", raw)
 	}
 	return version
 }
 
-// TestChangesResentLongAfter: each of many changes is acknowledged again by every node,
-// after others, after a change of leader, and after all nodes were killed. No second
-// change on a version that was built upon is.
+// TestChangesResentLongAfter: every node acknowledges each of many changes again after
+// later changes, after a change of leader, and after all nodes were killed. A second
+// change on a version that already has a successor is never acknowledged.
 func TestChangesResentLongAfter(t *testing.T) {
 	withCluster(t, threeServers, func(t *testing.T, c *Cluster) {
 		const changes = 60
@@ -103,28 +106,28 @@
 		for v := 1; v < changes; v++ {
 			c.WaitUntil("a change is accepted", 5*time.Second, func() bool { return c.PutConfiguration(edges[v%len(edges)], v+1, v, "") == http.StatusOK })
 		}
-		again := func(when string) {
+		resendAll := func(when string) {
 			t.Helper()
 			for v := 0; v < changes; v += 7 {
 				for _, node := range edges {
 					c.WaitUntil(when, 10*time.Second, func() bool {
 						got := c.PutConfiguration(node, v+1, v, "")
 						if got != http.StatusOK && got > 0 && got < 500 {
-							t.Errorf("%s: change %d at %s: %d", when, v+1, node, got)
+							t.Errorf("%s: resent change %d at %s gets %d", when, v+1, node, got)
 						}
 						return got == http.StatusOK
 					})
 					if got := c.PutConfiguration(node, changes+1, v, ""); got == http.StatusOK {
-						t.Errorf("%s: a second change on %d was confirmed at %s", when, v, node)
+						t.Errorf("%s: a second change on version %d was acknowledged at %s", when, v, node)
 					}
 				}
 			}
 		}
-		again("after other changes")
+		resendAll("after other changes")
 		leader := c.Leader()
 		c.Kill(leader)
 		edges = without(edges, leader)
-		again("after a change of leader")
+		resendAll("after a change of leader")
 		for _, name := range without(c.nodeNames(""), leader) {
 			c.Kill(name)
 		}
@@ -132,6 +135,6 @@
 			c.Start(name)
 		}
 		edges = c.nodeNames(edgeRole)
-		again("after all were killed")
+		resendAll("after all were killed")
 	})
 }
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -9,9 +9,9 @@
 	"tealpond/internal/protocol"
 )
 
-// TestManyJobsWantOneRack: tasks that find no room on their data's rack run elsewhere, and
-// work that prefers no rack isn't held up.
-func TestManyJobsWantOneRack(t *testing.T) {
+// TestManyJobsPreferOneRack: tasks that find no capacity on their preferred rack run on
+// other racks, and jobs without a preferred rack are not delayed.
+func TestManyJobsPreferOneRack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCluster(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 6})
 		defer c.Shutdown()
@@ -29,25 +29,25 @@
 		for i := range 8 {
 			c.waitJobDone(jobID(i), 10*time.Second)
 		}
-		// On their rack alone, 80 tasks of 0.4 s on 16 cores need 2 s and more; with the
-		// other racks, half of it.
+		// On the preferred rack alone, 80 tasks of 0.4 s on 16 cores need at least 2 s; with
+		// the other racks, half of that.
 		if took := time.Since(from); took > 5*time.Second {
-			t.Errorf("took %v", took)
+			t.Errorf("jobs took %v, want at most 5 s", took)
 		}
 		c.requireNoViolations()
 	})
 }
 
-// TestRunnerRejectsStartsWhileReady: a runner's heartbeats and health are good, and it
-// refuses every start. The work goes elsewhere.
+// TestRunnerRejectsStartsWhileReady: a runner whose heartbeats and health are good
+// rejects every start. Its tasks run on other runners.
 func TestRunnerRejectsStartsWhileReady(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		c.changeRunners(5*time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, "side-2")
 	}, nil)
 }
 
-// TestFlappingRunnerIsUsedLess: a runner that goes down and up alternately gets less and
-// less work meanwhile, and is used again later.
+// TestFlappingRunnerIsUsedLess: a runner that repeatedly crashes and restarts gets less
+// and less work, and is used again once it is stable.
 func TestFlappingRunnerIsUsedLess(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		runner := c.Runners["side-2"]
@@ -63,24 +63,24 @@
 		c.SubmitJob(jobID(100), newJob(300, 1000, 20))
 		c.waitJobDone(jobID(100), 10*time.Second)
 		if runner.Started() == 0 {
-			t.Error("it is not used again")
+			t.Error("no task ran on the runner after it recovered")
 		}
 	})
 }
 
-// TestSlowLeaderHandsOver: what a leader sends and receives comes late. Within seconds
-// another leads, and no rule is violated meanwhile.
+// TestSlowLeaderHandsOver: messages to and from the leader are delayed. Another leader
+// is elected within seconds, and no invariant is violated meanwhile.
 func TestSlowLeaderHandsOver(t *testing.T) {
 	runWithFault(t, fiveServers, func(c *Cluster) {
 		leader := c.Leader()
 		c.Network.SetDelay(c.NodeIP(leader), 900*time.Millisecond)
-		c.WaitUntil("another leads", 15*time.Second, func() bool { name := c.Leader(); return name != "" && name != leader })
+		c.WaitUntil("another server is the leader", 15*time.Second, func() bool { name := c.Leader(); return name != "" && name != leader })
 		c.Network.SetDelay(c.NodeIP(leader), 0)
 	}, nil)
 }
 
-// TestSlowAgentKeepsItsLeases: what an agent sends and receives comes half a second late.
-// Its runner obeys the leases that it was given.
+// TestSlowAgentKeepsItsLeases: messages to and from an agent are delayed by half a
+// second. Its runner obeys the leases that it was granted.
 func TestSlowAgentKeepsItsLeases(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		c.Network.SetDelay(c.NodeIP("side-1"), 500*time.Millisecond)
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -9,7 +9,8 @@
 // sixServers has an even number of servers, of which five vote.
 var sixServers = ClusterSpec{Servers: 6, Edges: 1, Agents: 4, ToleratedLosses: 2, Zones: 3}
 
-// splitServers cuts the servers into two halves for a while; all others reach both.
+// splitServers partitions the servers into two halves for some time. All other nodes
+// reach both halves.
 func (s *scenario) splitServers(duration time.Duration, half []string) {
 	other := without(s.Servers(), half...)
 	for _, name := range half {
@@ -21,9 +22,10 @@
 	}
 }
 
-// TestHalvesOfSixServers: the servers are cut into two halves, again and again, with the
-// leader in either. One half has a majority of the five voters, so that changes are
-// acknowledged and jobs are done all the while; nothing acknowledged is lost.
+// TestHalvesOfSixServers: the servers are repeatedly partitioned into two halves, with
+// the leader in either of them. One half has a majority of the five voters, so that
+// changes are acknowledged and jobs are done throughout. Nothing that was acknowledged
+// is lost.
 func TestHalvesOfSixServers(t *testing.T) {
 	runScenarios(t, 6, sixServers, func(s *scenario, seed int64) {
 		s.runOperator(seed, 700*time.Millisecond, nil)
@@ -37,15 +39,16 @@
 				s.splitServers(8*time.Second, servers[:3])
 			})
 			time.Sleep(time.Second)
-			s.requireAcknowledgement("with the servers in two halves")
+			s.requireAcknowledgement("with the servers partitioned into two halves")
 			<-cut
 			time.Sleep(catchUpBound)
 		}
 	})
 }
 
-// TestLossesOfSixServersOneByOne: with five voters and a learner, three servers are lost
-// one after another, each once the one before it was replaced by the learner or is back.
+// TestLossesOfSixServersOneByOne: in a cluster of five voters and a learner, the leader
+// is killed. Once the learner has replaced it as a voter, two more servers are killed,
+// the new leader among them. A majority of the voters remains.
 func TestLossesOfSixServersOneByOne(t *testing.T) {
 	runScenarios(t, 3, sixServers, func(s *scenario, seed int64) {
 		s.runOperator(seed, 700*time.Millisecond, nil)
@@ -53,17 +56,17 @@
 		first := s.Leader()
 		s.Kill(first)
 		time.Sleep(catchUpBound)
-		// The learner votes by now, so that two of five may be lost again.
+		// The learner is a voter by now, so that two of five voters may be lost again.
 		second := s.Leader()
 		rest := slices.DeleteFunc(s.Servers(), func(name string) bool { return name == first || name == second })
 		third := rest[s.random.Intn(len(rest))]
 		s.Kill(second)
 		s.Kill(third)
-		s.requireAcknowledgement("with three of six servers lost, one of them long ago")
+		s.requireAcknowledgement("with three of six servers lost, the first one already replaced")
 		for _, name := range []string{first, second, third} {
 			s.Start(name)
 		}
 		time.Sleep(catchUpBound)
-		s.requireAcknowledgement("with all of them back")
+		s.requireAcknowledgement("with all servers restarted")
 	})
 }
--- a/internal/simulation/peak_test.go
+++ b/internal/simulation/peak_test.go
@@ -10,27 +10,28 @@
 	"time"
 )
 
-// peakTest plays short days with a peak, on which there is urgent and deferrable work.
+// peakTest simulates short days with a demand peak, with both urgent and deferrable
+// jobs.
 type peakTest struct {
-	moving     bool // jobs may move
-	peakOnBoth bool // the peer has the peak too
-	noLastPeak bool // the last day has none, against the forecast
+	transfers    bool // deferrable jobs may be transferred
+	peakOnPeer   bool // the peer has the peak too
+	skipLastPeak bool // the last day has no peak, contrary to the forecast
 }
 
 const (
-	peakDays  = 4
-	peakDay   = 40 * time.Second
-	peakTick  = 500 * time.Millisecond
-	urgentAim = 850 * time.Millisecond // above it an urgent job counts as late
+	peakDays            = 4
+	peakDay             = 40 * time.Second
+	submitInterval      = 500 * time.Millisecond
+	urgentLatencyTarget = 850 * time.Millisecond // an urgent job that takes longer is late
 )
 
-// peakResult is what was seen on the last day of a peakTest.
+// peakResult holds the measurements of the last day of a peakTest.
 type peakResult struct {
-	median, worst time.Duration // of urgent jobs in the peak; worst is the 90th percentile
-	late, urgent  int           // of these jobs
-	done, away    int           // deferrable tasks, and those of them done by the peer
-	lost, doubled int           // deferrable tasks, and violations of the rule TWICE
-	deferred      time.Duration // mean, from a deferrable job's submission to its last end
+	median, p90        time.Duration // latencies of urgent jobs during the peak
+	late, urgent       int           // late ones, and all urgent jobs during the peak
+	done, transferred  int           // deferrable tasks, and those of them that ran in the peer cluster
+	lost, duplicated   int           // deferrable tasks, and violations of the rule TWICE
+	meanDeferrableTime time.Duration // mean time from the submission of a deferrable job to the end of its last run
 }
 
 // peakLoad submits the jobs of a peakTest.
@@ -39,35 +40,35 @@
 	a, b         *Cluster
 	jobs         int // submitted to a so far
 	lastDeferred time.Time
-	deferrable   []string             // IDs of the last day
-	submittedAt  map[string]time.Time // of these
+	deferrable   []string             // IDs of the jobs of the last day
+	submittedAt  map[string]time.Time // of the jobs in deferrable
 	background   sync.WaitGroup
 
-	mu         sync.Mutex // guards urgentTook
-	urgentTook []time.Duration
+	mu              sync.Mutex // guards urgentLatencies
+	urgentLatencies []time.Duration
 }
 
-// run plays the days and gives what was seen on the last one.
+// run simulates the days and returns the measurements of the last one.
 func (p peakTest) run(t *testing.T) (result peakResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		a, b := newFederatedPair(t, forecastSettings{crowdedAt: 0.5, bucketS: 2, dayS: peakDay.Seconds(), routesMayBeMoved: p.moving})
+		a, b := newFederatedPair(t, forecastSettings{crowdedAt: 0.5, bucketS: 2, dayS: peakDay.Seconds(), transfersEnabled: p.transfers})
 		defer a.Shutdown()
 		defer b.Shutdown()
 		load := &peakLoad{peakTest: p, a: a, b: b, submittedAt: map[string]time.Time{}}
 		for day := range peakDays {
-			load.playDay(day == peakDays-1)
+			load.runDay(day == peakDays-1)
 		}
 		load.background.Wait()
-		result.countUrgent(load.urgentTook)
+		result.countUrgent(load.urgentLatencies)
 		for _, job := range load.deferrable {
-			a.WaitUntil(job+" is done", 90*time.Second, func() bool { return a.JobStateUnder(slowPrefix, "a-edge-2", job) == jobDone })
+			a.WaitUntil(job+" is done", 90*time.Second, func() bool { return a.JobStateUnder(deferrablePathPrefix, "a-edge-2", job) == jobDone })
 		}
 		result.countDeferrable(a.completedOn(), load.deferrable)
-		result.deferred = a.meanCompletionTime(load.submittedAt)
+		result.meanDeferrableTime = a.meanCompletionTime(load.submittedAt)
 		for _, violation := range a.History.Violations() {
 			if strings.HasPrefix(violation, "TWICE") {
-				result.doubled++
+				result.duplicated++
 			}
 			t.Error(violation)
 		}
@@ -75,16 +76,16 @@
 	return result
 }
 
-// playDay submits one day's jobs.
-func (l *peakLoad) playDay(lastDay bool) {
+// runDay submits the jobs of one day.
+func (l *peakLoad) runDay(lastDay bool) {
 	begin := time.Now()
 	for time.Since(begin) < peakDay {
 		at := time.Since(begin)
-		inPeak := at > 14*time.Second && at < 24*time.Second && (!l.noLastPeak || !lastDay)
+		inPeak := at > 14*time.Second && at < 24*time.Second && (!l.skipLastPeak || !lastDay)
 		l.jobs++
 		number := l.jobs
 		l.background.Go(func() { l.submitUrgent(jobID(number), inPeak, lastDay) })
-		if l.peakOnBoth && inPeak {
+		if l.peakOnPeer && inPeak {
 			l.b.SubmitJob(jobID(100000+number), newJob(400, 2000, 12))
 		} else {
 			l.b.SubmitJob(jobID(100000+number), newJob(200, 300, 1))
@@ -92,7 +93,7 @@
 		if at > 6*time.Second && at < 22*time.Second && time.Since(l.lastDeferred) >= time.Second {
 			l.submitDeferrable(lastDay)
 		}
-		time.Sleep(peakTick)
+		time.Sleep(submitInterval)
 	}
 }
 
@@ -109,7 +110,7 @@
 	}
 	if lastDay && inPeak {
 		l.mu.Lock()
-		l.urgentTook = append(l.urgentTook, time.Since(submittedAt))
+		l.urgentLatencies = append(l.urgentLatencies, time.Since(submittedAt))
 		l.mu.Unlock()
 	}
 }
@@ -118,15 +119,15 @@
 	l.jobs++
 	l.lastDeferred = time.Now()
 	id := jobID(l.jobs)
-	l.a.SubmitJobUnder(slowPrefix, id, newJob(3000, 2500, 2))
+	l.a.SubmitJobUnder(deferrablePathPrefix, id, newJob(3000, 2500, 2))
 	if lastDay {
 		l.deferrable = append(l.deferrable, id)
 		l.submittedAt[id] = time.Now()
 	}
 }
 
-// meanCompletionTime is how long jobs took, from the times given to the last end of
-// their tasks.
+// meanCompletionTime returns the mean time from the submission of a job to the end of
+// its last successful run.
 func (c *Cluster) meanCompletionTime(submittedAt map[string]time.Time) time.Duration {
 	c.History.mu.Lock()
 	defer c.History.mu.Unlock()
@@ -143,14 +144,14 @@
 	return sum / time.Duration(max(len(submittedAt), 1))
 }
 
-func (r *peakResult) countUrgent(took []time.Duration) {
-	sort.Slice(took, func(x, y int) bool { return took[x] < took[y] })
-	if len(took) == 0 {
-		took = append(took, 0)
+func (r *peakResult) countUrgent(latencies []time.Duration) {
+	sort.Slice(latencies, func(x, y int) bool { return latencies[x] < latencies[y] })
+	if len(latencies) == 0 {
+		latencies = append(latencies, 0)
 	}
-	r.urgent, r.median, r.worst = len(took), took[len(took)/2], took[len(took)*9/10]
-	for _, duration := range took {
-		if duration > urgentAim {
+	r.urgent, r.median, r.p90 = len(latencies), latencies[len(latencies)/2], latencies[len(latencies)*9/10]
+	for _, duration := range latencies {
+		if duration > urgentLatencyTarget {
 			r.late++
 		}
 	}
@@ -163,7 +164,7 @@
 			case node == "":
 				r.lost++
 			case strings.HasPrefix(node, "b-"):
-				r.away++
+				r.transferred++
 				r.done++
 			default:
 				r.done++
@@ -172,46 +173,47 @@
 	}
 }
 
-// TestPeakWithAndWithoutMoving is the measurement of docs/forecast.md.
-func TestPeakWithAndWithoutMoving(t *testing.T) {
-	off, on := peakTest{}.run(t), peakTest{moving: true}.run(t)
+// TestPeakWithAndWithoutTransfers is the measurement of docs/forecast.md.
+func TestPeakWithAndWithoutTransfers(t *testing.T) {
+	off, on := peakTest{}.run(t), peakTest{transfers: true}.run(t)
 	for _, x := range []struct {
 		name   string
 		result peakResult
 	}{{"off", off}, {"on", on}} {
-		t.Logf("moving %s: urgent median %v, worst tenth %v, late %d of %d; deferred tasks done %d, away %d, doubled %d, lost %d, mean time %v",
-			x.name, x.result.median, x.result.worst, x.result.late, x.result.urgent, x.result.done, x.result.away, x.result.doubled, x.result.lost, x.result.deferred)
+		t.Logf("transfers %s: urgent median %v, 90th percentile %v, late %d of %d; deferrable tasks done %d, transferred %d, run twice %d, lost %d, mean time %v",
+			x.name, x.result.median, x.result.p90, x.result.late, x.result.urgent, x.result.done, x.result.transferred, x.result.duplicated, x.result.lost, x.result.meanDeferrableTime)
 	}
-	if on.away == 0 {
-		t.Error("nothing moved")
+	if on.transferred == 0 {
+		t.Error("no task ran in the peer cluster")
 	}
-	if off.away != 0 || off.lost+on.lost+off.doubled+on.doubled > 0 {
-		t.Error("moved while off, lost or doubled")
+	if off.transferred != 0 || off.lost+on.lost+off.duplicated+on.duplicated > 0 {
+		t.Error("tasks were transferred with transfers disabled, lost, or run twice")
 	}
-	// A fifth is allowed, since priorities keep urgent work whole either way: moving
-	// must not harm it, and gains for what is deferred.
-	if on.worst > off.worst*6/5 {
-		t.Errorf("urgent worst tenth %v with moving, %v without", on.worst, off.worst)
+	// Priorities protect urgent jobs with and without transfers, so that transfers bring them no
+	// gain, but may cost them a fifth at most. The gain is in the latency of deferrable jobs.
+	if on.p90 > off.p90*6/5 {
+		t.Errorf("90th percentile of urgent jobs: %v with transfers, %v without", on.p90, off.p90)
 	}
-	if on.deferred >= off.deferred {
-		t.Errorf("deferred took %v with moving, %v without", on.deferred, off.deferred)
+	if on.meanDeferrableTime >= off.meanDeferrableTime {
+		t.Errorf("mean time of deferrable jobs: %v with transfers, %v without", on.meanDeferrableTime, off.meanDeferrableTime)
 	}
 }
 
-// TestPeakOnBothMovesNothing: a peer that is about to be crowded lends nothing.
-func TestPeakOnBothMovesNothing(t *testing.T) {
-	result := peakTest{moving: true, peakOnBoth: true}.run(t)
-	t.Logf("peak on both: away %d, late %d of %d, lost %d, doubled %d", result.away, result.late, result.urgent, result.lost, result.doubled)
-	if result.lost > 0 || result.doubled > 0 || result.away > 0 {
-		t.Errorf("lost %d, doubled %d, away %d", result.lost, result.doubled, result.away)
+// TestPeakOnBothTransfersNothing: a peer that forecasts its own peak lends no capacity.
+func TestPeakOnBothTransfersNothing(t *testing.T) {
+	result := peakTest{transfers: true, peakOnPeer: true}.run(t)
+	t.Logf("peak on both clusters: transferred %d, late %d of %d, lost %d, run twice %d", result.transferred, result.late, result.urgent, result.lost, result.duplicated)
+	if result.lost > 0 || result.duplicated > 0 || result.transferred > 0 {
+		t.Errorf("lost %d, run twice %d, transferred %d, want 0 of each", result.lost, result.duplicated, result.transferred)
 	}
 }
 
-// TestPeakThatDoesNotCome: a wrong forecast moves jobs for nothing, and loses none.
+// TestPeakThatDoesNotCome: a wrong forecast may transfer jobs needlessly, but loses
+// none and runs none twice.
 func TestPeakThatDoesNotCome(t *testing.T) {
-	result := peakTest{moving: true, noLastPeak: true}.run(t)
-	t.Logf("peak that does not come: away %d, lost %d, doubled %d", result.away, result.lost, result.doubled)
-	if result.lost > 0 || result.doubled > 0 {
-		t.Errorf("lost %d, doubled %d", result.lost, result.doubled)
+	result := peakTest{transfers: true, skipLastPeak: true}.run(t)
+	t.Logf("forecast peak does not come: transferred %d, lost %d, run twice %d", result.transferred, result.lost, result.duplicated)
+	if result.lost > 0 || result.duplicated > 0 {
+		t.Errorf("lost %d, run twice %d, want 0 of each", result.lost, result.duplicated)
 	}
 }
--- a/internal/simulation/replacement_test.go
+++ b/internal/simulation/replacement_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// replaceThenLose starts a new server, terminates an old one as soon as the new one may
-// be known, and kills another when the old one has ended. What is left must go on.
-func replaceThenLose(t *testing.T, pause time.Duration, chooseLeaving, chooseLost func(c *Cluster, of []string) string) {
+// replaceThenKill starts a new server, terminates an old one after pause, and kills
+// another one once the old one has terminated. The remaining servers must elect a
+// leader.
+func replaceThenKill(t *testing.T, pause time.Duration, chooseLeaving, chooseLost func(c *Cluster, of []string) string) {
 	t.Helper()
 	var lost string
 	runWithFault(t, threeServers, func(c *Cluster) {
@@ -20,10 +21,10 @@
 		start := time.Now()
 		c.Terminate(leaving)
 		if took := time.Since(start); took > 6*time.Second {
-			t.Errorf("ending took %v, beyond the grace", took)
+			t.Errorf("termination took %v, want at most 6 s", took)
 		}
 		remaining := append(without(servers, leaving), "edge-new")
-		c.WaitUntil("a leader after the change", 5*time.Second, func() bool { return slices.Contains(remaining, c.leaderKnownTo(remaining[0])) })
+		c.WaitUntil("a leader after the replacement", 5*time.Second, func() bool { return slices.Contains(remaining, c.leaderKnownTo(remaining[0])) })
 		lost = chooseLost(c, remaining)
 		c.Kill(lost)
 		rest := without(remaining, lost)
@@ -33,30 +34,31 @@
 	}, func(c *Cluster) { c.Start(lost) })
 }
 
-// chooseLeader returns the leader of some servers.
+// chooseLeader returns the leader that the first of the servers knows.
 func chooseLeader(c *Cluster, of []string) string { return c.leaderKnownTo(of[0]) }
 
-// chooseFollower returns a server that doesn't lead.
+// chooseFollower returns a server that is not the leader.
 func chooseFollower(c *Cluster, of []string) string {
 	return without(of, c.leaderKnownTo(of[0]))[0]
 }
 
 func TestFollowerReplacedThenLeaderLost(t *testing.T) {
-	replaceThenLose(t, 300*time.Millisecond, chooseFollower, chooseLeader)
+	replaceThenKill(t, 300*time.Millisecond, chooseFollower, chooseLeader)
 }
 
 func TestLeaderReplacedThenFollowerLost(t *testing.T) {
-	replaceThenLose(t, 300*time.Millisecond, chooseLeader, chooseFollower)
+	replaceThenKill(t, 300*time.Millisecond, chooseLeader, chooseFollower)
 }
 
-// TestShutdownWithoutAReplacementIsImmediate: a server that may end waits for nothing.
-func TestShutdownWithoutAReplacementIsImmediate(t *testing.T) {
+// TestShutdownWithoutReplacementIsImmediate: a server whose termination leaves a
+// majority does not wait before it terminates.
+func TestShutdownWithoutReplacementIsImmediate(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
 		leaving := chooseFollower(c, c.Servers())
 		start := time.Now()
 		c.Terminate(leaving)
 		if took := time.Since(start); took > time.Second {
-			t.Errorf("ending took %v", took)
+			t.Errorf("termination took %v, want at most 1 s", took)
 		}
 		c.Start(leaving)
 	}, nil)
--- a/internal/simulation/full_link_test.go
+++ b/internal/simulation/saturated_link_test.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// fullLinkRate is the rate of the link of a daemon that its clients fill, in bytes a
-	// second.
-	fullLinkRate = 450_000
-	// uploadBytes is the size of the bodies that fill it.
+	// saturatedLinkRate is the rate, in bytes a second, of the daemon link that
+	// clients saturate.
+	saturatedLinkRate = 450_000
+	// uploadBytes is the size of each uploaded request body.
 	uploadBytes = 60_000
-	// uploaders is how many clients fill it. Together their connections hold some three
-	// seconds of what the link carries.
+	// uploaders is the number of clients that upload. Together their connections
+	// buffer about three seconds of traffic at the rate of the link.
 	uploaders = 24
-	// leastUsed is the least part of the link that bodies of answered requests take.
-	leastUsed = 0.85
+	// minUtilization is the minimum fraction of the link that the bodies of answered
+	// requests must take.
+	minUtilization = 0.85
 )
 
-// fillLink has clients send bodies to a daemon, one after the other each, until stop is
-// called, which gives how many were answered.
-func (l *gatewayLoad) fillLink(node string) (stop func() int) {
+// saturateLink has clients upload bodies to a daemon, each one after another, until
+// stop is called. stop returns the number of answered uploads.
+func (l *gatewayLoad) saturateLink(node string) (stop func() int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	var answered atomic.Int64
@@ -54,43 +55,44 @@
 	}
 }
 
-// TestLeavingRunnerIsKnownBehindAFullLink: a daemon whose clients fill its link sends
-// nothing to a runner that leaves, later than drainMs after it was listed so.
-func TestLeavingRunnerIsKnownBehindAFullLink(t *testing.T) {
+// TestDrainingRunnerAvoidedOnSaturatedLink: a daemon whose link is saturated by uploads
+// sends no request to a draining runner later than drainMs after the runner was listed
+// as draining.
+func TestDrainingRunnerAvoidedOnSaturatedLink(t *testing.T) {
 	for _, spec := range []ClusterSpec{
 		{Servers: 3, Edges: 3, Zones: 2, Gateway: true},
 		{Servers: 3, Edges: 3, Zones: 2, Gateway: true, Announced: true},
 	} {
 		t.Run(map[bool]string{false: "listed", true: "announced"}[spec.Announced], func(t *testing.T) {
 			gatewayDayOf(t, spec, func(c *Cluster, load *gatewayLoad) {
-				full := "edge-6"
+				node := "edge-6"
 				// Bodies that share the link take more than three seconds each.
 				c.putGatewayConfiguration(2, 1, `,{"name":"u","hostName":"h","pathPrefix":"/upload/","kind":"writing","timeoutMs":8000,"targetService":"svc","maxTries":2}`)
-				c.Network.SetRate(c.NodeIP(full), fullLinkRate)
-				begin, stop := time.Now(), load.fillLink(full)
+				c.Network.SetRate(c.NodeIP(node), saturatedLinkRate)
+				begin, stop := time.Now(), load.saturateLink(node)
 				time.Sleep(3 * time.Second)
-				for _, id := range []string{"i-02", "i-04", "i-05", "i-06"} { // of its zone
+				for _, id := range []string{"i-02", "i-04", "i-05", "i-06"} { // in the zone of the daemon
 					c.platform.StartRunner("svc", "z1")
 					time.Sleep(3 * time.Second)
 					c.platform.MarkDraining(id)
 					listedAt := time.Now()
 					time.Sleep(6 * time.Second)
-					most := drainTime
+					bound := drainTime
 					if spec.Announced {
-						most += heartbeatInterval // it says so with its next heartbeat
+						bound += heartbeatInterval // the runner announces it with its next heartbeat
 					}
-					if late := c.platform.LastArrival(id).Sub(listedAt); late > most {
-						t.Errorf("%s got a request %v after it was listed as leaving", id, late)
+					if late := c.platform.LastArrival(id).Sub(listedAt); late > bound {
+						t.Errorf("%s got a request %v after it was listed as draining", id, late)
 					} else {
-						t.Logf("%s got its last request %v after it was listed as leaving", id, late)
+						t.Logf("%s got its last request %v after it was listed as draining", id, late)
 					}
 				}
-				// The link is used as before: bodies that wait at their clients cost nothing.
-				carried := time.Since(begin).Seconds() * fullLinkRate / uploadBytes
-				if answered := stop(); float64(answered) < leastUsed*carried {
-					t.Errorf("%d bodies were answered, the link carries %.0f", answered, carried)
+				// Holding back uploads at the clients must not lower the utilization of the link.
+				carried := time.Since(begin).Seconds() * saturatedLinkRate / uploadBytes
+				if answered := stop(); float64(answered) < minUtilization*carried {
+					t.Errorf("%d uploads were answered, the link carries %.0f", answered, carried)
 				} else {
-					t.Logf("%d bodies were answered, the link carries %.0f", answered, carried)
+					t.Logf("%d uploads were answered, the link carries %.0f", answered, carried)
 				}
 			})
 		})
--- a/internal/simulation/shutdown_test.go
+++ b/internal/simulation/shutdown_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// endedTime is when a daemon was away, from its end to its next start.
-type endedTime struct{ ended, started time.Time }
+// outage is the time between the termination of a daemon and its next start.
+type outage struct{ stoppedAt, startedAt time.Time }
 
-// terminateFor asks a daemon to end, starts it again a while after it has, and gives when
-// it was away.
-func (c *Cluster) terminateFor(downtime time.Duration, name string) endedTime {
+// terminateAndRestart terminates a daemon, starts it again after a downtime, and
+// returns its outage.
+func (c *Cluster) terminateAndRestart(downtime time.Duration, name string) outage {
 	c.Terminate(name)
-	away := endedTime{ended: time.Now()}
+	down := outage{stoppedAt: time.Now()}
 	time.Sleep(downtime)
-	away.started = time.Now()
+	down.startedAt = time.Now()
 	c.Start(name)
-	return away
+	return down
 }
 
-// TestTwoThatEndAtOnceWaitForEachOther: of three servers two are asked to end at the same
-// moment. They are away one after the other, so that a majority is there all the while,
-// and each has ended within the time that it has.
-func TestTwoThatEndAtOnceWaitForEachOther(t *testing.T) {
+// TestConcurrentShutdownsAreSerialized: two of three servers are told to terminate at
+// the same time. They are down one after the other, so that a majority is always
+// running, and both terminate within 3 s.
+func TestConcurrentShutdownsAreSerialized(t *testing.T) {
 	const downtime = 500 * time.Millisecond
 	for name, choose := range map[string]func(c *Cluster) [2]string{
 		"two followers": func(c *Cluster) [2]string {
@@ -37,35 +37,35 @@
 		t.Run(name, func(t *testing.T) {
 			runWithFault(t, threeServers, func(c *Cluster) {
 				askedAt := time.Now()
-				var away [2]endedTime
+				var outages [2]outage
 				var both sync.WaitGroup
 				for i, server := range choose(c) {
-					both.Go(func() { away[i] = c.terminateFor(downtime, server) })
+					both.Go(func() { outages[i] = c.terminateAndRestart(downtime, server) })
 				}
 				both.Wait()
-				first, second := away[0], away[1]
-				if second.ended.Before(first.ended) {
+				first, second := outages[0], outages[1]
+				if second.stoppedAt.Before(first.stoppedAt) {
 					first, second = second, first
 				}
-				if second.ended.Before(first.started) {
-					t.Errorf("both are away: one from %v to %v, the other from %v", first.ended.Sub(askedAt), first.started.Sub(askedAt), second.ended.Sub(askedAt))
+				if second.stoppedAt.Before(first.startedAt) {
+					t.Errorf("both servers were down: one from %v to %v, the other from %v", first.stoppedAt.Sub(askedAt), first.startedAt.Sub(askedAt), second.stoppedAt.Sub(askedAt))
 				}
-				if took := second.ended.Sub(askedAt); took > 3*time.Second {
-					t.Errorf("ending took %v", took)
+				if took := second.stoppedAt.Sub(askedAt); took > 3*time.Second {
+					t.Errorf("termination took %v, want at most 3 s", took)
 				}
 			}, nil)
 		})
 	}
 }
 
-// TestRollingRestartWithTheLeaderLast: each server is asked to end as soon as the one
-// before it was started, the leader at last; all jobs are done, and configurations are
-// accepted right after.
+// TestRollingRestartWithTheLeaderLast: each server is terminated as soon as the
+// previous one was started, the leader last. All jobs are done, and there is a leader
+// within 2 s afterwards.
 func TestRollingRestartWithTheLeaderLast(t *testing.T) {
 	runWithFault(t, fiveServers, func(c *Cluster) {
 		leader := c.Leader()
 		for _, server := range append(without(c.Servers(), leader), leader) {
-			c.terminateFor(300*time.Millisecond, server)
+			c.terminateAndRestart(300*time.Millisecond, server)
 		}
 		c.WaitUntil("there is a leader", 2*time.Second, func() bool { return c.Leader() != "" })
 	}, nil)
--- a/internal/simulation/leaving_test.go
+++ b/internal/simulation/sign_off_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// SignOff has a runner sign off, by calls to its agent until one is acknowledged. It
-// returns the incarnation that leaves.
+// SignOff sends the sign-off of a runner to its agent until it is acknowledged. It
+// returns the incarnation that signed off.
 func (c *Cluster) SignOff(name string) string {
 	c.T.Helper()
 	incarnation, _ := c.Runners[name].heartbeat()
@@ -20,7 +20,7 @@
 	return incarnation
 }
 
-// seen returns the events of a kind of an incarnation, after a moment.
+// seen returns the events of one kind of an incarnation after a time.
 func (h *History) seen(kind EventKind, incarnation string, after time.Time) (seen []Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -32,10 +32,10 @@
 	return seen
 }
 
-// TestRunnerSignsOffWithoutDraining: it goes on serving for as long as one that drains,
-// and its heartbeats say `ready` all the while. Runs that can end in that time are left
-// to end, others are stopped before the runner leaves, and nothing is started there,
-// also if its agent was restarted meanwhile.
+// TestRunnerSignsOffWithoutDraining: a runner that signs off serves as long as a
+// draining one while its heartbeats still say `ready`. Runs that can end within that
+// time are left to end, and others are stopped before the runner terminates. No run
+// starts there after the sign-off, even if the agent was restarted in between.
 func TestRunnerSignsOffWithoutDraining(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		for ms, outcome := range map[int]string{1000: runDone, 6000: runStopped} {
@@ -46,8 +46,8 @@
 	}
 }
 
-// testSignOff has a runner that is full of tasks of so many ms sign off and leave. Its
-// runs must end with an outcome.
+// testSignOff fills the runners with tasks of a duration in ms, has one of them sign
+// off and terminate, and requires that its runs end with the given outcome.
 func testSignOff(t *testing.T, ms int, outcome string, restart bool) {
 	t.Helper()
 	c := NewCluster(t, threeServers)
@@ -65,15 +65,15 @@
 	time.Sleep(drainTime - time.Since(signedOffAt))
 	ended := c.History.seen(EventRunEnded, incarnation, signedOffAt)
 	if len(ended) != 4 {
-		t.Errorf("%d runs ended before the runner left, want 4", len(ended))
+		t.Errorf("%d runs ended before the runner terminated, want 4", len(ended))
 	}
 	for _, event := range ended {
 		if after := event.At.Sub(signedOffAt); event.Outcome != outcome || outcome == runStopped && after < drainTime/2 {
-			t.Errorf("%s ended %s %v after the sign-off, want %s", event.Task, event.Outcome, after, outcome)
+			t.Errorf("%s ended with %s %v after the sign-off, want %s", event.Task, event.Outcome, after, outcome)
 		}
 	}
 	for _, event := range c.History.seen(EventRunStarted, incarnation, signedOffAt.Add(50*time.Millisecond)) {
-		t.Errorf("%s starts on a runner that signed off", event.Task)
+		t.Errorf("%s started on a runner that had signed off", event.Task)
 	}
 	c.Runners["side-1"].Crash()
 	for i := range 2 {
--- a/internal/simulation/snapshot_test.go
+++ b/internal/simulation/snapshot_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestFarBehind: a server is isolated while the log grows past what the others keep, gets
-// a snapshot, is isolated during the transfer, and gets another one, while changes are
-// sent all the time. After a restart of all nodes the replicas agree and each leads as
-// well as the others.
+// TestFarBehind: a server is isolated until the others have truncated the log entries
+// that it lacks, is sent a snapshot, is isolated again during the transfer, and is sent
+// another snapshot. Changes are sent throughout. After a restart of all nodes, the
+// replicas agree, and changes are acknowledged under each next leader.
 func TestFarBehind(t *testing.T) {
 	runScenarios(t, 2, threeServers, func(s *scenario, seed int64) {
 		victim := s.follower()
@@ -21,7 +21,7 @@
 		repair := s.InjectFault(victim, IsolateBothWays)
 		time.Sleep(14 * time.Second)
 		repair()
-		// A chunk of a snapshot takes about a millisecond on this network.
+		// The transfer of a snapshot chunk takes about a millisecond on this network.
 		time.Sleep(time.Duration(s.random.Intn(80)) * time.Millisecond)
 		repair = s.InjectFault(victim, IsolateInbound)
 		time.Sleep(6 * time.Second)
@@ -32,7 +32,7 @@
 		s.requireCaughtUp(victim)
 		s.Restart(time.Second, s.nodeNames("")...)
 		time.Sleep(catchUpBound)
-		// Each replica leads once, so that what one of them lacks is seen.
+		// Leadership moves between the replicas, so that missing state in one of them is detected.
 		for range 2 {
 			leader := s.Leader()
 			s.Terminate(leader)
@@ -43,7 +43,8 @@
 	})
 }
 
-// requireCaughtUp requires that a server has applied about as much as the others.
+// requireCaughtUp requires that a server comes within 200 entries of the highest
+// applied index.
 func (s *scenario) requireCaughtUp(name string) {
 	s.T.Helper()
 	s.WaitUntil(name+" has caught up", catchUpBound, func() bool {
--- a/internal/simulation/tallies_test.go
+++ b/internal/simulation/tallies_test.go
@@ -14,36 +14,36 @@
 	"tealpond/internal/protocol"
 )
 
-// mergeTime is mergeMs of the operators.
-const mergeTime = 3 * time.Second
+// tallyMergeTime is the setting mergeMs of the cluster.
+const tallyMergeTime = 3 * time.Second
 
-// tallyCallers add to tallies at all nodes, and hold what they are shown against the rules.
+// tallyCallers add to a tally at all nodes and check the totals that nodes return.
 type tallyCallers struct {
 	c       *Cluster
 	running sync.WaitGroup
 	stop    context.CancelFunc
 
-	mu     sync.Mutex
-	sent   map[string]int64          // amounts by ID, of all that were ever sent
-	kept   map[string]time.Time      // when an ID was first acknowledged, by any node
-	byNode map[string]map[string]int // IDs that a node acknowledged, by its lives
-	lives  map[string]int
-	failed int // calls without a good answer
-	calls  int
+	mu             sync.Mutex
+	sent           map[string]int64          // amounts of all adds that were ever sent, by ID
+	acknowledged   map[string]time.Time      // when any node first acknowledged an add, by ID
+	acknowledgedBy map[string]map[string]int // generation of the node at which it acknowledged an add, by node and ID
+	generations    map[string]int            // number of recorded restarts, by node
+	failed         int                       // calls that were not answered with 200
+	calls          int
 }
 
 const tallyName = "t1"
 
-// newTallyCallers makes callers that don't call by themselves.
+// newTallyCallers creates callers that make no calls on their own.
 func (c *Cluster) newTallyCallers() *tallyCallers {
-	callers := &tallyCallers{c: c, stop: func() {}, sent: map[string]int64{}, kept: map[string]time.Time{}, byNode: map[string]map[string]int{}, lives: map[string]int{}}
+	callers := &tallyCallers{c: c, stop: func() {}, sent: map[string]int64{}, acknowledged: map[string]time.Time{}, acknowledgedBy: map[string]map[string]int{}, generations: map[string]int{}}
 	for _, node := range c.nodeNames(edgeRole) {
-		callers.byNode[node] = map[string]int{}
+		callers.acknowledgedBy[node] = map[string]int{}
 	}
 	return callers
 }
 
-// startTallyCallers starts a caller at each node.
+// startTallyCallers starts a caller for each node.
 func (c *Cluster) startTallyCallers() *tallyCallers {
 	callers := c.newTallyCallers()
 	var ctx context.Context
@@ -60,7 +60,8 @@
 	return callers
 }
 
-// addOnce adds under a new ID; without a good answer the same goes to the next nodes.
+// addOnce adds an amount under a new ID. It retries with the same ID at the next nodes
+// until one acknowledges the add, with three attempts in total.
 func (l *tallyCallers) addOnce(caller, n int) {
 	id := fmt.Sprintf("%04d%012d", caller, n)
 	l.mu.Lock()
@@ -74,10 +75,10 @@
 	}
 }
 
-// add makes one call.
+// add makes one call and reports whether it was acknowledged.
 func (l *tallyCallers) add(node, id string) bool {
 	l.mu.Lock()
-	life, amount := l.lives[node], l.sent[id]
+	generation, amount := l.generations[node], l.sent[id]
 	l.calls++
 	l.mu.Unlock()
 	code, _, _ := l.c.requestFrom(l.c.client, time.Second, http.MethodPost, l.c.nodeURL(node, controlPort, "/-/Tallies.Change/"+tallyName), "", protocol.TallyChange{ID: id, Amount: amount}, nil)
@@ -87,34 +88,36 @@
 		l.failed++
 		return false
 	}
-	if _, known := l.kept[id]; !known {
-		l.kept[id] = time.Now()
+	if _, known := l.acknowledged[id]; !known {
+		l.acknowledged[id] = time.Now()
 	}
-	if life == l.lives[node] {
-		l.byNode[node][id] = life
+	if generation == l.generations[node] {
+		l.acknowledgedBy[node][id] = generation
 	}
 	return true
 }
 
-// read reads at a node and checks what it shows: TWICE and STALE.
+// read reads the tally at a node and checks the total: it must not exceed the sum of
+// all amounts ever sent (TWICE), and must include all adds that the node has
+// acknowledged since its last restart (STALE).
 func (l *tallyCallers) read(node string) {
 	l.mu.Lock()
-	life, least := l.lives[node], int64(0)
-	for id, acknowledgedIn := range l.byNode[node] {
-		if acknowledgedIn == life {
-			least += l.sent[id]
+	generation, minTotal := l.generations[node], int64(0)
+	for id, acknowledgedGeneration := range l.acknowledgedBy[node] {
+		if acknowledgedGeneration == generation {
+			minTotal += l.sent[id]
 		}
 	}
 	l.mu.Unlock()
 	total, ok := l.total(node)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	most := int64(0)
+	maxTotal := int64(0)
 	for _, amount := range l.sent {
-		most += amount
+		maxTotal += amount
 	}
-	if ok && life == l.lives[node] && (total < least || total > most) {
-		l.c.T.Errorf("%s shows %d, it has acknowledged %d, and %d was ever sent", node, total, least, most)
+	if ok && generation == l.generations[node] && (total < minTotal || total > maxTotal) {
+		l.c.T.Errorf("%s returned total %d, want at least %d, which it acknowledged, and at most %d, which were sent", node, total, minTotal, maxTotal)
 	}
 }
 
@@ -128,38 +131,39 @@
 	return answer.Total, true
 }
 
-// restarted records that a node has another life from now on.
+// restarted records a restart of nodes: each begins a new generation.
 func (l *tallyCallers) restarted(nodes ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, node := range nodes {
-		l.lives[node]++
+		l.generations[node]++
 	}
 }
 
-// requireMerged ends the callers; mergeMs later each node shows all that was acknowledged.
+// requireMerged stops the callers and requires that, mergeMs later, every node returns
+// a total that includes all acknowledged adds.
 func (l *tallyCallers) requireMerged() {
 	l.c.T.Helper()
 	l.stop()
 	l.running.Wait()
-	time.Sleep(mergeTime)
-	least, most := int64(0), int64(0)
+	time.Sleep(tallyMergeTime)
+	minTotal, maxTotal := int64(0), int64(0)
 	for id, amount := range l.sent {
-		most += amount
-		if _, kept := l.kept[id]; kept {
-			least += amount
+		maxTotal += amount
+		if _, acknowledged := l.acknowledged[id]; acknowledged {
+			minTotal += amount
 		}
 	}
 	for _, node := range l.c.nodeNames(edgeRole) {
 		total, ok := l.total(node)
-		if !ok || total < least || total > most {
-			l.c.T.Errorf("%s shows %d (%v), %d was acknowledged, %d sent", node, total, ok, least, most)
+		if !ok || total < minTotal || total > maxTotal {
+			l.c.T.Errorf("%s returned total %d (%v), want at least %d, which were acknowledged, and at most %d, which were sent", node, total, ok, minTotal, maxTotal)
 		}
 	}
-	l.c.T.Logf("%d calls, %d without a good answer", l.calls, l.failed)
+	l.c.T.Logf("%d calls, %d not answered with 200", l.calls, l.failed)
 }
 
-// inZone returns the nodes of a zone among those that serve applications.
+// inZone returns the nodes inside and outside of a zone.
 func (c *Cluster) inZone(zone string) (inside, outside []string) {
 	for _, name := range c.nodeNames("") {
 		if c.node(name).zone == zone {
@@ -171,8 +175,9 @@
 	return inside, outside
 }
 
-// cutZone cuts a zone off from the others; the function that it returns joins them.
-func (c *Cluster) cutZone(zone string) (join func()) {
+// isolateZone partitions a zone from the others. The returned function heals the
+// partition.
+func (c *Cluster) isolateZone(zone string) (heal func()) {
 	inside, outside := c.inZone(zone)
 	for _, name := range inside {
 		c.SetPartition(name, true, outside...)
@@ -184,7 +189,7 @@
 	}
 }
 
-// damageTallies blanks a part of the file of the tallies of a server that isn't running.
+// damageTallies zeroes a part of the tally file of a server that is not running.
 func (c *Cluster) damageTallies(name string) {
 	c.T.Helper()
 	path := filepath.Join(c.dir, name, "tallies.db")
@@ -198,14 +203,14 @@
 	}
 }
 
-// TestTalliesAtBothSides: tallies go on at each side of a partition, also under losses while
-// the sides are apart, and meet soon after it.
-func TestTalliesAtBothSides(t *testing.T) {
+// TestTalliesAcrossPartitions: tallies stay available on each side of a partition, also
+// when servers fail meanwhile, and converge soon after it has healed.
+func TestTalliesAcrossPartitions(t *testing.T) {
 	spec := ClusterSpec{Servers: 6, Edges: 3, Agents: 3, Zones: 3, ToleratedLosses: 2, Tallies: true}
-	for name, trouble := range map[string]func(t *testing.T, c *Cluster, l *tallyCallers){
-		"calm": func(*testing.T, *Cluster, *tallyCallers) { time.Sleep(5 * time.Second) },
-		"long cut": func(t *testing.T, c *Cluster, l *tallyCallers) {
-			join := c.cutZone("z1")
+	for name, fault := range map[string]func(t *testing.T, c *Cluster, l *tallyCallers){
+		"no fault": func(*testing.T, *Cluster, *tallyCallers) { time.Sleep(5 * time.Second) },
+		"long partition": func(t *testing.T, c *Cluster, l *tallyCallers) {
+			heal := c.isolateZone("z1")
 			time.Sleep(3 * time.Second)
 			l.mu.Lock()
 			calls, failed := l.calls, l.failed
@@ -214,12 +219,12 @@
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if share := float64(l.failed-failed) / float64(l.calls-calls); share > 0.02 {
-				t.Errorf("%.3f of the calls have no good answer while the zone is cut off", share)
+				t.Errorf("fraction of failed calls while the zone is partitioned: %.3f, want at most 0.02", share)
 			}
-			join()
+			heal()
 		},
-		"killed while apart": func(_ *testing.T, c *Cluster, l *tallyCallers) {
-			join := c.cutZone("z1")
+		"kills during a partition": func(_ *testing.T, c *Cluster, l *tallyCallers) {
+			heal := c.isolateZone("z1")
 			time.Sleep(3 * time.Second)
 			inside, _ := c.inZone("z1")
 			for _, node := range inside[:2] {
@@ -228,9 +233,9 @@
 				l.restarted(node)
 				time.Sleep(2 * time.Second)
 			}
-			join()
+			heal()
 		},
-		"disks lost": func(_ *testing.T, c *Cluster, l *tallyCallers) {
+		"disks wiped": func(_ *testing.T, c *Cluster, l *tallyCallers) {
 			for _, node := range c.Servers()[:2] {
 				l.restarted(node)
 				c.restartWiped(500*time.Millisecond, node)
@@ -238,8 +243,8 @@
 				time.Sleep(7 * time.Second)
 			}
 		},
-		"file damaged while apart": func(t *testing.T, c *Cluster, l *tallyCallers) {
-			join := c.cutZone("z1")
+		"file damaged during a partition": func(t *testing.T, c *Cluster, l *tallyCallers) {
+			heal := c.isolateZone("z1")
 			time.Sleep(3 * time.Second)
 			for _, node := range c.Servers()[:2] {
 				l.restarted(node)
@@ -250,20 +255,20 @@
 				l.restarted(node)
 				time.Sleep(7 * time.Second)
 				if _, err := os.Stat(filepath.Join(c.dir, node, "tallies.db.foreign")); err != nil {
-					t.Errorf("the damaged file was not set aside: %v", err)
+					t.Errorf("damaged tally file was not quarantined: %v", err)
 				}
 			}
-			join()
+			heal()
 		},
-		"cut after cut": func(_ *testing.T, c *Cluster, _ *tallyCallers) {
+		"repeated partitions": func(_ *testing.T, c *Cluster, _ *tallyCallers) {
 			for _, zone := range []string{"z0", "z1", "z2", "z0"} {
-				join := c.cutZone(zone)
+				heal := c.isolateZone(zone)
 				time.Sleep(2500 * time.Millisecond)
-				join()
+				heal()
 			}
 		},
-		"bridge": func(_ *testing.T, c *Cluster, _ *tallyCallers) {
-			// z0 and z1 can't reach each other, z2 reaches both.
+		"partial partition": func(_ *testing.T, c *Cluster, _ *tallyCallers) {
+			// z0 and z1 can't reach each other, while z2 reaches both.
 			z0, _ := c.inZone("z0")
 			z1, _ := c.inZone("z1")
 			for _, name := range z0 {
@@ -274,7 +279,7 @@
 				c.SetPartition(name, false, z1...)
 			}
 		},
-		"all killed": func(_ *testing.T, c *Cluster, l *tallyCallers) {
+		"all nodes killed": func(_ *testing.T, c *Cluster, l *tallyCallers) {
 			l.restarted(c.nodeNames(edgeRole)...)
 			c.Restart(time.Second, c.nodeNames(edgeRole)...)
 			l.restarted(c.nodeNames(edgeRole)...)
@@ -285,7 +290,7 @@
 			withCluster(t, spec, func(t *testing.T, c *Cluster) {
 				callers := c.startTallyCallers()
 				time.Sleep(3 * time.Second)
-				trouble(t, c, callers)
+				fault(t, c, callers)
 				time.Sleep(2 * time.Second)
 				callers.requireMerged()
 				c.requireNoViolations()
@@ -294,10 +299,10 @@
 	}
 }
 
-// TestAcknowledgedAddsSurviveTheirServer: a server whose messages take long to the others, and
-// not to its caller, acknowledges an add, and loses its disk at that moment; the add is on another
-// disk by then.
-func TestAcknowledgedAddsSurviveTheirServer(t *testing.T) {
+// TestAcknowledgedAddsSurviveServerLoss: messages of a server to the other servers are
+// slow, but not those to its caller. It acknowledges an add and loses its disk
+// immediately afterwards. The add must already be on another disk.
+func TestAcknowledgedAddsSurviveServerLoss(t *testing.T) {
 	spec := ClusterSpec{Servers: 3, Edges: 1, Agents: 1, ToleratedLosses: 1, Tallies: true}
 	withCluster(t, spec, func(t *testing.T, c *Cluster) {
 		callers := c.newTallyCallers()
@@ -320,7 +325,7 @@
 			time.Sleep(5 * time.Second)
 			for _, node := range c.Servers() {
 				if total, ok := callers.total(node); !ok || total&callers.sent[id] == 0 {
-					t.Errorf("LOST: %s shows %d (%v) without the %d that %s acknowledged", node, total, ok, callers.sent[id], victim)
+					t.Errorf("LOST: %s returned total %d (%v) without the add of %d that %s acknowledged", node, total, ok, callers.sent[id], victim)
 				}
 			}
 		}
--- a/internal/simulation/tenant_rates_test.go
+++ b/internal/simulation/tenant_rates_test.go
@@ -11,24 +11,24 @@
 	"tealpond/internal/protocol"
 )
 
-// rateConfiguration is gatewayConfiguration with a tenant that may make ten requests a
-// second and five above that, and another without a rate.
+// rateConfiguration is a gateway configuration with a tenant that is limited to ten
+// requests a second with a burst of five, and another tenant without a limit.
 const rateConfiguration = `{"configVersion":2,"routeList":[` +
 	`{"name":"r","hostName":"h","pathPrefix":"/read/","kind":"read_only","timeoutMs":2000,"targetMs":500,"targetService":"svc","maxTries":3}],` +
 	`"serviceList":[{"name":"svc"}],"tenantList":[{"name":"limited","apiKeys":["limited-key"],"ratePerS":10,"burst":5},{"name":"free","apiKeys":["free-key"]}]}`
 
-// TestTenantsRateHoldsOverAllGateways: a tenant sends ten times its rate to all daemons,
-// through a loss of the leader. What is served of it stays near its rate, what is refused
-// gets a time to come again, and the other tenant is served all the while.
-func TestTenantsRateHoldsOverAllGateways(t *testing.T) {
-	gatewayDay(t, func(c *Cluster, _ *gatewayLoad) {
+// TestTenantRateLimitAcrossGateways: a tenant sends ten times its rate to all daemons
+// while the leader is restarted. The served requests stay near its rate, the refused
+// ones get Retry-After, and the other tenant is served throughout.
+func TestTenantRateLimitAcrossGateways(t *testing.T) {
+	runGatewayTest(t, func(c *Cluster, _ *gatewayLoad) {
 		c.WaitUntil("the configuration with rates is accepted", 20*time.Second, func() bool {
 			code, _, _ := c.request(http.MethodPost, c.nodeURL(c.Leader(), controlPort, "/-/Config.Replace"), "", rateConfiguration, map[string]string{protocol.HeaderBasedOn: "1"})
 			return code == http.StatusOK
 		})
 		time.Sleep(2 * time.Second)
 		const flood = 20 * time.Second
-		var served, refused, untimed, othersServed, others atomic.Int64
+		var served, refused, withoutRetryAfter, othersServed, others atomic.Int64
 		send := func(i int, key string) (int, http.Header) {
 			nodes := c.nodeNames(gatewayRole)
 			id := fmt.Sprintf("%s-%d", key, i)
@@ -46,7 +46,7 @@
 				case http.StatusTooManyRequests:
 					refused.Add(1)
 					if header.Get(protocol.HeaderRetryAfter) == "" {
-						untimed.Add(1)
+						withoutRetryAfter.Add(1)
 					}
 				}
 			})
@@ -65,15 +65,16 @@
 			time.Sleep(pause)
 		}
 		requests.Wait()
-		// 10 a second, in windows of 5 s; each leader begins with what it is told.
+		// The rate is 10 a second, counted in windows of 5 s. A new leader starts from the counts that
+		// daemons report to it.
 		if served.Load() < 150 || served.Load() > 330 {
 			t.Errorf("%d requests of the limited tenant were served in %v, want about 200", served.Load(), flood)
 		}
-		if refused.Load() < 1000 || untimed.Load() > 0 {
-			t.Errorf("%d were refused, %d without a time to come again", refused.Load(), untimed.Load())
+		if refused.Load() < 1000 || withoutRetryAfter.Load() > 0 {
+			t.Errorf("%d requests were refused, %d of them without Retry-After", refused.Load(), withoutRetryAfter.Load())
 		}
 		if othersServed.Load() < others.Load()*8/10 {
-			t.Errorf("%d of %d requests of the other tenant were served", othersServed.Load(), others.Load())
+			t.Errorf("%d of %d requests of the other tenant were served, want at least 80%%", othersServed.Load(), others.Load())
 		}
 	})
 }
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestQuotaUnderTroubles: one tenant floods the cluster with several times what its
-// limit and its share allow, calls without a tenant's key come in between, and leaders,
-// runners and connections fail. The limit holds throughout, every accepted job ends, and
-// the other tenant's work goes on.
-func TestQuotaUnderTroubles(t *testing.T) {
-	troubles := []namedPlay{
+// TestQuotaUnderFaults: one tenant floods the cluster with several times its limit and
+// its share, calls without a valid API key are interleaved, and leaders, runners and
+// connections fail. The limit holds throughout, every accepted job ends, and the jobs
+// of the other tenant make progress.
+func TestQuotaUnderFaults(t *testing.T) {
+	faults := []namedPlay{
 		{"leader killed", func(s *scenario) {
 			for range 2 {
 				s.Restart(500*time.Millisecond, s.Leader())
@@ -19,7 +19,7 @@
 			}
 		}},
 		{"all servers killed", func(s *scenario) { s.Restart(300*time.Millisecond, s.Servers()...); time.Sleep(4 * time.Second) }},
-		{"answers of starts are lost", func(s *scenario) {
+		{"start responses lost", func(s *scenario) {
 			s.changeRunners(5*time.Second, func(r *Runner, on bool) {
 				r.LostAnswers = 0
 				if on {
@@ -28,24 +28,24 @@
 			}, s.nodeNames(agentRole)[:2]...)
 		}},
 		{"connections reset", largeFleetTroubles[4].play},
-		{"configuration changed all the while", func(s *scenario) {
+		{"concurrent configuration changes", func(s *scenario) {
 			s.sendConcurrentChanges(s.random.Int63n(1000), 250*time.Millisecond, 5*time.Second)
 			time.Sleep(6 * time.Second)
 		}},
 	}
-	for i, trouble := range troubles {
-		t.Run(trouble.name, func(t *testing.T) {
+	for i, fault := range faults {
+		t.Run(fault.name, func(t *testing.T) {
 			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
-				s.flood()
-				s.callWithoutKey()
-				trouble.play(s)
+				s.startFlood()
+				s.callWithUnknownKey()
+				fault.play(s)
 			})
 		})
 	}
 }
 
-// flood submits jobs of the bound tenant for a while, twice as much as it may run.
-func (s *scenario) flood() {
+// startFlood submits jobs of the bound tenant for some time, at twice its limit.
+func (s *scenario) startFlood() {
 	s.background.Go(func() {
 		for i := 0; i < 40 && s.ctx.Err() == nil; i++ {
 			id := jobID(500000 + 8*i + 6) // its last digit is 7 or f
@@ -57,8 +57,8 @@
 	})
 }
 
-// callWithoutKey submits jobs with a key of no tenant.
-func (s *scenario) callWithoutKey() {
+// callWithUnknownKey submits jobs with an API key that belongs to no tenant.
+func (s *scenario) callWithUnknownKey() {
 	s.background.Go(func() {
 		edges := s.nodeNames(edgeRole)
 		for i := 0; i < 20 && s.ctx.Err() == nil; i++ {
--- a/internal/simulation/trouble_kinds_test.go
+++ b/internal/simulation/trouble_kinds_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// largeFleetTroubles are the kinds of trouble that the large deployments add, under their
-// names on the operators' bench. Each takes about six seconds, and ends by itself.
+// largeFleetTroubles are the faults that large deployments add, under their names on
+// the operators' bench. Each takes about six seconds and ends on its own.
 var largeFleetTroubles = []namedPlay{
 	{"give_up", func(s *scenario) {
-		// Clients leave before they have an answer, some while the call is on its way.
+		// Clients time out before they get a response, some of them while the request is in transit.
 		impatient := &http.Client{Transport: s.client.Transport}
 		edges := s.nodeNames(edgeRole)
 		for i := range 120 {
-			id, patience := jobID(300000+i), time.Duration(1+s.random.Intn(20))*time.Millisecond
+			id, timeout := jobID(300000+i), time.Duration(1+s.random.Intn(20))*time.Millisecond
 			job := newJob(200, 300, 2)
 			s.History.mu.Lock()
 			s.History.Jobs[id] = &SubmittedJob{JobSpec: job.Spec, MaxAttempts: maxAttempts, TaskCounts: []int{2}, Dependencies: [][]int{nil}}
 			s.History.mu.Unlock()
-			s.requestFrom(impatient, patience, http.MethodPost, s.nodeURL(edges[i%len(edges)], clientPort, defaultPathPrefix+id), "h", job, nil)
+			s.requestFrom(impatient, timeout, http.MethodPost, s.nodeURL(edges[i%len(edges)], clientPort, defaultPathPrefix+id), "h", job, nil)
 			time.Sleep(50 * time.Millisecond)
 		}
 	}},
@@ -76,20 +76,22 @@
 	}},
 }
 
-// restartsNodes are the kinds that end daemons and start them again. Two of them are
-// played one after the other, since a daemon that runs can't be started.
+// restartsNodes are the faults that stop daemons and start them again. Two of them run
+// one after the other, since a running daemon can't be started.
 var restartsNodes = map[string]bool{"roll_term on side": true, "herd_kill taken all": true}
 
-// TestTroublesOfLargeFleets lays each kind over each other one, over a cluster of six
-// servers that vote or follow, and ends with one of the closing faults. It is two tests,
-// so that two processes share the work.
-func TestTroublesOfLargeFleets(t *testing.T) { playPairsOfTroubles(t, 0) }
+// TestTroublesOfLargeFleets overlaps pairs of faults in a cluster of six servers, of
+// which one is a learner, and ends with one of the closing faults.
+// TestMoreTroublesOfLargeFleets runs the other pairs, so that two processes share the
+// work.
+func TestTroublesOfLargeFleets(t *testing.T) { runFaultPairs(t, 0) }
 
-// TestMoreTroublesOfLargeFleets plays the pairs that TestTroublesOfLargeFleets leaves.
-func TestMoreTroublesOfLargeFleets(t *testing.T) { playPairsOfTroubles(t, 1) }
+// TestMoreTroublesOfLargeFleets runs the pairs that TestTroublesOfLargeFleets leaves
+// out.
+func TestMoreTroublesOfLargeFleets(t *testing.T) { runFaultPairs(t, 1) }
 
-// playPairsOfTroubles plays the pairs whose numbers have an even or an odd sum.
-func playPairsOfTroubles(t *testing.T, parity int) {
+// runFaultPairs runs the pairs whose indices have a sum of the given parity.
+func runFaultPairs(t *testing.T, parity int) {
 	t.Helper()
 	for i := range largeFleetTroubles {
 		for k := i; k < len(largeFleetTroubles); k++ {
@@ -97,14 +99,15 @@
 				continue
 			}
 			t.Run(largeFleetTroubles[i].name+" and "+largeFleetTroubles[k].name, func(t *testing.T) {
-				runScenario(t, sixServers, int64(100*i+k), func(s *scenario) { s.playTroubles(i, k) })
+				runScenario(t, sixServers, int64(100*i+k), func(s *scenario) { s.runFaultPair(i, k) })
 			})
 		}
 	}
 }
 
-// playTroubles lays two kinds of trouble over each other, and a closing fault after them.
-func (s *scenario) playTroubles(i, k int) {
+// runFaultPair overlaps two faults and injects a closing fault after them. If both
+// indices are equal, the fault runs once.
+func (s *scenario) runFaultPair(i, k int) {
 	first, second := largeFleetTroubles[i], largeFleetTroubles[k]
 	time.Sleep(time.Second)
 	ended := make(chan struct{})
@@ -121,13 +124,14 @@
 	}
 	<-ended
 	time.Sleep(catchUpBound)
-	moments := []string{onceChanged, whileChanging, onceSubmitted}
-	s.injectClosingFault(moments[(i+k)%len(moments)], closingFaults[(i+k)%len(closingFaults)].play)
+	triggers := []string{onceChanged, whileChanging, onceSubmitted}
+	s.injectClosingFault(triggers[(i+k)%len(triggers)], closingFaults[(i+k)%len(closingFaults)].play)
 }
 
-// TestAnswersOfStartsAreLost: copies and restarts of a task whose start was carried out
-// without an answer: it never runs twice at a time, and its job ends once.
-func TestAnswersOfStartsAreLost(t *testing.T) {
+// TestStartResponsesLost: the responses to start requests are lost although the starts
+// were carried out, so that tasks are copied and restarted. No task runs twice at the
+// same time, and its job ends once.
+func TestStartResponsesLost(t *testing.T) {
 	for _, lost := range []float64{0.3, 0.9} {
 		t.Run(fmt.Sprint(lost), func(t *testing.T) {
 			runScenario(t, threeServers, int64(10*lost), func(s *scenario) {
--- a/internal/simulation/upgrade_tables_test.go
+++ b/internal/simulation/upgrade_tables_test.go
@@ -14,12 +14,13 @@
 	"tealpond/internal/transport"
 )
 
-// tables is a neutral text of a data folder: one line a row, with labels that
-// don't follow the names of the code.
-type tables struct{ strings.Builder }
+// tableDump is a text dump of a data folder, one line per row. Its labels are
+// independent of the names in the code, so that renaming these does not change the
+// dump.
+type tableDump struct{ strings.Builder }
 
-// row writes a line: the table's name, then labels and values in turn.
-func (x *tables) row(table string, cells ...any) {
+// row writes a line: the name of the table, followed by alternating labels and values.
+func (x *tableDump) row(table string, cells ...any) {
 	x.WriteString(table)
 	for i := 0; i < len(cells); i += 2 {
 		format := " %s=%v"
@@ -32,7 +33,7 @@
 	x.WriteByte('\n')
 }
 
-// sorted returns a table's rows in the order of their keys.
+// sorted returns the rows of a table in the order of their keys.
 func sorted[K cmp.Ordered, V any](table map[K]V) func(yield func(K, V) bool) {
 	return func(yield func(K, V) bool) {
 		for _, key := range slices.Sorted(maps.Keys(table)) {
@@ -43,47 +44,47 @@
 	}
 }
 
-// describe returns the text of a data folder: what the disk holds, and the tables
-// once the whole log was applied to the snapshot.
-func describe(t *testing.T, folder string) string {
+// dumpDataFolder returns the dump of a data folder: its persisted Raft state, and the
+// tables after the whole log was applied to the snapshot.
+func dumpDataFolder(t *testing.T, folder string) string {
 	t.Helper()
-	opened, held, err := storage.Open(folder)
-	aside := held.QuarantineReason
-	if err != nil || aside != "" {
-		t.Fatalf("the data folder does not open: %v %s", err, aside)
+	opened, contents, err := storage.Open(folder)
+	quarantineReason := contents.QuarantineReason
+	if err != nil || quarantineReason != "" {
+		t.Fatalf("open data folder: error %v, quarantine reason %q", err, quarantineReason)
 	}
 	if err := opened.Close(); err != nil {
 		t.Fatal(err)
 	}
-	var x tables
-	x.row("identity", "disk", held.ID, "fresh", held.NewIdentity)
-	x.row("hard-state", "term", held.HardState.Term, "vote", held.HardState.Vote)
-	x.voters("founder", held.Founders)
-	x.row("snapshot", "index", held.Snapshot.Index, "term", held.Snapshot.Term)
-	x.voters("snapshot-voter", held.Snapshot.Voters)
-	x.voters("snapshot-old-voter", held.Snapshot.OutgoingVoters)
-	store, err := state.DecodeSnapshot(held.Snapshot.Data, state.Limits{})
+	var x tableDump
+	x.row("identity", "disk", contents.ID, "fresh", contents.NewIdentity)
+	x.row("hard-state", "term", contents.HardState.Term, "vote", contents.HardState.Vote)
+	x.voters("founder", contents.Founders)
+	x.row("snapshot", "index", contents.Snapshot.Index, "term", contents.Snapshot.Term)
+	x.voters("snapshot-voter", contents.Snapshot.Voters)
+	x.voters("snapshot-old-voter", contents.Snapshot.OutgoingVoters)
+	store, err := state.DecodeSnapshot(contents.Snapshot.Data, state.Limits{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := store.BindSnapshotIndex(held.Snapshot.Index); err != nil {
+	if err := store.BindSnapshotIndex(contents.Snapshot.Index); err != nil {
 		t.Fatal(err)
 	}
-	for _, entry := range held.Entries {
+	for _, entry := range contents.Entries {
 		x.entry(t, store, entry)
 	}
 	x.state(store)
 	return x.String()
 }
 
-func (x *tables) voters(name string, voters []raft.Member) {
+func (x *tableDump) voters(name string, voters []raft.Member) {
 	for _, voter := range voters {
 		x.row(name, "node", voter.Node, "disk", voter.ID, "address", voter.Addr)
 	}
 }
 
-// entry applies an entry of the log and writes what it holds.
-func (x *tables) entry(t *testing.T, store *state.Store, entry raft.Entry) {
+// entry applies a log entry and writes its contents and outcome.
+func (x *tableDump) entry(t *testing.T, store *state.Store, entry raft.Entry) {
 	t.Helper()
 	x.row("entry", "index", entry.Index, "term", entry.Term, "kind", entry.Kind)
 	if entry.Kind != raft.EntryNormal {
@@ -110,7 +111,7 @@
 }
 
 // state writes all tables.
-func (x *tables) state(s *state.Store) {
+func (x *tableDump) state(s *state.Store) {
 	x.row("counters", "applied", s.AppliedIndex, "clock", s.Clock, "wall", s.WallClock, "origin", s.Origin, "last-id", s.LastID, "last-job", s.LastJobSequence,
 		"epoch", s.Epoch, "chain", s.DigestChain, "chain-from", s.DigestChainFrom)
 	x.row("limits", "keep-job-ms", s.Limits.JobRetentionMs, "replans", s.Limits.MaxReplans, "far", s.Limits.RemoteFactor)
@@ -118,11 +119,12 @@
 	x.machines(s)
 	x.jobs(s)
 	x.tenants(s)
-	x.moves(s)
+	x.transfers(s)
 }
 
-// configurations writes the configuration in force and the records of others.
-func (x *tables) configurations(s *state.Store) {
+// configurations writes the configuration in force and the history of accepted and
+// refused ones.
+func (x *tableDump) configurations(s *state.Store) {
 	limits := s.Configuration.Limits
 	x.row("configuration", "version", s.Configuration.Version, "text", s.Configuration.Raw)
 	x.row("configuration-limits", "header-bytes", limits.MaxHeaderBytes, "body-bytes", limits.MaxBodyBytes, "header-ms", limits.HeaderTimeoutMs, "idle-ms", limits.IdleTimeoutMs)
@@ -139,16 +141,16 @@
 	for name, service := range sorted(s.Services) {
 		x.row("service", "key", name, "name", service.Name, "guards", service.EnforcesResources)
 	}
-	for _, taken := range s.ConfigurationHistory.Accepted {
-		x.row("accepted", "base", taken.BaseVersion, "version", taken.Version, "digest", fmt.Sprintf("%x", taken.Digest[:]))
+	for _, accepted := range s.ConfigurationHistory.Accepted {
+		x.row("accepted", "base", accepted.BaseVersion, "version", accepted.Version, "digest", fmt.Sprintf("%x", accepted.Digest[:]))
 	}
 	for _, refused := range s.ConfigurationHistory.Refused {
 		x.row("refused", "base", refused.BaseVersion, "version", refused.Version, "digest", fmt.Sprintf("%x", refused.Digest[:]))
 	}
 }
 
-// machines writes workers, devices, allocations and what is summed of them.
-func (x *tables) machines(s *state.Store) {
+// machines writes workers, devices, allocations, and the aggregates derived from them.
+func (x *tableDump) machines(s *state.Store) {
 	for key, w := range sorted(s.Workers) {
 		x.row("worker", "key", key, "id", w.ID, "node", w.Node, "service", w.Service, "zone", w.Zone, "labels", w.Labels,
 			"cpu", w.Capacity.CPUUnits, "memory", w.Capacity.MemoryMB, "gpus", w.Capacity.GPUs, "cpu-used", w.UsedMilliCPU, "memory-used", w.UsedMemoryMB, "fence", w.Fence, "life", w.AgentProcessID,
@@ -168,16 +170,16 @@
 		x.row("rollup", "service", service, "cpu-total", r.TotalMilliCPU, "cpu-free", r.AllocatableMilliCPU, "cpu-used", r.UsedMilliCPU, "memory-total", r.TotalMemoryMB, "memory-free", r.AllocatableMemoryMB,
 			"memory-used", r.UsedMemoryMB, "gpu-total", r.TotalGPUs, "gpu-used", r.UsedGPUs, "draining", r.Draining, "unreachable", r.Unreachable, "at", r.RebuiltAt)
 	}
-	for zone, duty := range sorted(s.Aggregators) {
-		x.row("aggregator", "key", zone, "zone", duty.Zone, "number", duty.Revision, "disk", duty.Member, "address", duty.Address, "next", duty.Standby, "next-address", duty.StandbyAddress)
+	for zone, aggregator := range sorted(s.Aggregators) {
+		x.row("aggregator", "key", zone, "zone", aggregator.Zone, "number", aggregator.Revision, "disk", aggregator.Member, "address", aggregator.Address, "next", aggregator.Standby, "next-address", aggregator.StandbyAddress)
 	}
-	for node, flap := range sorted(s.CrashBackoffs) {
-		x.row("flaps", "node", node, "count", flap.Crashes, "at", flap.UpdatedAt)
+	for node, backoff := range sorted(s.CrashBackoffs) {
+		x.row("flaps", "node", node, "count", backoff.Crashes, "at", backoff.UpdatedAt)
 	}
 }
 
-// jobs writes the jobs with their instances and tasks.
-func (x *tables) jobs(s *state.Store) {
+// jobs writes the jobs with their instances, steps and tasks.
+func (x *tableDump) jobs(s *state.Store) {
 	for key, j := range sorted(s.Jobs) {
 		x.row("job", "key", key, "id", j.ID, "sequence", j.Sequence, "route", j.Route, "service", j.Service, "priority", j.Priority, "tries", j.MaxAttempts, "stretch", j.Stretch,
 			"target-ms", j.TargetMs, "spec", j.Spec, "times", j.PeriodicInstances, "first-ms", j.FirstRunMs, "interval-ms", j.IntervalMs, "born", j.CreatedAt, "next-instance", j.NextInstance,
@@ -201,8 +203,8 @@
 	}
 }
 
-// tenants writes the quotas of tenants and whose jobs there are.
-func (x *tables) tenants(s *state.Store) {
+// tenants writes the quotas of tenants and the tenant of each job.
+func (x *tableDump) tenants(s *state.Store) {
 	for name, quota := range sorted(s.Quotas) {
 		x.row("quota", "tenant", name, "cpu", quota.MilliCPU, "memory", quota.MemoryMB, "gpus", quota.GPUs, "share", quota.MilliShare)
 	}
@@ -211,8 +213,8 @@
 	}
 }
 
-// moves writes what is known of peers, loans and demand.
-func (x *tables) moves(s *state.Store) {
+// transfers writes the state of peers, withdrawn offers, loans, and demand.
+func (x *tableDump) transfers(s *state.Store) {
 	for name, peer := range sorted(s.Peers) {
 		x.row("peer", "name", name, "epoch", peer.Epoch, "index", peer.Index)
 	}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -18,13 +18,14 @@
 	"tealpond/internal/protocol"
 )
 
-// writeFolders has TestUpgrade write data folders of the present program first,
-// under a new name; those of earlier programs are never written again:
+// writeFolders makes TestUpgrade first write data folders with the present program,
+// under a new name. The folders of earlier programs are never rewritten:
 //
 //	go test ./internal/simulation -run TestUpgrade -simulation.write v2
-var writeFolders = flag.String("simulation.write", "", "write data folders under testdata, by this name")
+var writeFolders = flag.String("simulation.write", "", "write data folders under testdata, with this name")
 
-// upgradeJob is a job of the data folders: what was submitted, and how it ends.
+// upgradeJob is a job in the data folders: how it was submitted, and its expected final
+// state.
 type upgradeJob struct {
 	pathPrefix string // of its route
 	id         string
@@ -32,7 +33,7 @@
 	finalState string
 }
 
-// upgradePair is two clusters that move jobs between them.
+// upgradePair is two clusters. Jobs are transferred from source to target.
 type upgradePair struct{ source, target *Cluster }
 
 func (p upgradePair) each() []*Cluster { return []*Cluster{p.source, p.target} }
@@ -44,29 +45,30 @@
 	}
 }
 
-// newUpgradePair builds the two clusters, without daemons.
+// newUpgradePair creates the two clusters without daemons.
 func newUpgradePair(t *testing.T) upgradePair {
 	t.Helper()
 	network := NewNetwork()
-	crowded := forecastSettings{crowdedAt: 0.001, bucketS: 1, dayS: 3, routesMayBeMoved: true}
+	crowded := forecastSettings{crowdedAt: 0.001, bucketS: 1, dayS: 3, transfersEnabled: true}
 	source := NewCluster(t, ClusterSpec{Network: network, Subnet: 1, Name: "a-", ToleratedLosses: 1, Federation: federationFile("a", "b", 2, crowded)})
 	neverCrowded := forecastSettings{crowdedAt: 1, bucketS: 1, dayS: 3}
 	target := NewCluster(t, ClusterSpec{Network: network, Subnet: 2, Name: "b-", ToleratedLosses: 1, Federation: federationFile("b", "a", 1, neverCrowded), History: source.History})
 	return upgradePair{source, target}
 }
 
-// hosts are the hosts of the servers in their subnet, by name.
-var hosts = map[string]int{"edge-1": 1, "edge-2": 2, "edge-3": 3, "new-1": addedServerHost + 1}
+// hostNumbers are the host numbers of the servers in their subnet, by name without the
+// prefix of the cluster.
+var hostNumbers = map[string]int{"edge-1": 1, "edge-2": 2, "edge-3": 3, "new-1": addedServerHost + 1}
 
-// addMachines adds servers by their names, and two runners with their agents; they
-// are started by startAll. firstStart reports whether the first Raft group is yet to
-// be formed.
+// addMachines adds servers with the given names and two runners with their agents;
+// startAll starts them. firstStart reports whether the first Raft group is yet to be
+// formed.
 func (c *Cluster) addMachines(firstStart bool, servers ...string) {
 	c.T.Helper()
 	for _, name := range servers {
-		host, known := hosts[strings.TrimPrefix(name, c.Name)]
+		host, known := hostNumbers[strings.TrimPrefix(name, c.Name)]
 		if !known {
-			c.T.Fatalf("no address for %s", name)
+			c.T.Fatalf("no address for server %s", name)
 		}
 		c.addNode(&node{zone: "z", name: name, ip: c.hostIP(host), role: edgeRole, server: true, firstStart: firstStart})
 	}
@@ -79,49 +81,50 @@
 	}
 }
 
-// TestUpgrade opens data folders that earlier programs wrote: all tables hold
-// what they held, and the daemons go on from there. Accepted jobs end as they
-// must, each task done once; new jobs and configurations are accepted.
+// TestUpgrade opens data folders that earlier programs wrote. All tables hold the same
+// contents as before, and the daemons continue from there: accepted jobs reach their
+// expected final states with each task done once, and new jobs and configurations are
+// accepted.
 func TestUpgrade(t *testing.T) {
 	if golden.Updating() {
-		t.Fatal("the tables beside data folders are written together with these (-simulation.write), never anew")
+		t.Fatal("table dumps are written together with their data folders (-simulation.write) and never updated")
 	}
 	if *writeFolders != "" {
 		writeUpgradeFolders(t, filepath.Join("testdata", *writeFolders))
 	}
 	folders, err := filepath.Glob(filepath.Join("testdata", "v*"))
 	if err != nil || len(folders) == 0 {
-		t.Fatalf("no data folders: %v", err)
+		t.Fatalf("no data folders in testdata: %v", err)
 	}
 	for _, folder := range folders {
 		t.Run(filepath.Base(folder), func(t *testing.T) {
 			compareTables(t, folder)
-			synctest.Test(t, func(t *testing.T) { goOn(t, folder) })
+			synctest.Test(t, func(t *testing.T) { resumeFromFolder(t, folder) })
 		})
 	}
 }
 
-// packedFolders lists the data folders under a folder.
+// packedFolders lists the archives of the data folders in a directory.
 func packedFolders(t *testing.T, folder string) []string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(folder, "*.db.gz"))
 	if err != nil || len(files) != 6 {
-		t.Fatalf("%s holds the data folders %v, want six; %v", folder, files, err)
+		t.Fatalf("%s holds the data folders %v, want six: %v", folder, files, err)
 	}
 	return files
 }
 
-// machineOf is the name of the machine whose data folder a file holds.
-func machineOf(file string) string { return strings.TrimSuffix(filepath.Base(file), ".db.gz") }
+// machineName returns the name of the machine whose data folder a file archives.
+func machineName(file string) string { return strings.TrimSuffix(filepath.Base(file), ".db.gz") }
 
-// unpack writes a machine's file into its data folder.
+// unpack decompresses the database file of a machine into its data folder.
 func unpack(t *testing.T, packed, folder string) {
 	t.Helper()
 	from, err := os.Open(packed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = from.Close() }() // it was only read
+	defer func() { _ = from.Close() }() // opened only for reading
 	plain, err := gzip.NewReader(from)
 	if err != nil {
 		t.Fatal(err)
@@ -138,30 +141,31 @@
 	}
 }
 
-// compareTables holds what the present program reads from each data folder
-// against the text beside it.
+// compareTables compares the dump of each data folder, as the present program reads it,
+// with the golden file beside it.
 func compareTables(t *testing.T, folder string) {
 	t.Helper()
 	var all strings.Builder
 	for _, packed := range packedFolders(t, folder) {
 		data := t.TempDir()
 		unpack(t, packed, data)
-		text := describe(t, data)
-		golden.Text(t, filepath.Join(filepath.Base(folder), machineOf(packed)+".txt"), text)
+		text := dumpDataFolder(t, data)
+		golden.Text(t, filepath.Join(filepath.Base(folder), machineName(packed)+".txt"), text)
 		if !strings.Contains(text, "\nsnapshot index=3000 ") {
-			t.Errorf("the data folder of %s holds no snapshot", machineOf(packed))
+			t.Errorf("data folder of %s has no snapshot at index 3000", machineName(packed))
 		}
 		all.WriteString(text)
 	}
-	for _, part := range slices.Concat(covered, submissions(filepath.Base(folder))) {
-		if !regexp.MustCompile("(?m)^" + part).MatchString(all.String()) {
-			t.Errorf("no data folder of %s holds %q", folder, part)
+	for _, pattern := range slices.Concat(requiredRows, submissionRows(filepath.Base(folder))) {
+		if !regexp.MustCompile("(?m)^" + pattern).MatchString(all.String()) {
+			t.Errorf("no data folder of %s has a row that matches %q", folder, pattern)
 		}
 	}
 }
 
-// covered is what the data folders must hold, or they would prove little.
-var covered = []string{
+// requiredRows are patterns of rows that the data folders must contain, so that the
+// test covers these kinds of data.
+var requiredRows = []string{
 	"founder", "snapshot-voter node=\"a-new-1\"", "entry .* kind=0",
 	"configuration version=7", "route", "service", "accepted base=5 version=7", "refused base=60",
 	"worker .* dead=false", "worker .* dead=true", "device .* class=\"gpu\"", "device .* class=\"turn\"", "device .* class=\"loan\"", " booking", "allocation .* gpus=\\[\"",
@@ -170,58 +174,59 @@
 	" move .* state=[12] .* guest=false", " move .* guest=true",
 }
 
-// submissions is what the folders of a version must hold of submitted jobs: there were no
-// tenants in the first.
-func submissions(version string) []string {
+// submissionRows returns patterns of the rows about submitted jobs that the folders of
+// a version must contain. The first version had no tenants.
+func submissionRows(version string) []string {
 	if version == "v1" {
 		return []string{" command kind=\"handin\""}
 	}
 	return []string{" command kind=\"submit\"", "quota tenant=", "job-tenant .* tenant="}
 }
 
-// goOn starts the daemons on copies of the data folders and has them finish what
-// was accepted, and more.
-func goOn(t *testing.T, folder string) {
+// resumeFromFolder starts the daemons on copies of the data folders and requires that
+// they finish the accepted jobs and accept new ones.
+func resumeFromFolder(t *testing.T, folder string) {
 	t.Helper()
 	pair := newUpgradePair(t)
 	defer pair.End()
-	before := readPast(t, folder, pair.source.History)
-	time.Sleep(time.Until(before.ended) + time.Minute)
+	prior := readPriorRun(t, folder, pair.source.History)
+	time.Sleep(time.Until(prior.killedAt) + time.Minute)
 	for _, c := range pair.each() {
 		var servers []string
 		for _, packed := range packedFolders(t, folder) {
-			if name := machineOf(packed); strings.HasPrefix(name, c.Name) {
+			if name := machineName(packed); strings.HasPrefix(name, c.Name) {
 				unpack(t, packed, filepath.Join(c.dir, name))
 				servers = append(servers, name)
 			}
 		}
 		c.addMachines(false, servers...)
 		for name, runner := range c.Runners {
-			// The runners' machines were restarted too: their next incarnations begin.
-			runner.SkipIncarnations(before.incarnations[name])
+			// The machines of the runners were restarted too, so that new incarnations begin.
+			runner.SkipIncarnations(prior.incarnations[name])
 		}
 		c.failOnDivergence()
 		c.startAll()
 	}
 	source := pair.source
 	source.WaitUntil("a configuration is accepted", 20*time.Second, func() bool {
-		return source.PutConfiguration(source.Servers()[0], before.version+1, before.version, slowRoute+routeJSON("later")) == 200
+		return source.PutConfiguration(source.Servers()[0], prior.version+1, prior.version, deferrableRoute+routeJSON("later")) == 200
 	})
 	jobs := upgradeJobs()
-	for _, later := range laterJobs() {
-		if !source.SubmitJobUnder(later.pathPrefix, later.id, later.body) {
-			t.Errorf("the new job %s is not accepted", later.id)
+	for _, added := range jobsAfterUpgrade() {
+		if !source.SubmitJobUnder(added.pathPrefix, added.id, added.body) {
+			t.Errorf("new job %s was not accepted", added.id)
 		}
-		jobs = append(jobs, later)
+		jobs = append(jobs, added)
 	}
-	source.finish(jobs)
+	source.requireFinalStates(jobs)
 	time.Sleep(5 * time.Second)
-	eachTaskOnce(t, source.History, jobs)
+	requireEachTaskOnce(t, source.History, jobs)
 	source.requireNoViolations()
 }
 
-// laterJobs are submitted once the daemons were restarted.
-func laterJobs() []upgradeJob {
+// jobsAfterUpgrade returns the jobs that are submitted after the daemons were
+// restarted.
+func jobsAfterUpgrade() []upgradeJob {
 	return []upgradeJob{
 		{"/later/", jobID(5000), newJob(300, 500, 2), "done"},
 		{"/slow/", jobID(5001), newJob(300, 500, 2), "done"},
@@ -229,9 +234,9 @@
 	}
 }
 
-// finish demands that jobs end as they must, within the time that the longest
-// needs twice over.
-func (c *Cluster) finish(jobs []upgradeJob) {
+// requireFinalStates requires that jobs reach their final states within three minutes,
+// twice as long as the longest job needs.
+func (c *Cluster) requireFinalStates(jobs []upgradeJob) {
 	c.T.Helper()
 	end := time.Now().Add(3 * time.Minute)
 	for _, submitted := range jobs {
@@ -240,14 +245,15 @@
 			state = c.JobStateUnder(submitted.pathPrefix, c.Servers()[1], submitted.id)
 		}
 		if state != submitted.finalState {
-			c.T.Errorf("job %s is %s, want %s", submitted.id, state, submitted.finalState)
+			c.T.Errorf("job %s is %q, want %q", submitted.id, state, submitted.finalState)
 		}
 	}
 }
 
-// eachTaskOnce demands that each task of the jobs that end as done was completed,
-// and acknowledged, once over the runs of both programs.
-func eachTaskOnce(t *testing.T, history *History, jobs []upgradeJob) {
+// requireEachTaskOnce requires that each task of the jobs that end as done has exactly
+// one acknowledged completion, counted over the runs under both programs. A speculative
+// task may have two.
+func requireEachTaskOnce(t *testing.T, history *History, jobs []upgradeJob) {
 	t.Helper()
 	history.mu.Lock()
 	defer history.mu.Unlock()
@@ -266,7 +272,7 @@
 				for index := range body.TaskCount {
 					task := fmt.Sprintf("%s.%d.%d.%d", submitted.id, instance, step, index)
 					if done[task] != 1 && (!body.Speculative || done[task] != 2) {
-						t.Errorf("task %s was done %d times", task, done[task])
+						t.Errorf("task %s completed %d times, want 1", task, done[task])
 					}
 				}
 			}
--- a/internal/simulation/upgrade_write_test.go
+++ b/internal/simulation/upgrade_write_test.go
@@ -16,27 +16,28 @@
 	"tealpond/internal/server"
 )
 
-// earlyJobs end, or are begun, before the snapshot of the data folders.
-func earlyJobs() []upgradeJob {
-	begin := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC) // where the tests' clock starts
-	timed := newJob(300, 500, 1)
-	timed.PeriodicInstances, timed.FirstRunMs, timed.IntervalMs = 3, begin.Add(20*time.Second).UnixMilli(), 90_000
+// jobsBeforeSnapshot returns jobs that end, or at least start, before the snapshot of
+// the data folders.
+func jobsBeforeSnapshot() []upgradeJob {
+	begin := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC) // the start of the virtual clock
+	periodic := newJob(300, 500, 1)
+	periodic.PeriodicInstances, periodic.FirstRunMs, periodic.IntervalMs = 3, begin.Add(20*time.Second).UnixMilli(), 90_000
 	failing := newJob(200, 500, 1)
 	failing.Spec += " fail=3"
 	jobs := []upgradeJob{
-		{"/p/", jobID(0), timed, "done"},
+		{"/p/", jobID(0), periodic, "done"},
 		{"/p/", jobID(1), newJob(300, 500, 2), "done"},
 		{"/p/", jobID(2), failing, "failed"},
 		{"/p/", jobID(3), newJobOf(300, 500, protocol.Step{TaskCount: 2, CPUUnits: 500, MemoryMB: 10, EstimateMs: 300},
 			protocol.Step{TaskCount: 1, CPUUnits: 500, MemoryMB: 10, EstimateMs: 300, DependsOn: []int{0}}), "done"},
 		{"/p/", jobID(4), newJobOf(300, 500, protocol.Step{TaskCount: 1, CPUUnits: 500, MemoryMB: 10, EstimateMs: 300, Speculative: true}), "done"},
 	}
-	return append(jobs, crowdJobs(10, 8, 6*time.Second, 3)...)
+	return append(jobs, overloadJobs(10, 8, 6*time.Second, 3)...)
 }
 
-// crowdJobs returns jobs that fill the source, some of them waiting, and deferrable
-// ones that therefore move to the other cluster.
-func crowdJobs(first, count int, length time.Duration, deferrable int) []upgradeJob {
+// overloadJobs returns jobs that overload the source, so that some of them wait, and
+// deferrable jobs that are therefore transferred to the target.
+func overloadJobs(first, count int, length time.Duration, deferrable int) []upgradeJob {
 	var jobs []upgradeJob
 	for i := range count {
 		jobs = append(jobs, upgradeJob{"/p/", jobID(first + i), newJob(int(length.Milliseconds()), 4000, 1), "done"})
@@ -47,78 +48,79 @@
 	return jobs
 }
 
-// lateJobs are running, waiting or on their way to the other cluster when the
-// daemons end.
-func lateJobs() []upgradeJob {
+// jobsAtShutdown returns jobs that are running, waiting or in transfer to the target
+// when the daemons are killed.
+func jobsAtShutdown() []upgradeJob {
 	gang := protocol.Step{TaskCount: 2, CPUUnits: 1000, MemoryMB: 10, EstimateMs: 60_000, Gang: true}
 	withGPU := protocol.Step{TaskCount: 1, CPUUnits: 1000, MemoryMB: 10, GPUs: 1, EstimateMs: 60_000}
 	jobs := []upgradeJob{
 		{"/p/", jobID(40), newJobOf(60_000, 1000, gang), "done"},
 		{"/p/", jobID(41), newJobOf(60_000, 1000, withGPU), "done"},
 	}
-	return append(jobs, crowdJobs(50, 5, 15*time.Second, 4)...)
+	return append(jobs, overloadJobs(50, 5, 15*time.Second, 4)...)
 }
 
-// firstRecords are the numbers of the first of the jobs that make a record of
-// demand, on which others move: before the early and before the late jobs. The
-// target has as many, from targetRecords on.
-var firstRecords = []int{1000, 1100}
+// firstDemandJobs are the numbers of the first jobs of each series that builds a demand
+// history, on which transfers are based: one series before the early jobs and one
+// before the late ones. The target gets as many jobs, with numbers that are higher by
+// targetDemandOffset.
+var firstDemandJobs = []int{1000, 1100}
 
 const (
-	recordCount   = 12
-	targetRecords = 1000
+	demandJobCount     = 12
+	targetDemandOffset = 1000
 )
 
-// recordJobs make a record of demand.
-func recordJobs(first int) []upgradeJob {
+// demandJobs returns a series of jobs that builds a demand history.
+func demandJobs(first int) []upgradeJob {
 	var jobs []upgradeJob
-	for i := range recordCount {
+	for i := range demandJobCount {
 		jobs = append(jobs, upgradeJob{"/p/", jobID(first + i), newJob(50, 100, 1), "done"})
 	}
 	return jobs
 }
 
-// recordDemand submits what makes a record of demand, at both clusters.
+// recordDemand submits a series of demand jobs to both clusters.
 func (p upgradePair) recordDemand(first int) {
-	for i, record := range recordJobs(first) {
+	for i, record := range demandJobs(first) {
 		p.submitAll([]upgradeJob{record}, 250*time.Millisecond)
-		p.target.SubmitJob(jobID(first+targetRecords+i), record.body)
+		p.target.SubmitJob(jobID(first+targetDemandOffset+i), record.body)
 		time.Sleep(250 * time.Millisecond)
 	}
 }
 
-// canceledJob is canceled while it runs.
+// canceledJob returns the job that is canceled while it runs.
 func canceledJob() upgradeJob {
 	return upgradeJob{"/p/", jobID(7), newJob(20_000, 500, 1), "called_off"}
 }
 
-// upgradeJobs are all jobs of the source.
+// upgradeJobs returns all jobs of the source.
 func upgradeJobs() []upgradeJob {
 	var jobs []upgradeJob
-	for _, first := range firstRecords {
-		jobs = append(jobs, recordJobs(first)...)
+	for _, first := range firstDemandJobs {
+		jobs = append(jobs, demandJobs(first)...)
 	}
-	jobs = append(append(jobs, earlyJobs()...), canceledJob())
-	return append(jobs, lateJobs()...)
+	jobs = append(append(jobs, jobsBeforeSnapshot()...), canceledJob())
+	return append(jobs, jobsAtShutdown()...)
 }
 
-// submitAll submits jobs at the source, a pause apart.
+// submitAll submits jobs to the source, with a pause after each.
 func (p upgradePair) submitAll(jobs []upgradeJob, pause time.Duration) {
 	p.source.T.Helper()
 	for _, submitted := range jobs {
 		if !p.source.SubmitJobUnder(submitted.pathPrefix, submitted.id, submitted.body) {
-			p.source.T.Fatalf("job %s is not accepted", submitted.id)
+			p.source.T.Fatalf("job %s was not accepted", submitted.id)
 		}
 		time.Sleep(pause)
 	}
 }
 
-// writeUpgradeFolders plays two clusters and writes, into a new folder, the data
-// folders of their servers, the tables as text, and what was seen.
+// writeUpgradeFolders runs two clusters and writes, into a new directory, the data
+// folders of their servers, the dumps of their tables, and the observed history.
 func writeUpgradeFolders(t *testing.T, folder string) {
 	t.Helper()
 	if _, err := os.Stat(folder); err == nil {
-		t.Fatalf("%s is there already: data folders are written once", folder)
+		t.Fatalf("%s already exists: data folders are written only once", folder)
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		t.Fatal(err)
@@ -129,30 +131,30 @@
 		for _, c := range pair.each() {
 			c.addMachines(true, c.Name+"edge-1", c.Name+"edge-2", c.Name+"edge-3")
 			c.startAll()
-			c.WaitUntil("the first configuration is taken", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, slowRoute) == 200 })
+			c.WaitUntil("the first configuration is accepted", 20*time.Second, func() bool { return c.PutConfiguration(c.Name+"edge-1", 1, 0, deferrableRoute) == 200 })
 		}
 		source := pair.source
 		time.Sleep(3 * time.Second)
 		sendConfigurations(source)
-		pair.recordDemand(firstRecords[0])
+		pair.recordDemand(firstDemandJobs[0])
 		pair.submitAll([]upgradeJob{canceledJob()}, time.Second)
 		if code := source.CancelJob("a-edge-1", canceledJob().id); code != 200 {
-			t.Fatalf("cancel: %d", code)
+			t.Fatalf("cancel gets %d, want 200", code)
 		}
-		pair.submitAll(earlyJobs(), 100*time.Millisecond)
+		pair.submitAll(jobsBeforeSnapshot(), 100*time.Millisecond)
 		time.Sleep(30 * time.Second)
 		source.Runners["a-side-2"].Crash()
 		time.Sleep(time.Second)
 		replaceVoter(source, "a-edge-3")
 		takeSnapshots(source)
 		takeSnapshots(pair.target)
-		pair.recordDemand(firstRecords[1])
-		moved := source.onceLogged("status=taken")
-		pair.submitAll(lateJobs(), 150*time.Millisecond)
+		pair.recordDemand(firstDemandJobs[1])
+		transferred := source.onceLogged("status=taken")
+		pair.submitAll(jobsAtShutdown(), 150*time.Millisecond)
 		select {
-		case <-moved:
+		case <-transferred:
 		case <-time.After(20 * time.Second):
-			t.Error("no job moved")
+			t.Error("no job was transferred within 20 s")
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, c := range pair.each() {
@@ -160,44 +162,44 @@
 				c.Kill(name)
 			}
 		}
-		ended := time.Now()
+		killedAt := time.Now()
 		pair.End()
-		time.Sleep(time.Minute) // until no run is under way any more
+		time.Sleep(time.Minute) // until all runs have ended
 		for _, c := range pair.each() {
 			for _, name := range c.Servers() {
 				pack(t, filepath.Join(c.dir, name), filepath.Join(folder, name))
 			}
 		}
-		writePast(t, folder, source.History, ended, 7)
+		writePriorRun(t, folder, source.History, killedAt, 7)
 	})
 }
 
-// sendConfigurations sends configurations of which some are accepted and some refused.
+// sendConfigurations sends configurations, some of which must be refused.
 func sendConfigurations(c *Cluster) {
 	c.T.Helper()
 	for _, change := range []struct{ version, base, code int }{{2, 1, 200}, {5, 2, 200}, {6, 2, 412}, {90, 60, 412}, {7, 5, 200}} {
-		more := slowRoute + routeJSON(fmt.Sprint("v", change.version))
+		more := deferrableRoute + routeJSON(fmt.Sprint("v", change.version))
 		if code := c.PutConfiguration("a-edge-2", change.version, change.base, more); code != change.code {
-			c.T.Fatalf("configuration %d on %d: %d, want %d", change.version, change.base, code, change.code)
+			c.T.Fatalf("configuration %d based on %d gets %d, want %d", change.version, change.base, code, change.code)
 		}
 	}
 }
 
-// onceLogged returns a channel that is closed at the first line of a log that holds
-// a mark.
-func (c *Cluster) onceLogged(mark string) <-chan struct{} {
+// onceLogged returns a channel that is closed when a log line first contains a
+// substring.
+func (c *Cluster) onceLogged(substring string) <-chan struct{} {
 	logged := make(chan struct{})
 	var once sync.Once
-	see := func(line string) {
-		if strings.Contains(line, mark) {
+	observe := func(line string) {
+		if strings.Contains(line, substring) {
 			once.Do(func() { close(logged) })
 		}
 	}
-	c.onLog.Store(&see)
+	c.onLog.Store(&observe)
 	return logged
 }
 
-// replaceVoter puts a new machine in the place of a server.
+// replaceVoter adds a new server and removes an old one.
 func replaceVoter(c *Cluster, old string) {
 	c.AddServer("z")
 	time.Sleep(3 * time.Second)
@@ -207,7 +209,7 @@
 	time.Sleep(catchUpBound)
 }
 
-// takeSnapshots makes the log grow until all servers have taken a snapshot.
+// takeSnapshots grows the log until all servers have taken a snapshot.
 func takeSnapshots(c *Cluster) {
 	edges := c.nodeNames("edge")
 	var calls sync.WaitGroup
@@ -222,7 +224,7 @@
 	time.Sleep(time.Second)
 }
 
-// pack writes a machine's file, compressed, and its tables as text.
+// pack writes the compressed database file of a machine and the dump of its tables.
 func pack(t *testing.T, data, to string) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(data, "tealpond.db"))
@@ -248,25 +250,25 @@
 	}
 	copied := t.TempDir()
 	unpack(t, to+".db.gz", copied)
-	if err := os.WriteFile(to+".txt", []byte(describe(t, copied)), 0o644); err != nil {
+	if err := os.WriteFile(to+".txt", []byte(dumpDataFolder(t, copied)), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// past is what was seen before the daemons ended.
-type past struct {
-	ended   time.Time
-	version int // of the configuration in force
-	// incarnations are the numbers of the newest ones of the runners, by node.
+// priorRun is what is known of the run that wrote the data folders.
+type priorRun struct {
+	killedAt time.Time
+	version  int // of the configuration in force
+	// incarnations are the numbers of the newest incarnations of the runners, by node.
 	incarnations map[string]int
 }
 
-// pastFile holds, in lines of columns parted by tabs: when the daemons ended,
-// what happened to runs, and which configurations were sent.
-const pastFile = "past.txt"
+// priorRunFile has lines of tab-separated columns: when the daemons were killed, the
+// events of runs, and the configurations that were sent.
+const priorRunFile = "past.txt"
 
-// pastKinds are the words of that file for the kinds of events.
-var pastKinds = map[string]EventKind{
+// priorRunKinds maps the words of that file to kinds of events.
+var priorRunKinds = map[string]EventKind{
 	"start": EventRunStarted,
 	"end":   EventRunEnded,
 	"note":  EventAcknowledged,
@@ -274,13 +276,13 @@
 	"life":  EventCrashed,
 }
 
-// writePast writes what was seen.
-func writePast(t *testing.T, folder string, history *History, ended time.Time, version int) {
+// writePriorRun writes the observed history.
+func writePriorRun(t *testing.T, folder string, history *History, killedAt time.Time, version int) {
 	t.Helper()
 	var text strings.Builder
-	fmt.Fprintf(&text, "ended\t%d\t%d\n", ended.UnixMilli(), version)
+	fmt.Fprintf(&text, "ended\t%d\t%d\n", killedAt.UnixMilli(), version)
 	for _, event := range history.Events {
-		for word, kind := range pastKinds {
+		for word, kind := range priorRunKinds {
 			if event.Kind == kind {
 				fmt.Fprintf(&text, "run\t%s\t%s\t%s\t%s\t%d\t%s\t%d\t%s\n", word, event.Node, event.Incarnation, event.Task, event.Run, event.Outcome, event.Completion, event.JobSpec)
 			}
@@ -291,16 +293,17 @@
 			fmt.Fprintf(&text, "configuration\t%d\t%d\t%d\t%s\n", call.Version, call.Base, call.Code, call.Text)
 		}
 	}
-	if err := os.WriteFile(filepath.Join(folder, pastFile), []byte(text.String()), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, priorRunFile), []byte(text.String()), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// readPast fills a history with what was seen and with the jobs. The runs that
-// were under way ended with their machines.
-func readPast(t *testing.T, folder string, history *History) past {
+// readPriorRun fills a history with the recorded events and calls, and with the jobs.
+// Runs that were in progress are recorded as crashed, since their machines were
+// stopped.
+func readPriorRun(t *testing.T, folder string, history *History) priorRun {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join(folder, pastFile))
+	raw, err := os.ReadFile(filepath.Join(folder, priorRunFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -311,26 +314,26 @@
 		}
 		return n
 	}
-	seen := past{incarnations: map[string]int{}}
+	prior := priorRun{incarnations: map[string]int{}}
 	running := map[runKey]Event{}
 	for line := range strings.Lines(string(raw)) {
-		switch cell := strings.Split(strings.TrimSuffix(line, "\n"), "\t"); cell[0] {
+		switch cells := strings.Split(strings.TrimSuffix(line, "\n"), "\t"); cells[0] {
 		case "ended":
-			seen.ended, seen.version = time.UnixMilli(int64(number(cell[1]))), number(cell[2])
+			prior.killedAt, prior.version = time.UnixMilli(int64(number(cells[1]))), number(cells[2])
 		case "run":
-			event := Event{Kind: pastKinds[cell[1]], Node: cell[2], Incarnation: cell[3], Task: cell[4], Run: number(cell[5]), Outcome: cell[6], Completion: int64(number(cell[7])), JobSpec: cell[8]}
+			event := Event{Kind: priorRunKinds[cells[1]], Node: cells[2], Incarnation: cells[3], Task: cells[4], Run: number(cells[5]), Outcome: cells[6], Completion: int64(number(cells[7])), JobSpec: cells[8]}
 			history.record(event)
-			seen.incarnations[event.Node] = max(seen.incarnations[event.Node], 1)
+			prior.incarnations[event.Node] = max(prior.incarnations[event.Node], 1)
 			switch key := (runKey{event.Incarnation, event.Task, event.Run}); event.Kind {
 			case EventRunStarted:
 				running[key] = event
 			case EventRunEnded:
 				delete(running, key)
 			case EventCrashed:
-				seen.incarnations[event.Node]++
+				prior.incarnations[event.Node]++
 			}
 		case "configuration":
-			history.recordCall(Call{Kind: CallReplace, Version: int64(number(cell[1])), Base: int64(number(cell[2])), Code: number(cell[3]), Text: cell[4],
+			history.recordCall(Call{Kind: CallReplace, Version: int64(number(cells[1])), Base: int64(number(cells[2])), Code: number(cells[3]), Text: cells[4],
 				Sent: time.Now(), Done: time.Now()})
 		}
 	}
@@ -345,10 +348,10 @@
 		}
 		history.Jobs[submitted.id] = known
 	}
-	for _, first := range firstRecords {
-		for _, record := range recordJobs(first + targetRecords) {
+	for _, first := range firstDemandJobs {
+		for _, record := range demandJobs(first + targetDemandOffset) {
 			history.Jobs[record.id] = &SubmittedJob{JobSpec: record.body.Spec, Accepted: true}
 		}
 	}
-	return seen
+	return prior
 }
