--- a/internal/simulation/aggregator_test.go
+++ b/internal/simulation/aggregator_test.go
@@ -157,13 +157,13 @@
 func TestRunnerAppliesRequestsLateAcrossAggregatorLoss(t *testing.T) {
 	runWithAggregatorFault(t, func(c *Cluster, aggregator string) {
 		for _, runner := range c.Runners {
-			runner.update(func() { runner.LateFraction = 0.3 })
+			runner.update(func() { runner.DelayedFraction = 0.3 })
 		}
 		time.Sleep(time.Second)
 		c.Restart(3*time.Second, aggregator)
 		time.Sleep(3 * time.Second)
 		for _, runner := range c.Runners {
-			runner.update(func() { runner.LateFraction = 0 })
+			runner.update(func() { runner.DelayedFraction = 0 })
 		}
 	})
 }
--- a/internal/simulation/cluster_test.go
+++ b/internal/simulation/cluster_test.go
@@ -71,7 +71,7 @@
 
 func TestRunnerSilentAndBack(t *testing.T) {
 	runWithFault(t, threeServers, func(c *Cluster) {
-		c.changeRunners(4*time.Second, func(r *Runner, on bool) { r.Silent = on }, "side-2")
+		c.changeRunners(4*time.Second, func(r *Runner, on bool) { r.Unresponsive = on }, "side-2")
 	}, nil)
 }
 
@@ -135,8 +135,8 @@
 		c.SubmitJob(jobID(0), newJob(800, 500, 6))
 		time.Sleep(300 * time.Millisecond)
 		for _, runner := range c.Runners {
-			if runner.Running() > 0 {
-				runner.update(func() { runner.Silent = true })
+			if runner.RunningCount() > 0 {
+				runner.update(func() { runner.Unresponsive = true })
 			}
 		}
 		from := time.Now()
@@ -156,12 +156,12 @@
 		time.Sleep(500 * time.Millisecond)
 		var left *Runner
 		for _, runner := range c.Runners {
-			if runner.Running() > 0 {
+			if runner.RunningCount() > 0 {
 				runner.update(func() { runner.Draining, left = true, runner })
 			}
 		}
 		time.Sleep(5500 * time.Millisecond)
-		if left.Running() > 0 {
+		if left.RunningCount() > 0 {
 			t.Error("the task still runs on a worker that has left")
 		}
 		c.waitJobDone(jobID(0), 20*time.Second)
--- a/internal/simulation/connection_test.go
+++ b/internal/simulation/connection_test.go
@@ -13,7 +13,7 @@
 		s.setWorkload(newJob(150, 400, 6), 100*time.Millisecond)
 		s.runOperator(seed, 300*time.Millisecond, nil)
 		for _, runner := range s.Runners {
-			runner.update(func() { runner.LateFraction = 0.15 })
+			runner.update(func() { runner.DelayedFraction = 0.15 })
 		}
 		all := s.nodeNames("")
 		for range 100 {
@@ -21,7 +21,7 @@
 			time.Sleep(time.Duration(20+s.random.Intn(260)) * time.Millisecond)
 		}
 		for _, runner := range s.Runners {
-			runner.update(func() { runner.LateFraction = 0 })
+			runner.update(func() { runner.DelayedFraction = 0 })
 		}
 	})
 }
--- a/internal/simulation/evacuation_test.go
+++ b/internal/simulation/evacuation_test.go
@@ -42,8 +42,8 @@
 		"runners reject starts": func(c *Cluster) {
 			c.changeRunners(3*time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, "side-2", "side-4")
 		},
-		"silent runners": func(c *Cluster) {
-			c.changeRunners(3*time.Second, func(r *Runner, on bool) { r.Silent = on }, "side-2", "side-4")
+		"unresponsive runners": func(c *Cluster) {
+			c.changeRunners(3*time.Second, func(r *Runner, on bool) { r.Unresponsive = on }, "side-2", "side-4")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -139,7 +139,7 @@
 func (l *gatewayLoad) check() {
 	l.c.T.Helper()
 	for _, attempt := range l.attempts {
-		runs := l.c.platform.RunsOf(attempt.id)
+		runs := l.c.platform.RunCount(attempt.id)
 		if attempt.problem != "" {
 			l.c.T.Errorf("%s at %s: %s", attempt.path, attempt.node, attempt.problem)
 		}
--- a/internal/simulation/harness_test.go
+++ b/internal/simulation/harness_test.go
@@ -102,9 +102,9 @@
 // applyRequestsLate is a change for changeRunners: runners apply a fraction of the requests late.
 func applyRequestsLate(fraction float64) func(r *Runner, on bool) {
 	return func(r *Runner, on bool) {
-		r.LateFraction = 0
+		r.DelayedFraction = 0
 		if on {
-			r.LateFraction = fraction
+			r.DelayedFraction = fraction
 		}
 	}
 }
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -19,8 +19,8 @@
 	EventStartRequested = EventKind(standin.WorkerStartRequested)
 	EventRunStarted     = EventKind(standin.WorkerRunStarted)
 	EventRunEnded       = EventKind(standin.WorkerRunEnded)
-	EventListed         = EventKind(standin.WorkerEndListed)
-	EventAcknowledged   = EventKind(standin.WorkerAcknowledged)
+	EventListed         = EventKind(standin.WorkerCompletionListed)
+	EventAcknowledged   = EventKind(standin.WorkerCompletionAcknowledged)
 	EventLeaseExpired   = EventKind(standin.WorkerLeaseExpired)
 	EventCrashed        = EventKind(standin.WorkerCrashed)
 )
@@ -40,11 +40,11 @@
 
 // Outcomes of a run as listed by runners, and runCrashed for runs that were lost in a crash.
 const (
-	runDone    = standin.RunDone
-	runFailed  = standin.RunFailed
-	runStopped = standin.RunStopped
-	runLapsed  = standin.RunLapsed
-	runCrashed = standin.RunCrashed
+	runDone         = standin.RunDone
+	runFailed       = standin.RunFailed
+	runStopped      = standin.RunStopped
+	runLeaseExpired = standin.RunLeaseExpired
+	runCrashed      = standin.RunCrashed
 )
 
 // States of a job that the checkers use, as they are reported to clients.
@@ -148,8 +148,8 @@
 	h.Calls = append(h.Calls, call)
 }
 
-// failsNow reports whether a run of a task is to fail: the first runs do, as many as failures.
-func (h *History) failsNow(task string, failures int) bool {
+// runFails reports whether a run of a task is to fail: the first runs do, as many as failures.
+func (h *History) runFails(task string, failures int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.failedRuns[task] >= failures {
--- a/internal/simulation/narrow_link_test.go
+++ b/internal/simulation/narrow_link_test.go
@@ -43,13 +43,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, ClusterSpec{Servers: 5, Edges: 2, Agents: 6, Zones: 3}, 1, func(s *scenario) {
-				var elected, lapsed atomic.Int32
+				var elected, expired atomic.Int32
 				observe := func(line string) {
 					switch {
 					case strings.Contains(line, "event=leader.elected"):
 						elected.Add(1)
 					case strings.Contains(line, "event=lease.expired"):
-						lapsed.Add(1)
+						expired.Add(1)
 					}
 				}
 				s.onLog.Store(&observe)
@@ -58,8 +58,8 @@
 					defer s.Network.SetRate(s.NodeIP(node), 0)
 				}
 				s.operateOverNarrowLinks(t)
-				if elected.Load() > 1 || lapsed.Load() > 0 {
-					t.Errorf("%d leaders elected, want at most 1; %d leases expired, want 0", elected.Load(), lapsed.Load())
+				if elected.Load() > 1 || expired.Load() > 0 {
+					t.Errorf("%d leaders elected, want at most 1; %d leases expired, want 0", elected.Load(), expired.Load())
 				}
 			})
 		})
--- a/internal/simulation/overload_test.go
+++ b/internal/simulation/overload_test.go
@@ -52,17 +52,17 @@
 	runWithFault(t, threeServers, func(c *Cluster) {
 		runner := c.Runners["side-2"]
 		for range 6 {
-			c.changeRunners(700*time.Millisecond, func(r *Runner, on bool) { r.Silent = on }, "side-2")
+			c.changeRunners(700*time.Millisecond, func(r *Runner, on bool) { r.Unresponsive = on }, "side-2")
 			runner.Crash()
 			time.Sleep(700 * time.Millisecond)
 		}
 	}, func(c *Cluster) {
 		runner := c.Runners["side-2"]
-		runner.ForgetStarted()
+		runner.ResetStartedRuns()
 		time.Sleep(4 * time.Second)
 		c.SubmitJob(jobID(100), newJob(300, 1000, 20))
 		c.waitJobDone(jobID(100), 10*time.Second)
-		if runner.Started() == 0 {
+		if runner.StartedRuns() == 0 {
 			t.Error("no task ran on the runner after it recovered")
 		}
 	})
--- a/internal/simulation/power_outage_test.go
+++ b/internal/simulation/power_outage_test.go
@@ -61,7 +61,7 @@
 	runScenarios(t, 4, ClusterSpec{Servers: 5, Edges: 1, Agents: 4, ToleratedLosses: 2}, func(s *scenario, _ int64) {
 		s.setWorkload(newJob(60, 150, 12), 80*time.Millisecond)
 		for _, runner := range s.Runners {
-			runner.update(func() { runner.LostAnswers, runner.LateFraction = 0.2, 0.05 })
+			runner.update(func() { runner.LostAnswerFraction, runner.DelayedFraction = 0.2, 0.05 })
 		}
 		for range 4 {
 			time.Sleep(time.Duration(1500+s.random.Intn(1000)) * time.Millisecond)
@@ -69,7 +69,7 @@
 			time.Sleep(catchUpBound)
 		}
 		for _, runner := range s.Runners {
-			runner.update(func() { runner.LostAnswers, runner.LateFraction = 0, 0 })
+			runner.update(func() { runner.LostAnswerFraction, runner.DelayedFraction = 0, 0 })
 		}
 	})
 }
--- a/internal/simulation/runner.go
+++ b/internal/simulation/runner.go
@@ -12,7 +12,7 @@
 func NewRunner(history *History, node, service string, seed int64) *Runner {
 	return &Runner{standin.NewWorker(standin.WorkerOptions{
 		Node: node, Service: service, Zone: "z", Seed: seed,
-		FailsNow: history.failsNow,
+		RunFails: history.runFails,
 		Observe: func(event standin.WorkerEvent) {
 			history.record(Event{Kind: EventKind(event.Kind), Node: event.Node, Incarnation: event.Incarnation, Task: event.Task, Run: event.Run,
 				Outcome: event.Outcome, Completion: event.Completion, JobSpec: event.JobSpec, CPUInUse: event.CPUInUse,
--- a/internal/simulation/saturated_link_test.go
+++ b/internal/simulation/saturated_link_test.go
@@ -81,7 +81,7 @@
 					if spec.Announced {
 						bound += heartbeatInterval // the runner announces it with its next heartbeat
 					}
-					if late := c.platform.LastArrival(id).Sub(listedAt); late > bound {
+					if late := c.platform.LastRequestAt(id).Sub(listedAt); late > bound {
 						t.Errorf("%s got a request %v after it was listed as draining", id, late)
 					} else {
 						t.Logf("%s got its last request %v after it was listed as draining", id, late)
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -21,9 +21,9 @@
 		{"all servers killed", func(s *scenario) { s.Restart(300*time.Millisecond, s.Servers()...); time.Sleep(4 * time.Second) }},
 		{"start responses lost", func(s *scenario) {
 			s.changeRunners(5*time.Second, func(r *Runner, on bool) {
-				r.LostAnswers = 0
+				r.LostAnswerFraction = 0
 				if on {
-					r.LostAnswers = 0.5
+					r.LostAnswerFraction = 0.5
 				}
 			}, s.nodeNames(agentRole)[:2]...)
 		}},
--- a/internal/simulation/terminating_gateway_test.go
+++ b/internal/simulation/terminating_gateway_test.go
@@ -131,7 +131,7 @@
 	c.terminateWhile(node, func() {
 		for _, path := range paths {
 			if err := client.receive(path); err != nil {
-				c.T.Errorf("%s ran %d times, but: %v", path, c.platform.RunsOf(path), err)
+				c.T.Errorf("%s ran %d times, but: %v", path, c.platform.RunCount(path), err)
 			}
 		}
 	})
@@ -155,7 +155,7 @@
 			}
 		}
 		for _, path := range paths {
-			if err := client.receive(path); err != nil && c.platform.RunsOf(path) > 0 {
+			if err := client.receive(path); err != nil && c.platform.RunCount(path) > 0 {
 				c.T.Errorf("%s ran, but: %v", path, err)
 			}
 		}
--- a/internal/simulation/trouble_kinds_test.go
+++ b/internal/simulation/trouble_kinds_test.go
@@ -26,9 +26,9 @@
 	}},
 	{"answer_lost", func(s *scenario) {
 		s.changeRunners(6*time.Second, func(r *Runner, on bool) {
-			r.LostAnswers = 0
+			r.LostAnswerFraction = 0
 			if on {
-				r.LostAnswers = 0.4
+				r.LostAnswerFraction = 0.4
 			}
 		})
 	}},
@@ -137,9 +137,9 @@
 			runScenario(t, threeServers, int64(10*lost), func(s *scenario) {
 				s.setWorkload(newJob(200, 400, 4), 200*time.Millisecond)
 				s.changeRunners(8*time.Second, func(r *Runner, on bool) {
-					r.LostAnswers = 0
+					r.LostAnswerFraction = 0
 					if on {
-						r.LostAnswers = lost
+						r.LostAnswerFraction = lost
 					}
 				})
 			})
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -74,8 +74,8 @@
 // lost describes how a request that a daemon had accepted was lost; empty if it was not lost.
 func (c checker) lost(request Request) string {
 	runs := c.record.Runs[request.ID]
-	runBroken := len(runs) > 0 && runs[len(runs)-1].Broken
-	ownAnswer := request.Outcome == OutcomeAnswered && runBroken && !request.FromRunner && request.Status >= http.StatusInternalServerError && !brokenByRunner(runs)
+	runAborted := len(runs) > 0 && runs[len(runs)-1].Aborted
+	ownAnswer := request.Outcome == OutcomeAnswered && runAborted && !request.FromRunner && request.Status >= http.StatusInternalServerError && !abortedByRunner(runs)
 	if request.Outcome == OutcomeAnswered && !ownAnswer || request.Outcome == OutcomeUnsent || c.excused(request) {
 		return ""
 	}
@@ -92,7 +92,7 @@
 
 // excused reports whether the rules excuse the loss of a request.
 func (c checker) excused(request Request) bool {
-	if !request.EndedAt.Before(request.Deadline.Add(-deadlineReserve)) || brokenByRunner(c.record.Runs[request.ID]) {
+	if !request.EndedAt.Before(request.Deadline.Add(-deadlineReserve)) || abortedByRunner(c.record.Runs[request.ID]) {
 		return true
 	}
 	for _, action := range c.record.Actions {
@@ -128,8 +128,8 @@
 	return false
 }
 
-// brokenByRunner reports whether the last runner of a request had ended when the run did.
-func brokenByRunner(runs []standin.Run) bool {
+// abortedByRunner reports whether the last runner of a request had ended when the run did.
+func abortedByRunner(runs []standin.Run) bool {
 	return len(runs) > 0 && runs[len(runs)-1].RunnerEnded
 }
 
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -26,7 +26,7 @@
 	request := Request{ID: "a", Daemon: "n", Kind: protocol.KindReadOnly, SentAt: second(10), Deadline: second(20), EndedAt: second(11), Outcome: OutcomeClosed}
 	return Record{
 		Requests: []Request{request},
-		Runs:     map[string][]standin.Run{"a": {{Attempt: "a", Runner: "r", BeganAt: second(10.1), EndedAt: second(11), Broken: true}}},
+		Runs:     map[string][]standin.Run{"a": {{AttemptID: "a", RunnerID: "r", StartedAt: second(10.1), EndedAt: second(11), Aborted: true}}},
 		Actions:  []Action{{At: second(10.5), Daemon: "n", Signal: syscall.SIGTERM}},
 	}
 }
@@ -68,11 +68,11 @@
 		{"run done, cut in the last part of the grace period", "LOST", "closed", func(r *Record, q *Request) { q.EndedAt, r.Runs["a"][0].EndedAt = second(16.4), second(14) }},
 		{"empty success", "ANSWER", "200, but not by a runner", func(_ *Record, q *Request) { q.Outcome, q.Status = OutcomeAnswered, http.StatusOK }},
 		{"rejected but ran", "PROMISE", "503 although it ran", func(r *Record, q *Request) {
-			q.Outcome, q.Status, r.Runs["a"][0].Broken = OutcomeAnswered, http.StatusServiceUnavailable, false
+			q.Outcome, q.Status, r.Runs["a"][0].Aborted = OutcomeAnswered, http.StatusServiceUnavailable, false
 		}},
 		{"write at two runners", "TWICE", "2 times", func(r *Record, q *Request) {
 			q.Outcome, q.Status, q.FromRunner, q.Kind = OutcomeAnswered, http.StatusOK, true, protocol.KindWriting
-			r.Runs["a"] = append(r.Runs["a"], standin.Run{Attempt: "a", Runner: "s"})
+			r.Runs["a"] = append(r.Runs["a"], standin.Run{AttemptID: "a", RunnerID: "s"})
 		}},
 		{"exit status 1 at startup", "END", "exit status 1", func(r *Record, q *Request) {
 			q.Outcome, q.Status, q.FromRunner = OutcomeAnswered, http.StatusOK, true
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -181,7 +181,7 @@
 	if o.chunks > 0 {
 		bodyBytes = len(o.body) / o.chunks * o.chunks
 	}
-	want := standin.Answer(request.ID, o.path+request.ID, bodyBytes)
+	want := standin.ExpectedAnswer(request.ID, o.path+request.ID, bodyBytes)
 	request.FromRunner = o.kind == kindCall || o.kind == kindJob || response.Header.Get(protocol.HeaderAttemptID) == request.ID && strings.TrimRight(text.String(), " ") == want
 	request.Status, request.Outcome, request.EndedAt = response.StatusCode, OutcomeAnswered, time.Now()
 	return !response.Close
--- a/internal/soak/recorder.go
+++ b/internal/soak/recorder.go
@@ -78,13 +78,13 @@
 func (l *Recorder) AddRun(run standin.Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, known := range l.runs[run.Attempt] {
-		if known.Runner == run.Runner && known.BeganAt.Equal(run.BeganAt) {
-			l.runs[run.Attempt][i] = run
+	for i, known := range l.runs[run.AttemptID] {
+		if known.RunnerID == run.RunnerID && known.StartedAt.Equal(run.StartedAt) {
+			l.runs[run.AttemptID][i] = run
 			return
 		}
 	}
-	l.runs[run.Attempt] = append(l.runs[run.Attempt], run)
+	l.runs[run.AttemptID] = append(l.runs[run.AttemptID], run)
 }
 
 // AddAction records an action.
--- a/internal/soak/report.go
+++ b/internal/soak/report.go
@@ -100,8 +100,8 @@
 		}
 	}
 	for _, known := range r.Record.Runs[around.ID] {
-		add(known.BeganAt, "%s: run begins at runner %s", around.ID, known.Runner)
-		add(known.EndedAt, "%s: run ends at runner %s, broken: %v", around.ID, known.Runner, known.Broken)
+		add(known.StartedAt, "%s: run begins at runner %s", around.ID, known.RunnerID)
+		add(known.EndedAt, "%s: run ends at runner %s, aborted: %v", around.ID, known.RunnerID, known.Aborted)
 	}
 	slices.SortStableFunc(entries, func(a, b timelineEntry) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 	var text strings.Builder
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -42,12 +42,12 @@
 
 // Run is one execution of a client's request at a runner. It begins once the whole request has arrived.
 type Run struct {
-	Attempt string // the client's attempt ID
-	Runner  string // ID of the runner
-	BeganAt time.Time
-	EndedAt time.Time // zero while the run is in progress
-	// Broken reports that the caller disconnected or the runner ended before the answer was written.
-	Broken bool
+	AttemptID string // the client's attempt ID
+	RunnerID  string // ID of the runner
+	StartedAt time.Time
+	EndedAt   time.Time // zero while the run is in progress
+	// Aborted reports that the caller disconnected or the runner ended before the answer was written.
+	Aborted bool
 	// RunnerEnded reports that the runner had ended by EndedAt.
 	RunnerEnded bool
 }
@@ -195,16 +195,16 @@
 	return p.ended[id]
 }
 
-// LastArrival returns when the header of the last request that named the runner as its target arrived
+// LastRequestAt returns when the header of the last request that named the runner as its target arrived
 // there, or the zero time if there was none.
-func (p *Platform) LastArrival(id string) time.Time {
+func (p *Platform) LastRequestAt(id string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.arrivals[id]
 }
 
-// RunsOf returns how many times an attempt of a client ran, over all runners.
-func (p *Platform) RunsOf(attempt string) int {
+// RunCount returns how many times an attempt of a client ran, over all runners.
+func (p *Platform) RunCount(attempt string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs[attempt]
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -42,9 +42,9 @@
 		p.mu.Lock()
 		p.runs[attempt]++
 		p.mu.Unlock()
-		run := Run{Attempt: attempt, Runner: id, BeganAt: time.Now()}
+		run := Run{AttemptID: attempt, RunnerID: id, StartedAt: time.Now()}
 		p.observe(run)
-		run.Broken = !processRequest(w, r, len(body))
+		run.Aborted = !processRequest(w, r, len(body))
 		run.EndedAt, run.RunnerEnded = time.Now(), p.hasEnded(id)
 		p.observe(run)
 	})
@@ -74,12 +74,12 @@
 	case <-r.Context().Done():
 		return false
 	}
-	return writeAnswer(w, Answer(r.Header.Get(protocol.HeaderAttemptID), r.URL.Path, bodyBytes), minAnswerSize(r))
+	return writeAnswer(w, ExpectedAnswer(r.Header.Get(protocol.HeaderAttemptID), r.URL.Path, bodyBytes), minAnswerSize(r))
 }
 
-// Answer returns the answer to an attempt, which depends on the request's path and the length of its
-// body. Answers of a larger size are padded with spaces.
-func Answer(attempt, path string, bodyBytes int) string {
+// ExpectedAnswer returns the answer to an attempt, which depends on the request's path and the
+// length of its body. Answers of a larger size are padded with spaces.
+func ExpectedAnswer(attempt, path string, bodyBytes int) string {
 	return fmt.Sprintf("%s %s %d", attempt, path, bodyBytes)
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -23,9 +23,9 @@
 	Seed                int64 // of its clock, and of its late and lost answers
 	// Observe is called with each event; it may be nil. It must not call the worker.
 	Observe func(WorkerEvent)
-	// FailsNow reports whether a finished run fails, given its task and the number of runs of the task
+	// RunFails reports whether a finished run fails, given its task and the number of runs of the task
 	// that may fail. If it is nil, no run fails.
-	FailsNow func(task string, times int) bool
+	RunFails func(task string, times int) bool
 }
 
 // Worker is a fake of the runner of a worker machine, as the operators' protocol describes it. A
@@ -34,20 +34,20 @@
 //
 // Exported fields may be changed at any time within Update.
 type Worker struct {
-	mu               sync.Mutex
-	options          WorkerOptions
-	Node             string
-	Service          string
-	Zone             string
-	Labels           []string
-	Capacity         protocol.Resources
-	EnforcesCapacity bool
-	Draining         bool    // its heartbeats report the state "draining"
-	Silent           bool    // it answers no calls
-	LateFraction     float64 // fraction of the requests that are carried out late and not answered
-	LostAnswers      float64 // fraction of the requests that are carried out but not answered
-	Stalled          bool    // runs make no progress
-	RejectsStarts    bool    // it answers starts with 503 and keeps sending heartbeats
+	mu                 sync.Mutex
+	options            WorkerOptions
+	Node               string
+	Service            string
+	Zone               string
+	Labels             []string
+	Capacity           protocol.Resources
+	EnforcesCapacity   bool
+	Draining           bool    // its heartbeats report the state "draining"
+	Unresponsive       bool    // it answers no calls
+	DelayedFraction    float64 // fraction of the requests that are carried out late and not answered
+	LostAnswerFraction float64 // fraction of the requests that are carried out but not answered
+	Stalled            bool    // runs make no progress
+	RejectsStarts      bool    // it answers starts with 503 and keeps sending heartbeats
 
 	incarnation    string
 	incarnations   int // number of incarnations so far
@@ -62,7 +62,7 @@
 	completions    []protocol.Completion  // not yet acknowledged
 	changed        chan struct{}          // closed at the next completion
 	random         *rand.Rand
-	started        int // number of runs started since the last ForgetStarted
+	started        int // number of runs started since the last ResetStartedRuns
 	heartbeatSeq   int64
 }
 
@@ -134,7 +134,7 @@
 	now := time.Now()
 	if w.leaseUntil > 0 && w.clock() > w.leaseUntil {
 		for key, running := range w.runs {
-			w.finish(key, running, RunLapsed)
+			w.finish(key, running, RunLeaseExpired)
 		}
 		w.record(WorkerEvent{Kind: WorkerLeaseExpired, Incarnation: w.incarnation})
 		w.leaseUntil = 0
@@ -146,7 +146,7 @@
 		running.updatedAt = now
 		if running.progress >= running.duration {
 			outcome := RunDone
-			if w.failsNow(running.task, specField(running.spec, "fail")) {
+			if w.runFails(running.task, specField(running.spec, "fail")) {
 				outcome = RunFailed
 			}
 			w.finish(key, running, outcome)
@@ -154,9 +154,9 @@
 	}
 }
 
-// failsNow reports whether a finished run fails.
-func (w *Worker) failsNow(task string, times int) bool {
-	return times > 0 && w.options.FailsNow != nil && w.options.FailsNow(task, times)
+// runFails reports whether a finished run fails.
+func (w *Worker) runFails(task string, times int) bool {
+	return times > 0 && w.options.RunFails != nil && w.options.RunFails(task, times)
 }
 
 // finish ends a run and adds its completion to the list.
@@ -203,23 +203,23 @@
 	return w.incarnation
 }
 
-// Running returns the number of runs in progress.
-func (w *Worker) Running() int {
+// RunningCount returns the number of runs in progress.
+func (w *Worker) RunningCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
 	return len(w.runs)
 }
 
-// Started returns the number of runs that have started since the last call of ForgetStarted.
-func (w *Worker) Started() int {
+// StartedRuns returns the number of runs that have started since the last call of ResetStartedRuns.
+func (w *Worker) StartedRuns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.started
 }
 
-// ForgetStarted resets the count of Started.
-func (w *Worker) ForgetStarted() {
+// ResetStartedRuns resets the count of StartedRuns.
+func (w *Worker) ResetStartedRuns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started = 0
--- a/internal/standin/worker_calls.go
+++ b/internal/standin/worker_calls.go
@@ -16,12 +16,12 @@
 	if start, ok := body.(protocol.StartRequest); ok {
 		w.record(WorkerEvent{Kind: WorkerStartRequested, Incarnation: incarnation, Task: start.TaskID, Run: start.RunID})
 	}
-	if w.Silent {
+	if w.Unresponsive {
 		w.mu.Unlock()
 		<-ctx.Done()
 		return agent.RunnerResponse{}
 	}
-	if path != keepAlivePath && w.random.Float64() < w.LateFraction {
+	if path != keepAlivePath && w.random.Float64() < w.DelayedFraction {
 		delay := time.Duration(2000+w.random.Intn(10000)) * time.Millisecond
 		w.mu.Unlock()
 		go func() {
@@ -33,7 +33,7 @@
 		<-ctx.Done()
 		return agent.RunnerResponse{}
 	}
-	if path != keepAlivePath && w.random.Float64() < w.LostAnswers {
+	if path != keepAlivePath && w.random.Float64() < w.LostAnswerFraction {
 		w.handle(incarnation, body)
 		w.mu.Unlock()
 		<-ctx.Done()
@@ -156,7 +156,7 @@
 		timer.Stop()
 		w.mu.Lock()
 		w.advance()
-		if ctx.Err() != nil || incarnation != w.incarnation || w.Silent {
+		if ctx.Err() != nil || incarnation != w.incarnation || w.Unresponsive {
 			return agent.RunnerResponse{}
 		}
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	for n := w.acknowledged + 1; n <= sequence; n++ {
-		w.record(WorkerEvent{Kind: WorkerAcknowledged, Incarnation: w.incarnation, Completion: n})
+		w.record(WorkerEvent{Kind: WorkerCompletionAcknowledged, Incarnation: w.incarnation, Completion: n})
 	}
 	w.acknowledged = sequence
 	kept := w.completions[:0:0]
@@ -190,7 +190,7 @@
 		response.KeepAlive.Running = append(response.KeepAlive.Running, []any{running.task, float64(running.run), "", float64(percent)})
 	}
 	for _, completion := range w.completions {
-		w.record(WorkerEvent{Kind: WorkerEndListed, Incarnation: w.incarnation, Task: completion.Task, Run: completion.Run, Completion: completion.Sequence})
+		w.record(WorkerEvent{Kind: WorkerCompletionListed, Incarnation: w.incarnation, Task: completion.Task, Run: completion.Run, Completion: completion.Sequence})
 		response.KeepAlive.Ended = append(response.KeepAlive.Ended, []any{float64(completion.Sequence), completion.Task, float64(completion.Run), completion.Result, completion.Checkpoint})
 	}
 	return response
--- a/internal/standin/worker_events.go
+++ b/internal/standin/worker_events.go
@@ -6,22 +6,22 @@
 // Kinds of events. An agent requests a start, after which the run starts unless it is rejected. When
 // the run ends, its end is listed to the agent, which acknowledges it.
 const (
-	WorkerStartRequested WorkerEventKind = "start requested"
-	WorkerRunStarted     WorkerEventKind = "run started"
-	WorkerRunEnded       WorkerEventKind = "run ended"
-	WorkerEndListed      WorkerEventKind = "end listed"
-	WorkerAcknowledged   WorkerEventKind = "end acknowledged"
-	WorkerLeaseExpired   WorkerEventKind = "lease expired"
-	WorkerCrashed        WorkerEventKind = "runner crashed"
+	WorkerStartRequested         WorkerEventKind = "start requested"
+	WorkerRunStarted             WorkerEventKind = "run started"
+	WorkerRunEnded               WorkerEventKind = "run ended"
+	WorkerCompletionListed       WorkerEventKind = "end listed"
+	WorkerCompletionAcknowledged WorkerEventKind = "end acknowledged"
+	WorkerLeaseExpired           WorkerEventKind = "lease expired"
+	WorkerCrashed                WorkerEventKind = "runner crashed"
 )
 
 // Results of a run as runners list them, and RunCrashed for runs that are lost in a crash.
 const (
-	RunDone    = "done"
-	RunFailed  = "failed"
-	RunStopped = "stopped"
-	RunLapsed  = "lapsed"
-	RunCrashed = "crashed"
+	RunDone         = "done"
+	RunFailed       = "failed"
+	RunStopped      = "stopped"
+	RunLeaseExpired = "lapsed"
+	RunCrashed      = "crashed"
 )
 
 // WorkerEvent is an event at a worker's runner. Its kind determines which fields are set.
--- a/internal/standin/worker_server.go
+++ b/internal/standin/worker_server.go
@@ -54,13 +54,13 @@
 	_ = json.NewEncoder(writer).Encode(answer) // the caller may have disconnected
 }
 
-// Announce sends a heartbeat of the runner to an agent's control address at each interval until ctx
-// ends.
-func (w *Worker) Announce(ctx context.Context, controlAddress string, interval time.Duration) {
+// SendHeartbeats sends a heartbeat of the runner to an agent's control address at each interval
+// until ctx ends.
+func (w *Worker) SendHeartbeats(ctx context.Context, controlAddress string, interval time.Duration) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		w.announceOnce(ctx, controlAddress)
+		w.sendHeartbeat(ctx, controlAddress)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -69,8 +69,8 @@
 	}
 }
 
-// announceOnce sends one heartbeat. Errors are ignored, as the next heartbeat follows.
-func (w *Worker) announceOnce(ctx context.Context, controlAddress string) {
+// sendHeartbeat sends one heartbeat. Errors are ignored, as the next heartbeat follows.
+func (w *Worker) sendHeartbeat(ctx context.Context, controlAddress string) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	incarnation, heartbeat := w.Heartbeat()
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -181,7 +181,7 @@
 	server := &http.Server{Handler: worker.Handler(), ReadHeaderTimeout: time.Second}
 	t.servers = append(t.servers, server)
 	t.running.Go(func() { _ = server.Serve(socket) }) // until it is closed
-	t.running.Go(func() { worker.Announce(t.ctx, daemon.ControlAddress(), heartbeatInterval) })
+	t.running.Go(func() { worker.SendHeartbeats(t.ctx, daemon.ControlAddress(), heartbeatInterval) })
 	return nil
 }
 
