--- a/internal/simulation/activity_pairs_test.go
+++ b/internal/simulation/activity_pairs_test.go
@@ -28,7 +28,7 @@
 // after an outage too.
 const minPairDuration = 14 * time.Second
 
-// loweredMilliCPU is the limit of boundTenant while it is lowered.
+// loweredMilliCPU is the limit of limitedTenant while it is lowered.
 const loweredMilliCPU = 2000
 
 // pairScenario is a scenario in which two activities overlap.
@@ -91,7 +91,7 @@
 		s.replaceConfiguration("", lowered)
 		s.History.record(Event{Kind: EventLimitChanged, CPUCapacity: loweredMilliCPU})
 		time.Sleep(limitGrace + 3*time.Second)
-		s.History.record(Event{Kind: EventLimitChanged, CPUCapacity: boundTenantMilliCPU})
+		s.History.record(Event{Kind: EventLimitChanged, CPUCapacity: limitedTenantMilliCPU})
 		s.replaceConfiguration("", tenantList)
 	}},
 	{"evacuation", func(s *pairScenario) {
@@ -101,9 +101,9 @@
 			s.changeRunners(evacuationGrace+time.Second, func(r *Runner, on bool) { r.RejectsStarts = on }, s.agentsIn(evacuatedZone)...)
 		})
 		time.Sleep(400 * time.Millisecond)
-		s.orderEvacuation(disklessEdge, "Begin")
+		s.requestEvacuation(disklessEdge, "Begin")
 		time.Sleep(evacuationGrace + 2*time.Second)
-		s.orderEvacuation(disklessEdge, "Finish")
+		s.requestEvacuation(disklessEdge, "Finish")
 	}},
 	{"leader killed", func(s *pairScenario) {
 		for range 2 {
--- a/internal/simulation/announcer.go
+++ b/internal/simulation/announcer.go
@@ -8,9 +8,9 @@
 	"tealpond/internal/protocol"
 )
 
-// drainTime is how long a runner continues to serve after its drain was acknowledged, or
+// drainDuration is how long a runner continues to serve after its drain was acknowledged, or
 // after a sign-off without a drain.
-const drainTime = 2500 * time.Millisecond
+const drainDuration = 2500 * time.Millisecond
 
 // announceRunner sends the heartbeats of a runner that is not in a platform's list, until the
 // runner has ended. Heartbeats go to the daemons in turn; if one does not acknowledge, the next
@@ -23,7 +23,7 @@
 		}
 		heartbeat := protocol.Heartbeat{Service: runner.TargetService, Address: runner.Address, Zone: runner.Zone, Slots: runner.Slots, State: runner.State, Sequence: sequence}
 		if p.callUntilAcknowledged(ctx, "/-/Runners.Heartbeat/"+id, int(sequence), heartbeat) && runner.State == protocol.RunnerDraining {
-			time.Sleep(drainTime)
+			time.Sleep(drainDuration)
 			p.callUntilAcknowledged(ctx, "/-/Runners.SignOff/"+id, int(sequence), nil)
 			p.Crash(id, 0)
 			return
--- a/internal/simulation/checkers_test.go
+++ b/internal/simulation/checkers_test.go
@@ -48,7 +48,7 @@
 		h := NewHistory()
 		h.zones["a"] = "zone"
 		h.Jobs["j"], h.Jobs["canceled"], h.Jobs["rejected"] = twoSteps, canceled, rejected
-		h.Jobs["wide7"] = &SubmittedJob{JobSpec: "x", TaskCounts: []int{2}, MilliCPU: []int64{boundTenantMilliCPU}, MaxAttempts: 3, Accepted: true}
+		h.Jobs["wide7"] = &SubmittedJob{JobSpec: "x", TaskCounts: []int{2}, MilliCPU: []int64{limitedTenantMilliCPU}, MaxAttempts: 3, Accepted: true}
 		h.Jobs["key"] = &SubmittedJob{JobSpec: "x", TaskCounts: []int{1}, MaxAttempts: 3, Accepted: name == "unknown key", UnknownKey: true}
 		h.Events = c.events
 		got := strings.Join(h.Violations(), "; ")
--- a/internal/simulation/daemons.go
+++ b/internal/simulation/daemons.go
@@ -90,7 +90,7 @@
 			file.Discovery, file.Platform.Address = settings.DiscoveryPlatform, c.platform.Address()
 		}
 		file.Contracts = []string{"base", "config", "retry"}
-		file.Bounds.DrainMs = float64(drainTime.Milliseconds())
+		file.Bounds.DrainMs = float64(drainDuration.Milliseconds())
 		file.Bounds.InTouchMs = 3000
 		file.Bounds.RetryRatio, file.Bounds.RetryWindowS, file.Bounds.RetrySlack = 0.2, 10, 30
 	}
--- a/internal/simulation/evacuation_test.go
+++ b/internal/simulation/evacuation_test.go
@@ -10,9 +10,9 @@
 // evacuatedZone is the zone that tests evacuate.
 const evacuatedZone = "z1"
 
-// orderEvacuation begins or finishes the evacuation of evacuatedZone, with calls to a node until
+// requestEvacuation begins or finishes the evacuation of evacuatedZone, with calls to a node until
 // one is acknowledged. It returns how long that took.
-func (c *Cluster) orderEvacuation(node, order string) time.Duration {
+func (c *Cluster) requestEvacuation(node, order string) time.Duration {
 	c.T.Helper()
 	const zone = evacuatedZone
 	begin := time.Now()
@@ -48,7 +48,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runWithFault(t, spec, func(c *Cluster) {
-				if took := c.orderEvacuation(disklessEdge, "Begin"); took > time.Second {
+				if took := c.requestEvacuation(disklessEdge, "Begin"); took > time.Second {
 					t.Errorf("the evacuation was acknowledged after %v, want at most 1s", took)
 				}
 				fault(c)
@@ -60,7 +60,7 @@
 				}
 				time.Sleep(3 * time.Second)
 				before := len(c.startsIn(evacuatedZone))
-				c.orderEvacuation(disklessEdge, "Finish")
+				c.requestEvacuation(disklessEdge, "Finish")
 				for i := range 8 {
 					c.SubmitJob(jobID(950+i), newJob(500, 4000, 4))
 				}
--- a/internal/simulation/fault_kinds_test.go
+++ b/internal/simulation/fault_kinds_test.go
@@ -11,7 +11,7 @@
 
 // faultKinds are the faults of the operators' bench that can occur in a simulated cluster, under
 // the bench's names. Each takes about ten seconds.
-var faultKinds = []namedPlay{
+var faultKinds = []namedScenario{
 	{"ack_lost", func(s *scenario) {
 		for _, operator := range s.newOperators(4, 0.7) {
 			s.background.Go(func() {
@@ -34,7 +34,7 @@
 		}
 	}},
 	{"after_ack_kill taken", func(s *scenario) {
-		s.restartAllOnceSubmitted(500000, 4)
+		s.restartAllAfterJobAccepted(500000, 4)
 	}},
 	{"herd_kill of all core", func(s *scenario) {
 		s.Restart(1500*time.Millisecond, s.Servers()...)
@@ -45,7 +45,7 @@
 		a, b := s.Servers()[0], s.Servers()[1]
 		repair := s.InjectFault(a, IsolateFromServers)
 		operators := s.newOperators(3, 0)
-		defer closeAll(operators)
+		defer closeOperators(operators)
 		operators[0].Read(3 * time.Second)
 		base := operators[0].knownVersion
 		change, competing := s.NewChange(base), s.NewChange(base)
@@ -122,9 +122,9 @@
 	}},
 }
 
-// restartAllOnceSubmitted submits count jobs, numbered from first on, and restarts all daemons
+// restartAllAfterJobAccepted submits count jobs, numbered from first on, and restarts all daemons
 // right after each submission.
-func (s *scenario) restartAllOnceSubmitted(first, count int) {
+func (s *scenario) restartAllAfterJobAccepted(first, count int) {
 	for i := range count {
 		if s.SubmitJob(jobID(first+i), newJob(300, 400, 2)) {
 			s.recordAccepted(jobID(first + i))
@@ -134,9 +134,9 @@
 	}
 }
 
-// closingFaults are the faults at the end of a scenario, after which everything that was
+// finalFaults are the faults at the end of a scenario, after which everything that was
 // acknowledged must still exist.
-var closingFaults = []namedPlay{
+var finalFaults = []namedScenario{
 	{"power off all", func(s *scenario) { s.Restart(1500*time.Millisecond, s.nodeNames("")...) }},
 	{"kill all", func(s *scenario) { s.Restart(300*time.Millisecond, s.nodeNames("")...) }},
 	{"wipe the leader", func(s *scenario) { s.restartWiped(500*time.Millisecond, s.Leader()) }},
@@ -153,34 +153,34 @@
 	s.Start(name)
 }
 
-// Times at which a closing fault is injected.
+// Times at which a final fault is injected.
 const (
-	onceChanged   = "acknowledged" // right after a change was acknowledged
-	whileChanging = "timed"        // at a random time after a change was sent
-	onceSubmitted = "taken"        // right after a job was accepted
+	afterChangeAcknowledged = "acknowledged" // right after a change was acknowledged
+	duringChange            = "timed"        // at a random time after a change was sent
+	afterJobAccepted        = "taken"        // right after a job was accepted
 )
 
-// injectClosingFault injects a closing fault at one of the times above.
-func (s *scenario) injectClosingFault(moment string, fault func(s *scenario)) {
+// injectFinalFault injects a final fault at one of the times above.
+func (s *scenario) injectFinalFault(moment string, fault func(s *scenario)) {
 	operator := s.newOperators(1, 0)[0]
 	defer operator.Close()
 	operator.Read(5 * time.Second)
 	switch moment {
-	case whileChanging:
+	case duringChange:
 		s.background.Go(func() { operator.MakeChange(10 * time.Second) })
 		time.Sleep(time.Duration(5+s.random.Intn(395)) * time.Millisecond)
-	case onceSubmitted:
+	case afterJobAccepted:
 		if s.SubmitJob(jobID(600000), newJob(300, 400, 2)) {
 			s.recordAccepted(jobID(600000))
 		}
-	case onceChanged:
+	case afterChangeAcknowledged:
 		operator.MakeChange(10 * time.Second)
 	}
 	fault(s)
 	time.Sleep(catchUpBound)
 }
 
-// TestFaultKinds injects each kind of fault, followed by one of the closing faults in
+// TestFaultKinds injects each kind of fault, followed by one of the final faults in
 // rotation.
 func TestFaultKinds(t *testing.T) {
 	for i, kind := range faultKinds {
@@ -188,22 +188,22 @@
 			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
 				s.runOperator(int64(i+1), time.Second, nil)
 				time.Sleep(2 * time.Second)
-				kind.play(s)
+				kind.run(s)
 				time.Sleep(catchUpBound)
-				s.injectClosingFault(onceChanged, closingFaults[i%len(closingFaults)].play)
+				s.injectFinalFault(afterChangeAcknowledged, finalFaults[i%len(finalFaults)].run)
 			})
 		})
 	}
 }
 
-// TestClosingFaults injects each closing fault at each of its times.
-func TestClosingFaults(t *testing.T) {
-	for i, fault := range closingFaults {
-		for k, moment := range []string{onceChanged, whileChanging, onceSubmitted} {
+// TestFinalFaults injects each final fault at each of its times.
+func TestFinalFaults(t *testing.T) {
+	for i, fault := range finalFaults {
+		for k, moment := range []string{afterChangeAcknowledged, duringChange, afterJobAccepted} {
 			t.Run(fault.name+"/"+moment, func(t *testing.T) {
 				runScenario(t, threeServers, int64(10*i+k), func(s *scenario) {
 					time.Sleep(2 * time.Second)
-					s.injectClosingFault(moment, fault.play)
+					s.injectFinalFault(moment, fault.run)
 				})
 			})
 		}
--- a/internal/simulation/trouble_kinds_test.go
+++ b/internal/simulation/fault_pairs_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// largeFleetTroubles are the faults that large deployments add, under their names on
+// largeClusterFaults are the faults that large deployments add, under their names on
 // the operators' bench. Each takes about six seconds and ends on its own.
-var largeFleetTroubles = []namedPlay{
+var largeClusterFaults = []namedScenario{
 	{"give_up", func(s *scenario) {
 		// Clients time out before they get a response, some of them while the request is in transit.
 		impatient := &http.Client{Transport: s.client.Transport}
@@ -72,7 +72,7 @@
 		s.splitServers(6*time.Second, servers[:len(servers)/2])
 	}},
 	{"herd_kill taken all", func(s *scenario) {
-		s.restartAllOnceSubmitted(700000, 2)
+		s.restartAllAfterJobAccepted(700000, 2)
 	}},
 }
 
@@ -80,52 +80,52 @@
 // one after the other, since a running daemon can't be started.
 var restartsNodes = map[string]bool{"roll_term on side": true, "herd_kill taken all": true}
 
-// TestTroublesOfLargeFleets overlaps pairs of faults in a cluster of six servers, of
-// which one is a learner, and ends with one of the closing faults.
-// TestMoreTroublesOfLargeFleets runs the other pairs, so that two processes share the
+// TestFaultPairsOfLargeClusters overlaps pairs of faults in a cluster of six servers, of
+// which one is a learner, and ends with one of the final faults.
+// TestMoreFaultPairsOfLargeClusters runs the other pairs, so that two processes share the
 // work.
-func TestTroublesOfLargeFleets(t *testing.T) { runFaultPairs(t, 0) }
+func TestFaultPairsOfLargeClusters(t *testing.T) { runFaultPairs(t, 0) }
 
-// TestMoreTroublesOfLargeFleets runs the pairs that TestTroublesOfLargeFleets leaves
+// TestMoreFaultPairsOfLargeClusters runs the pairs that TestFaultPairsOfLargeClusters leaves
 // out.
-func TestMoreTroublesOfLargeFleets(t *testing.T) { runFaultPairs(t, 1) }
+func TestMoreFaultPairsOfLargeClusters(t *testing.T) { runFaultPairs(t, 1) }
 
 // runFaultPairs runs the pairs whose indices have a sum of the given parity.
 func runFaultPairs(t *testing.T, parity int) {
 	t.Helper()
-	for i := range largeFleetTroubles {
-		for k := i; k < len(largeFleetTroubles); k++ {
+	for i := range largeClusterFaults {
+		for k := i; k < len(largeClusterFaults); k++ {
 			if (i+k)%2 != parity {
 				continue
 			}
-			t.Run(largeFleetTroubles[i].name+" and "+largeFleetTroubles[k].name, func(t *testing.T) {
+			t.Run(largeClusterFaults[i].name+" and "+largeClusterFaults[k].name, func(t *testing.T) {
 				runScenario(t, sixServers, int64(100*i+k), func(s *scenario) { s.runFaultPair(i, k) })
 			})
 		}
 	}
 }
 
-// runFaultPair overlaps two faults and injects a closing fault after them. If both
+// runFaultPair overlaps two faults and injects a final fault after them. If both
 // indices are equal, the fault runs once.
 func (s *scenario) runFaultPair(i, k int) {
-	first, second := largeFleetTroubles[i], largeFleetTroubles[k]
+	first, second := largeClusterFaults[i], largeClusterFaults[k]
 	time.Sleep(time.Second)
 	ended := make(chan struct{})
 	s.background.Go(func() {
 		defer close(ended)
-		first.play(s)
+		first.run(s)
 	})
 	if restartsNodes[first.name] && restartsNodes[second.name] {
 		<-ended
 	}
 	if k > i {
 		time.Sleep(time.Duration(s.random.Intn(3000)) * time.Millisecond)
-		second.play(s)
+		second.run(s)
 	}
 	<-ended
 	time.Sleep(catchUpBound)
-	triggers := []string{onceChanged, whileChanging, onceSubmitted}
-	s.injectClosingFault(triggers[(i+k)%len(triggers)], closingFaults[(i+k)%len(closingFaults)].play)
+	triggers := []string{afterChangeAcknowledged, duringChange, afterJobAccepted}
+	s.injectFinalFault(triggers[(i+k)%len(triggers)], finalFaults[(i+k)%len(finalFaults)].run)
 }
 
 // TestStartResponsesLost: the responses to start requests are lost although the starts
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -225,14 +225,14 @@
 	transferDone     = "status=done"
 )
 
-// moveEvents are the log lines at which TestMoveAtEveryStep injects its faults.
-var moveEvents = []string{loanReceived, transferOffered, transferAccepted, transferDone}
+// transferEvents are the log lines at which TestTransferFaultAtEveryStep injects its faults.
+var transferEvents = []string{loanReceived, transferOffered, transferAccepted, transferDone}
 
-// TestMoveAtEveryStep injects faults at each step of a job transfer: a short and a long
+// TestTransferFaultAtEveryStep injects faults at each step of a job transfer: a short and a long
 // partition between the clusters, and a restart of the leader of either cluster.
-func TestMoveAtEveryStep(t *testing.T) {
+func TestTransferFaultAtEveryStep(t *testing.T) {
 	faults := map[string]federationFault{"partition": partitionFor(3 * time.Second), "long partition": partitionFor(25 * time.Second), "source leader": restartSourceLeader, "target leader": restartTargetLeader}
-	for _, event := range moveEvents {
+	for _, event := range transferEvents {
 		for name, fault := range faults {
 			t.Run(event+"/"+name, func(t *testing.T) {
 				transferTest{faultAt: event, fault: fault, mustTransfer: event == transferAccepted || event == transferDone}.run(t)
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -46,11 +46,11 @@
 // zones.
 func runGatewayTest(t *testing.T, test func(c *Cluster, load *gatewayLoad)) {
 	t.Helper()
-	gatewayDayOf(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true}, test)
+	runGatewayTestOn(t, ClusterSpec{Servers: 3, Edges: 3, Zones: 2, Gateway: true}, test)
 }
 
-// gatewayDayOf is runGatewayTest with a given cluster specification.
-func gatewayDayOf(t *testing.T, spec ClusterSpec, test func(c *Cluster, load *gatewayLoad)) {
+// runGatewayTestOn is runGatewayTest with a given cluster specification.
+func runGatewayTestOn(t *testing.T, spec ClusterSpec, test func(c *Cluster, load *gatewayLoad)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := NewCluster(t, spec)
@@ -118,9 +118,9 @@
 	return attempt
 }
 
-// run sends requests to randomly chosen daemons for some time, alternating reads and
+// sendFor sends requests to randomly chosen daemons for some time, alternating reads and
 // writes.
-func (l *gatewayLoad) run(duration time.Duration, nodes ...string) {
+func (l *gatewayLoad) sendFor(duration time.Duration, nodes ...string) {
 	const pause = 20 * time.Millisecond
 	for i := range int(duration / pause) {
 		node, prefix := nodes[l.random.IntN(len(nodes))], []string{"/read/", "/write/"}[i%2]
@@ -173,9 +173,9 @@
 	return float64(served) / float64(max(all, 1))
 }
 
-// wantServed fails the test if less than a fraction of the attempts since a time was
+// requireServed fails the test if less than a fraction of the attempts since a time was
 // served.
-func (l *gatewayLoad) wantServed(what string, since time.Time, part float64) {
+func (l *gatewayLoad) requireServed(what string, since time.Time, part float64) {
 	l.c.T.Helper()
 	if got := l.served(since); got < part {
 		l.c.T.Errorf("%s: served fraction is %.3f, want at least %.3f", what, got, part)
@@ -190,46 +190,46 @@
 		begin := time.Now()
 		c.platform.Drain("i-01")
 		c.platform.StartRunner("svc", "z0")
-		load.run(4*time.Second, all...)
-		load.wantServed("one replaced", begin, 1)
+		load.sendFor(4*time.Second, all...)
+		load.requireServed("one replaced", begin, 1)
 		begin = time.Now()
 		time.AfterFunc(time.Second, func() { c.platform.Crash("i-02", 3*time.Second) })
 		time.AfterFunc(2*time.Second, func() { c.platform.Crash("i-03", 3*time.Second) })
-		load.run(5*time.Second, all...)
-		load.wantServed("two crashed", begin, 0.95) // writes in flight are lost
+		load.sendFor(5*time.Second, all...)
+		load.requireServed("two crashed", begin, 0.95) // writes in flight are lost
 		begin = time.Now()
-		load.run(2*time.Second, all...)
-		load.wantServed("afterwards", begin, 1)
+		load.sendFor(2*time.Second, all...)
+		load.requireServed("afterwards", begin, 1)
 	})
 }
 
 // TestGatewayWithoutLeader: daemons keep serving from the state they have while there
 // is no leader, while they are partitioned from the servers, and until a new leader has
 // read the list of runners.
-func TestGatewayWithoutLeader(t *testing.T) { runGatewayTest(t, playLossOfTheLeader) }
+func TestGatewayWithoutLeader(t *testing.T) { runGatewayTest(t, runLeaderLoss) }
 
-// playLossOfTheLeader kills the leader, replaces all runners under the next leader, and
+// runLeaderLoss kills the leader, replaces all runners under the next leader, and
 // partitions a daemon from the servers. All client requests must be served.
-func playLossOfTheLeader(c *Cluster, load *gatewayLoad) {
+func runLeaderLoss(c *Cluster, load *gatewayLoad) {
 	leader := c.Leader()
 	others := c.nodesExcept(gatewayRole, leader)
 	begin := time.Now()
 	c.Kill(leader)
-	load.run(3*time.Second, others...)
-	load.wantServed("without the leader", begin, 1)
+	load.sendFor(3*time.Second, others...)
+	load.requireServed("without the leader", begin, 1)
 	c.platform.StartRunner("svc", "z0")
 	for _, old := range []string{"i-01", "i-02", "i-03", "i-04"} {
 		c.platform.Drain(old)
 	}
 	c.platform.StartRunner("svc", "z1")
 	begin = time.Now()
-	load.run(6*time.Second, others...)
-	load.wantServed("all runners replaced under the next leader", begin, 1)
+	load.sendFor(6*time.Second, others...)
+	load.requireServed("all runners replaced under the next leader", begin, 1)
 	c.Start(leader)
 	begin = time.Now()
 	c.partitionFor(4*time.Second, "edge-6", c.Servers()...)
-	load.run(6*time.Second, "edge-6")
-	load.wantServed("partitioned from the servers", begin, 1)
+	load.sendFor(6*time.Second, "edge-6")
+	load.requireServed("partitioned from the servers", begin, 1)
 }
 
 // TestGatewayAppliesConfigurationChanges: every daemon soon serves new routes, and
@@ -272,11 +272,11 @@
 		all := c.nodeNames(gatewayRole)
 		c.Restart(300*time.Millisecond, all...)
 		begin := time.Now()
-		load.run(2*time.Second, all...)
-		load.wantServed("right after the restart", begin, 0.9)
+		load.sendFor(2*time.Second, all...)
+		load.requireServed("right after the restart", begin, 0.9)
 		begin = time.Now()
-		load.run(2*time.Second, all...)
-		load.wantServed("afterwards", begin, 1)
+		load.sendFor(2*time.Second, all...)
+		load.requireServed("afterwards", begin, 1)
 	})
 }
 
@@ -285,7 +285,7 @@
 // reported as such.
 func TestRunnerListReadFromLeader(t *testing.T) {
 	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
-		load.run(2*time.Second, c.nodeNames(gatewayRole)...)
+		load.sendFor(2*time.Second, c.nodeNames(gatewayRole)...)
 		cluster, err := admin.FetchLeaderState(c.adminContext(), []string{c.nodeAddress("edge-6", daemonPort)})
 		if err != nil || !cluster.IsLeader {
 			t.Fatalf("leader: %v, %v, want true", cluster.IsLeader, err)
--- a/internal/simulation/history.go
+++ b/internal/simulation/history.go
@@ -33,7 +33,7 @@
 	EventIsolated         EventKind = "isolated"    // a node lost contact with the majority
 	EventReconnected      EventKind = "reconnected" // a node is connected to the majority again
 	EventJobStateReported EventKind = "job shown"   // a response told a client a job's state
-	// EventLimitChanged is a change of boundTenant's limit to CPUCapacity: a configuration with
+	// EventLimitChanged is a change of limitedTenant's limit to CPUCapacity: a configuration with
 	// a lower limit was acknowledged, or one with a higher limit was sent.
 	EventLimitChanged EventKind = "limit changed"
 )
--- a/internal/simulation/isolation_test.go
+++ b/internal/simulation/isolation_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// isolations are the faults that isolate or slow down a node, wholly or partly.
-var isolations = []string{IsolateBothWays, IsolateInbound, IsolateOutbound, IsolateFromServers, IsolateFromClients, Frozen, Slowed}
+// isolationFaults are the faults that isolate or slow down a node, wholly or partly.
+var isolationFaults = []string{IsolateBothWays, IsolateInbound, IsolateOutbound, IsolateFromServers, IsolateFromClients, Frozen, Slowed}
 
 // testIsolation injects each fault into a node for 20 s while operators and clients
 // call it, and requires that the node serves again within the bounds once the fault is
 // repaired.
 func testIsolation(t *testing.T, selectNode func(s *scenario) string) {
-	for i, fault := range isolations {
+	for i, fault := range isolationFaults {
 		t.Run(fault, func(t *testing.T) {
 			runScenario(t, ClusterSpec{Servers: 3, Edges: 1, Agents: 3, Debug: true}, int64(i+1), func(s *scenario) {
 				name := selectNode(s)
--- a/internal/simulation/work_kinds_test.go
+++ b/internal/simulation/job_kinds_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/protocol"
 )
 
-// IDs and parameters of the jobs of TestKindsOfWorkUnderTroubles.
+// IDs and parameters of the jobs of TestJobKindsUnderFaults.
 const (
 	periodicJobID, gpuJobID, longRunningJobID = "00000000000f0001", "00000000000f0002", "00000000000f0003"
 	periodicInstances                         = 4
@@ -23,12 +23,12 @@
 	longRunDuration = 15 * time.Second
 )
 
-// TestKindsOfWorkUnderTroubles runs periodic jobs, tasks that need a GPU, and
+// TestJobKindsUnderFaults runs periodic jobs, tasks that need a GPU, and
 // long-running tasks while daemons and runners fail. Each periodic instance runs once
 // and not before its time, no worker runs more tasks than it has GPUs, and long-running
 // tasks that were lost are restarted.
-func TestKindsOfWorkUnderTroubles(t *testing.T) {
-	for i, fault := range []namedPlay{
+func TestJobKindsUnderFaults(t *testing.T) {
+	for i, fault := range []namedScenario{
 		{"none", func(*scenario) {}},
 		{"leader killed", func(s *scenario) { s.Restart(500*time.Millisecond, s.Leader()) }},
 		{"all servers killed", func(s *scenario) { s.Restart(300*time.Millisecond, s.Servers()...) }},
@@ -57,7 +57,7 @@
 					}
 				}
 				time.Sleep(1500 * time.Millisecond)
-				fault.play(s)
+				fault.run(s)
 				for _, id := range []string{periodicJobID, gpuJobID} {
 					s.waitJobDone(id, 40*time.Second)
 				}
--- a/internal/simulation/main_test.go
+++ b/internal/simulation/main_test.go
@@ -41,24 +41,24 @@
 // names of first-level subtests. Subtests that match no pattern run in one more process, so that
 // a subtest that is missing here still runs.
 var splitTests = map[string][]string{
-	"TestMoveAtEveryStep":              exactly(moveEvents...),
-	"TestLeaderIsolated":               exactly(isolations...),
-	"TestFollowerIsolated":             exactly(isolations...),
-	"TestStormyDay":                    seeds(5),
-	"TestFarBehind":                    seeds(2),
-	"TestHalvesOfSixServers":           seeds(6),
-	"TestLossesOfSixServersOneByOne":   seeds(3),
-	"TestCompletionsDuringPowerOutage": seeds(4),
-	"TestOperatorsRace":                seeds(3),
-	"TestConnectionsReset":             seeds(4),
-	"TestCompletionsAcrossLeaderLoss":  seeds(4),
-	"TestDisksLostInPowerOutage":       exactly("3 servers", "5 servers", "6 servers"),
-	"TestLossInMidChange":              {"^[a-l]", "^[m-z]"},
-	"TestFaultKinds":                   {"^[a-b]", "^[c-h]", "^[i-z]"},
-	"TestKindsOfWorkUnderTroubles":     {"^a", "^[b-z]"},
-	"TestCoordinationUnderFaults":      {"^[a-d]", "^e", "^[f-z]"},
-	"TestTroublesOfLargeFleets":        firstFaults(),
-	"TestMoreTroublesOfLargeFleets":    firstFaults(),
+	"TestTransferFaultAtEveryStep":         exactly(transferEvents...),
+	"TestLeaderIsolated":                   exactly(isolationFaults...),
+	"TestFollowerIsolated":                 exactly(isolationFaults...),
+	"TestCombinedFaults":                   seeds(5),
+	"TestLaggingServerGetsSnapshot":        seeds(2),
+	"TestSixServersPartitionedInHalves":    seeds(6),
+	"TestSuccessiveLossesOfSixServers":     seeds(3),
+	"TestCompletionsDuringPowerOutage":     seeds(4),
+	"TestConcurrentOperators":              seeds(3),
+	"TestConnectionsReset":                 seeds(4),
+	"TestCompletionsAcrossLeaderLoss":      seeds(4),
+	"TestDisksLostInPowerOutage":           exactly("3 servers", "5 servers", "6 servers"),
+	"TestLeaderLossDuringMembershipChange": {"^[a-l]", "^[m-z]"},
+	"TestFaultKinds":                       {"^[a-b]", "^[c-h]", "^[i-z]"},
+	"TestJobKindsUnderFaults":              {"^a", "^[b-z]"},
+	"TestCoordinationUnderFaults":          {"^[a-d]", "^e", "^[f-z]"},
+	"TestFaultPairsOfLargeClusters":        firstFaults(),
+	"TestMoreFaultPairsOfLargeClusters":    firstFaults(),
 }
 
 // exactly returns the pattern of each name.
@@ -81,8 +81,8 @@
 
 // firstFaults returns a pattern for each first fault of the pairs of faults.
 func firstFaults() []string {
-	patterns := make([]string, len(largeFleetTroubles))
-	for i, fault := range largeFleetTroubles {
+	patterns := make([]string, len(largeClusterFaults))
+	for i, fault := range largeClusterFaults {
 		patterns[i] = "^" + regexp.QuoteMeta(fault.name) + " and "
 	}
 	return patterns
@@ -163,7 +163,7 @@
 
 // startRank returns a rank that is higher for tests that take longer.
 func startRank(pattern string) int {
-	for i, name := range []string{"TestSecondLoss", "TestMoveAtEveryStep", "TestClosingFaults", "TestUpgrade", "TestPeak", "TestStormyDay", "TestFarBehind", "TroublesOfLargeFleets", "PowerOutage"} {
+	for i, name := range []string{"TestSecondLoss", "TestTransferFaultAtEveryStep", "TestFinalFaults", "TestUpgrade", "TestPeak", "TestCombinedFaults", "TestLaggingServerGetsSnapshot", "FaultPairsOfLargeClusters", "PowerOutage"} {
 		if strings.Contains(pattern, name) {
 			return i + 1
 		}
--- a/internal/simulation/membership_test.go
+++ b/internal/simulation/membership_test.go
@@ -36,14 +36,14 @@
 	return s.nodesExcept(edgeRole, s.Leader(), disklessEdge, "edge-6")[0]
 }
 
-// namedPlay is a sequence of steps in a scenario with the name of its subtest.
-type namedPlay struct {
+// namedScenario is a sequence of steps in a scenario with the name of its subtest.
+type namedScenario struct {
 	name string
-	play func(s *scenario)
+	run  func(s *scenario)
 }
 
 // firstLosses are the losses of a server that precede a second one.
-var firstLosses = []namedPlay{
+var firstLosses = []namedScenario{
 	{"repair of a follower", func(s *scenario) { s.Restart(3*time.Second, s.follower()) }},
 	{"repair of the leader", func(s *scenario) { s.Restart(3*time.Second, s.Leader()) }},
 	{"wiped follower", func(s *scenario) { s.restartWiped(500*time.Millisecond, s.follower()) }},
@@ -73,7 +73,7 @@
 			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
 				s.runOperator(1, 700*time.Millisecond, nil)
 				time.Sleep(2 * time.Second)
-				first.play(s)
+				first.run(s)
 				time.Sleep(catchUpBound)
 				leader := s.Leader()
 				if leader == "" {
@@ -90,15 +90,15 @@
 	}
 }
 
-// TestLossInMidChange: five voters tolerate two losses. One server is restarted,
+// TestLeaderLossDuringMembershipChange: five voters tolerate two losses. One server is restarted,
 // replaced or wiped, and the leader is killed while that is in progress.
-func TestLossInMidChange(t *testing.T) {
+func TestLeaderLossDuringMembershipChange(t *testing.T) {
 	for i, first := range firstLosses {
 		t.Run(first.name, func(t *testing.T) {
 			runScenario(t, ClusterSpec{Servers: 5, Edges: 1, Agents: 3}, int64(i+1), func(s *scenario) {
 				s.runOperator(1, 700*time.Millisecond, nil)
 				time.Sleep(2 * time.Second)
-				first.play(s)
+				first.run(s)
 				time.Sleep(time.Duration(s.random.Intn(900)) * time.Millisecond)
 				leader := s.Leader()
 				if leader == "" {
--- a/internal/simulation/narrow_link_test.go
+++ b/internal/simulation/narrow_link_test.go
@@ -74,7 +74,7 @@
 	worst := time.Duration(0)
 	for i := 0; time.Now().Before(end); i++ {
 		order := []string{"Begin", "Finish"}[i%2]
-		s.orderEvacuation(edges[i%len(edges)], order)
+		s.requestEvacuation(edges[i%len(edges)], order)
 		base := int(s.lastVersion.Load())
 		s.lastVersion.Store(int64(base + 1))
 		begin := time.Now()
@@ -86,7 +86,7 @@
 		worst = max(worst, time.Since(begin))
 		time.Sleep(3 * time.Second)
 	}
-	s.orderEvacuation(edges[0], "Finish")
+	s.requestEvacuation(edges[0], "Finish")
 	t.Logf("slowest configuration change was accepted after %v", worst)
 }
 
--- a/internal/simulation/operator_races_test.go
+++ b/internal/simulation/operator_races_test.go
@@ -55,16 +55,16 @@
 	return operators
 }
 
-func closeAll(operators []*Operator) {
+func closeOperators(operators []*Operator) {
 	for _, operator := range operators {
 		operator.Close()
 	}
 }
 
-// TestOperatorsRace: up to eight concurrent changes have the same base, some pairs of
+// TestConcurrentOperators: up to eight concurrent changes have the same base, some pairs of
 // them the same version, while responses are lost. Each change is applied wholly or not
 // at all, at most one wins each race, and an acknowledged change stays acknowledged.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	runScenarios(t, 3, threeServers, func(s *scenario, _ int64) {
 		operators := s.newOperators(8, 0.7)
 		for i := range 6 {
@@ -82,7 +82,7 @@
 			}
 		}
 		s.resendAcknowledged(s.random, "right after the races", 4)
-		closeAll(operators)
+		closeOperators(operators)
 	})
 }
 
@@ -140,6 +140,6 @@
 			<-restarted
 			s.resendAcknowledged(s.random, fmt.Sprint("after restart ", i), 3)
 		}
-		closeAll(operators)
+		closeOperators(operators)
 	})
 }
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// TestHalvesOfSixServers: the servers are repeatedly partitioned into two halves, with
+// TestSixServersPartitionedInHalves: the servers are repeatedly partitioned into two halves, with
 // the leader in either of them. One half has a majority of the five voters, so that
 // changes are acknowledged and jobs are done throughout. Nothing that was acknowledged
 // is lost.
-func TestHalvesOfSixServers(t *testing.T) {
+func TestSixServersPartitionedInHalves(t *testing.T) {
 	runScenarios(t, 6, sixServers, func(s *scenario, seed int64) {
 		s.runOperator(seed, 700*time.Millisecond, nil)
 		time.Sleep(2 * time.Second)
@@ -46,10 +46,10 @@
 	})
 }
 
-// TestLossesOfSixServersOneByOne: in a cluster of five voters and a learner, the leader
+// TestSuccessiveLossesOfSixServers: in a cluster of five voters and a learner, the leader
 // is killed. Once the learner has replaced it as a voter, two more servers are killed,
 // the new leader among them. A majority of the voters remains.
-func TestLossesOfSixServersOneByOne(t *testing.T) {
+func TestSuccessiveLossesOfSixServers(t *testing.T) {
 	runScenarios(t, 3, sixServers, func(s *scenario, seed int64) {
 		s.runOperator(seed, 700*time.Millisecond, nil)
 		time.Sleep(2 * time.Second)
--- a/internal/simulation/power_outage_test.go
+++ b/internal/simulation/power_outage_test.go
@@ -38,14 +38,14 @@
 // was sent. Nothing that was acknowledged may depend on the memory of a daemon.
 func TestDisksLostInPowerOutage(t *testing.T) {
 	for _, spec := range []ClusterSpec{threeServers, {Servers: 5, Edges: 1, Agents: 3}, sixServers} {
-		for i, moment := range []string{onceChanged, whileChanging, onceSubmitted} {
+		for i, moment := range []string{afterChangeAcknowledged, duringChange, afterJobAccepted} {
 			t.Run(fmt.Sprintf("%d servers/%s", spec.Servers, moment), func(t *testing.T) {
 				runScenario(t, spec, int64(10*spec.Servers+i), func(s *scenario) {
 					s.setWorkload(newJob(150, 300, 6), 100*time.Millisecond)
 					s.runOperator(int64(i+1), time.Second, nil)
 					for range 3 {
 						time.Sleep(2 * time.Second)
-						s.injectClosingFault(moment, func(s *scenario) { s.cutPowerAndLoseDisks(800 * time.Millisecond) })
+						s.injectFinalFault(moment, func(s *scenario) { s.cutPowerAndLoseDisks(800 * time.Millisecond) })
 						time.Sleep(catchUpBound)
 					}
 				})
--- a/internal/simulation/random_faults_test.go
+++ b/internal/simulation/random_faults_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestStormyDay combines faults that once made a task run twice. Changes are sent
+// TestCombinedFaults combines faults that once made a task run twice. Changes are sent
 // continuously for 24 s. A server is isolated for 14 s and gets a change when it
 // reconnects. Then a seed is isolated while both sides are sent a change, and both
 // receivers are restarted. Finally all nodes are killed. Short tasks complete
 // throughout, and no acknowledged completion may be lost.
-func TestStormyDay(t *testing.T) {
+func TestCombinedFaults(t *testing.T) {
 	runScenarios(t, 5, ClusterSpec{Servers: 3, Edges: 1, Agents: 4}, func(s *scenario, seed int64) {
 		s.setWorkload(newJob(400, 100, 8), 100*time.Millisecond)
 		if seed%2 == 1 {
--- a/internal/simulation/resubmission_test.go
+++ b/internal/simulation/resubmission_test.go
@@ -121,7 +121,7 @@
 		time.Sleep(5 * time.Second)
 		done := 0
 		for _, name := range c.nodeNames(agentRole) {
-			for _, event := range c.History.seen(EventRunEnded, c.Runners[name].Incarnation(), time.Time{}) {
+			for _, event := range c.History.eventsOf(EventRunEnded, c.Runners[name].Incarnation(), time.Time{}) {
 				if event.Outcome == runDone {
 					done++
 				}
--- a/internal/simulation/saturated_link_test.go
+++ b/internal/simulation/saturated_link_test.go
@@ -64,7 +64,7 @@
 		{Servers: 3, Edges: 3, Zones: 2, Gateway: true, Announced: true},
 	} {
 		t.Run(map[bool]string{false: "listed", true: "announced"}[spec.Announced], func(t *testing.T) {
-			gatewayDayOf(t, spec, func(c *Cluster, load *gatewayLoad) {
+			runGatewayTestOn(t, spec, func(c *Cluster, load *gatewayLoad) {
 				node := "edge-6"
 				// Bodies that share the link take more than three seconds each.
 				c.putGatewayConfiguration(2, 1, `,{"name":"u","hostName":"h","pathPrefix":"/upload/","kind":"writing","timeoutMs":8000,"targetService":"svc","maxTries":2}`)
@@ -77,7 +77,7 @@
 					c.platform.MarkDraining(id)
 					listedAt := time.Now()
 					time.Sleep(6 * time.Second)
-					bound := drainTime
+					bound := drainDuration
 					if spec.Announced {
 						bound += heartbeatInterval // the runner announces it with its next heartbeat
 					}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -17,7 +17,7 @@
 
 // seedMultiplier multiplies the number of seeds of the tests that use several:
 //
-//	go test ./internal/simulation -run TestStormyDay -sim.longer 10
+//	go test ./internal/simulation -run TestCombinedFaults -sim.longer 10
 var seedMultiplier = flag.Int("sim.longer", 1, "factor for the number of seeds")
 
 // testSeeds returns the fixed seeds of a test, more with -sim.longer.
--- a/internal/simulation/sign_off_test.go
+++ b/internal/simulation/sign_off_test.go
@@ -20,16 +20,16 @@
 	return incarnation
 }
 
-// seen returns the events of one kind of an incarnation after a time.
-func (h *History) seen(kind EventKind, incarnation string, after time.Time) (seen []Event) {
+// eventsOf returns the events of one kind of an incarnation after a time.
+func (h *History) eventsOf(kind EventKind, incarnation string, after time.Time) (events []Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, event := range h.Events {
 		if event.Kind == kind && event.Incarnation == incarnation && event.At.After(after) {
-			seen = append(seen, event)
+			events = append(events, event)
 		}
 	}
-	return seen
+	return events
 }
 
 // TestRunnerSignsOffWithoutDraining: a runner that signs off serves as long as a
@@ -62,17 +62,17 @@
 	if restart {
 		c.Restart(200*time.Millisecond, "side-1")
 	}
-	time.Sleep(drainTime - time.Since(signedOffAt))
-	ended := c.History.seen(EventRunEnded, incarnation, signedOffAt)
+	time.Sleep(drainDuration - time.Since(signedOffAt))
+	ended := c.History.eventsOf(EventRunEnded, incarnation, signedOffAt)
 	if len(ended) != 4 {
 		t.Errorf("%d runs ended before the runner terminated, want 4", len(ended))
 	}
 	for _, event := range ended {
-		if after := event.At.Sub(signedOffAt); event.Outcome != outcome || outcome == runStopped && after < drainTime/2 {
+		if after := event.At.Sub(signedOffAt); event.Outcome != outcome || outcome == runStopped && after < drainDuration/2 {
 			t.Errorf("%s ended with %s %v after the sign-off, want %s", event.Task, event.Outcome, after, outcome)
 		}
 	}
-	for _, event := range c.History.seen(EventRunStarted, incarnation, signedOffAt.Add(50*time.Millisecond)) {
+	for _, event := range c.History.eventsOf(EventRunStarted, incarnation, signedOffAt.Add(50*time.Millisecond)) {
 		t.Errorf("%s started on a runner that had signed off", event.Task)
 	}
 	c.Runners["side-1"].Crash()
--- a/internal/simulation/snapshot_test.go
+++ b/internal/simulation/snapshot_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestFarBehind: a server is isolated until the others have truncated the log entries
-// that it lacks, is sent a snapshot, is isolated again during the transfer, and is sent
+// TestLaggingServerGetsSnapshot: a server is isolated until the others have truncated the log
+// entries that it lacks, is sent a snapshot, is isolated again during the transfer, and is sent
 // another snapshot. Changes are sent throughout. After a restart of all nodes, the
 // replicas agree, and changes are acknowledged under each next leader.
-func TestFarBehind(t *testing.T) {
+func TestLaggingServerGetsSnapshot(t *testing.T) {
 	runScenarios(t, 2, threeServers, func(s *scenario, seed int64) {
 		victim := s.follower()
 		if seed%2 == 0 {
--- a/internal/simulation/tenants.go
+++ b/internal/simulation/tenants.go
@@ -10,28 +10,28 @@
 
 // The tenants of each configuration: one with a limit, and one without.
 const (
-	boundTenant   = "bound"
-	unboundTenant = "unbound"
-	// boundTenantMilliCPU is the limit of boundTenant.
-	boundTenantMilliCPU = 6000
+	limitedTenant   = "bound"
+	unlimitedTenant = "unbound"
+	// limitedTenantMilliCPU is the limit of limitedTenant.
+	limitedTenantMilliCPU = 6000
 	// unknownKey is an API key that belongs to no tenant.
 	unknownKey = "key-of-nobody"
 )
 
 // tenantList is the list of tenants that operators send in each configuration.
-var tenantList = tenantsWithLimit(boundTenantMilliCPU)
+var tenantList = tenantsWithLimit(limitedTenantMilliCPU)
 
-// tenantsWithLimit returns the list of tenants with a limit for boundTenant.
+// tenantsWithLimit returns the list of tenants with a limit for limitedTenant.
 func tenantsWithLimit(milliCPU int) string {
 	return fmt.Sprintf(`[{"name":%q,"apiKeys":[%q],"share":2,"upperLimit":{"cpuUnits":%d}},{"name":%q,"apiKeys":[%q,"spare"],"share":1000}]`,
-		boundTenant, keyOf(boundTenant), milliCPU, unboundTenant, keyOf(unboundTenant))
+		limitedTenant, keyOf(limitedTenant), milliCPU, unlimitedTenant, keyOf(unlimitedTenant))
 }
 
 // limitGrace is how long starts may still use the previous limit after a lower one was
 // acknowledged. It corresponds to the operators' quotaWindowS.
 const limitGrace = 5 * time.Second
 
-// tenantLimit is the limit of boundTenant over time.
+// tenantLimit is the limit of limitedTenant over time.
 type tenantLimit struct {
 	inForce, next int64
 	nextAt        time.Time // when next takes effect; zero if there is none
@@ -57,23 +57,23 @@
 // keyOf returns the API key of a tenant.
 func keyOf(tenant string) string { return "key-of-" + tenant }
 
-// tenantOf returns the tenant that submits a job. boundTenant submits one job of eight.
+// tenantOf returns the tenant that submits a job. limitedTenant submits one job of eight.
 func tenantOf(id string) string {
 	if id != "" && (id[len(id)-1] == '7' || id[len(id)-1] == 'f') {
-		return boundTenant
+		return limitedTenant
 	}
-	return unboundTenant
+	return unlimitedTenant
 }
 
 // authorization returns the header that carries the API key in calls about a job.
 func authorization(key string) string { return protocol.AuthorizationScheme + " " + key }
 
-// checkQuotas verifies that a start never raises the CPU usage of boundTenant above its
+// checkQuotas verifies that a start never raises the CPU usage of limitedTenant above its
 // limit, unless it is the only run. Each cluster enforces its own limit. Jobs that moved to
 // another cluster are limited there by the loan alone.
 func checkQuotas(h *History) (violations []string) {
 	running, inUse := map[string]map[runKey]int64{}, map[string]int64{}
-	limit := tenantLimit{inForce: boundTenantMilliCPU}
+	limit := tenantLimit{inForce: limitedTenantMilliCPU}
 	for _, event := range h.Events {
 		if event.Kind == EventLimitChanged {
 			limit.change(event.At, event.CPUCapacity)
@@ -81,7 +81,7 @@
 		}
 		job, step, _ := splitTaskID(event.Task)
 		submitted := h.Jobs[job]
-		if submitted == nil || tenantOf(job) != boundTenant || step >= len(submitted.MilliCPU) {
+		if submitted == nil || tenantOf(job) != limitedTenant || step >= len(submitted.MilliCPU) {
 			continue
 		}
 		cluster, key := submitted.Cluster, runKey{event.Incarnation, event.Task, event.Run}
--- a/internal/simulation/tenants_test.go
+++ b/internal/simulation/tenants_test.go
@@ -11,7 +11,7 @@
 // connections fail. The limit holds throughout, every accepted job ends, and the jobs
 // of the other tenant make progress.
 func TestQuotaUnderFaults(t *testing.T) {
-	faults := []namedPlay{
+	faults := []namedScenario{
 		{"leader killed", func(s *scenario) {
 			for range 2 {
 				s.Restart(500*time.Millisecond, s.Leader())
@@ -27,7 +27,7 @@
 				}
 			}, s.nodeNames(agentRole)[:2]...)
 		}},
-		{"connections reset", largeFleetTroubles[4].play},
+		{"connections reset", largeClusterFaults[4].run},
 		{"concurrent configuration changes", func(s *scenario) {
 			s.sendConcurrentChanges(s.random.Int63n(1000), 250*time.Millisecond, 5*time.Second)
 			time.Sleep(6 * time.Second)
@@ -38,7 +38,7 @@
 			runScenario(t, threeServers, int64(i+1), func(s *scenario) {
 				s.startFlood()
 				s.callWithUnknownKey()
-				fault.play(s)
+				fault.run(s)
 			})
 		})
 	}
--- a/internal/simulation/upgrade_write_test.go
+++ b/internal/simulation/upgrade_write_test.go
@@ -216,7 +216,7 @@
 	for caller := range 16 {
 		calls.Go(func() {
 			for c.AppliedIndex(edges[caller%len(edges)]) < server.SnapshotInterval {
-				c.request("DELETE", "http://"+c.NodeIP(edges[caller%len(edges)])+":8161/p/"+jobID(800000+caller), "h", "", map[string]string{protocol.HeaderTimeLeft: "2000", protocol.HeaderAuthorization: authorization(keyOf(unboundTenant))})
+				c.request("DELETE", "http://"+c.NodeIP(edges[caller%len(edges)])+":8161/p/"+jobID(800000+caller), "h", "", map[string]string{protocol.HeaderTimeLeft: "2000", protocol.HeaderAuthorization: authorization(keyOf(unlimitedTenant))})
 			}
 		})
 	}
