--- a/internal/federation/overload.go
+++ b/internal/federation/overload.go
@@ -37,7 +37,7 @@
 	}
 	lastComplete := s.BucketOf(work.WallMs) - 1
 	limit := s.overloadDemand(work.CapacityMilliCPU)
-	_, _, ok := forecast.FirstCrowded(work.Demand, lastComplete, int64(s.HorizonBuckets)+1, limit, s.dayShape())
+	_, _, ok := forecast.FirstOverload(work.Demand, lastComplete, int64(s.HorizonBuckets)+1, limit, s.dayShape())
 	return ok
 }
 
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -137,10 +137,10 @@
 	return nearest, found
 }
 
-// FirstCrowded returns the first bucket within the horizon that is predicted to be
+// FirstOverload returns the first bucket within the horizon that is predicted to be
 // overloaded, as a number of buckets after now: the mean exceeds the limit by more than
 // overloadMarginSpreads spreads. It returns false if there is none.
-func FirstCrowded(history History, now, horizon int64, limit float64, shape DayShape) (int64, Prediction, bool) {
+func FirstOverload(history History, now, horizon int64, limit float64, shape DayShape) (int64, Prediction, bool) {
 	for ahead := int64(1); ahead <= horizon; ahead++ {
 		prediction, ok := Predict(history, now, ahead, shape)
 		if ok && prediction.Mean-overloadMarginSpreads*prediction.Spread > limit {
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -118,10 +118,10 @@
 			delete(history, bucket)
 		}
 	}
-	if ahead, prediction, ok := FirstCrowded(history, 5*bucketsPerDay+64, 10, 50, shape); !ok || ahead < 2 {
+	if ahead, prediction, ok := FirstOverload(history, 5*bucketsPerDay+64, 10, 50, shape); !ok || ahead < 2 {
 		t.Errorf("peak not predicted at least 2 buckets in advance: %d %+v", ahead, prediction)
 	}
-	if _, _, ok := FirstCrowded(history, 5*bucketsPerDay+20, 6, 50, shape); ok {
+	if _, _, ok := FirstOverload(history, 5*bucketsPerDay+20, 6, 50, shape); ok {
 		t.Error("peak predicted at night, want none")
 	}
 }
@@ -146,7 +146,7 @@
 	for previousDay := int64(0); previousDay < 3; previousDay++ {
 		history[previousDay*20+9] = 60
 	}
-	if _, _, ok := FirstCrowded(history, 3*20+9, 3, 50, DayShape{BucketsPerDay: 20, MinDays: 1}); !ok {
+	if _, _, ok := FirstOverload(history, 3*20+9, 3, 50, DayShape{BucketsPerDay: 20, MinDays: 1}); !ok {
 		t.Error("peak not predicted")
 	}
 }
