--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -15,9 +15,9 @@
 // Statuses of responses to CallLoan. Responses to the other calls have the answers of package
 // state, such as state.AnswerAccepted, or the job's state as their status.
 const (
-	StatusLent    = "lent"
-	StatusCrowded = "crowded" // the peer is forecast to be overloaded itself
-	StatusFull    = "full"    // the capacity is already lent
+	StatusLent       = "lent"
+	StatusOverloaded = "crowded" // the peer is forecast to be overloaded itself
+	StatusFull       = "full"    // the capacity is already lent
 )
 
 // Call is a request from the leader of one cluster to the leader of another. Every call is
--- a/internal/federation/offers.go
+++ b/internal/federation/offers.go
@@ -21,7 +21,7 @@
 
 // offerJobs offers jobs to peers, the least urgent first, while an overload is forecast.
 func (o *Offloader) offerJobs(ctx context.Context, work PendingWork) {
-	if len(work.Candidates) == 0 || !o.settings.Crowded(work) || time.Now().Before(o.backoffUntil) {
+	if len(work.Candidates) == 0 || !o.settings.ForecastsOverload(work) || time.Now().Before(o.backoffUntil) {
 		return
 	}
 	sort.SliceStable(work.Candidates, func(a, b int) bool { return work.Candidates[a].Priority > work.Candidates[b].Priority })
--- a/internal/federation/overload.go
+++ b/internal/federation/overload.go
@@ -28,10 +28,10 @@
 	return s.OverloadShare * cores * s.BucketS * msPerSecond
 }
 
-// Crowded reports whether the cluster is forecast to be overloaded: whether the demand forecast
-// for the current bucket or one of the next HorizonBuckets exceeds the overload limit by a
+// ForecastsOverload reports whether the cluster is forecast to be overloaded: whether the demand
+// forecast for the current bucket or one of the next HorizonBuckets exceeds the overload limit by a
 // margin (see package forecast).
-func (s *Settings) Crowded(work PendingWork) bool {
+func (s *Settings) ForecastsOverload(work PendingWork) bool {
 	if work.CapacityMilliCPU == 0 {
 		return false
 	}
--- a/internal/federation/overload_test.go
+++ b/internal/federation/overload_test.go
@@ -11,13 +11,13 @@
 		LendShare: 0.3, LoanS: 3}
 	const now = 40
 	for _, test := range []struct {
-		name     string
-		days     int64 // of demand data
-		demand   float64
-		share    float64
-		capacity int64
-		crowded  bool
-		lendable int64
+		name       string
+		days       int64 // of demand data
+		demand     float64
+		share      float64
+		capacity   int64
+		overloaded bool
+		lendable   int64
 	}{
 		{"half loaded, LendShare bounds the loan", 4, 4000, 0.3, 10_000, false, 3000},
 		{"half loaded, the forecast bounds the loan", 4, 4000, 0.5, 10_000, false, 3800},
@@ -30,9 +30,9 @@
 			work.Demand[bucket] = test.demand
 		}
 		settings.LendShare = test.share
-		if crowded, lendable := settings.Crowded(work), settings.LendableMilliCPU(work); crowded != test.crowded ||
-			lendable != test.lendable {
-			t.Errorf("%s: crowded %v, lendable %d", test.name, crowded, lendable)
+		if overloaded, lendable := settings.ForecastsOverload(work),
+			settings.LendableMilliCPU(work); overloaded != test.overloaded || lendable != test.lendable {
+			t.Errorf("%s: overloaded %v, lendable %d", test.name, overloaded, lendable)
 		}
 	}
 }
--- a/internal/server/federation.go
+++ b/internal/server/federation.go
@@ -133,8 +133,8 @@
 func (r *Replica) lendCapacity(request *federation.Call, reply replyFunc, respond func(status string, value int64)) {
 	work := federationWork(r.state, r.federation)
 	spare := r.federation.LendableMilliCPU(work)
-	if r.federation.Crowded(work) || spare < request.MilliCPU {
-		respond(federation.StatusCrowded, spare)
+	if r.federation.ForecastsOverload(work) || spare < request.MilliCPU {
+		respond(federation.StatusOverloaded, spare)
 		return
 	}
 	loan := &state.LendCapacity{
