--- a/internal/counter/exchange.go
+++ b/internal/counter/exchange.go
@@ -28,9 +28,9 @@
 // acknowledged by an earlier process of the peer is discarded then. Requests without a
 // response are dropped; the next request repeats their entries.
 type Exchange struct {
-	// ForgetsPeers must be set if the peer answers with sums (Set.AnswerSums). The sums
+	// ReplacesPeerSums must be set if the peer answers with sums (Set.AnswerSums). The sums
 	// of an earlier process of the peer are then removed when a new process answers.
-	ForgetsPeers bool
+	ReplacesPeerSums bool
 
 	set           *Set
 	peer          string // process ID in the peer's last response
@@ -61,7 +61,7 @@
 	e.set.Merge(response.Entries, response.Process, now)
 	e.peerRevision = response.Revision
 	if response.Process != e.peer {
-		if e.ForgetsPeers {
+		if e.ReplacesPeerSums {
 			e.set.RemoveProcess(e.peer)
 		}
 		e.peer, e.ackedRevision = response.Process, 0
@@ -76,8 +76,8 @@
 	e.pendingEvents = nil
 }
 
-// Ahead returns the number of admitted events of a key that the peer hasn't acknowledged.
-func (e *Exchange) Ahead(key string) uint64 { return e.unacknowledged[key] }
+// Unacknowledged returns the number of admitted events of a key that the peer hasn't acknowledged.
+func (e *Exchange) Unacknowledged(key string) uint64 { return e.unacknowledged[key] }
 
 // HasChanges reports whether the set has changes that the peer hasn't acknowledged.
 func (e *Exchange) HasChanges() bool { return e.set.Revision() > e.ackedRevision }
--- a/internal/counter/sums.go
+++ b/internal/counter/sums.go
@@ -13,7 +13,7 @@
 // and slot instead of n. A slot of another process is added to the slot of this process in
 // which it ends, so that its events count longer than necessary, never shorter. The sums
 // sent to a peer only grow, so a lost or delayed response does no harm. The peer must
-// remove the sums of an earlier process (Exchange.ForgetsPeers), since the sums of the
+// remove the sums of an earlier process (Exchange.ReplacesPeerSums), since the sums of the
 // next one start from zero.
 func (s *Set) AnswerSums(request Request, now time.Time) Response {
 	known := s.mergeRequest(request, now)
--- a/internal/counter/sums_test.go
+++ b/internal/counter/sums_test.go
@@ -65,7 +65,7 @@
 	a, b := newTestSet("a"), newTestSet("b")
 	newExchange := func(set *Set) *Exchange {
 		exchange := NewExchange(set)
-		exchange.ForgetsPeers = true
+		exchange.ReplacesPeerSums = true
 		return exchange
 	}
 	exchangeA, exchangeB := newExchange(a), newExchange(b)
--- a/internal/gateway/tenant_rates.go
+++ b/internal/gateway/tenant_rates.go
@@ -49,7 +49,7 @@
 func newTenantRates(processID string, window time.Duration, now time.Time) *TenantRates {
 	counts := counter.NewSet(processID, window, counter.SlotWidth, now)
 	exchange := counter.NewExchange(counts)
-	exchange.ForgetsPeers = true
+	exchange.ReplacesPeerSums = true
 	return &TenantRates{
 		window:    window,
 		urgent:    make(chan struct{}, 1),
@@ -79,7 +79,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.exchange.Admit(tenant.Name, limit, allowance, now) {
-		if nearLimit(r.counts.Sum(tenant.Name, now), limit) || r.exchange.Ahead(tenant.Name)*2 >= allowance {
+		if nearLimit(r.counts.Sum(tenant.Name, now), limit) || r.exchange.Unacknowledged(tenant.Name)*2 >= allowance {
 			r.requestExchange() // so that the other daemons learn of it
 		}
 		return 0, true
@@ -103,7 +103,7 @@
 	if nearLimit(sum, limit) {
 		maxAge = maxRateSumsAge
 	}
-	if sum >= limit || now.Sub(r.sumsAsOf) <= maxAge && r.exchange.Ahead(tenant) < allowance {
+	if sum >= limit || now.Sub(r.sumsAsOf) <= maxAge && r.exchange.Unacknowledged(tenant) < allowance {
 		return nil
 	}
 	r.requestExchange()
--- a/internal/gateway/tenant_rates_test.go
+++ b/internal/gateway/tenant_rates_test.go
@@ -147,7 +147,7 @@
 func (r *TenantRates) ahead(tenant string) uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.exchange.Ahead(tenant)
+	return r.exchange.Unacknowledged(tenant)
 }
 
 // TestRequestsOverTenantRateGet429 checks that requests over a tenant's rate get 429 with a
