--- a/internal/api/announced_runners.go
+++ b/internal/api/announced_runners.go
@@ -32,7 +32,7 @@
 			Zone:     heartbeat.Zone,
 			Slots:    heartbeat.Slots,
 			Draining: heartbeat.State == protocol.RunnerDraining,
-			ColdMs:   heartbeat.WarmupLeftMs,
+			WarmUpMs: heartbeat.WarmupLeftMs,
 		},
 	})
 }
--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -33,7 +33,7 @@
 	failures     int                  // consecutive
 	ejections    int                  // consecutive
 	ejectedUntil time.Time            // because of failures, or because it appears to be shutting down
-	coldUntil    time.Time            // started recently
+	warmUntil    time.Time            // started recently
 	servedAt     time.Time            // latest time at which it was known not to be shutting down
 	observed     registry.Observation // by this daemon, not yet reported
 }
@@ -60,7 +60,7 @@
 	for _, listed := range list {
 		runner := b.runners[listed.ID]
 		if runner == nil {
-			runner = &runnerState{coldUntil: now.Add(time.Duration(listed.ColdMs) * time.Millisecond)}
+			runner = &runnerState{warmUntil: now.Add(time.Duration(listed.WarmUpMs) * time.Millisecond)}
 		}
 		runner.Runner = listed
 		next[listed.ID] = runner
@@ -203,7 +203,7 @@
 	}
 	cost := float64(r.outstanding+1) * float64(max(latency, time.Millisecond))
 	cost *= 1 + failureCost*float64(r.Health.FailedPct)/100
-	if now.Before(r.coldUntil) {
+	if now.Before(r.warmUntil) {
 		cost *= coldFactor
 	}
 	return cost
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -107,7 +107,7 @@
 		for _, listed := range page.Runners {
 			runners = append(runners, registry.Runner{
 				ID: listed.ID, Service: listed.Service, Address: listed.Address, Zone: listed.Zone,
-				Slots: listed.Slots, Draining: listed.State == stateDraining, ColdMs: listed.ColdLeftMs,
+				Slots: listed.Slots, Draining: listed.State == stateDraining, WarmUpMs: listed.ColdLeftMs,
 			})
 		}
 		if page.NextToken == nil || *page.NextToken == "" {
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -42,7 +42,7 @@
 	})
 	list, err := client.List(context.Background())
 	want := []registry.Runner{
-		{ID: "a", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 2, ColdMs: 7},
+		{ID: "a", Service: "s", Address: "10.0.0.1:80", Zone: "z", Slots: 2, WarmUpMs: 7},
 		{ID: "b", Service: "s", Address: "10.0.0.2:80", Zone: "z", Slots: 3, Draining: true},
 	}
 	if err != nil || len(list) != 2 || list[0] != want[0] || list[1] != want[1] {
--- a/internal/registry/announcements.go
+++ b/internal/registry/announcements.go
@@ -54,7 +54,7 @@
 	}
 	known.sequence = sequence
 	runner.Draining = runner.Draining || known.runner.Draining
-	runner.ColdMs = known.runner.ColdMs
+	runner.WarmUpMs = known.runner.WarmUpMs
 	changed = runner != known.runner
 	known.runner = runner
 	return changed
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -21,18 +21,18 @@
 	Zone     string
 	Slots    int   // requests that it serves concurrently
 	Draining bool  // it is about to leave and gets no new requests
-	ColdMs   int64 // remaining warm-up time, in ms, when it was first listed
+	WarmUpMs int64 // remaining warm-up time, in ms, when it was first listed
 	Health   Health
 }
 
-// sameState reports whether two runners are equal but for ColdMs, which is sent only with the
+// sameState reports whether two runners are equal but for WarmUpMs, which is sent only with the
 // first listing.
 func (r Runner) sameState(other Runner) bool {
-	r.ColdMs = other.ColdMs
+	r.WarmUpMs = other.WarmUpMs
 	return r == other
 }
 
-// SameState reports whether two lists, in the same order, are equal but for ColdMs.
+// SameState reports whether two lists, in the same order, are equal but for WarmUpMs.
 func SameState(a, b []Runner) bool { return slices.EqualFunc(a, b, Runner.sameState) }
 
 // Delta holds the changes of a table after a version.
@@ -44,8 +44,8 @@
 	Whole   bool // Runners is the full list
 	Runners []Runner
 	Removed []string // IDs
-	// Healths holds the health of the runners of which nothing else has changed.
-	Healths []RunnerHealth
+	// HealthUpdates holds the health of the runners of which nothing else has changed.
+	HealthUpdates []RunnerHealth
 	// FromDigest is the digest of the list that the changes apply to if that list is of another
 	// epoch; 0 if they apply to version From.
 	FromDigest uint64
@@ -58,7 +58,7 @@
 	Health Health
 }
 
-// sameExceptHealth reports whether two runners are equal but for their health and ColdMs.
+// sameExceptHealth reports whether two runners are equal but for their health and WarmUpMs.
 func (r Runner) sameExceptHealth(other Runner) bool {
 	r.Health = other.Health
 	return r.sameState(other)
@@ -245,7 +245,7 @@
 		case delta.Whole || r.stateVersion > version:
 			delta.Runners = append(delta.Runners, r.runner)
 		case r.changedVersionFor(zone) > version:
-			delta.Healths = append(delta.Healths, RunnerHealth{ID: r.runner.ID, Health: r.runner.Health})
+			delta.HealthUpdates = append(delta.HealthUpdates, RunnerHealth{ID: r.runner.ID, Health: r.runner.Health})
 		}
 	}
 	if !delta.Whole {
@@ -256,11 +256,11 @@
 		}
 	}
 	sortByID(delta.Runners)
-	slices.SortFunc(delta.Healths, func(a, b RunnerHealth) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(delta.HealthUpdates, func(a, b RunnerHealth) int { return strings.Compare(a.ID, b.ID) })
 	return delta
 }
 
-// digest returns a hash of the runner's fields other than ColdMs and Health. The digest of a list
+// digest returns a hash of the runner's fields other than WarmUpMs and Health. The digest of a list
 // is the sum of the digests of its runners.
 func (r Runner) digest() uint64 {
 	hash := fnv.New64a()
@@ -300,7 +300,7 @@
 		v.runners[runner.ID] = runner
 		v.digest += runner.digest()
 	}
-	for _, changed := range delta.Healths {
+	for _, changed := range delta.HealthUpdates {
 		if runner, ok := v.runners[changed.ID]; ok {
 			runner.Health = changed.Health
 			v.runners[changed.ID] = runner
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -60,7 +60,7 @@
 	near.Health.LatencyMs, far.Health.LatencyMs = 5, 5
 	table.Update([]Runner{near, far})
 	delta := deltaFor(table, view)
-	if len(delta.Runners) != 0 || len(delta.Healths) != 1 || delta.Healths[0].ID != "near" {
+	if len(delta.Runners) != 0 || len(delta.HealthUpdates) != 1 || delta.HealthUpdates[0].ID != "near" {
 		t.Errorf("got %+v, want the health of runner near only", delta)
 	}
 	if view.Apply(delta); view.runners["near"].Health.LatencyMs != 5 || view.runners["far"].Health.LatencyMs != 0 {
@@ -69,7 +69,7 @@
 	far.Draining = true
 	table.Update([]Runner{near, far})
 	if delta := deltaFor(table, view); len(delta.Runners) != 1 || !delta.Runners[0].Draining ||
-		len(delta.Healths) != 0 {
+		len(delta.HealthUpdates) != 0 {
 		t.Errorf("got %+v, want the drain of runner far only", delta)
 	}
 }
@@ -79,7 +79,7 @@
 	list = slices.Clone(list)
 	switch {
 	case len(list) == 0 || random.Intn(3) == 0:
-		return append(list, Runner{ID: fmt.Sprint("r", i), Service: "s", Slots: 2, ColdMs: 100})
+		return append(list, Runner{ID: fmt.Sprint("r", i), Service: "s", Slots: 2, WarmUpMs: 100})
 	case random.Intn(50) == 0:
 		return list[:1]
 	}
@@ -88,7 +88,7 @@
 	case 0:
 		list[k].Draining = !list[k].Draining
 	case 1:
-		list[k].ColdMs = 0 // doesn't count as a change
+		list[k].WarmUpMs = 0 // doesn't count as a change
 	case 2:
 		list = slices.Delete(list, k, k+1)
 	}
