--- a/internal/coordination/key_test.go
+++ b/internal/coordination/key_test.go
@@ -63,7 +63,7 @@
 	last := putOutcomeRetention.Milliseconds()
 	for _, clock := range []int64{3, last} {
 		tables = tables.Clone()
-		tables.Forget(clock)
+		tables.Expire(clock)
 		if revision, refused := tables.put("g.a", "first", 0, clock); revision != 1 || refused {
 			t.Errorf("the first put, repeated: revision %d, refused %v", revision, refused)
 		}
@@ -72,7 +72,7 @@
 			t.Errorf("a refused put, repeated: revision %d, refused %v", revision, refused)
 		}
 	}
-	tables.Forget(last + 3)
+	tables.Expire(last + 3)
 	if len(tables.Groups["g."].Outcomes) != 0 {
 		t.Error("outcomes do not expire")
 	}
@@ -116,7 +116,7 @@
 			t.Errorf("after %d, up to %d: %v, %v", after, update.Revision, revisions, err)
 		}
 	}
-	tables.Forget(1_000_000)
+	tables.Expire(1_000_000)
 	if update, err := tables.Since("g.", 100); err != nil || update.Revision != 100 {
 		t.Errorf("can't resume from the newest revision: %+v, %v", update, err)
 	}
--- a/internal/coordination/lock_test.go
+++ b/internal/coordination/lock_test.go
@@ -97,7 +97,7 @@
 func TestFencesRiseAfterExpiryAndClone(t *testing.T) {
 	tables := New()
 	fence := tables.mustAcquire(t, "a", 1000)
-	tables.Forget(1000 + 2*testHoldMs)
+	tables.Expire(1000 + 2*testHoldMs)
 	if len(tables.Locks) != 0 {
 		t.Errorf("%d rows of expired locks are kept", len(tables.Locks))
 	}
--- a/internal/coordination/tables.go
+++ b/internal/coordination/tables.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Forget drops what no caller needs any more: expired locks, puts older than the history for
+// Expire drops what no caller needs any more: expired locks, puts older than the history for
 // watches, and outcomes of puts past their retention time.
-func (t *Tables) Forget(clock int64) {
+func (t *Tables) Expire(clock int64) {
 	for name, lock := range t.Locks {
 		if lock.expired(clock) {
 			delete(t.Locks, name)
--- a/internal/state/collect_garbage.go
+++ b/internal/state/collect_garbage.go
@@ -27,7 +27,7 @@
 	}
 	s.pruneCrashBackoffs()
 	if s.Coordination != nil {
-		s.Coordination.Forget(s.Clock)
+		s.Coordination.Expire(s.Clock)
 	}
 	if c.RebuildUsage {
 		s.RebuildUsage()
