--- a/internal/clock/monotonic.go
+++ b/internal/clock/monotonic.go
@@ -24,7 +24,7 @@
 // NewMonotonic returns a clock that observes entries from now on.
 func NewMonotonic(now time.Time) Monotonic { return Monotonic{origin: now, observed: unknownOffset} }
 
-// Learn records the stamp, in ms, of the newest applied entry, and its term. Before any entry the
+// Observe records the stamp, in ms, of the newest applied entry, and its term. Before any entry the
 // stamp is 0 and the clock doesn't run yet: replicas start at different times, and each would take
 // its own start for the zero of the group's clock.
 //
@@ -33,7 +33,7 @@
 // clock of the previous leader. Its clock then is the clock of the group. An offset observed under
 // the previous leader would be ahead of it, and a lock granted in the later term would expire too
 // early.
-func (m *Monotonic) Learn(now time.Time, term uint64, stamp int64) {
+func (m *Monotonic) Observe(now time.Time, term uint64, stamp int64) {
 	if stamp <= 0 {
 		return
 	}
--- a/internal/clock/monotonic_test.go
+++ b/internal/clock/monotonic_test.go
@@ -30,16 +30,16 @@
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	clock := NewMonotonic(start)
-	clock.Learn(at(10), 1, 50_000) // as the leader stamped it at 10 s
-	clock.Learn(at(13), 1, 50_100) // applied 2.9 s late
+	clock.Observe(at(10), 1, 50_000) // as the leader stamped it at 10 s
+	clock.Observe(at(13), 1, 50_100) // applied 2.9 s late
 	clock.BeginTerm(at(15), 50_100)
 	if got := clock.Read(at(16)); got != 56_000 {
 		t.Errorf("6 s after an entry stamped 50 s the clock is at %d ms", got)
 	}
 	// Without any entry, the start of a replica doesn't count as the zero of the cluster's clock.
 	clock = NewMonotonic(start)
-	clock.Learn(at(1), 1, 0)
-	clock.Learn(at(5), 1, 3_000)
+	clock.Observe(at(1), 1, 0)
+	clock.Observe(at(5), 1, 3_000)
 	clock.BeginTerm(at(5), 3_000)
 	if got := clock.Read(at(5)); got != 3_000 {
 		t.Errorf("at an entry stamped 3 s the clock is at %d ms", got)
@@ -60,9 +60,9 @@
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	clock := NewMonotonic(start)
-	clock.Learn(at(10), 1, 50_000)
-	clock.Learn(at(12), 2, 50_300)   // 1.7 s behind the clock of term 1
-	clock.Learn(at(12.5), 2, 50_400) // applied 0.4 s late
+	clock.Observe(at(10), 1, 50_000)
+	clock.Observe(at(12), 2, 50_300)   // 1.7 s behind the clock of term 1
+	clock.Observe(at(12.5), 2, 50_400) // applied 0.4 s late
 	clock.BeginTerm(at(13), 50_400)
 	if got := clock.Read(at(14)); got != 52_300 {
 		t.Errorf("2 s after an entry stamped 50.3 s the clock is at %d ms", got)
--- a/internal/clock/wall.go
+++ b/internal/clock/wall.go
@@ -12,13 +12,13 @@
 	// stepConfirmTime is how long the members' time of day must differ from the cluster's wall clock,
 	// without interruption and in the same direction, before it is adopted.
 	stepConfirmTime = 10 * time.Second
-	// learnWindow is the length of the windows of learnedOffset. A follower uses an observed offset of
-	// the leader's clock for one to two windows.
-	learnWindow = 5 * time.Second
+	// observationWindow is the length of the windows of observedOffset. A follower uses an observed
+	// offset of the leader's clock for one to two windows.
+	observationWindow = 5 * time.Second
 )
 
 // Wall is the wall clock of a group of replicas, kept as an offset to the process's own monotonic
-// clock. Followers learn it from the entries that they apply, so that a new leader continues from
+// clock. Followers observe it in the entries that they apply, so that a new leader continues from
 // where the previous one was. A leader compares it with the median of the members' times of day.
 // Small differences are removed by slewing. Larger ones are adopted only once they have lasted for
 // stepConfirmTime. Without any earlier entry, the median is adopted at once.
@@ -27,7 +27,7 @@
 	offset    time.Duration // of a leader: time since 1970 at the origin
 	hasOffset bool          // offset was set in the current term
 	readAt    time.Time     // time of the leader's last reading
-	learned   learnedOffset
+	observed  observedOffset
 
 	// divergedSince is since when the members' time of day has differed from the clock by more than
 	// stepTolerance in one direction; zero if it doesn't. ahead reports whether the members' time is
@@ -38,18 +38,18 @@
 
 // Step is the effect of a reading of the members' times of day on the cluster's clock.
 type Step struct {
-	OffBy   time.Duration // median of the members minus the cluster's clock
-	Began   bool          // a difference above the tolerance began with this reading
-	Adopted bool          // the members' time was adopted
+	Difference time.Duration // median of the members minus the cluster's clock
+	Diverged   bool          // a difference above the tolerance began with this reading
+	Adopted    bool          // the members' time was adopted
 }
 
 // NewWall returns a clock that observes entries from now on.
 func NewWall(now time.Time) Wall { return Wall{origin: now} }
 
-// Learn records the wall clock of an entry that is applied now. Entries are applied after they were
+// Observe records the wall clock of an entry that is applied now. Entries are applied after they were
 // stamped, so the largest recent offset is the most accurate.
-func (w *Wall) Learn(now time.Time, wall time.Duration) {
-	w.learned.add(now, wall-now.Sub(w.origin))
+func (w *Wall) Observe(now time.Time, wall time.Duration) {
+	w.observed.add(now, wall-now.Sub(w.origin))
 }
 
 // BeginTerm discards the offset of an earlier term as leader.
@@ -62,7 +62,7 @@
 	elapsed := now.Sub(w.origin)
 	target := lowerMedian(members) - elapsed
 	if !w.hasOffset {
-		offset, ok := w.learned.latest()
+		offset, ok := w.observed.latest()
 		if !ok {
 			offset = target
 		}
@@ -75,15 +75,15 @@
 
 // follow compares the offset with that of the members, and adjusts it.
 func (w *Wall) follow(now time.Time, target time.Duration) Step {
-	offBy := target - w.offset
-	if offBy <= stepTolerance && offBy >= -stepTolerance {
+	difference := target - w.offset
+	if difference <= stepTolerance && difference >= -stepTolerance {
 		w.divergedSince = time.Time{}
 		w.offset = slew(w.offset, target, now.Sub(w.readAt))
-		return Step{OffBy: offBy}
+		return Step{Difference: difference}
 	}
-	step := Step{OffBy: offBy}
-	if w.divergedSince.IsZero() || w.ahead != (offBy > 0) {
-		w.divergedSince, w.ahead, step.Began = now, offBy > 0, true
+	step := Step{Difference: difference}
+	if w.divergedSince.IsZero() || w.ahead != (difference > 0) {
+		w.divergedSince, w.ahead, step.Diverged = now, difference > 0, true
 	}
 	if now.Sub(w.divergedSince) >= stepConfirmTime {
 		w.offset, w.divergedSince, step.Adopted = target, time.Time{}, true
@@ -91,19 +91,19 @@
 	return step
 }
 
-// learnedOffset is the largest of the offsets observed in the last one to two windows.
-type learnedOffset struct {
+// observedOffset is the largest of the offsets observed in the last one to two windows.
+type observedOffset struct {
 	windowStart       time.Time
 	current, previous time.Duration
 	windowCount       int // windows that have an offset: 0, 1 (current) or 2
 }
 
 // add records an offset.
-func (l *learnedOffset) add(now time.Time, offset time.Duration) {
+func (l *observedOffset) add(now time.Time, offset time.Duration) {
 	switch {
 	case l.windowCount == 0:
 		l.windowStart, l.current, l.windowCount = now, offset, 1
-	case now.Sub(l.windowStart) >= learnWindow:
+	case now.Sub(l.windowStart) >= observationWindow:
 		l.windowStart, l.previous, l.current, l.windowCount = now, l.current, offset, 2
 	default:
 		l.current = max(l.current, offset)
@@ -111,7 +111,7 @@
 }
 
 // latest returns the largest offset; false if none was recorded.
-func (l *learnedOffset) latest() (time.Duration, bool) {
+func (l *observedOffset) latest() (time.Duration, bool) {
 	if l.windowCount == 2 {
 		return max(l.current, l.previous), true
 	}
--- a/internal/clock/wall_test.go
+++ b/internal/clock/wall_test.go
@@ -43,7 +43,7 @@
 	m := c.members[member]
 	m.timeOfDay, m.wall = TimeOfDay{}, NewWall(c.now)
 	if logged > 0 {
-		m.wall.Learn(c.now, logged)
+		m.wall.Observe(c.now, logged)
 	}
 }
 
@@ -67,7 +67,7 @@
 		}
 		last, _ = c.members[c.leader].wall.Read(c.now, readings)
 		for _, member := range c.members {
-			member.wall.Learn(c.now, last)
+			member.wall.Observe(c.now, last)
 		}
 		ahead, behind = max(ahead, last-c.trueTime()), max(behind, c.trueTime()-last)
 	}
--- a/internal/server/clock.go
+++ b/internal/server/clock.go
@@ -12,9 +12,9 @@
 // observeClocks records the clocks and the term of the last applied entry.
 func (r *Replica) observeClocks(now time.Time, term uint64) {
 	if r.state.WallClock > 0 {
-		r.wall.Learn(now, time.Duration(r.state.WallClock)*time.Millisecond)
+		r.wall.Observe(now, time.Duration(r.state.WallClock)*time.Millisecond)
 	}
-	r.stateClock.Learn(now, term, r.state.Clock)
+	r.stateClock.Observe(now, term, r.state.Clock)
 }
 
 // startTermClocks starts the clocks for a new term of leadership.
@@ -33,9 +33,9 @@
 	wall, step := r.wall.Read(now, members)
 	switch {
 	case step.Adopted:
-		_ = r.log.Log("level", "warn", "event", "clock.adopted", "off_ms", step.OffBy.Milliseconds(), "members", len(members))
-	case step.Began:
-		_ = r.log.Log("level", "warn", "event", "clock.apart", "off_ms", step.OffBy.Milliseconds(), "members", len(members))
+		_ = r.log.Log("level", "warn", "event", "clock.adopted", "off_ms", step.Difference.Milliseconds(), "members", len(members))
+	case step.Diverged:
+		_ = r.log.Log("level", "warn", "event", "clock.apart", "off_ms", step.Difference.Milliseconds(), "members", len(members))
 	}
 	return wall.Milliseconds()
 }
