--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -31,7 +31,7 @@
 	// Aggregation continues during an election: no other server could serve the agents
 	// better, and the batch is sent as soon as a leader is known.
 	mayAggregate := r.node != nil && (r.node.IsVoter(r.self.ID) || r.isAppointed(r.self.ID))
-	return mayAggregate && len(r.departure.waiters) == 0 && r.leaderlessFor(now) < aggregatorLeaderLossTimeout
+	return mayAggregate && len(r.leaving.waiters) == 0 && r.leaderlessFor(now) < aggregatorLeaderLossTimeout
 }
 
 // isAppointed reports whether a member is the aggregator or the standby of a zone.
--- a/internal/server/announcer.go
+++ b/internal/server/announcer.go
@@ -141,7 +141,7 @@
 
 // announcerResponse returns the response to requestAnnouncerState.
 func (r *Replica) announcerResponse() rpc.Response {
-	announcement := rpc.BootstrapAnnouncement{Voter: r.self, BoundVoters: r.persisted.Founders, NotFirstStart: r.isBlank()}
+	announcement := rpc.BootstrapAnnouncement{Voter: r.self, BoundVoters: r.persisted.Founders, NotFirstStart: r.isUninitialized()}
 	return rpc.Response{Value: int64(r.currentPhase()), Leader: r.leaderAddress(), Body: transport.Encode(announcement)}
 }
 
--- a/internal/server/appointments.go
+++ b/internal/server/appointments.go
@@ -82,7 +82,7 @@
 func (r *Replica) caughtUpLearners() []raft.Member {
 	var learners []raft.Member
 	for _, candidate := range r.liveCandidates() {
-		if r.canTakePlace(candidate) {
+		if r.canBecomeVoter(candidate) {
 			learners = append(learners, candidate)
 		}
 	}
--- a/internal/server/backlog.go
+++ b/internal/server/backlog.go
@@ -53,7 +53,7 @@
 		return 0
 	}
 	now := time.Now()
-	if !request.BeyondShare && now.Sub(r.floodedAt[call.tenant]) > floodRefusalPeriod {
+	if !request.BeyondShare && now.Sub(r.floodRefusedAt[call.tenant]) > floodRefusalPeriod {
 		return 0
 	}
 	wait := time.Duration(0)
@@ -65,23 +65,23 @@
 	}
 	wait = max(wait-max(target, minBacklogBeyondShare), 0)
 	if wait > 0 && request.BeyondShare {
-		r.noteFlood(call.tenant, now)
+		r.recordFlood(call.tenant, now)
 	}
 	return wait
 }
 
-// noteFlood records that a tenant submits more than its share and more than can be finished
+// recordFlood records that a tenant submits more than its share and more than can be finished
 // in time. It also removes expired records of other tenants.
-func (r *Replica) noteFlood(tenant string, now time.Time) {
-	if r.floodedAt == nil {
-		r.floodedAt = map[string]time.Time{}
+func (r *Replica) recordFlood(tenant string, now time.Time) {
+	if r.floodRefusedAt == nil {
+		r.floodRefusedAt = map[string]time.Time{}
 	}
-	for other, at := range r.floodedAt {
+	for other, at := range r.floodRefusedAt {
 		if now.Sub(at) > floodRefusalPeriod {
-			delete(r.floodedAt, other)
+			delete(r.floodRefusedAt, other)
 		}
 	}
-	r.floodedAt[tenant] = now
+	r.floodRefusedAt[tenant] = now
 }
 
 // maxStepCapacityDivisor divides the whole capacity into the largest part that one step counts
--- a/internal/server/backlog_test.go
+++ b/internal/server/backlog_test.go
@@ -60,7 +60,7 @@
 				}
 				time.Sleep(timing.HeartbeatInterval)
 				if c.flooded {
-					h.replica.noteFlood("a", time.Now())
+					h.replica.recordFlood("a", time.Now())
 				}
 				request := tenantRequest("/r/"+strings.Repeat("1", jobIDDigits), c.key)
 				request.BeyondShare = c.beyondShare
@@ -109,7 +109,7 @@
 		submit(first)
 		submit(strings.Repeat("2", jobIDDigits))
 		for range 20 {
-			h.turn()
+			h.runIteration()
 		}
 		want := []rpc.Code{rpc.CodeTooManyRequests, rpc.CodeOK, rpc.CodeOK}
 		if !slices.Equal(codes, want) || len(h.replica.submitting) != 0 {
--- a/internal/server/bootstrap.go
+++ b/internal/server/bootstrap.go
@@ -20,9 +20,9 @@
 	reply(rpc.Response{Code: rpc.CodeOK, Body: transport.Encode(r.bootstrap.HandleAnnouncement(announcement, time.Now()))})
 }
 
-// isBlank reports whether this server waits to be added to a cluster and has no cluster state yet:
-// it was restarted, is bound to no founding voter set, and has seen no term.
-func (r *Replica) isBlank() bool {
+// isUninitialized reports whether this server waits to be added to a cluster and has no cluster
+// state yet: it was restarted, is bound to no founding voter set, and has seen no term.
+func (r *Replica) isUninitialized() bool {
 	return r.node != nil && len(r.persisted.Founders) == 0 && r.node.Term() == 0 && r.node.LastIndex() == 0
 }
 
@@ -34,7 +34,7 @@
 		return
 	}
 	isFounder := slices.Contains(proposal.Voters, r.self)
-	if r.isBlank() && isFounder {
+	if r.isUninitialized() && isFounder {
 		// It announced itself before it was restarted, and the other founders wait for it. Waiting
 		// here to be added to a cluster would block them forever.
 		r.node = nil
--- a/internal/server/coordination_test.go
+++ b/internal/server/coordination_test.go
@@ -40,7 +40,7 @@
 			t.Errorf("renewal by the holder: %+v", response)
 		}
 		for end := time.Now().Add(3100 * time.Millisecond); time.Now().Before(end); {
-			h.turn()
+			h.runIteration()
 		}
 		if second := h.call(rpc.KindAcquireLock, acquire("b")); second.Code != rpc.CodeOK || second.Value <= first.Value {
 			t.Errorf("acquisition after the hold expired: %+v", second)
@@ -116,7 +116,7 @@
 		}
 		short, long := h.startKeyWatch(1, 300), h.startKeyWatch(1, 2000)
 		for end := time.Now().Add(400 * time.Millisecond); time.Now().Before(end); {
-			h.turn()
+			h.runIteration()
 		}
 		if update := decodeWatchResult(t, short()); update.Revision != 1 || len(update.Events) != 0 || len(long()) != 0 {
 			t.Errorf("watch with the short wait %+v, with the long wait %+v", update, long())
@@ -146,7 +146,7 @@
 			t.Errorf("%v", values)
 		}
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: h.replica.node.Term() + 1})
-		h.endTurn()
+		h.finishIteration()
 		if responses := held(); len(responses) != 1 || responses[0].Code != rpc.CodeNotLeader {
 			t.Errorf("%+v", responses)
 		}
--- a/internal/server/digests_test.go
+++ b/internal/server/digests_test.go
@@ -38,10 +38,10 @@
 			h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, nil)
 		}
 		time.Sleep(3 * time.Millisecond)
-		h.endTurn()
+		h.finishIteration()
 		h.acknowledge("b")
 		h.acknowledge("c")
-		h.endTurn()
+		h.finishIteration()
 	}
 	if h.replica.state.AppliedIndex < index {
 		h.t.Fatalf("applied index is only %d", h.replica.state.AppliedIndex)
@@ -76,7 +76,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(t)
 				h.useDataDir(t.TempDir())
-				h.becomeLeader()
+				h.electLeader()
 				h.applyUpTo(index)
 				local, ok := h.replica.digests.local[index]
 				if !ok || local == 0 {
@@ -93,7 +93,7 @@
 				if confirmed != test.confirmed || (h.replica.digests.divergedAt > 0) != test.discards || h.replica.digests.decided[index] != (test.confirmed || test.discards || test.disagrees) {
 					t.Errorf("confirmed %v, diverged at %d, decided %v", confirmed, h.replica.digests.divergedAt, h.replica.digests.decided[index])
 				}
-				h.endTurn()
+				h.finishIteration()
 				if (h.replica.node == nil) != test.discards {
 					t.Errorf("node after the iteration: %v", h.replica.node)
 				}
@@ -108,7 +108,7 @@
 	last := index - 1
 	logTerm, _ := h.replica.node.TermAt(last)
 	h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: last, LogTerm: logTerm, Commit: index, Entries: []raft.Entry{{Index: index, Term: 3, Data: data}}})
-	h.endTurn()
+	h.finishIteration()
 }
 
 // confirmDigestEntry returns the data of a log entry that confirms a digest.
@@ -178,7 +178,7 @@
 	h.t.Helper()
 	h.receive(raft.Message{Kind: raft.MsgVote, From: "b", Term: 9, Index: 999, LogTerm: 9, Force: true})
 	h.replica.handleEvent(h.t.Context(), loopEvent{bootstrapProposal: &rpc.BootstrapProposal{Voters: testVoters, Start: true}})
-	if h.endTurn(); h.replica.node != nil {
+	if h.finishIteration(); h.replica.node != nil {
 		h.t.Fatal("replica restarted its node with the diverged state")
 	}
 	var code rpc.Code
@@ -203,13 +203,13 @@
 			entries = append(entries, raft.Entry{Index: i, Term: 3, Data: appointmentEntry(zone)})
 		}
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: SnapshotInterval + 200, Entries: entries})
-		h.endTurn()
-		h.endTurn()
+		h.finishIteration()
+		h.finishIteration()
 		if h.replica.state.AppliedIndex != SnapshotInterval+200 || !h.replica.encodingSnapshot {
 			t.Fatalf("applied index %d, encoding a snapshot: %v", h.replica.state.AppliedIndex, h.replica.encodingSnapshot)
 		}
 		h.handleEvents()
-		writes := h.endTurn()
+		writes := h.finishIteration()
 		snapshot := h.replica.latestSnapshot
 		if snapshot == nil || snapshot.Index != SnapshotInterval ||
 			h.replica.digests.local[SnapshotInterval] != state.SnapshotDigest(snapshot.Data) {
@@ -227,7 +227,7 @@
 
 		stale := &encodedSnapshot{h.replica.node, &raft.Snapshot{Index: SnapshotInterval * 2, Data: []byte{1}}, 1}
 		h.receive(raft.Message{Kind: raft.MsgSnapshot, From: "b", Term: 3, Snapshot: snapshotOf(t, SnapshotInterval*3, "y")})
-		h.endTurn()
+		h.finishIteration()
 		h.replica.handleSnapshotEncoded(t.Context(), stale)
 		if h.replica.latestSnapshot.Index != SnapshotInterval*3 || len(h.replica.writeQueue) > 0 || len(h.replica.digests.local) > 0 {
 			t.Error("an older snapshot replaced a newer one")
--- a/internal/server/harness_test.go
+++ b/internal/server/harness_test.go
@@ -20,7 +20,7 @@
 )
 
 // harness is a replica without its event loop, streams and storage. A test passes it messages and
-// calls endTurn as the loop would. It runs in virtual time (package synctest).
+// calls finishIteration as the loop would. It runs in virtual time (package synctest).
 type harness struct {
 	t       *testing.T
 	replica *Replica
@@ -55,9 +55,9 @@
 	h.replica.handleEvent(h.t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
 }
 
-// endTurn ends an iteration of the event loop, and reports all of its writes as synced.
-func (h *harness) endTurn() []storage.WriteRequest {
-	h.replica.endTurn(h.t.Context(), time.Now())
+// finishIteration ends an iteration of the event loop, and reports all of its writes as synced.
+func (h *harness) finishIteration() []storage.WriteRequest {
+	h.replica.finishIteration(h.t.Context(), time.Now())
 	var writes []storage.WriteRequest
 	for len(h.replica.writeQueue) > 0 {
 		writes = append(writes, <-h.replica.writeQueue)
@@ -68,13 +68,13 @@
 	return writes
 }
 
-// becomeLeader has the other voters elect this replica, and commits the first entry of its term.
-func (h *harness) becomeLeader() {
+// electLeader has the other voters elect this replica, and commits the first entry of its term.
+func (h *harness) electLeader() {
 	h.t.Helper()
 	node := h.replica.node
 	for i := 0; i < 50 && !h.replica.leading; i++ {
 		time.Sleep(timing.HeartbeatInterval)
-		h.endTurn()
+		h.finishIteration()
 		switch {
 		case node.IsLeader():
 			h.acknowledge("b")
@@ -82,16 +82,16 @@
 			h.receive(raft.Message{Kind: raft.MsgPreVoteResponse, From: "b", Term: node.Term() + 1})
 			h.receive(raft.Message{Kind: raft.MsgVoteResponse, From: "b", Term: node.Term()})
 		}
-		h.endTurn()
+		h.finishIteration()
 	}
 	if !h.replica.leading {
 		h.t.Fatal("replica was not elected leader")
 	}
 	// Commits the commands that a new leader proposes, too.
 	time.Sleep(time.Second / 10)
-	h.endTurn()
+	h.finishIteration()
 	h.acknowledge("b")
-	h.endTurn()
+	h.finishIteration()
 }
 
 // acknowledge has a voter acknowledge all log entries of this leader.
@@ -109,28 +109,28 @@
 func newLeader(t *testing.T) *harness {
 	t.Helper()
 	h := newHarness(t)
-	h.becomeLeader()
+	h.electLeader()
 	return h
 }
 
-// turn advances the time by 10 ms, and has the leader's proposals committed.
-func (h *harness) turn() {
+// runIteration advances the time by 10 ms, and has the leader's proposals committed.
+func (h *harness) runIteration() {
 	time.Sleep(10 * time.Millisecond)
-	h.endTurn()
+	h.finishIteration()
 	if h.replica.node.IsLeader() {
 		h.acknowledge("b")
 	}
-	h.endTurn()
+	h.finishIteration()
 }
 
 // call sends a request to this replica, and runs loop iterations until there is a response.
 func (h *harness) call(kind string, body any) rpc.Response {
 	h.t.Helper()
-	h.turn()
+	h.runIteration()
 	var responses []rpc.Response
 	h.replica.handleRequest(rpc.Request{Kind: kind, Body: transport.Encode(body)}, nil, func(response rpc.Response) { responses = append(responses, response) })
 	for i := 0; i < 200 && len(responses) == 0; i++ {
-		h.turn()
+		h.runIteration()
 	}
 	if len(responses) != 1 {
 		h.t.Fatalf("%s got %d responses, want 1", kind, len(responses))
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -117,7 +117,7 @@
 		}
 	}
 	r.planning.due, r.planning.proposed, r.maintenance.collectionProposed = true, false, false
-	r.planning.notBefore, r.planning.refusedInARow = time.Time{}, 0
+	r.planning.notBefore, r.planning.consecutiveRefusals = time.Time{}, 0
 	r.maintenance.collectedAt, r.maintenance.usageRebuiltAt = now, now
 	if limits := stateLimits(r.settings); r.state.Limits != limits {
 		r.enqueueCommand(state.CommandSetLimits, &state.SetLimits{Limits: limits}, nil)
--- a/internal/server/leader_test.go
+++ b/internal/server/leader_test.go
@@ -15,7 +15,7 @@
 func TestLeaderOfLaterTermDiscardsEarlierTermsState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		h.becomeLeader()
+		h.electLeader()
 		previousSince, unknown := h.replica.leadingSince, 0
 		h.replica.leadingTerm--
 		h.replica.leases["w"] = &workerLease{grantedAt: time.Now()}
@@ -25,7 +25,7 @@
 			}
 		}}}
 		time.Sleep(time.Millisecond)
-		h.endTurn()
+		h.finishIteration()
 		if !h.replica.leading || h.replica.leadingTerm != h.replica.node.Term() || !h.replica.leadingSince.After(previousSince) || h.replica.leases["w"] != nil || unknown != 1 {
 			t.Errorf("leader state of the earlier term kept: %d replies, leases %v", unknown, h.replica.leases)
 		}
@@ -39,9 +39,9 @@
 		h := newHarness(t)
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 1, Commit: 2, Entries: []raft.Entry{{Index: 2, Term: 3,
 			Data: transport.Encode(state.Batch{Clock: 1_000_000, Commands: []state.EncodedCommand{state.EncodeCommand(state.CommandCollectGarbage, &state.CollectGarbage{})}})}}})
-		h.endTurn()
+		h.finishIteration()
 		time.Sleep(time.Second)
-		h.becomeLeader()
+		h.electLeader()
 		if clock := h.replica.clock(time.Now()); clock < 1_000_000 || h.replica.state.Clock < 1_000_000 {
 			t.Errorf("leader clock is %d, state clock is %d, want at least 1000000", clock, h.replica.state.Clock)
 		}
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -26,8 +26,8 @@
 	shutdownExclusionPeriod = 5 * time.Second
 )
 
-// departure is the progress of a requested shutdown of this process.
-type departure struct {
+// leaveProgress is the progress of a requested shutdown of this process.
+type leaveProgress struct {
 	waiters          []chan struct{}
 	deadline         time.Time // zero if no shutdown was requested
 	transferDeadline time.Time // of the leadership transfer in progress
@@ -64,11 +64,11 @@
 // beginLeave starts leaving the cluster; done is closed once the process may exit. Until then this
 // server remains a replica, and the leader knows that it is shutting down.
 func (r *Replica) beginLeave(ctx context.Context, done chan struct{}) {
-	r.departure.waiters = append(r.departure.waiters, done)
-	if len(r.departure.waiters) > 1 {
+	r.leaving.waiters = append(r.leaving.waiters, done)
+	if len(r.leaving.waiters) > 1 {
 		return
 	}
-	r.departure.deadline = time.Now().Add(r.leaveTimeout())
+	r.leaving.deadline = time.Now().Add(r.leaveTimeout())
 	switch {
 	case r.node == nil:
 		r.finishLeaving()
@@ -80,13 +80,13 @@
 // requestLeave asks the leader to hand over this server's zones to their standbys, and repeats the
 // request until the leader releases the server.
 func (r *Replica) requestLeave(ctx context.Context) {
-	r.departure.releaseRequested = true
+	r.leaving.releaseRequested = true
 	r.aggregator.FailAll(responseNotLeader)
 	if !r.node.IsVoter(r.self.ID) && !r.isAppointed(r.self.ID) {
 		r.finishLeaving()
 		return
 	}
-	deadline := r.departure.deadline
+	deadline := r.leaving.deadline
 	go func() {
 		r.awaitRelease(ctx, deadline)
 		r.post(ctx, loopEvent{leaveGranted: true})
@@ -140,25 +140,25 @@
 
 // finishLeaving allows the process to exit.
 func (r *Replica) finishLeaving() {
-	for _, done := range r.departure.waiters {
+	for _, done := range r.leaving.waiters {
 		close(done)
 	}
-	r.departure.waiters = nil
+	r.leaving.waiters = nil
 }
 
 // continueLeave advances the shutdown. It returns the delay until its next step, or 0 if this
 // server is not leaving.
 func (r *Replica) continueLeave(ctx context.Context, now time.Time) time.Duration {
-	if r.departure.deadline.IsZero() || r.node == nil {
+	if r.leaving.deadline.IsZero() || r.node == nil {
 		return 0
 	}
-	if now.After(r.departure.deadline) {
+	if now.After(r.leaving.deadline) {
 		r.finishLeaving()
 	}
 	switch {
 	case r.node.IsLeader():
 		r.transferLeadership(now)
-	case !r.departure.releaseRequested:
+	case !r.leaving.releaseRequested:
 		// Another server is leader, after a transfer or an election, and must learn that this
 		// server is shutting down: two servers that shut down at the same time wait for each other.
 		r.requestLeave(ctx)
@@ -174,20 +174,20 @@
 		r.finishLeaving()
 		return
 	}
-	if r.departure.transferring {
-		if now.After(r.departure.transferDeadline) {
-			r.departure.transferring = false
+	if r.leaving.transferring {
+		if now.After(r.leaving.transferDeadline) {
+			r.leaving.transferring = false
 			r.finishLeaving()
 		}
 		return
 	}
-	deadlineNear := r.departure.deadline.Sub(now) <= leadershipTransferTimeout
+	deadlineNear := r.leaving.deadline.Sub(now) <= leadershipTransferTimeout
 	if !deadlineNear && r.node.LeaderReady() && r.shutdownBlocker(r.self.ID) != "" {
 		return
 	}
 	if r.node.TransferLeadership() == nil {
-		r.departure.transferring = true
-		r.departure.transferDeadline = now.Add(leadershipTransferTimeout)
+		r.leaving.transferring = true
+		r.leaving.transferDeadline = now.Add(leadershipTransferTimeout)
 	}
 }
 
--- a/internal/server/leave_test.go
+++ b/internal/server/leave_test.go
@@ -45,8 +45,8 @@
 	default:
 		t.Error("leave did not finish immediately")
 	}
-	if len(replica.departure.waiters) != 0 {
-		t.Errorf("%d waiters left", len(replica.departure.waiters))
+	if len(replica.leaving.waiters) != 0 {
+		t.Errorf("%d waiters left", len(replica.leaving.waiters))
 	}
 }
 
@@ -59,19 +59,19 @@
 		h.replica.settings.Bounds.GraceS = 10
 		done := make(chan struct{})
 		h.replica.beginLeave(t.Context(), done)
-		h.turn()
-		if h.replica.departure.transferring {
+		h.runIteration()
+		if h.replica.leaving.transferring {
 			t.Fatal("leadership transferred while another voter is silent")
 		}
-		for i := 0; i < 100 && !h.replica.departure.transferring; i++ {
+		for i := 0; i < 100 && !h.replica.leaving.transferring; i++ {
 			h.acknowledge("c")
-			h.turn()
+			h.runIteration()
 		}
-		if !h.replica.departure.transferring {
+		if !h.replica.leaving.transferring {
 			t.Fatal("leadership not transferred")
 		}
 		time.Sleep(leadershipTransferTimeout + time.Millisecond)
-		h.endTurn()
+		h.finishIteration()
 		select {
 		case <-done:
 		default:
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -84,7 +84,7 @@
 	go r.runAnnouncer(ctx)
 	daemon.Loop(ctx, r.events,
 		func(event loopEvent) { r.handleEvent(ctx, event) },
-		func(now time.Time) time.Duration { return r.endTurn(ctx, now) })
+		func(now time.Time) time.Duration { return r.finishIteration(ctx, now) })
 	return nil
 }
 
@@ -170,9 +170,9 @@
 	}
 }
 
-// endTurn does the work that is due after the events of one loop iteration. It returns the longest
-// time until it must run again, or 0 if only an event requires it.
-func (r *Replica) endTurn(ctx context.Context, now time.Time) time.Duration {
+// finishIteration does the work that is due after the events of one loop iteration. It returns the
+// longest time until it must run again, or 0 if only an event requires it.
+func (r *Replica) finishIteration(ctx context.Context, now time.Time) time.Duration {
 	if r.node == nil {
 		return 0
 	}
@@ -201,8 +201,8 @@
 	wake = shorterDelay(wake, r.replyToStatusWaiters(now))
 	wake = shorterDelay(wake, r.replyToRunnerWatchers(now))
 	wake = shorterDelay(wake, r.replyToKeyWatchers(now))
-	wake = shorterDelay(wake, r.tallyWork(ctx, now))
-	if r.applyBacklog {
+	wake = shorterDelay(wake, r.runTallies(ctx, now))
+	if r.hasUnappliedEntries {
 		wake = shorterDelay(wake, time.Nanosecond)
 	}
 	return shorterDelay(wake, r.continueLeave(ctx, now))
@@ -223,7 +223,7 @@
 // has just won.
 func (r *Replica) drainNode(ctx context.Context) {
 	deadline := time.Now().Add(maxApplyDuration)
-	r.applyBacklog = false
+	r.hasUnappliedEntries = false
 	for {
 		ready := r.node.Ready()
 		if !ready.IsEmpty() {
@@ -245,7 +245,7 @@
 			return
 		}
 		if applied && !time.Now().Before(deadline) {
-			r.applyBacklog = true
+			r.hasUnappliedEntries = true
 			return
 		}
 	}
--- a/internal/server/membership.go
+++ b/internal/server/membership.go
@@ -75,9 +75,9 @@
 	return live
 }
 
-// canTakePlace reports whether a candidate may become a voter now: it has caught up, so that
+// canBecomeVoter reports whether a candidate may become a voter now: it has caught up, so that
 // commits need not wait for it, and there was recent contact with it.
-func (r *Replica) canTakePlace(candidate raft.Member) bool {
+func (r *Replica) canBecomeVoter(candidate raft.Member) bool {
 	return r.node.CaughtUp(candidate.ID) && r.node.TimeSinceContact(candidate.ID) <= candidateContactTimeout
 }
 
@@ -95,7 +95,7 @@
 		return
 	}
 	for _, candidate := range r.liveCandidates() {
-		if !r.canTakePlace(candidate) {
+		if !r.canBecomeVoter(candidate) {
 			continue
 		}
 		if len(voters) < r.bootstrap.MinVoters {
@@ -206,7 +206,7 @@
 // isLeaving reports whether a voter has announced that it leaves.
 func (r *Replica) isLeaving(id string, now time.Time) bool {
 	if id == r.self.ID {
-		return len(r.departure.waiters) > 0
+		return len(r.leaving.waiters) > 0
 	}
 	return now.Before(r.appointments.leavingUntil[id])
 }
@@ -249,7 +249,7 @@
 // once it has transferred leadership.
 func (r *Replica) recentlyReleased(id string, now time.Time) bool {
 	if id == r.self.ID {
-		return r.departure.transferring
+		return r.leaving.transferring
 	}
 	at, released := r.appointments.releasedAt[id]
 	return released && now.Sub(at) < shutdownReleasePeriod
--- a/internal/server/membership_test.go
+++ b/internal/server/membership_test.go
@@ -139,7 +139,7 @@
 		{"b rejoined with another identity", "node-b", func(c *cluster) { c.down["b"] = true }, "[a d c a b c]", "[a d c]"},
 		{"its own earlier identity is replaced first", "node-b", func(c *cluster) { c.down["b"] = true; c.replica.appointments.leavingUntil["c"] = c.now.Add(time.Hour) }, "[a d c a b c]", "[a d c]"},
 		{"c announced that it leaves", "node-d", func(c *cluster) { c.replica.appointments.leavingUntil["c"] = c.now.Add(shutdownExclusionPeriod) }, "[a b d a b c]", "[a b d]"},
-		{"the leader leaves", "node-d", func(c *cluster) { c.replica.departure.waiters = []chan struct{}{nil} }, "[d b c a b c]", "[d b c]"},
+		{"the leader leaves", "node-d", func(c *cluster) { c.replica.leaving.waiters = []chan struct{}{nil} }, "[d b c a b c]", "[d b c]"},
 	} {
 		c := newCluster(t)
 		c.addCandidate(test.node)
@@ -207,7 +207,7 @@
 				c.replica.appointments.releasedAt[id] = time.Now().Add(-ago)
 			}
 			if test.leaderTransferring {
-				c.replica.departure.transferring, c.replica.departure.waiters = true, []chan struct{}{make(chan struct{})}
+				c.replica.leaving.transferring, c.replica.leaving.waiters = true, []chan struct{}{make(chan struct{})}
 			}
 			if reason := c.replica.shutdownBlocker("b"); reason != test.want {
 				t.Errorf("%s: reason %q, want %q", test.name, reason, test.want)
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -66,28 +66,28 @@
 
 	// Identity, storage and Raft. The node is nil until the storage is open and this server belongs
 	// to a cluster or is about to join one.
-	self               raft.Member
-	storage            *storage.Store
-	persisted          storage.Recovered
-	node               *raft.Node
-	state              *state.Store
-	writeQueue         chan storage.WriteRequest
-	writesInFlight     int
-	stopWriter         context.CancelFunc
-	storageOpened      atomic.Bool
-	applyBacklog       bool       // committed entries are left for the next loop iteration, see drainNode
-	roundTrips         roundTrips // to a quorum, while this replica is leader
-	linkTrial          linkTrial  // while this replica is leader
-	linkMeasurement    linkMeasurement
-	sentBytes          byteRate  // to other members
-	storageLagLoggedAt time.Time // when storage lag was last logged
-	identityResets     int
-	digests            digestTracker
-	lastSnapshotIndex  uint64         // of the newest snapshot handed to the storage
-	latestSnapshot     *raft.Snapshot // for lagging followers
-	encodingSnapshot   bool
-	outgoingSnapshots  map[string]*snapshotSender // by the follower's ID
-	incomingSnapshots  map[string]*snapshotReceiver
+	self                raft.Member
+	storage             *storage.Store
+	persisted           storage.Recovered
+	node                *raft.Node
+	state               *state.Store
+	writeQueue          chan storage.WriteRequest
+	writesInFlight      int
+	stopWriter          context.CancelFunc
+	storageOpened       atomic.Bool
+	hasUnappliedEntries bool       // committed entries are left for the next loop iteration, see drainNode
+	roundTrips          roundTrips // to a quorum, while this replica is leader
+	linkTrial           linkTrial  // while this replica is leader
+	linkMeasurement     linkMeasurement
+	sentBytes           byteRate  // to other members
+	storageLagLoggedAt  time.Time // when storage lag was last logged
+	identityResets      int
+	digests             digestTracker
+	lastSnapshotIndex   uint64         // of the newest snapshot handed to the storage
+	latestSnapshot      *raft.Snapshot // for lagging followers
+	encodingSnapshot    bool
+	outgoingSnapshots   map[string]*snapshotSender // by the follower's ID
+	incomingSnapshots   map[string]*snapshotReceiver
 
 	// Other daemons.
 	events          chan loopEvent
@@ -104,18 +104,18 @@
 	stateClock clock.Monotonic
 
 	// Commands and the callers waiting for them.
-	pending       map[uint64]pendingEntry // by log index
-	commands      []state.EncodedCommand  // for the next log entry
-	replies       []commandReply          // to the same commands
-	proposedAt    time.Time
-	statusWaiters map[string][]statusWaiter // by job ID
-	keyWatchers   keyWatchers
-	submitting    map[string]int             // by job ID, proposed and not yet applied
-	cancelWaiters map[string][]replyFunc     // by job ID
-	backlog       map[state.BacklogKey]int64 // as of backlogAt
-	backlogAt     time.Time
-	floodedAt     map[string]time.Time // by tenant, see noteFlood
-	federation    *federation.Settings // nil if federation is disabled
+	pending        map[uint64]pendingEntry // by log index
+	commands       []state.EncodedCommand  // for the next log entry
+	replies        []commandReply          // to the same commands
+	proposedAt     time.Time
+	statusWaiters  map[string][]statusWaiter // by job ID
+	keyWatchers    keyWatchers
+	submitting     map[string]int             // by job ID, proposed and not yet applied
+	cancelWaiters  map[string][]replyFunc     // by job ID
+	backlog        map[state.BacklogKey]int64 // as of backlogAt
+	backlogAt      time.Time
+	floodRefusedAt map[string]time.Time // by tenant, see recordFlood
+	federation     *federation.Settings // nil if federation is disabled
 
 	// Agents connected to this replica, and their assignments.
 	sessions           map[string]*agentSession // by worker ID
@@ -143,7 +143,7 @@
 	configUpdates configUpdates
 	leaseDuration time.Duration
 
-	departure departure
+	leaving leaveProgress
 }
 
 // stateLimits returns the limits from this server's settings. A leader writes them to the log.
@@ -197,7 +197,7 @@
 		stateClock:         clock.NewMonotonic(time.Now()),
 		appointments:       newAppointments(),
 		pendingUpdates:     map[pendingUpdateKey][]replyFunc{},
-		tallies:            tallyService{learnerContacts: map[string]time.Time{}, silent: map[string]bool{}},
+		tallies:            tallyService{learnerContacts: map[string]time.Time{}, loggedSilent: map[string]bool{}},
 	}
 }
 
--- a/internal/server/requests_test.go
+++ b/internal/server/requests_test.go
@@ -127,7 +127,7 @@
 			t.Errorf("completions under another fence: %+v", response)
 		}
 		for i := 0; i < 10000 && !h.replica.state.Workers["w"].LeaseExpired; i++ {
-			h.turn()
+			h.runIteration()
 		}
 		if !h.replica.state.Workers["w"].LeaseExpired {
 			t.Fatal("the lease does not expire")
@@ -169,7 +169,7 @@
 func TestBatchWithUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newLeader(t)
-		h.turn()
+		h.runIteration()
 		var responses []rpc.Response
 		batch := rpc.Batch{Requests: []rpc.Request{
 			{Kind: rpc.KindRenewMembership, Body: transport.Encode(rpc.MembershipLease{Node: "n", Role: "side"})},
@@ -177,9 +177,9 @@
 		}}
 		h.replica.handleRequest(rpc.Request{Kind: rpc.KindBatch, Body: transport.Encode(batch)}, nil, func(response rpc.Response) { responses = append(responses, response) })
 		time.Sleep(time.Second / 10)
-		h.endTurn() // proposed, and not acknowledged
+		h.finishIteration() // proposed, and not acknowledged
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "c", Term: h.replica.node.Term() + 1, Index: 1})
-		h.endTurn()
+		h.finishIteration()
 		if len(responses) != 1 || responses[0].Code != rpc.CodeLeadershipLost || responses[0].Body != nil {
 			t.Errorf("%+v", responses)
 		}
--- a/internal/server/runners_test.go
+++ b/internal/server/runners_test.go
@@ -79,7 +79,7 @@
 		h.replica.handleRequest(rpc.Request{Kind: rpc.KindWatchRunners, Body: body}, nil, func(response rpc.Response) { responses = append(responses, response) })
 		// Another leader has been elected.
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: h.replica.node.Term() + 1})
-		h.endTurn()
+		h.finishIteration()
 		if len(responses) != 1 || responses[0].Code == rpc.CodeOK {
 			t.Errorf("%+v", responses)
 		}
--- a/internal/server/scheduling.go
+++ b/internal/server/scheduling.go
@@ -15,12 +15,12 @@
 
 // planning is the state of the leader's scheduling.
 type planning struct {
-	planner       scheduler.Planner
-	due           bool      // the state has changed since the planner ran
-	proposed      bool      // plans are proposed and not yet applied
-	notBefore     time.Time // no plans before this time, see recordPlanOutcome
-	refusedInARow int       // consecutive times that no plan was applied completely
-	preemptedAt   time.Time
+	planner             scheduler.Planner
+	due                 bool      // the state has changed since the planner ran
+	proposed            bool      // plans are proposed and not yet applied
+	notBefore           time.Time // no plans before this time, see recordPlanOutcome
+	consecutiveRefusals int       // consecutive times that no plan was applied completely
+	preemptedAt         time.Time
 }
 
 // minRuntimeReports is the number of workers that must have reported the duration of their
@@ -34,7 +34,7 @@
 // last ran. Only one set of plans is in flight at a time, since the planner sees only the
 // applied state and would place the same tasks again.
 func (r *Replica) schedule(now time.Time) {
-	if !r.planning.due || r.planning.proposed || r.applyBacklog || now.Before(r.planning.notBefore) {
+	if !r.planning.due || r.planning.proposed || r.hasUnappliedEntries || now.Before(r.planning.notBefore) {
 		return
 	}
 	r.planning.due = false
@@ -69,11 +69,11 @@
 // refused in each loop iteration.
 func (r *Replica) recordPlanOutcome(known, noneComplete bool) {
 	if !noneComplete {
-		r.planning.refusedInARow = 0
+		r.planning.consecutiveRefusals = 0
 		return
 	}
-	r.planning.refusedInARow++
-	if known && r.planning.refusedInARow >= maxConsecutiveRefusals {
+	r.planning.consecutiveRefusals++
+	if known && r.planning.consecutiveRefusals >= maxConsecutiveRefusals {
 		r.planning.notBefore = time.Now().Add(scheduler.StragglerCheckInterval)
 	}
 }
--- a/internal/server/snapshot_test.go
+++ b/internal/server/snapshot_test.go
@@ -38,8 +38,8 @@
 					{Index: 11, Term: 3, Data: appointmentEntry("eleven")}, {Index: 12, Term: 3, Kind: raft.EntryNoop}}})
 				h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 3, Index: 12, LogTerm: 3, Commit: 13, Entries: []raft.Entry{
 					{Index: 13, Term: 3, Data: appointmentEntry("thirteen")}}})
-				h.endTurn()
-				h.endTurn()
+				h.finishIteration()
+				h.finishIteration()
 				for _, zone := range []string{"snapshot", "eleven", "thirteen"} {
 					if _, ok := h.replica.state.Aggregators[zone]; !ok {
 						t.Errorf("zone %q is missing in the state: %v", zone, h.replica.state.Aggregators)
@@ -87,14 +87,14 @@
 func TestReplacedProposalHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		h.becomeLeader()
+		h.electLeader()
 		var replies []bool
 		for range 3 {
 			h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, func(_ state.Outcome, ok bool) { replies = append(replies, ok) })
 		}
 		time.Sleep(time.Second / 10)
 		last := h.replica.node.LastIndex()
-		h.endTurn()
+		h.finishIteration()
 		i := h.replica.node.LastIndex()
 		if i != last+1 || len(h.replica.pending) != 1 {
 			t.Fatalf("want one proposed entry: last index %d after %d, %d entries pending", i, last, len(h.replica.pending))
@@ -102,7 +102,7 @@
 		logTerm, _ := h.replica.node.TermAt(last)
 		h.receive(raft.Message{Kind: raft.MsgAppend, From: "b", Term: 9, Index: last, LogTerm: logTerm, Commit: i,
 			Entries: []raft.Entry{{Index: i, Term: 9, Data: appointmentEntry("z")}}})
-		h.endTurn()
+		h.finishIteration()
 		if len(replies) != 3 || replies[0] || replies[1] || replies[2] {
 			t.Errorf("known outcomes replied: %v, want three unknown ones", replies)
 		}
@@ -114,7 +114,7 @@
 func TestOverwrittenPendingEntryGetsReply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
-		h.becomeLeader()
+		h.electLeader()
 		unknownReplies := 0
 		h.replica.pending[h.replica.node.LastIndex()+1] = pendingEntry{term: 1, replies: []commandReply{func(_ state.Outcome, ok bool) {
 			if !ok {
@@ -123,7 +123,7 @@
 		}}}
 		time.Sleep(time.Second / 10)
 		h.replica.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{}, nil)
-		h.endTurn()
+		h.finishIteration()
 		if unknownReplies != 1 {
 			t.Errorf("earlier caller got %d unknown replies, want 1", unknownReplies)
 		}
@@ -144,7 +144,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t)
 		h.replica.settings.Bounds.SpreadFactor = 2.5
-		h.becomeLeader()
+		h.electLeader()
 		if h.replica.state.Limits != stateLimits(h.replica.settings) || h.replica.state.RemoteFactor() != 2.5 {
 			t.Errorf("limits of the leader are not set in the state: %+v", h.replica.state.Limits)
 		}
--- a/internal/server/snapshot_transfer_test.go
+++ b/internal/server/snapshot_transfer_test.go
@@ -126,7 +126,7 @@
 			}
 			frame := transport.Frame{Kind: frameSnapshotChunk, Body: transport.Encode(chunk)}
 			h.replica.handleEvent(t.Context(), loopEvent{transport: &transport.Event{Frame: frame}})
-			h.endTurn()
+			h.finishIteration()
 		}
 		half := len(data) / 2
 		deliverChunk("a", 0, half)
@@ -163,7 +163,7 @@
 			deliverChunk(chunk)
 			sender.acknowledge(snapshotAck{"a", "b", snapshot.Index, chunk.Offset + len(chunk.Data)}, now)
 		}
-		h.endTurn()
+		h.finishIteration()
 		if h.replica.state.AppliedIndex != 10 {
 			t.Fatalf("applied index is %d, want 10", h.replica.state.AppliedIndex)
 		}
--- a/internal/server/state_tables_test.go
+++ b/internal/server/state_tables_test.go
@@ -46,7 +46,7 @@
 		h.call(rpc.KindAcquireLock, coordination.Acquire{Name: "l", Holder: "a", HoldMs: 3000})
 		h.call(rpc.KindNextNumber, "n")
 		h.call(rpc.KindPutKey, coordination.Put{Key: "g.a", Value: "v"})
-		h.turn()
+		h.runIteration()
 		response := h.call(rpc.KindClusterState, nil)
 		var cluster rpc.ClusterState
 		if response.Code != rpc.CodeOK || transport.Decode(response.Body, &cluster) != nil || !cluster.IsLeader || cluster.Node != "n-a" || cluster.AppliedIndex == 0 {
@@ -83,7 +83,7 @@
 		for _, id := range []string{tenantJobID, strings.Repeat("1", jobIDDigits)} {
 			h.call(rpc.KindSubmitJob, tenantRequest("/r/"+id, "secret"))
 		}
-		h.turn()
+		h.runIteration()
 		table := tenantTable(h.replica.state)
 		for _, row := range table.Rows {
 			text := strings.Trim(fmt.Sprint(row), "[]")
--- a/internal/server/tallies.go
+++ b/internal/server/tallies.go
@@ -65,7 +65,7 @@
 	learnerContacts map[string]time.Time // by member ID: last contact of replicas that are not voters
 	changed         bool                 // there may be something to write or send
 	nextTickAt      time.Time            // when replica.Tick is called next
-	silent          map[string]bool      // by member ID: whether it is silent, as logged last
+	loggedSilent    map[string]bool      // by member ID: whether it is silent, as logged last
 	loggedFileShare float64              // the used share of the file's maximum size that was logged last
 	// differences are those that were logged last.
 	differences tally.Differences
@@ -207,9 +207,9 @@
 	return peers
 }
 
-// tallyWork starts the pending writes and sends the pending messages of the tallies. It returns
+// runTallies starts the pending writes and sends the pending messages of the tallies. It returns
 // the time until it must be called again, 0 if there are no tallies.
-func (r *Replica) tallyWork(ctx context.Context, now time.Time) time.Duration {
+func (r *Replica) runTallies(ctx context.Context, now time.Time) time.Duration {
 	replica := r.tallies.replica
 	if replica == nil {
 		return 0
@@ -258,14 +258,14 @@
 	for _, peer := range r.tallies.replica.Peers() {
 		silent := now.Sub(peer.LastContact) > tallyPeerTimeout
 		switch {
-		case peer.LastContact.IsZero() || silent == r.tallies.silent[peer.ID]:
+		case peer.LastContact.IsZero() || silent == r.tallies.loggedSilent[peer.ID]:
 			continue
 		case silent:
 			_ = r.log.Log("level", "warn", "event", "tally.peer_silent", "disk", peer.ID)
 		default:
 			_ = r.log.Log("level", "info", "event", "tally.peer_heard", "disk", peer.ID, "lacks", peer.Lacks)
 		}
-		r.tallies.silent[peer.ID] = silent
+		r.tallies.loggedSilent[peer.ID] = silent
 	}
 }
 
--- a/internal/server/tenants_test.go
+++ b/internal/server/tenants_test.go
@@ -91,7 +91,7 @@
 		submit("a1", tenantJobID)
 		submit("moved", strings.Repeat("e", jobIDDigits))
 		for i := 0; i < 100 && len(responses) < 2; i++ {
-			h.turn()
+			h.runIteration()
 		}
 		if responses["a1"].Code != rpc.CodeUnauthorized || h.replica.state.Jobs[tenantJobID] != nil {
 			t.Errorf("submission with the revoked key: %+v", responses["a1"])
