--- a/internal/agent/runner_silence_test.go
+++ b/internal/agent/runner_silence_test.go
@@ -80,7 +80,7 @@
 		f.check(0, 1)
 		f.advance(2 * time.Second)
 		f.check(0, 0)
-		for _, c := range f.state.TakeClosedRuns() {
+		for _, c := range f.state.TakeEndedRuns() {
 			if c.Result != "lapsed" {
 				t.Errorf("closed as %s, want lapsed", c.Result)
 			}
--- a/internal/scheduler/requests.go
+++ b/internal/scheduler/requests.go
@@ -98,7 +98,7 @@
 		if len(request.tasks) == 0 {
 			return false
 		}
-		if job.AtPeer() {
+		if job.MayBeAtPeer() {
 			return true
 		}
 		target := job.TargetTurnaroundMs()
--- a/internal/server/apply.go
+++ b/internal/server/apply.go
@@ -107,7 +107,7 @@
 
 // recordCompletions records the runs and jobs that ended with an entry.
 func (r *Replica) recordCompletions(entry raft.Entry) {
-	for _, completed := range r.state.TakeClosedRuns() {
+	for _, completed := range r.state.TakeEndedRuns() {
 		r.trace.Record(completed.Allocation.TaskName(), "end applied", int64(completed.Allocation.Run), completed.Result)
 		if r.leading && completed.Result == state.ResultDone {
 			r.planning.planner.RecordCompletion(r.state, completed.Allocation, completed.ClosedAt)
--- a/internal/server/backlog.go
+++ b/internal/server/backlog.go
@@ -99,7 +99,7 @@
 // addToBacklog adds a job that is proposed to the backlog, until that is measured again.
 func (r *Replica) addToBacklog(call jobCall, job *protocol.Job) {
 	if r.backlog != nil {
-		r.backlog[state.BacklogKey{Service: call.route.TargetService, Tenant: call.tenant, Priority: call.route.Priority}] += state.WorkOf(job)
+		r.backlog[state.BacklogKey{Service: call.route.TargetService, Tenant: call.tenant, Priority: call.route.Priority}] += state.EstimatedWork(job)
 	}
 }
 
--- a/internal/server/debug_log.go
+++ b/internal/server/debug_log.go
@@ -61,7 +61,7 @@
 }
 
 // logRun logs a run that has ended.
-func (r *Replica) logRun(completed state.ClosedRun) {
+func (r *Replica) logRun(completed state.EndedRun) {
 	allocation := completed.Allocation
 	job, worker := r.state.Jobs[allocation.Job], r.state.Workers[allocation.Worker]
 	if job == nil || worker == nil {
--- a/internal/server/federation_work.go
+++ b/internal/server/federation_work.go
@@ -21,7 +21,7 @@
 		peerRoutes[route.LocalRoute] = route.PeerRoute
 	}
 	for _, job := range store.OpenJobs() {
-		if job.AtPeer() {
+		if job.MayBeAtPeer() {
 			transfer := openTransfer(job)
 			transfer.CancelRequested, transfer.Route = job.Transfer.CancelRequested, peerRoutes[job.Route]
 			transfer.Job = protocol.Job{Spec: job.Spec, Steps: job.Steps}
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, job := range store.Jobs {
-		if job.EndedAt != 0 && job.AtPeer() && job.Transfer.State == state.TransferAccepted {
+		if job.EndedAt != 0 && job.MayBeAtPeer() && job.Transfer.State == state.TransferAccepted {
 			transfer := openTransfer(job)
 			transfer.Finished = true
 			work.OpenTransfers = append(work.OpenTransfers, transfer)
--- a/internal/server/job_status.go
+++ b/internal/server/job_status.go
@@ -27,11 +27,11 @@
 	}
 	route, id := call.route, call.id
 	if id == "" {
-		reply(rpc.Response{Code: rpc.CodeOK, Text: "count", Value: int64(r.state.PendingJobs(route.Name))})
+		reply(rpc.Response{Code: rpc.CodeOK, Text: "count", Value: int64(r.state.PendingJobCount(route.Name))})
 		return
 	}
 	if status, ok := r.state.JobStatus(id); ok {
-		if r.state.Jobs[id].InFinalRuns() {
+		if r.state.Jobs[id].AllTasksRunning() {
 			// Its last completions may be in the log and not applied yet, and an
 			// outdated answer costs the client another poll.
 			r.statusWaiters[id] = append(r.statusWaiters[id], statusWaiter{reply, time.Now().Add(statusHoldTimeout)})
@@ -55,7 +55,7 @@
 		job := r.state.Jobs[id]
 		kept := waiters[:0]
 		for _, waiter := range waiters {
-			if wait := waiter.deadline.Sub(now); wait > 0 && job != nil && job.InFinalRuns() && r.leading {
+			if wait := waiter.deadline.Sub(now); wait > 0 && job != nil && job.AllTasksRunning() && r.leading {
 				kept = append(kept, waiter)
 				if untilNext == 0 || wait < untilNext {
 					untilNext = wait
--- a/internal/server/leader.go
+++ b/internal/server/leader.go
@@ -96,7 +96,7 @@
 	}
 	r.enqueueCommand(state.CommandCollectGarbage, &state.CollectGarbage{RebuildUsage: rebuild}, nil)
 	if rebuild {
-		r.enqueueCommand(state.CommandForgetUnused, &state.ForgetUnused{}, nil)
+		r.enqueueCommand(state.CommandRemoveUnused, &state.RemoveUnused{}, nil)
 	}
 }
 
--- a/internal/server/state_tables.go
+++ b/internal/server/state_tables.go
@@ -77,7 +77,7 @@
 		addRow(&devices, device.ID, device.Class, device.Worker, device.Healthy, len(device.Reservations))
 		for _, reservation := range device.Reservations {
 			var until any
-			if reservation.To != state.Forever {
+			if reservation.To != state.OpenEnd {
 				until = reservation.To
 			}
 			addRow(&reservations, device.ID, reservation.Allocation, reservation.From, until)
@@ -99,7 +99,7 @@
 	table := newTable("inboxes", "name", "host", "prefix", "service", "priority", "target_ms", "stretch", "max_rounds", "waiting")
 	for _, route := range store.Configuration.Routes {
 		addRow(&table, route.Name, route.HostName, route.PathPrefix, route.TargetService, route.Priority,
-			route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobs(route.Name))
+			route.TargetMs, route.Stretch, route.MaxAttempts, store.PendingJobCount(route.Name))
 	}
 	return table
 }
--- a/internal/state/apply_plans.go
+++ b/internal/state/apply_plans.go
@@ -65,7 +65,7 @@
 		return true
 	}
 	instance := job.instance(plan.Instance)
-	if instance.Failed || !instance.Steps[plan.Step].Ready || job.AtPeer() {
+	if instance.Failed || !instance.Steps[plan.Step].Ready || job.MayBeAtPeer() {
 		return true
 	}
 	if plan.AllOrNothing {
@@ -111,7 +111,7 @@
 	}
 	s.LastID++
 	id := s.LastID
-	if !s.reserve(lock, id, s.Clock, Forever) || !s.claimResources(worker, spec.CPUUnits, spec.MemoryMB) {
+	if !s.reserve(lock, id, s.Clock, OpenEnd) || !s.claimResources(worker, spec.CPUUnits, spec.MemoryMB) {
 		return false
 	}
 	gpus, ok := s.reserveGPUs(worker, spec.GPUs, id)
--- a/internal/state/apply_plans_test.go
+++ b/internal/state/apply_plans_test.go
@@ -33,7 +33,7 @@
 	if n := f.applyPlan("j", 0, false, placementOn(a, 0)); n != 1 || a.UsedMilliCPU != 15 {
 		t.Fatal("stopping run released its capacity or its task lock")
 	}
-	f.complete("a", "j.0.0.0", 1, "stopped")
+	f.reportCompletion("a", "j.0.0.0", 1, "stopped")
 	if a.UsedMilliCPU != 0 || len(f.store.Allocations) != 0 {
 		t.Fatal("completion of the stopped run did not release its resources")
 	}
@@ -64,8 +64,8 @@
 	if f.applyPlan("j", 0, true, placementOn(a, 0), placementOn(a, 1)) != 0 {
 		t.Fatal("gang that fits was refused")
 	}
-	f.complete("a", "j.0.0.0", 1, "done")
-	if status := f.status(); status != "done" {
+	f.reportCompletion("a", "j.0.0.0", 1, "done")
+	if status := f.jobStatus(); status != "done" {
 		t.Fatalf("status %s after one member of the gang completed, want done", status)
 	}
 }
@@ -80,9 +80,9 @@
 	}
 	for run := 1; run <= 2; run++ {
 		f.applyPlan("j", 0, false, placementOn(a, 0))
-		f.complete("a", "j.0.0.0", run, "failed")
+		f.reportCompletion("a", "j.0.0.0", run, "failed")
 	}
-	if status := f.status(); status != "failed" {
+	if status := f.jobStatus(); status != "failed" {
 		t.Fatalf("status %s after two failed runs, want failed", status)
 	}
 	f.applyPlan("j", 0, false, placementOn(a, 0))
@@ -119,7 +119,7 @@
 		if len(f.store.Allocations) != 2 {
 			t.Fatal("copies of the task were not allocated")
 		}
-		f.complete("a", "j.0.0.0", 1, "stopped")
+		f.reportCompletion("a", "j.0.0.0", 1, "stopped")
 		if len(f.store.Allocations) != 1 || f.store.Allocations[f.store.LastID] == nil {
 			t.Fatal("newer copy of the task was ended instead of the older one")
 		}
--- a/internal/state/backlog.go
+++ b/internal/state/backlog.go
@@ -47,9 +47,9 @@
 	return int64(count) * spec.CPUUnits * max(spec.EstimateMs, 1)
 }
 
-// WorkOf returns the estimated work of a job that has not been submitted yet, as Backlog
+// EstimatedWork returns the estimated work of a job that has not been submitted yet, as Backlog
 // counts it.
-func WorkOf(submitted *protocol.Job) int64 {
+func EstimatedWork(submitted *protocol.Job) int64 {
 	work := int64(0)
 	for i := range submitted.Steps {
 		work += taskWork(&submitted.Steps[i], submitted.Steps[i].TaskCount)
@@ -69,6 +69,6 @@
 			spec.EstimateMs *= (width + maxConcurrentMilliCPU - 1) / maxConcurrentMilliCPU
 		}
 	}
-	job.followRoute(route)
+	job.applyRouteSettings(route)
 	return job.TargetTurnaroundMs()
 }
--- a/internal/state/backlog_test.go
+++ b/internal/state/backlog_test.go
@@ -43,7 +43,7 @@
 	require("submitted", 3*10*100+20*50)
 	f.applyPlan("j", 0, false, placementOn(worker, 0))
 	require("one task runs", 3*10*100+20*50)
-	f.complete("w", TaskName("j", 0, 0, 0), 1, ResultDone)
+	f.reportCompletion("w", TaskName("j", 0, 0, 0), 1, ResultDone)
 	require("one task is done", 2*10*100+20*50)
 	f.apply(&CancelJob{ID: "j"})
 	require("canceled", 0)
--- a/internal/state/cancel_job.go
+++ b/internal/state/cancel_job.go
@@ -18,7 +18,7 @@
 	if job.Canceled || job.ended() {
 		return Outcome{Code: CodeOK}
 	}
-	if job.AtPeer() {
+	if job.MayBeAtPeer() {
 		job.Transfer.CancelRequested = true
 		return Outcome{Code: CodeAccepted}
 	}
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -28,7 +28,7 @@
 	CommandConfirmDigest        = "agree"
 	CommandEvacuateZone         = "evacuate"
 	CommandExpireLeases         = "lapse"
-	CommandForgetUnused         = "forget"
+	CommandRemoveUnused         = "forget"
 	CommandLendCapacity         = "lend"
 	CommandNextNumber           = "number"
 	CommandOfferJob             = "offer"
@@ -61,7 +61,7 @@
 	CommandConfirmDigest:        func() Command { return &ConfirmDigest{} },
 	CommandEvacuateZone:         func() Command { return &EvacuateZone{} },
 	CommandExpireLeases:         func() Command { return &ExpireLeases{} },
-	CommandForgetUnused:         func() Command { return &ForgetUnused{} },
+	CommandRemoveUnused:         func() Command { return &RemoveUnused{} },
 	CommandLendCapacity:         func() Command { return &LendCapacity{} },
 	CommandNextNumber:           func() Command { return &NextNumber{} },
 	CommandPutKey:               func() Command { return &PutKey{} },
--- a/internal/state/confirm_digest.go
+++ b/internal/state/confirm_digest.go
@@ -17,4 +17,4 @@
 }
 
 // TakeConfirmedDigests returns the digests that were confirmed since the last call.
-func (s *Store) TakeConfirmedDigests() []ConfirmDigest { return take(&s.confirmedDigests) }
+func (s *Store) TakeConfirmedDigests() []ConfirmDigest { return takeAll(&s.confirmedDigests) }
--- a/internal/state/device.go
+++ b/internal/state/device.go
@@ -16,8 +16,8 @@
 	ClassLoanSlice = "loan"
 )
 
-// Forever is the end time of a reservation that lasts until its run is known to have ended.
-const Forever = int64(1) << 62
+// OpenEnd is the end time of a reservation that lasts until its run is known to have ended.
+const OpenEnd = int64(1) << 62
 
 // Device is a resource that is reserved as a whole for one allocation or loan at a time.
 type Device struct {
@@ -76,7 +76,7 @@
 func (s *Store) reserveGPUs(worker *Worker, count int, allocation uint64) ([]string, bool) {
 	var gpus []string
 	for i := 0; i < worker.Capacity.GPUs && len(gpus) < count; i++ {
-		if id := gpuDeviceID(worker.ID, i); s.reserve(s.Devices[id], allocation, s.Clock, Forever) {
+		if id := gpuDeviceID(worker.ID, i); s.reserve(s.Devices[id], allocation, s.Clock, OpenEnd) {
 			gpus = append(gpus, id)
 		}
 	}
--- a/internal/state/device_test.go
+++ b/internal/state/device_test.go
@@ -20,7 +20,7 @@
 		{"overlaps the start of another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, 11, false},
 		{"overlaps the end of another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 19, 30, false},
 		{"within another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 14, 15, false},
-		{"around another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, Forever, false},
+		{"around another", &Device{Healthy: true, Reservations: []Reservation{{From: 10, To: 20}}}, 0, OpenEnd, false},
 	} {
 		if got := New(Limits{}).reserve(c.device, 7, c.from, c.to); got != c.want {
 			t.Errorf("%s: reserved %v, want the opposite", c.name, got)
--- a/internal/state/end_run.go
+++ b/internal/state/end_run.go
@@ -12,15 +12,15 @@
 	ResultCrashed      = "crashed"
 )
 
-// ClosedRun is a run that ended, recorded for traces. It is not part of the replicated state.
-type ClosedRun struct {
+// EndedRun is a run that ended, recorded for traces. It is not part of the replicated state.
+type EndedRun struct {
 	Allocation *Allocation
 	Result     string
 	ClosedAt   int64
 }
 
-// TakeClosedRuns returns the runs that ended since the last call.
-func (s *Store) TakeClosedRuns() []ClosedRun { return take(&s.closedRuns) }
+// TakeEndedRuns returns the runs that ended since the last call.
+func (s *Store) TakeEndedRuns() []EndedRun { return takeAll(&s.endedRuns) }
 
 // endRunsOn ends all runs on a worker, the oldest first.
 func (s *Store) endRunsOn(worker *Worker, result string) {
@@ -34,7 +34,7 @@
 func (s *Store) endRun(allocation *Allocation, result, checkpoint string) {
 	s.saveCheckpoint(allocation, checkpoint)
 	s.removeAllocation(allocation)
-	s.closedRuns = append(s.closedRuns, ClosedRun{allocation, result, s.Clock})
+	s.endedRuns = append(s.endedRuns, EndedRun{allocation, result, s.Clock})
 	job := s.Jobs[allocation.Job]
 	if job == nil {
 		return
--- a/internal/state/fixture_test.go
+++ b/internal/state/fixture_test.go
@@ -105,15 +105,15 @@
 	return f.apply(&ApplyPlans{Plans: []Plan{{Job: job, Step: step, AllOrNothing: allOrNothing, Placements: placements}}}).Value
 }
 
-// complete reports the completion of a run as the first completion of a worker.
-func (f *fixture) complete(worker, task string, run int, result string) {
+// reportCompletion reports the completion of a run as the first completion of a worker.
+func (f *fixture) reportCompletion(worker, task string, run int, result string) {
 	f.t.Helper()
 	completions := []protocol.Completion{{Sequence: 1, Task: task, Run: run, Result: result}}
 	f.apply(&ReportCompletions{Worker: worker, Fence: f.store.Workers[worker].Fence, Completions: completions})
 }
 
-// status returns the status of job j, or an empty string if the job does not exist.
-func (f *fixture) status() string {
+// jobStatus returns the status of job j, or an empty string if the job does not exist.
+func (f *fixture) jobStatus() string {
 	status, _ := f.store.JobStatus("j")
 	return status
 }
--- a/internal/state/generator_test.go
+++ b/internal/state/generator_test.go
@@ -293,7 +293,7 @@
 		return &state.StopRuns{Allocations: []uint64{g.allocation().ID, g.allocation().ID}, Reason: g.oneOf("pushed", "stuck")}
 	}},
 	state.CommandCollectGarbage: {2, func(g *generator) state.Command { return &state.CollectGarbage{RebuildUsage: g.Intn(2) == 0} }},
-	state.CommandForgetUnused:   {2, func(*generator) state.Command { return &state.ForgetUnused{} }},
+	state.CommandRemoveUnused:   {2, func(*generator) state.Command { return &state.RemoveUnused{} }},
 	state.CommandCancelJob:      {1, func(g *generator) state.Command { return &state.CancelJob{ID: g.jobID()} }},
 	state.CommandAcquireLock: {2, func(g *generator) state.Command {
 		return &state.AcquireLock{Name: g.oneOf("l1", "l2"), Holder: g.oneOf("a", "b"), HoldMs: int64(g.Intn(400))}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -44,7 +44,7 @@
 		{Name: "ends", Value: &ReportCompletions{Worker: "worker", Fence: 1, Completions: []protocol.Completion{{Sequence: 2, Task: "task", Run: 3, Result: "how", Checkpoint: "saved"}},
 			Checkpoints: []protocol.RunProgress{{Task: "task", Run: 4, Checkpoint: "saved", Percent: 5}}, FromOldest: true}},
 		{Name: "evacuate", Value: &EvacuateZone{Zone: "zone", Evacuated: true, BaseRevision: 1}},
-		{Name: "forget", Value: &ForgetUnused{}},
+		{Name: "forget", Value: &RemoveUnused{}},
 		{Name: "halt", Value: &StopRuns{Allocations: []uint64{1, 2}, Reason: "why"}},
 		{Name: "handin", Value: &SubmitJob{Host: "host", Path: "path", ID: "id", Job: job, DemandBucket: 1}},
 		{Name: "lapse", Value: &ExpireLeases{Workers: []FencedWorker{{ID: "id", Fence: 1}}}},
@@ -205,5 +205,5 @@
 move taken %d
 move released %d
 booking open-end %d
-`, ClassGPU, ClassTaskLock, ClassLoanSlice, TransferNone, TransferOffered, TransferAccepted, TransferReleased, Forever))
+`, ClassGPU, ClassTaskLock, ClassLoanSlice, TransferNone, TransferOffered, TransferAccepted, TransferReleased, OpenEnd))
 }
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -86,12 +86,12 @@
 func (s *Store) newJob(id string, route *clusterconfig.Route, job protocol.Job) *Job {
 	s.LastJobSequence++
 	j := &Job{ID: id, Sequence: s.LastJobSequence, Route: route.Name, Spec: job.Spec, Steps: job.Steps, CreatedAt: s.Clock}
-	j.followRoute(route)
+	j.applyRouteSettings(route)
 	return j
 }
 
-// followRoute copies the route's scheduling settings to the job.
-func (j *Job) followRoute(route *clusterconfig.Route) {
+// applyRouteSettings copies the route's scheduling settings to the job.
+func (j *Job) applyRouteSettings(route *clusterconfig.Route) {
 	j.Service, j.Priority, j.MaxAttempts = route.TargetService, route.Priority, max(route.MaxAttempts, 1)
 	j.Stretch, j.TargetMs = route.Stretch, route.TargetMs
 }
@@ -133,10 +133,10 @@
 // IsGang reports whether a step is gang scheduled: its tasks run all at once or not at all.
 func (j *Job) IsGang(step int) bool { return j.Steps[step].Gang }
 
-// InFinalRuns reports whether every unfinished task of a job has a run, so that the next
+// AllTasksRunning reports whether every unfinished task of a job has a run, so that the next
 // change is either the job's end or a run that must be repeated.
-func (j *Job) InFinalRuns() bool {
-	if j.ended() || j.hasMoreInstances() || j.AtPeer() {
+func (j *Job) AllTasksRunning() bool {
+	if j.ended() || j.hasMoreInstances() || j.MayBeAtPeer() {
 		return false
 	}
 	for _, instance := range j.Instances {
--- a/internal/state/job_test.go
+++ b/internal/state/job_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestInFinalRuns checks that a job is in its final runs only if each unfinished task has a
-// run and no step or instance is still to start.
-func TestInFinalRuns(t *testing.T) {
+// TestAllTasksRunning checks that all tasks of a job count as running only if each unfinished task
+// has a run and no step or instance is still to start.
+func TestAllTasksRunning(t *testing.T) {
 	running, waiting, done := Task{Allocations: []uint64{1}}, Task{}, Task{Done: true}
 	step := func(ready bool, left int, tasks ...Task) StepState {
 		return StepState{Ready: ready, TasksLeft: left, Tasks: tasks}
@@ -68,29 +68,29 @@
 		{"a peer may have the job", Job{Transfer: JobTransfer{State: TransferOffered}}, false},
 		{"the job has ended", Job{EndedAt: 1}, false},
 	} {
-		if got := c.job.InFinalRuns(); got != c.want {
+		if got := c.job.AllTasksRunning(); got != c.want {
 			t.Errorf("%s: in final runs %v, want the opposite", c.name, got)
 		}
 	}
 }
 
-// TestPendingJobsCountsUnstartedJobs checks that a route's pending jobs are those of which no
+// TestPendingJobCountCountsUnstartedJobs checks that a route's pending jobs are those of which no
 // run was allocated, without canceled jobs and jobs of other routes.
-func TestPendingJobsCountsUnstartedJobs(t *testing.T) {
+func TestPendingJobCountCountsUnstartedJobs(t *testing.T) {
 	f := newFixture(t)
 	for i := range 5 {
 		f.submit(fmt.Sprint("j", i), protocol.Step{TaskCount: 1, CPUUnits: 100, MemoryMB: 1})
 	}
-	if n := f.store.PendingJobs("a"); n != 5 {
+	if n := f.store.PendingJobCount("a"); n != 5 {
 		t.Fatalf("%d jobs are pending, want 5", n)
 	}
 	worker := f.addWorker("w", protocol.Resources{CPUUnits: 1000, MemoryMB: 1000})
 	f.applyPlan("j0", 0, false, Placement{Worker: "w", WorkerVersion: worker.Version})
 	f.apply(&CancelJob{ID: "j1"})
-	if n := f.store.PendingJobs("a"); n != 3 {
+	if n := f.store.PendingJobCount("a"); n != 3 {
 		t.Errorf("%d jobs are pending after one started and one was canceled, want 3", n)
 	}
-	if n := f.store.PendingJobs("another"); n != 0 {
+	if n := f.store.PendingJobCount("another"); n != 0 {
 		t.Errorf("%d jobs are pending on another route, want 0", n)
 	}
 }
--- a/internal/state/quota_test.go
+++ b/internal/state/quota_test.go
@@ -87,7 +87,7 @@
 	if refused := f.applyPlan("k", 0, false, placementOn(worker, 0)); refused != 0 {
 		t.Error("a plan of another tenant was refused")
 	}
-	f.complete("w", TaskName("j", 0, 0, 0), 1, ResultDone)
+	f.reportCompletion("w", TaskName("j", 0, 0, 0), 1, ResultDone)
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 2)); refused != 0 {
 		t.Error("the plan was refused although another run has ended")
 	}
@@ -131,7 +131,7 @@
 	f.submitAs("t", "j", protocol.Step{TaskCount: 4, CPUUnits: 10})
 	f.applyPlan("j", 0, false, placementOn(worker, 0), placementOn(worker, 1), placementOn(worker, 2))
 	f.configure(Quota{MilliCPU: 10})
-	f.complete("w", TaskName("j", 0, 0, 0), 1, ResultDone)
+	f.reportCompletion("w", TaskName("j", 0, 0, 0), 1, ResultDone)
 	if refused := f.applyPlan("j", 0, false, placementOn(worker, 3)); refused != 1 || len(f.store.Allocations) != 2 {
 		t.Errorf("%d plans refused and %d allocations, want 1 refused and 2 allocations", refused, len(f.store.Allocations))
 	}
@@ -178,7 +178,7 @@
 			case 2:
 				worker := fmt.Sprint("w", random.Intn(3))
 				if on := f.store.AllocationsOn(worker); len(on) > 0 {
-					f.complete(worker, on[0].TaskName(), on[0].Run, []string{ResultDone, ResultFailed, "stopped"}[random.Intn(3)])
+					f.reportCompletion(worker, on[0].TaskName(), on[0].Run, []string{ResultDone, ResultFailed, "stopped"}[random.Intn(3)])
 				}
 			default:
 				if len(jobs) > 0 {
--- a/internal/state/random_commands_test.go
+++ b/internal/state/random_commands_test.go
@@ -46,7 +46,7 @@
 	case 5:
 		if on := d.store.AllocationsOn(worker.ID); len(on) > 0 {
 			a := on[d.random.Intn(len(on))]
-			d.complete(worker.ID, a.TaskName(), a.Run, []string{ResultDone, ResultFailed, "stopped", ResultLeaseExpired}[d.random.Intn(4)])
+			d.reportCompletion(worker.ID, a.TaskName(), a.Run, []string{ResultDone, ResultFailed, "stopped", ResultLeaseExpired}[d.random.Intn(4)])
 		}
 	case 6:
 		if d.random.Intn(4) == 0 {
--- a/internal/state/forget_unused.go
+++ b/internal/state/remove_unused.go
@@ -9,15 +9,15 @@
 // left as announced. Late heartbeats are refused by it during that time.
 const goneWorkerRetention = 10 * time.Minute
 
-// ForgetUnused removes rows that are no longer referenced: workers that are gone, rows of
+// RemoveUnused removes rows that are no longer referenced: workers that are gone, rows of
 // earlier configurations, and outdated demand history. It is separate from CollectGarbage
 // because logs of earlier versions contain that command, whose effect must not change.
-type ForgetUnused struct {
+type RemoveUnused struct {
 	_ struct{} `cbor:",toarray"`
 }
 
 // Apply removes the rows. The outcome is always CodeOK.
-func (c *ForgetUnused) Apply(s *Store) Outcome {
+func (c *RemoveUnused) Apply(s *Store) Outcome {
 	s.removeGoneWorkers()
 	s.pruneDemandHistory()
 	s.removeEarlierConfigurations()
--- a/internal/state/forget_unused_test.go
+++ b/internal/state/remove_unused_test.go
@@ -41,7 +41,7 @@
 			drain(f)
 			expire(f)
 			f.now += 1000
-			f.apply(&ForgetUnused{})
+			f.apply(&RemoveUnused{})
 			f.addWorker("a", capacity)
 		}, 2 * goneWorkerRetentionMs, true},
 	} {
@@ -50,9 +50,9 @@
 			f.addWorker("a", capacity)
 			c.prepare(f)
 			f.now += 1000
-			f.apply(&ForgetUnused{})
+			f.apply(&RemoveUnused{})
 			f.now += c.afterMs
-			f.apply(&ForgetUnused{})
+			f.apply(&RemoveUnused{})
 			checkInvariants(t, f.store)
 			if kept := f.store.Workers["a"] != nil; kept != c.kept {
 				t.Errorf("row kept: %v, want the opposite", kept)
@@ -79,7 +79,7 @@
 	f.apply(&RegisterWorker{ID: "b", Node: "n-a", Service: "s", LeavesInMs: -1, ReplacesFence: fence})
 	for range 2 {
 		f.now += goneWorkerRetentionMs
-		f.apply(&ForgetUnused{})
+		f.apply(&RemoveUnused{})
 	}
 	if f.store.Workers["a"] != nil {
 		t.Fatal("the worker was not removed")
@@ -119,7 +119,7 @@
 	}
 	replace(2, 3, "dropped")
 	replace(3, 4, "present")
-	f.apply(&ForgetUnused{})
+	f.apply(&RemoveUnused{})
 	requireRows := func(name string, expected bool) {
 		t.Helper()
 		_, service := f.store.Services["s-"+name]
@@ -134,7 +134,7 @@
 	f.apply(&CancelJob{ID: "j"})
 	f.now += 2000
 	f.apply(&CollectGarbage{})
-	f.apply(&ForgetUnused{})
+	f.apply(&RemoveUnused{})
 	requireRows("held", false)
 	requireRows("present", true)
 }
@@ -187,7 +187,7 @@
 			for range 2 {
 				f.now += dayMs / roundsADay / 2
 				f.apply(&CollectGarbage{RebuildUsage: true})
-				f.apply(&ForgetUnused{})
+				f.apply(&RemoveUnused{})
 			}
 		}
 	}
@@ -214,9 +214,9 @@
 		f.apply(&SetEligibility{ID: id, Draining: true, LeavesInMs: 1})
 		f.now += 1000
 		f.apply(&ExpireLeases{Workers: []FencedWorker{{ID: id, Fence: f.store.Workers[id].Fence}}})
-		f.apply(&ForgetUnused{})
+		f.apply(&RemoveUnused{})
 		f.now += goneWorkerRetentionMs
-		f.apply(&ForgetUnused{})
+		f.apply(&RemoveUnused{})
 		f.apply(&CollectGarbage{RebuildUsage: true})
 		if len(f.store.ServiceUsages) > 0 {
 			t.Fatalf("after the removal of worker %d: %d service usage rows, want none", n, len(f.store.ServiceUsages))
--- a/internal/state/replace_configuration.go
+++ b/internal/state/replace_configuration.go
@@ -123,7 +123,7 @@
 	}
 	for _, job := range s.openJobs {
 		if route := s.Routes[job.Route]; route != nil {
-			job.followRoute(route)
+			job.applyRouteSettings(route)
 		}
 	}
 	s.rebuildIndex()
--- a/internal/state/report_completions_test.go
+++ b/internal/state/report_completions_test.go
@@ -59,19 +59,19 @@
 				i, o.Code, o.Value, c.last, len(f.store.Allocations), c.open, o.Text, c.fault)
 		}
 	}
-	if status := f.status(); status != "done" {
+	if status := f.jobStatus(); status != "done" {
 		t.Errorf("job status %s, want done", status)
 	}
 }
 
-// TestLateCompletionsOfClosedRuns checks that a late completion of a run that was ended in
+// TestLateCompletionsOfEndedRuns checks that a late completion of a run that was ended in
 // another way changes only the number of the last completion.
-func TestLateCompletionsOfClosedRuns(t *testing.T) {
+func TestLateCompletionsOfEndedRuns(t *testing.T) {
 	t.Run("lease expired", func(t *testing.T) {
 		f, a := newRunningFixture(t, 1, protocol.Step{})
 		f.apply(&ExpireLeases{Workers: []FencedWorker{{ID: "a", Fence: f.store.Workers["a"].Fence}}})
 		o := f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{doneCompletion(1, 0, 1)}})
-		if status := f.status(); o.Value != 1 || o.Text != "" || status == "done" {
+		if status := f.jobStatus(); o.Value != 1 || o.Text != "" || status == "done" {
 			t.Errorf("after late completion of an expired run: last %d, fault %q, job %s; want 1, no fault, job not done",
 				o.Value, o.Text, status)
 		}
@@ -80,7 +80,7 @@
 		f, a := newRunningFixture(t, 1, protocol.Step{})
 		f.apply(&CancelJob{ID: "j"})
 		f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{doneCompletion(1, 0, 1)}})
-		if status := f.status(); status != "called_off" || len(f.store.Allocations) != 0 || a.UsedMilliCPU != 0 {
+		if status := f.jobStatus(); status != "called_off" || len(f.store.Allocations) != 0 || a.UsedMilliCPU != 0 {
 			t.Errorf("job %s, %d runs open; want called_off and 0", status, len(f.store.Allocations))
 		}
 	})
@@ -88,11 +88,11 @@
 		f, a := newRunningFixture(t, 3, protocol.Step{Gang: true})
 		f.apply(&ReportCompletions{Worker: "a", Fence: a.Fence, Completions: []protocol.Completion{
 			{Task: "j.0.0.1", Run: 1, Result: "lapsed"}, doneCompletion(1, 0, 1), {Sequence: 2, Task: "j.0.0.2", Run: 1, Result: "broken"}}})
-		if status := f.status(); status != "done" || len(f.store.Allocations) != 0 {
+		if status := f.jobStatus(); status != "done" || len(f.store.Allocations) != 0 {
 			t.Errorf("after one member of the gang is done: job %s, %d runs open; want done and 0",
 				status, len(f.store.Allocations))
 		}
-		for _, r := range f.store.TakeClosedRuns() {
+		for _, r := range f.store.TakeEndedRuns() {
 			if !slices.Contains([]string{"lapsed", "done", "broken"}, r.Result) {
 				t.Errorf("run closed with unexpected result %s", r.Result)
 			}
--- a/internal/state/resolve_transfer.go
+++ b/internal/state/resolve_transfer.go
@@ -53,7 +53,7 @@
 		return Outcome{Code: CodeOK}
 	}
 	effect := answerEffects[c.Answer]
-	if job == nil || effect == nil || job.ended() || !job.AtPeer() ||
+	if job == nil || effect == nil || job.ended() || !job.MayBeAtPeer() ||
 		job.Transfer.OfferID != c.OfferID || job.Transfer.Peer != c.Peer {
 		return Outcome{Code: CodeOK, Text: "no longer of interest"}
 	}
--- a/internal/state/scheduling_index.go
+++ b/internal/state/scheduling_index.go
@@ -266,7 +266,7 @@
 
 // TakeNewAllocations returns the IDs of the allocations that were added since the last call.
 // Some of them may have ended. After the index was rebuilt, it returns all allocations.
-func (s *Store) TakeNewAllocations() []uint64 { return take(&s.index.newAllocations) }
+func (s *Store) TakeNewAllocations() []uint64 { return takeAll(&s.index.newAllocations) }
 
 // EachWorkerByFreeCPU calls visit for a service's schedulable workers, in ascending order of
 // their free-CPU classes, until visit returns false. It starts with the class of the given
--- a/internal/state/scheduling_index_test.go
+++ b/internal/state/scheduling_index_test.go
@@ -206,7 +206,7 @@
 		}
 		last = class
 	}
-	for _, milliCPU := range []int64{-5, 0, 1 << 40, Forever, 1<<63 - 1} {
+	for _, milliCPU := range []int64{-5, 0, 1 << 40, OpenEnd, 1<<63 - 1} {
 		if class := freeCPUClass(milliCPU); class < 0 || class >= freeCPUClasses {
 			t.Errorf("%d is in class %d, which is out of range", milliCPU, class)
 		}
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -54,7 +54,7 @@
 	Limits          Limits                       `cbor:"Limits"`
 	Quotas          map[string]Quota             `cbor:"Quotas,omitempty"`  // by tenant; also of earlier configurations
 	JobTenants      map[string]JobTenant         `cbor:"Tenants,omitempty"` // by job
-	GoneWorkers     map[string]int64             `cbor:"Gone,omitempty"`    // when ForgetUnused first found it gone, by ID
+	GoneWorkers     map[string]int64             `cbor:"Gone,omitempty"`    // when RemoveUnused first found it gone, by ID
 	// Coordination holds the applications' locks, counters and keys. It is nil until the
 	// first operation on them.
 	Coordination *coordination.Tables `cbor:"Coordination,omitempty"`
@@ -79,7 +79,7 @@
 	changedRuns         []uint64
 	endedJobs           []*Job
 	confirmedDigests    []ConfirmDigest
-	closedRuns          []ClosedRun
+	endedRuns           []EndedRun
 	undoLog             *[]func() // of the innermost open savepoint; nil if none is open
 	index               schedulingIndex
 }
@@ -203,8 +203,8 @@
 	return job.Status(), true
 }
 
-// PendingJobs returns the number of open jobs of a route that have status StatusPending.
-func (s *Store) PendingJobs(route string) int {
+// PendingJobCount returns the number of open jobs of a route that have status StatusPending.
+func (s *Store) PendingJobCount(route string) int {
 	count := 0
 	for _, job := range s.openJobs {
 		if job.Route == route && job.Status() == StatusPending {
@@ -227,13 +227,13 @@
 // TakeChangedRuns returns the IDs of the allocations whose agents must be notified:
 // those that were added, were marked as stopping, or are in a zone that was evacuated,
 // since the last call.
-func (s *Store) TakeChangedRuns() []uint64 { return take(&s.changedRuns) }
+func (s *Store) TakeChangedRuns() []uint64 { return takeAll(&s.changedRuns) }
 
 // TakeEndedJobs returns the jobs that ended since the last call.
-func (s *Store) TakeEndedJobs() []*Job { return take(&s.endedJobs) }
+func (s *Store) TakeEndedJobs() []*Job { return takeAll(&s.endedJobs) }
 
-// take returns the elements of a list and empties it.
-func take[T any](list *[]T) []T {
+// takeAll returns the elements of a list and empties it.
+func takeAll[T any](list *[]T) []T {
 	taken := *list
 	*list = nil
 	return taken
--- a/internal/state/transfer.go
+++ b/internal/state/transfer.go
@@ -36,8 +36,8 @@
 	Index uint64
 }
 
-// AtPeer reports whether the job was transferred to a peer or may have been accepted by one.
-func (j *Job) AtPeer() bool { return !j.Transfer.Incoming && j.Transfer.State != TransferNone }
+// MayBeAtPeer reports whether the job was transferred to a peer or may have been accepted by one.
+func (j *Job) MayBeAtPeer() bool { return !j.Transfer.Incoming && j.Transfer.State != TransferNone }
 
 // keptForPeer reports whether a job must be retained, even after its end, because its
 // transfer to or from a peer is not complete.
