--- a/internal/server/monitoring.go
+++ b/internal/server/monitoring.go
@@ -87,8 +87,8 @@
 	}
 	if replica := r.tallies.replica; replica != nil {
 		gauges = append(gauges,
-			monitoring.Gauge{Name: "tealpond_tally_adds", Value: float64(replica.Adds())},
-			monitoring.Gauge{Name: "tealpond_tally_file_share", Value: replica.FileShare()})
+			monitoring.Gauge{Name: "tealpond_tally_adds", Value: float64(replica.AddCount())},
+			monitoring.Gauge{Name: "tealpond_tally_file_share", Value: replica.FileUsage()})
 	}
 	return gauges
 }
--- a/internal/server/tallies.go
+++ b/internal/server/tallies.go
@@ -66,7 +66,7 @@
 	changed         bool                 // there may be something to write or send
 	nextTickAt      time.Time            // when replica.Tick is called next
 	loggedSilent    map[string]bool      // by member ID: whether it is silent, as logged last
-	loggedFileShare float64              // the used share of the file's maximum size that was logged last
+	loggedFileUsage float64              // the used share of the file's maximum size that was logged last
 	// differences are those that were logged last.
 	differences tally.Differences
 }
@@ -163,16 +163,16 @@
 func (r *Replica) handleTalliesWritten(written *writtenTallies) {
 	r.tallies.replica.Written(written.fileBytes, time.Now())
 	r.tallies.changed = true
-	share := r.tallies.replica.FileShare()
-	if share < tallyWarningShare || share < r.tallies.loggedFileShare+tallyWarningStep && r.tallies.loggedFileShare > 0 {
+	usage := r.tallies.replica.FileUsage()
+	if usage < tallyWarningShare || usage < r.tallies.loggedFileUsage+tallyWarningStep && r.tallies.loggedFileUsage > 0 {
 		return
 	}
-	r.tallies.loggedFileShare = share
+	r.tallies.loggedFileUsage = usage
 	level := "warn"
-	if share >= 1 {
+	if usage >= 1 {
 		level = "error" // new adds are refused
 	}
-	_ = r.log.Log("level", level, "event", "tallies.filling", "share", math.Round(share*100)/100, "bytes", written.fileBytes)
+	_ = r.log.Log("level", level, "event", "tallies.filling", "share", math.Round(usage*100)/100, "bytes", written.fileBytes)
 }
 
 // handleTallyFrame processes a message of another replica.
@@ -237,7 +237,7 @@
 		return r.node.IsVoter(id) || now.Sub(lastContact) > tallyLearnerTimeout
 	})
 	r.tallies.replica.SetPeers(r.tallyPeers())
-	r.tallies.replica.Abandon(now.Add(-tally.RequestTimeout))
+	r.tallies.replica.DropChangesBefore(now.Add(-tally.RequestTimeout))
 	r.tallies.replica.Tick(now)
 	r.logTallyPeers(now)
 	r.logTallyDifferences()
--- a/internal/tally/cluster_model_test.go
+++ b/internal/tally/cluster_model_test.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		m.replica.Tick(c.now)
-		m.replica.Abandon(c.now.Add(-900 * time.Millisecond))
+		m.replica.DropChangesBefore(c.now.Add(-900 * time.Millisecond))
 		c.crashIf(i, beforeWrite)
 		if !m.diskStalled {
 			if m.writing != nil {
--- a/internal/tally/replica.go
+++ b/internal/tally/replica.go
@@ -108,7 +108,7 @@
 		case r.isRolledBack():
 			done(ResultBehind, Position{})
 			return
-		case r.FileShare() >= 1:
+		case r.FileUsage() >= 1:
 			done(ResultFull, Position{})
 			return
 		}
@@ -118,8 +118,8 @@
 	r.acknowledge(now)
 }
 
-// FileShare returns the file size as a fraction of MaxBytes; 1 or more means full.
-func (r *Replica) FileShare() float64 { return float64(r.fileBytes) / float64(r.config.MaxBytes) }
+// FileUsage returns the file size as a fraction of MaxBytes; 1 or more means full.
+func (r *Replica) FileUsage() float64 { return float64(r.fileBytes) / float64(r.config.MaxBytes) }
 
 // append assigns the next number of this origin to an add.
 //
@@ -327,8 +327,8 @@
 	return r.set.Total(tally), ResultOK
 }
 
-// Abandon drops the changes that were made before a time; they are not answered.
-func (r *Replica) Abandon(before time.Time) {
+// DropChangesBefore drops the changes that were made before a time; they are not answered.
+func (r *Replica) DropChangesBefore(before time.Time) {
 	r.pendingChanges = slices.DeleteFunc(r.pendingChanges, func(c change) bool { return c.since.Before(before) })
 }
 
@@ -360,8 +360,8 @@
 	return states
 }
 
-// Adds returns the number of different IDs among the adds.
-func (r *Replica) Adds() int { return r.set.Len() }
+// AddCount returns the number of different IDs among the adds.
+func (r *Replica) AddCount() int { return r.set.Len() }
 
 // Totals returns the totals of all tallies. The caller must not modify it.
 func (r *Replica) Totals() map[string]int64 { return r.set.Totals() }
