--- a/internal/aggregator/batcher.go
+++ b/internal/aggregator/batcher.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// FailAll sends a response to all unsent requests, when this server can no longer aggregate for its
-// zone.
-func (b *Batcher) FailAll(response rpc.Response) {
+// FailUnsent sends a response to all unsent requests, when this server can no longer aggregate for
+// its zone.
+func (b *Batcher) FailUnsent(response rpc.Response) {
 	for _, unsent := range b.TakeUnsent() {
 		unsent.Reply(response)
 	}
@@ -147,22 +147,23 @@
 	return len(b.renewals) + len(b.requests) + len(b.renewalsInFlight) + len(b.requestsInFlight)
 }
 
-// Unsent is a request that was not sent to the leader, with the function that replies to its agent.
-type Unsent struct {
+// UnsentRequest is a request that was not sent to the leader, with the function that replies to its
+// agent.
+type UnsentRequest struct {
 	Request rpc.Request
 	Reply   Reply
 }
 
 // TakeUnsent removes and returns all unsent requests, when this server has become the leader and
 // handles them itself.
-func (b *Batcher) TakeUnsent() []Unsent {
-	var unsent []Unsent
+func (b *Batcher) TakeUnsent() []UnsentRequest {
+	var unsent []UnsentRequest
 	for _, waiting := range b.renewals {
 		request := rpc.Request{Kind: rpc.KindRenewLease, Body: transport.Encode(&waiting.request)}
-		unsent = append(unsent, Unsent{request, waiting.reply})
+		unsent = append(unsent, UnsentRequest{request, waiting.reply})
 	}
 	for _, waiting := range b.requests {
-		unsent = append(unsent, Unsent{waiting.request, waiting.reply})
+		unsent = append(unsent, UnsentRequest{waiting.request, waiting.reply})
 	}
 	b.renewals, b.requests, b.leaderHasSet = map[string]pendingRenewal{}, nil, false
 	return unsent
--- a/internal/aggregator/batcher_test.go
+++ b/internal/aggregator/batcher_test.go
@@ -127,7 +127,7 @@
 	for _, batch := range delayed {
 		leader.respond(batcher, batch)
 	}
-	batcher.FailAll(rpc.Response{Code: rpc.CodeNotLeader})
+	batcher.FailUnsent(rpc.Response{Code: rpc.CodeNotLeader})
 	for worker, n := range waiting {
 		if n != 0 {
 			t.Errorf("%s: %d requests without a response, want none", worker, n)
--- a/internal/server/aggregation.go
+++ b/internal/server/aggregation.go
@@ -87,7 +87,7 @@
 		return 0
 	}
 	if !r.isAggregating(now) {
-		r.aggregator.FailAll(responseNotLeader)
+		r.aggregator.FailUnsent(responseNotLeader)
 		return 0
 	}
 	batches, untilNext := r.aggregator.DueBatches(now)
--- a/internal/server/identity.go
+++ b/internal/server/identity.go
@@ -45,7 +45,7 @@
 	r.commands, r.replies = nil, nil
 	r.replyToStatusWaiters(now)
 	r.replyToCancelWaiters()
-	r.aggregator.FailAll(responseNotLeader)
+	r.aggregator.FailUnsent(responseNotLeader)
 	r.closeSessions()
 	r.leases, r.pendingAssignments = map[string]*workerLease{}, map[*transport.Stream][]rpc.Assignment{}
 	r.stopWriter()
--- a/internal/server/leave.go
+++ b/internal/server/leave.go
@@ -81,7 +81,7 @@
 // request until the leader releases the server.
 func (r *Replica) requestLeave(ctx context.Context) {
 	r.leaving.releaseRequested = true
-	r.aggregator.FailAll(responseNotLeader)
+	r.aggregator.FailUnsent(responseNotLeader)
 	if !r.node.IsVoter(r.self.ID) && !r.isAppointed(r.self.ID) {
 		r.finishLeaving()
 		return
