--- a/cmd/tealpond/tools.go
+++ b/cmd/tealpond/tools.go
@@ -112,9 +112,9 @@
 	for _, node := range change.Unreachable {
 		p.reportf("%s did not answer; its events are missing", node)
 	}
-	for _, node := range slices.Sorted(maps.Keys(change.RemembersSince)) {
+	for _, node := range slices.Sorted(maps.Keys(change.EventsSince)) {
 		p.reportf("%s has kept only the events since %s", node,
-			time.Unix(0, change.RemembersSince[node]).UTC().Format("15:04:05.000"))
+			time.Unix(0, change.EventsSince[node]).UTC().Format("15:04:05.000"))
 	}
 	if len(change.Steps) == 0 {
 		p.reportf("no events are known for %s", id)
--- a/internal/admin/trace.go
+++ b/internal/admin/trace.go
@@ -22,9 +22,9 @@
 	Steps []TraceStep // ordered by the daemons' clocks
 	// Unreachable are the names of the known daemons that did not respond.
 	Unreachable []string
-	// RemembersSince maps the node name of each daemon that has discarded events to the time from
+	// EventsSince maps the node name of each daemon that has discarded events to the time from
 	// which it has kept them, in nanoseconds since the Unix epoch.
-	RemembersSince map[string]int64
+	EventsSince map[string]int64
 }
 
 // TraceChange collects the events of a change from all daemons. The ID is a job's ID, a task's name
@@ -43,7 +43,7 @@
 	}
 	addresses := slices.Sorted(maps.Keys(nodeNames))
 	responses := callAll(ctx, addresses, rpc.KindTrace, []byte(id))
-	change := ChangeTrace{RemembersSince: map[string]int64{}}
+	change := ChangeTrace{EventsSince: map[string]int64{}}
 	for _, address := range addresses {
 		response, ok := responses[address]
 		var result rpc.TraceResult
@@ -52,7 +52,7 @@
 			continue
 		}
 		if result.Since > 0 {
-			change.RemembersSince[result.Node] = result.Since
+			change.EventsSince[result.Node] = result.Since
 		}
 		for _, event := range result.Events {
 			change.Steps = append(change.Steps, TraceStep{result.Node, event})
