--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -33,7 +33,7 @@
 	// allZonesScopeDuration is how long a daemon keeps watching the runners of all zones after a
 	// service had none in the daemon's own zone.
 	allZonesScopeDuration = 10 * time.Second
-	// minListAge is the lower bound of maxListAge, whatever the settings say.
+	// minListAge is the lower bound of maxRunnerListAge, whatever the settings say.
 	minListAge = 500 * time.Millisecond
 	// changingReadFraction is the fraction of the interval at which the list is read while it
 	// changes.
@@ -58,14 +58,14 @@
 		return nil, err
 	}
 	s.gateway = gateway.New(gateway.Options{
-		Zone:       env.Settings.Zone,
-		Retries:    retryLimit(env.Settings.Bounds),
-		KeyTrust:   keyTrust(env.Settings.Bounds),
-		ProcessID:  env.ProcessID,
-		RateWindow: env.Settings.ShareWindow(counter.DefaultWindow),
-		MaxListAge: maxListAge(&env.Settings),
-		InTouch:    time.Duration(env.Settings.Bounds.InTouchMs) * time.Millisecond,
-		Refresh:    s.refreshConfiguration,
+		Zone:              env.Settings.Zone,
+		Retries:           retryLimit(env.Settings.Bounds),
+		KeyTrustPeriod:    keyTrustPeriod(env.Settings.Bounds),
+		ProcessID:         env.ProcessID,
+		RateWindow:        env.Settings.ShareWindow(counter.DefaultWindow),
+		MaxRunnerListAge:  maxRunnerListAge(&env.Settings),
+		LeaderOutageGrace: time.Duration(env.Settings.Bounds.InTouchMs) * time.Millisecond,
+		Refresh:           s.refreshConfiguration,
 	})
 	return s, nil
 }
@@ -79,10 +79,10 @@
 	}
 }
 
-// maxListAge is how old the list of runners may be if a runner is chosen by the list alone. A
+// maxRunnerListAge is how old the list of runners may be if a runner is chosen by the list alone. A
 // request must not be sent to a draining runner later than drainMs after the platform listed it as
 // draining, and the platform's list lags. 0 means that the settings set no limit.
-func maxListAge(file *settings.File) time.Duration {
+func maxRunnerListAge(file *settings.File) time.Duration {
 	if file.Bounds.DrainMs <= 0 {
 		return 0
 	}
@@ -90,8 +90,9 @@
 	return max(age, minListAge)
 }
 
-// keyTrust is how long a key is accepted without contact with the leader; 0 means without limit.
-func keyTrust(bounds settings.Bounds) time.Duration {
+// keyTrustPeriod is how long a key is accepted without contact with the leader; 0 means without
+// limit.
+func keyTrustPeriod(bounds settings.Bounds) time.Duration {
 	if !bounds.RevokedKeysFail {
 		return 0
 	}
@@ -189,7 +190,7 @@
 // unless a service has none there, so that zone is enough. A daemon with a replica may become the
 // leader and must then know the runners of all zones.
 func (s *Server) runnerScope(watched *runnerWatchState, now time.Time) string {
-	if s.gateway.LacksNearRunners() {
+	if s.gateway.LacksLocalRunners() {
 		watched.runnerMissingAt = now
 	}
 	if s.replica != nil || now.Sub(watched.runnerMissingAt) < allZonesScopeDuration {
@@ -214,7 +215,7 @@
 		response := s.Call(callCtx, rpc.KindWatchRunners, watch)
 		cancel()
 		if response.Code != rpc.CodeOK {
-			s.gateway.NoteLeaderUnreached()
+			s.gateway.RecordLeaderUnreachable()
 			daemon.Pause(ctx, runnerWatchRetryDelay)
 			continue
 		}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -171,7 +171,7 @@
 	_ = s.log.Log("level", "info", "event", "shutdown.begun", "open", draining.Open())
 	s.beginShutdown()
 	if s.gateway != nil {
-		s.gateway.BeginLeaving(draining.RefusesFrom())
+		s.gateway.BeginShutdown(draining.RefusesFrom())
 	}
 	leadershipTransferred := make(chan struct{})
 	go func() {
--- a/internal/gateway/pipeline_test.go
+++ b/internal/gateway/pipeline_test.go
@@ -245,7 +245,7 @@
 	if c.closesAfterResponse() {
 		t.Error("connection closes though the daemon is not shutting down")
 	}
-	h.proxy.BeginLeaving(time.Now().Add(time.Hour))
+	h.proxy.BeginShutdown(time.Now().Add(time.Hour))
 	if c.closesAfterResponse() {
 		t.Error("connection closes though requests were sent ahead")
 	}
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -25,18 +25,18 @@
 type Options struct {
 	Zone    string // of this daemon
 	Retries RetryLimit
-	// KeyTrust is how long API keys are trusted after the leader last confirmed that the
+	// KeyTrustPeriod is how long API keys are trusted after the leader last confirmed that the
 	// configuration is current; 0 means forever.
-	KeyTrust time.Duration
+	KeyTrustPeriod time.Duration
 	// ProcessID identifies this process among those that count tenant requests, and RateWindow
 	// is the time over which tenant rates are enforced.
 	ProcessID  string
 	RateWindow time.Duration
-	// MaxListAge is the maximum age of the runner list for choosing any of its runners (0:
+	// MaxRunnerListAge is the maximum age of the runner list for choosing any of its runners (0:
 	// unlimited). With an older list only runners that responded to this daemon recently are
-	// chosen. The limit does not apply for the duration InTouch after a failed query for
+	// chosen. The limit does not apply for the duration LeaderOutageGrace after a failed query for
 	// changes.
-	MaxListAge, InTouch time.Duration
+	MaxRunnerListAge, LeaderOutageGrace time.Duration
 	// Refresh fetches the current configuration and passes it to SetConfig if it is newer. An
 	// error means that the current configuration is unknown.
 	Refresh func(context.Context) error
@@ -93,7 +93,7 @@
 			ReadBufferSize:      connectionBufferBytes,
 			WriteBufferSize:     connectionBufferBytes,
 		},
-		balancer: newBalancer(options.Zone, listAgeLimit{options.MaxListAge, options.InTouch}),
+		balancer: newBalancer(options.Zone, listAgeLimit{options.MaxRunnerListAge, options.LeaderOutageGrace}),
 		budget:   newRetryBudget(options.Retries),
 		rates:    newTenantRates(options.ProcessID, options.RateWindow, time.Now()),
 		ready:    make(chan struct{}),
@@ -122,7 +122,7 @@
 
 // BeginLeaving records that the daemon is shutting down. Connections close after a response
 // with no forwarded request behind it, and new requests are refused from refusesFrom on.
-func (p *Proxy) BeginLeaving(refusesFrom time.Time) { p.refusesFrom.Store(&refusesFrom) }
+func (p *Proxy) BeginShutdown(refusesFrom time.Time) { p.refusesFrom.Store(&refusesFrom) }
 
 // shuttingDown reports whether the daemon is shutting down.
 func (p *Proxy) shuttingDown() bool { return p.refusesFrom.Load() != nil }
@@ -166,11 +166,11 @@
 // trustsKeys reports whether API keys of the configuration may still be accepted. Without
 // contact with the leader a key may have been revoked in the meantime.
 func (p *Proxy) trustsKeys() bool {
-	if p.options.KeyTrust <= 0 {
+	if p.options.KeyTrustPeriod <= 0 {
 		return true
 	}
 	confirmedAt := p.confirmedAt.Load()
-	return confirmedAt != nil && time.Since(*confirmedAt) < p.options.KeyTrust
+	return confirmedAt != nil && time.Since(*confirmedAt) < p.options.KeyTrustPeriod
 }
 
 // ConfigText returns the text and version of the active configuration; version 0 means there
@@ -208,8 +208,8 @@
 	p.balancer.listAge.confirm(asOf)
 }
 
-// NoteLeaderUnreached records that a query for changes to the list failed.
-func (p *Proxy) NoteLeaderUnreached() {
+// RecordLeaderUnreachable records that a query for changes to the list failed.
+func (p *Proxy) RecordLeaderUnreachable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.balancer.listAge.lastFailureAt = time.Now()
@@ -230,10 +230,10 @@
 // zones may be needed.
 const minLocalRunners = 3
 
-// LacksNearRunners reports whether a service of the configuration has too few runners in this
+// LacksLocalRunners reports whether a service of the configuration has too few runners in this
 // daemon's zone, or more draining than active ones there, so that runners of other zones may
 // be needed soon.
-func (p *Proxy) LacksNearRunners() bool {
+func (p *Proxy) LacksLocalRunners() bool {
 	current := p.routing.Load()
 	if current == nil {
 		return false
--- a/internal/gateway/proxy_test.go
+++ b/internal/gateway/proxy_test.go
@@ -219,7 +219,7 @@
 		{"keys are trusted forever", 0, 0, false, http.StatusOK},
 	} {
 		h := newHarness(t, succeeding)
-		h.proxy.options.KeyTrust = c.trust
+		h.proxy.options.KeyTrustPeriod = c.trust
 		h.config = fmt.Sprintf(testConfig, 2, `,"tenantList":[{"name":"t","apiKeys":["secret"]}]`)
 		if err := h.refresh(context.Background()); err != nil {
 			t.Fatal(err)
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -29,7 +29,7 @@
 	Took time.Duration
 }
 
-// BeginLeaving starts the shutdown of servers with the given times.
+// BeginShutdown starts the shutdown of servers with the given times.
 func BeginLeaving(servers []*Server, times shutdown.Times) *Leaving {
 	now := time.Now()
 	for _, server := range servers {
