--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	httpServer := httpserver.New(loopCtx, listener, httpserver.Options{Handler: router, HeaderTimeout: httpserver.DefaultHeaderTimeout, AnswerTime: httpserver.MaxAnswerTime, IdleTimeout: time.Minute})
+	httpServer := httpserver.New(loopCtx, listener, httpserver.Options{Handler: router, HeaderTimeout: httpserver.DefaultHeaderTimeout, ResponseTimeout: httpserver.MaxResponseTime, IdleTimeout: time.Minute})
 	go httpServer.Serve() // until it is closed
 	go a.discovery.Run(loopCtx)
 	if err := transport.Serve(loopCtx, a.settings.AgentAddress(), a.handleFrame); err != nil {
@@ -68,12 +68,12 @@
 // shutDown closes the listener gracefully. The runner's next call goes to the next process, so its
 // connections are closed without notice.
 func (a *Agent) shutDown(httpServer *httpserver.Server) {
-	leaving := httpserver.BeginLeaving([]*httpserver.Server{httpServer}, shutdown.TimesOf(a.settings.Grace(), 0))
-	_ = a.log.Log("level", "info", "event", "shutdown.begun", "open", leaving.Open())
+	draining := httpserver.BeginShutdown([]*httpserver.Server{httpServer}, shutdown.TimesOf(a.settings.Grace(), 0))
+	_ = a.log.Log("level", "info", "event", "shutdown.begun", "open", draining.Open())
 	nothingToHandOver := make(chan struct{})
 	close(nothingToHandOver)
-	remains := leaving.Finish(nothingToHandOver)
-	_ = a.log.Log("level", "info", "event", "shutdown.ended", "open", remains.Open, "busy", remains.Busy, "took_ms", remains.Took.Milliseconds())
+	result := draining.Finish(nothingToHandOver)
+	_ = a.log.Log("level", "info", "event", "shutdown.ended", "open", result.Open, "busy", result.Busy, "took_ms", result.Duration.Milliseconds())
 }
 
 // followSettings applies reloaded settings until ctx ends.
--- a/internal/api/listeners.go
+++ b/internal/api/listeners.go
@@ -67,16 +67,16 @@
 			return nil, err
 		}
 		options := httpserver.Options{
-			Handler:        listener.handler,
-			HeaderTimeout:  httpserver.DefaultHeaderTimeout,
-			AnswerTime:     httpserver.MaxAnswerTime,
-			IdleTimeout:    listener.idleTimeout,
-			MaxHeaderBytes: maxHeaderBytes,
+			Handler:         listener.handler,
+			HeaderTimeout:   httpserver.DefaultHeaderTimeout,
+			ResponseTimeout: httpserver.MaxResponseTime,
+			IdleTimeout:     listener.idleTimeout,
+			MaxHeaderBytes:  maxHeaderBytes,
 		}
 		if listener.address == addresses.FrontHTTP && s.gateway != nil {
-			options.AnswerTime = 0 // each request has its own time limit
+			options.ResponseTimeout = 0 // each request has its own time limit
 			options.ReceiveBuffer = clientReceiveBuffer
-			options.Wrap, options.ConnContext, options.ClosesItself = s.gateway.Listener, gateway.ConnContext, true
+			options.Wrap, options.ConnContext, options.HandlerClosesConnections = s.gateway.Listener, gateway.ConnContext, true
 		}
 		httpServer := httpserver.New(ctx, socket, options)
 		httpServers = append(httpServers, httpServer)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -167,7 +167,7 @@
 // shutDown shuts this daemon down gracefully.
 func (s *Server) shutDown(httpServers []*httpserver.Server) {
 	s.draining.Store(true)
-	draining := httpserver.BeginLeaving(httpServers, shutdown.TimesOf(s.settings.Grace(), shutdownNotice))
+	draining := httpserver.BeginShutdown(httpServers, shutdown.TimesOf(s.settings.Grace(), shutdownNotice))
 	_ = s.log.Log("level", "info", "event", "shutdown.begun", "open", draining.Open())
 	s.beginShutdown()
 	if s.gateway != nil {
@@ -185,7 +185,7 @@
 
 // logShutdown logs the requests and connections that a graceful shutdown leaves unfinished, and how
 // many requests were forwarded before their turn and then abandoned since the process started.
-func (s *Server) logShutdown(result httpserver.Remains) {
+func (s *Server) logShutdown(result httpserver.ShutdownResult) {
 	level, abandoned := "info", int64(0)
 	if s.gateway != nil {
 		abandoned = s.gateway.AbandonedRequests()
@@ -194,7 +194,7 @@
 		level = "warn"
 	}
 	_ = s.log.Log("level", level, "event", "shutdown.ended", "open", result.Open, "busy", result.Busy,
-		"abandoned", abandoned, "took_ms", result.Took.Milliseconds())
+		"abandoned", abandoned, "took_ms", result.Duration.Milliseconds())
 }
 
 // start starts everything but the HTTP listeners. It runs until ctx ends.
--- a/internal/gateway/exchange.go
+++ b/internal/gateway/exchange.go
@@ -109,7 +109,7 @@
 // deadline the request's context also ends, but the client is still connected.
 func (e *exchange) clientDisconnected() bool {
 	ctx := e.request.Context()
-	return errors.Is(ctx.Err(), context.Canceled) && !errors.Is(context.Cause(ctx), httpserver.ErrEnding)
+	return errors.Is(ctx.Err(), context.Canceled) && !errors.Is(context.Cause(ctx), httpserver.ErrShuttingDown)
 }
 
 // closeConnectionIfLast sets Connection: close on a response if the daemon is shutting down
--- a/internal/gateway/proxy.go
+++ b/internal/gateway/proxy.go
@@ -120,7 +120,7 @@
 	return limited
 }
 
-// BeginLeaving records that the daemon is shutting down. Connections close after a response
+// BeginShutdown records that the daemon is shutting down. Connections close after a response
 // with no forwarded request behind it, and new requests are refused from refusesFrom on.
 func (p *Proxy) BeginShutdown(refusesFrom time.Time) { p.refusesFrom.Store(&refusesFrom) }
 
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -22,25 +22,25 @@
 const (
 	// DefaultHeaderTimeout is the time allowed for receiving the headers of a request.
 	DefaultHeaderTimeout = 3 * time.Second
-	// MaxAnswerTime is the longest time from the head of a request to the end of its response,
+	// MaxResponseTime is the longest time from the head of a request to the end of its response,
 	// except at gateways. It is greater than timing.MaxWatchWait.
-	MaxAnswerTime = time.Minute
+	MaxResponseTime = time.Minute
 )
 
-// ErrEnding is the cancellation cause of the contexts of requests that are still open at the
+// ErrShuttingDown is the cancellation cause of the contexts of requests that are still open at the
 // shutdown deadline. Their clients are still connected and expect a response.
-var ErrEnding = errors.New("daemon is shutting down")
+var ErrShuttingDown = errors.New("daemon is shutting down")
 
 // Options configures a Server.
 type Options struct {
 	Handler       http.Handler
 	HeaderTimeout time.Duration // for the head of a request
 	IdleTimeout   time.Duration // for the next request on a connection
-	// AnswerTime limits the time from a request's head to the end of its response, since a
+	// ResponseTimeout limits the time from a request's head to the end of its response, since a
 	// client that disappeared without closing its connection never reads it. 0: the handler
 	// limits it.
-	AnswerTime     time.Duration
-	MaxHeaderBytes int // 0: the default of net/http
+	ResponseTimeout time.Duration
+	MaxHeaderBytes  int // 0: the default of net/http
 	// ReceiveBuffer limits how many bytes of a connection may be in transit or unread. Data
 	// that many clients send at once must not fill the daemon's link for long, since messages
 	// of other daemons queue behind it. 0: the system's default.
@@ -52,9 +52,9 @@
 	// ConnContext returns the context for the requests of a connection; nil: that of the
 	// server.
 	ConnContext func(context.Context, net.Conn) context.Context
-	// ClosesItself: while the daemon is shutting down, the handler decides with which response
-	// a connection closes, since it may already have forwarded pipelined requests.
-	ClosesItself bool
+	// HandlerClosesConnections: while the daemon is shutting down, the handler decides with which
+	// response a connection closes, since it may already have forwarded pipelined requests.
+	HandlerClosesConnections bool
 }
 
 // Server is an HTTP server of a daemon. It is safe for concurrent use.
@@ -81,7 +81,7 @@
 	s.http = &http.Server{
 		Handler:           s.handler(options.Handler),
 		ReadHeaderTimeout: options.HeaderTimeout,
-		WriteTimeout:      options.AnswerTime,
+		WriteTimeout:      options.ResponseTimeout,
 		IdleTimeout:       options.IdleTimeout,
 		MaxHeaderBytes:    options.MaxHeaderBytes,
 		BaseContext:       func(net.Listener) context.Context { return s.base },
@@ -97,7 +97,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.openRequests.Add(1)
 		defer s.openRequests.Add(-1)
-		if s.shuttingDown.Load() && !s.options.ClosesItself {
+		if s.shuttingDown.Load() && !s.options.HandlerClosesConnections {
 			writer.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(writer, request)
@@ -119,7 +119,7 @@
 // Close closes the listener and all connections immediately.
 func (s *Server) Close() {
 	s.closed.Store(true)
-	s.cancelBase(ErrEnding)
+	s.cancelBase(ErrShuttingDown)
 	_ = s.listener.Close()
 	_ = s.http.Close()
 }
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -120,12 +120,12 @@
 	}
 }
 
-// shutDown shuts the server down; the channel receives what remains.
-func (s *testServer) shutDown(times shutdown.Times) <-chan Remains {
-	handedOver, ended := make(chan struct{}), make(chan Remains, 1)
+// shutDown shuts the server down; the channel receives the result.
+func (s *testServer) shutDown(times shutdown.Times) <-chan ShutdownResult {
+	handedOver, ended := make(chan struct{}), make(chan ShutdownResult, 1)
 	close(handedOver)
-	leaving := BeginLeaving([]*Server{s.server}, times)
-	go func() { ended <- leaving.Finish(handedOver) }()
+	draining := BeginShutdown([]*Server{s.server}, times)
+	go func() { ended <- draining.Finish(handedOver) }()
 	return ended
 }
 
@@ -157,8 +157,8 @@
 		t.Error("response to a request started during the shutdown does not close the connection")
 	}
 	open.wantClosed()
-	if remains := <-ended; remains.Open != 0 || remains.Busy != 0 {
-		t.Errorf("shutdown left %+v", remains)
+	if result := <-ended; result.Open != 0 || result.Busy != 0 {
+		t.Errorf("shutdown left %+v", result)
 	}
 }
 
@@ -294,8 +294,8 @@
 	client = s.dial()
 	client.send("/a")
 	<-s.arrived
-	if remains := <-s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Millisecond}); remains.Busy != 1 {
-		t.Errorf("shutdown left %+v", remains)
+	if result := <-s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Millisecond}); result.Busy != 1 {
+		t.Errorf("shutdown left %+v", result)
 	}
 	client.wantClosed()
 }
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -15,36 +15,36 @@
 	minIdleBeforeClose = 60 * time.Millisecond
 )
 
-// Leaving is a graceful shutdown of all servers of a daemon.
-type Leaving struct {
+// Shutdown is a graceful shutdown of all servers of a daemon.
+type Shutdown struct {
 	servers   []*Server
 	machine   *shutdown.Machine
 	startedAt time.Time
 }
 
-// Remains reports what a shutdown left unfinished.
-type Remains struct {
-	Open int // requests without a complete response
-	Busy int // connections with such a request, or with a response not completely received
-	Took time.Duration
+// ShutdownResult reports what a shutdown left unfinished.
+type ShutdownResult struct {
+	Open     int // requests without a complete response
+	Busy     int // connections with such a request, or with a response not completely received
+	Duration time.Duration
 }
 
 // BeginShutdown starts the shutdown of servers with the given times.
-func BeginLeaving(servers []*Server, times shutdown.Times) *Leaving {
+func BeginShutdown(servers []*Server, times shutdown.Times) *Shutdown {
 	now := time.Now()
 	for _, server := range servers {
 		server.shuttingDown.Store(true)
 	}
-	return &Leaving{servers, shutdown.NewMachine(now, times), now}
+	return &Shutdown{servers, shutdown.NewMachine(now, times), now}
 }
 
 // RefusesFrom returns the time from which new requests are refused.
-func (l *Leaving) RefusesFrom() time.Time { return l.machine.RefusesFrom() }
+func (s *Shutdown) RefusesFrom() time.Time { return s.machine.RefusesFrom() }
 
 // Open returns the number of requests being handled by all servers.
-func (l *Leaving) Open() int {
+func (s *Shutdown) Open() int {
 	open := 0
-	for _, server := range l.servers {
+	for _, server := range s.servers {
 		open += server.Open()
 	}
 	return open
@@ -52,7 +52,7 @@
 
 // Finish shuts the servers down and returns once they are closed. handedOver is closed when
 // the daemon may close its listeners.
-func (l *Leaving) Finish(handedOver <-chan struct{}) Remains {
+func (s *Shutdown) Finish(handedOver <-chan struct{}) ShutdownResult {
 	ticker := time.NewTicker(shutdownCheckInterval)
 	defer ticker.Stop()
 	status, phase := shutdown.Status{}, shutdown.Announcing
@@ -63,44 +63,44 @@
 		default:
 		}
 		now := time.Now()
-		status.Open = l.connections()
-		next := l.machine.Advance(now, status)
+		status.Open = s.connections()
+		next := s.machine.Advance(now, status)
 		if next != phase {
-			l.enter(next)
+			s.enter(next)
 			phase = next
 		}
 		if phase == shutdown.Ended {
 			break
 		}
 		if phase != shutdown.Announcing {
-			l.closeIdle(now)
+			s.closeIdle(now)
 		}
 		<-ticker.C
 	}
-	remains := Remains{Open: l.Open(), Busy: l.busy(), Took: time.Since(l.startedAt)}
-	for _, server := range l.servers {
+	result := ShutdownResult{Open: s.Open(), Busy: s.busy(), Duration: time.Since(s.startedAt)}
+	for _, server := range s.servers {
 		server.Close()
 	}
-	return remains
+	return result
 }
 
 // enter performs the actions at the start of a phase.
-func (l *Leaving) enter(phase shutdown.Phase) {
-	for _, server := range l.servers {
+func (s *Shutdown) enter(phase shutdown.Phase) {
+	for _, server := range s.servers {
 		switch phase {
 		case shutdown.Closing:
 			server.listener.acceptPendingAndClose()
 		case shutdown.Cutting:
 			_ = server.listener.Close()
-			server.cancelBase(ErrEnding)
+			server.cancelBase(ErrShuttingDown)
 		}
 	}
 }
 
 // busy returns the number of connections of all servers that are not idle.
-func (l *Leaving) busy() int {
+func (s *Shutdown) busy() int {
 	busy := 0
-	for _, server := range l.servers {
+	for _, server := range s.servers {
 		busy += server.busy()
 	}
 	return busy
@@ -108,9 +108,9 @@
 
 // connections returns the number of open connections of all servers, plus one for each
 // listener that may still accept more.
-func (l *Leaving) connections() int {
+func (s *Shutdown) connections() int {
 	open := 0
-	for _, server := range l.servers {
+	for _, server := range s.servers {
 		open += len(server.connections())
 		if !server.listener.closed.Load() {
 			open++
@@ -120,8 +120,8 @@
 }
 
 // closeIdle closes the idle connections.
-func (l *Leaving) closeIdle(now time.Time) {
-	for _, server := range l.servers {
+func (s *Shutdown) closeIdle(now time.Time) {
+	for _, server := range s.servers {
 		server.closeIdle(now, minIdleBeforeClose)
 	}
 }
