--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -68,7 +68,7 @@
 // shutDown closes the listener gracefully. The runner's next call goes to the next process, so its
 // connections are closed without notice.
 func (a *Agent) shutDown(httpServer *httpserver.Server) {
-	draining := httpserver.BeginShutdown([]*httpserver.Server{httpServer}, shutdown.TimesOf(a.settings.Grace(), 0))
+	draining := httpserver.BeginShutdown([]*httpserver.Server{httpServer}, shutdown.TimeoutsFor(a.settings.Grace(), 0))
 	_ = a.log.Log("level", "info", "event", "shutdown.begun", "open", draining.Open())
 	nothingToHandOver := make(chan struct{})
 	close(nothingToHandOver)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -167,7 +167,7 @@
 // shutDown shuts this daemon down gracefully.
 func (s *Server) shutDown(httpServers []*httpserver.Server) {
 	s.draining.Store(true)
-	draining := httpserver.BeginShutdown(httpServers, shutdown.TimesOf(s.settings.Grace(), shutdownNotice))
+	draining := httpserver.BeginShutdown(httpServers, shutdown.TimeoutsFor(s.settings.Grace(), shutdownNotice))
 	_ = s.log.Log("level", "info", "event", "shutdown.begun", "open", draining.Open())
 	s.beginShutdown()
 	if s.gateway != nil {
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,8 +19,8 @@
 	"tealpond/internal/shutdown"
 )
 
-// longTimes gives every phase after the first as much time as it needs.
-var longTimes = shutdown.Times{Refuse: time.Hour, Answers: time.Hour}
+// longTimeouts gives every phase after the first as much time as it needs.
+var longTimeouts = shutdown.Timeouts{RefuseAfter: time.Hour, RespondWithin: time.Hour}
 
 // testServer is a server on the loopback interface.
 type testServer struct {
@@ -121,10 +121,10 @@
 }
 
 // shutDown shuts the server down; the channel receives the result.
-func (s *testServer) shutDown(times shutdown.Times) <-chan ShutdownResult {
+func (s *testServer) shutDown(timeouts shutdown.Timeouts) <-chan ShutdownResult {
 	handedOver, ended := make(chan struct{}), make(chan ShutdownResult, 1)
 	close(handedOver)
-	draining := BeginShutdown([]*Server{s.server}, times)
+	draining := BeginShutdown([]*Server{s.server}, timeouts)
 	go func() { ended <- draining.Finish(handedOver) }()
 	return ended
 }
@@ -142,7 +142,7 @@
 	open.send("/a", "/b")
 	<-s.arrived
 	<-s.arrived
-	ended := s.shutDown(longTimes)
+	ended := s.shutDown(longTimeouts)
 	fresh.wantClosed()
 	idle.wantClosed()
 	if conn, err := net.Dial("tcp", s.address); err == nil {
@@ -204,7 +204,7 @@
 			for range s.arrived { // no longer used
 			}
 		}()
-		<-s.shutDown(longTimes)
+		<-s.shutDown(longTimeouts)
 		answers := int64(0)
 		for range clients {
 			answers += <-got
@@ -281,7 +281,7 @@
 	client := s.dial()
 	client.send("/a")
 	<-s.arrived
-	ended := s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Hour})
+	ended := s.shutDown(shutdown.Timeouts{RespondWithin: time.Millisecond, MaxAborting: time.Hour})
 	client.wantResponse(http.StatusGatewayTimeout)
 	<-ended
 
@@ -294,7 +294,7 @@
 	client = s.dial()
 	client.send("/a")
 	<-s.arrived
-	if result := <-s.shutDown(shutdown.Times{Answers: time.Millisecond, Cut: time.Millisecond}); result.Busy != 1 {
+	if result := <-s.shutDown(shutdown.Timeouts{RespondWithin: time.Millisecond, MaxAborting: time.Millisecond}); result.Busy != 1 {
 		t.Errorf("shutdown left %+v", result)
 	}
 	client.wantClosed()
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -29,13 +29,13 @@
 	Duration time.Duration
 }
 
-// BeginShutdown starts the shutdown of servers with the given times.
-func BeginShutdown(servers []*Server, times shutdown.Times) *Shutdown {
+// BeginShutdown starts the shutdown of servers with the given timeouts.
+func BeginShutdown(servers []*Server, timeouts shutdown.Timeouts) *Shutdown {
 	now := time.Now()
 	for _, server := range servers {
 		server.shuttingDown.Store(true)
 	}
-	return &Shutdown{servers, shutdown.NewMachine(now, times), now}
+	return &Shutdown{servers, shutdown.NewMachine(now, timeouts), now}
 }
 
 // RefusesFrom returns the time from which new requests are refused.
@@ -90,7 +90,7 @@
 		switch phase {
 		case shutdown.Closing:
 			server.listener.acceptPendingAndClose()
-		case shutdown.Cutting:
+		case shutdown.Aborting:
 			_ = server.listener.Close()
 			server.cancelBase(ErrShuttingDown)
 		}
--- a/internal/shutdown/machine.go
+++ b/internal/shutdown/machine.go
@@ -13,12 +13,12 @@
 const (
 	// refuseFraction is the fraction of graceS after which a draining daemon starts no new request.
 	refuseFraction = 0.45
-	// answerFraction is the fraction of graceS within which open requests are answered. It is below
+	// respondFraction is the fraction of graceS within which open requests are answered. It is below
 	// 1 because the process must exit before graceS has elapsed.
-	answerFraction = 0.92
-	// cutFraction is the fraction of graceS that handlers have for a final response after
-	// answerFraction.
-	cutFraction = 0.03
+	respondFraction = 0.92
+	// abortFraction is the fraction of graceS that handlers have for a final response after
+	// respondFraction.
+	abortFraction = 0.03
 )
 
 // Phase is a phase of a daemon's shutdown.
@@ -33,30 +33,30 @@
 	// Closing means that no connection is accepted and idle connections are closed.
 	// Requests that were accepted are answered.
 	Closing
-	// Cutting means that the time for open requests has passed. Those that are still open get
+	// Aborting means that the time for open requests has passed. Those that are still open get
 	// a final response.
-	Cutting
+	Aborting
 	// Ended means that the process may exit.
 	Ended
 )
 
-// Times are the time limits of the phases.
-type Times struct {
-	Notice  time.Duration // minimum duration of Announcing
-	Refuse  time.Duration // time after the signal from which on no request is started
-	Answers time.Duration // time after the signal by which requests must be answered
-	Cut     time.Duration // maximum duration of Cutting
+// Timeouts are the time limits of the phases.
+type Timeouts struct {
+	Notice        time.Duration // minimum duration of Announcing
+	RefuseAfter   time.Duration // time after the signal from which on no request is started
+	RespondWithin time.Duration // time after the signal by which requests must be answered
+	MaxAborting   time.Duration // maximum duration of Aborting
 }
 
-// TimesOf derives the time limits from the grace period that operators give a daemon and
+// TimeoutsFor derives the time limits from the grace period that operators give a daemon and
 // the notice period. The notice is limited to a fraction of the grace period.
-func TimesOf(grace, notice time.Duration) Times {
+func TimeoutsFor(grace, notice time.Duration) Timeouts {
 	part := func(fraction float64) time.Duration { return time.Duration(fraction * float64(grace)) }
-	return Times{
-		Notice:  min(notice, part(timing.ShutdownWaitFraction)),
-		Refuse:  part(refuseFraction),
-		Answers: part(answerFraction),
-		Cut:     part(cutFraction),
+	return Timeouts{
+		Notice:        min(notice, part(timing.ShutdownWaitFraction)),
+		RefuseAfter:   part(refuseFraction),
+		RespondWithin: part(respondFraction),
+		MaxAborting:   part(abortFraction),
 	}
 }
 
@@ -73,33 +73,33 @@
 // Machine is the state machine of one daemon's shutdown.
 type Machine struct {
 	startedAt time.Time
-	times     Times
+	timeouts  Timeouts
 	phase     Phase
 }
 
 // NewMachine returns the state machine of a shutdown that starts now.
-func NewMachine(now time.Time, times Times) *Machine {
-	return &Machine{startedAt: now, times: times}
+func NewMachine(now time.Time, timeouts Timeouts) *Machine {
+	return &Machine{startedAt: now, timeouts: timeouts}
 }
 
 // RefusesFrom returns the time from which on no request is started, because it might not
 // be answered in time.
-func (m *Machine) RefusesFrom() time.Time { return m.startedAt.Add(m.times.Refuse) }
+func (m *Machine) RefusesFrom() time.Time { return m.startedAt.Add(m.timeouts.RefuseAfter) }
 
 // Advance returns the phase at the given time and status. A phase never returns to an
 // earlier one.
 func (m *Machine) Advance(now time.Time, status Status) Phase {
 	elapsed := now.Sub(m.startedAt)
-	if m.phase == Announcing && elapsed >= m.times.Notice && status.HandedOver {
+	if m.phase == Announcing && elapsed >= m.timeouts.Notice && status.HandedOver {
 		m.phase = Closing
 	}
 	// The time limit for responses holds even if nothing was handed over.
-	if m.phase < Cutting && elapsed >= m.times.Answers {
-		m.phase = Cutting
+	if m.phase < Aborting && elapsed >= m.timeouts.RespondWithin {
+		m.phase = Aborting
 	}
 	done := m.phase == Closing && status.Open == 0
-	cut := m.phase == Cutting && (status.Open == 0 || elapsed >= m.times.Answers+m.times.Cut)
-	if done || cut {
+	aborted := m.phase == Aborting && (status.Open == 0 || elapsed >= m.timeouts.RespondWithin+m.timeouts.MaxAborting)
+	if done || aborted {
 		m.phase = Ended
 	}
 	return m.phase
--- a/internal/shutdown/machine_test.go
+++ b/internal/shutdown/machine_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// testTimes are the time limits for a grace period of ten seconds.
-var testTimes = TimesOf(10*time.Second, time.Second)
+// testTimeouts are the time limits for a grace period of ten seconds.
+var testTimeouts = TimeoutsFor(10*time.Second, time.Second)
 
 // TestPhasesAdvance checks that phases advance with the status and the time, in whatever
 // order these change, and that none returns to an earlier one.
@@ -24,13 +24,13 @@
 			{time.Second, open, Announcing}, {3 * time.Second, open, Announcing}, {3 * time.Second, handedOver, Closing},
 			{4 * time.Second, open, Closing}, {5 * time.Second, closed, Ended},
 		},
-		"requests are not answered": {{time.Second, handedOver, Closing}, {testTimes.Answers, handedOver, Cutting}, {testTimes.Answers + testTimes.Cut, handedOver, Ended}},
-		"final responses":           {{testTimes.Answers, handedOver, Cutting}, {testTimes.Answers + time.Millisecond, closed, Ended}},
-		"never handed over":         {{testTimes.Answers - 1, open, Announcing}, {testTimes.Answers, open, Cutting}, {testTimes.Answers + testTimes.Cut, open, Ended}},
-		"ended stays ended":         {{testTimes.Answers, closed, Ended}, {testTimes.Answers, open, Ended}},
+		"requests are not answered": {{time.Second, handedOver, Closing}, {testTimeouts.RespondWithin, handedOver, Aborting}, {testTimeouts.RespondWithin + testTimeouts.MaxAborting, handedOver, Ended}},
+		"final responses":           {{testTimeouts.RespondWithin, handedOver, Aborting}, {testTimeouts.RespondWithin + time.Millisecond, closed, Ended}},
+		"never handed over":         {{testTimeouts.RespondWithin - 1, open, Announcing}, {testTimeouts.RespondWithin, open, Aborting}, {testTimeouts.RespondWithin + testTimeouts.MaxAborting, open, Ended}},
+		"ended stays ended":         {{testTimeouts.RespondWithin, closed, Ended}, {testTimeouts.RespondWithin, open, Ended}},
 	} {
 		start := time.Unix(1000, 0)
-		machine := NewMachine(start, testTimes)
+		machine := NewMachine(start, testTimeouts)
 		for i, step := range steps {
 			if got := machine.Advance(start.Add(step.at), step.status); got != step.want {
 				t.Errorf("%s, step %d: phase %v, want %v", name, i, got, step.want)
@@ -44,12 +44,12 @@
 func TestTimesFitIntoGracePeriod(t *testing.T) {
 	for _, grace := range []time.Duration{0, time.Second, 6 * time.Second, time.Minute} {
 		for _, notice := range []time.Duration{0, 500 * time.Millisecond, time.Hour} {
-			times := TimesOf(grace, notice)
-			inOrder := times.Notice <= times.Refuse && times.Refuse <= times.Answers && times.Answers+times.Cut <= grace
+			timeouts := TimeoutsFor(grace, notice)
+			inOrder := timeouts.Notice <= timeouts.RefuseAfter && timeouts.RefuseAfter <= timeouts.RespondWithin && timeouts.RespondWithin+timeouts.MaxAborting <= grace
 			// Operators tolerate aborted requests only in the last sixth of the grace
 			// period.
-			if !inOrder || times.Answers < grace*5/6 {
-				t.Errorf("grace %v, notice %v: %+v", grace, notice, times)
+			if !inOrder || timeouts.RespondWithin < grace*5/6 {
+				t.Errorf("grace %v, notice %v: %+v", grace, notice, timeouts)
 			}
 		}
 	}
