--- a/internal/api/coordination.go
+++ b/internal/api/coordination.go
@@ -174,7 +174,7 @@
 	// A daemon that shuts down ends the watches that it holds, so that clients resume them at
 	// another daemon at once.
 	defer context.AfterFunc(s.shutdownCtx, cancel)()
-	ctx = discovery.WithHold(discovery.WithLeaderTimeout(ctx, coordinationRequestTimeout), wait)
+	ctx = discovery.WithMaxHold(discovery.WithLeaderTimeout(ctx, coordinationRequestTimeout), wait)
 	response := s.Call(ctx, rpc.KindWatchKeys, rpc.KeyWatch{Group: group, After: after, WaitMs: wait.Milliseconds()})
 	return writeCoordinationResponse(c, coordinationRead, response, watchResponseBody)
 }
--- a/internal/api/coordination_test.go
+++ b/internal/api/coordination_test.go
@@ -85,7 +85,7 @@
 func TestShutdownEndsWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestServer(func(ctx context.Context, _ rpc.Request) rpc.Response {
-			if hold := discovery.HoldOf(ctx); hold != 20*time.Second {
+			if hold := discovery.HoldFromContext(ctx); hold != 20*time.Second {
 				t.Errorf("the leader may hold the watch for %v, want 20s", hold)
 			}
 			<-ctx.Done()
--- a/internal/api/leader.go
+++ b/internal/api/leader.go
@@ -82,7 +82,7 @@
 	localReplica func(rpc.Request, func(rpc.Response)), leader func(context.Context, rpc.Request) rpc.Response,
 ) rpc.Response {
 	responses := callLocal(request, localReplica)
-	timer := time.NewTimer(timing.RequestAttemptTimeout + discovery.HoldOf(ctx))
+	timer := time.NewTimer(timing.RequestAttemptTimeout + discovery.HoldFromContext(ctx))
 	defer timer.Stop()
 	maybeAppended := true
 	select {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -318,7 +318,7 @@
 			}
 			return rpc.Response{}, false
 		})
-		ctx, cancel := context.WithTimeout(discovery.WithHold(context.Background(), 3*time.Second), 20*time.Second)
+		ctx, cancel := context.WithTimeout(discovery.WithMaxHold(context.Background(), 3*time.Second), 20*time.Second)
 		defer cancel()
 		answered := make(chan time.Time, 1)
 		start := time.Now()
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -66,7 +66,7 @@
 		timeouts.general = timeout
 	}
 	return &pendingRequest{request: request, reply: make(chan rpc.Response, 1), deadline: deadline,
-		noLeaderDeadline: now.Add(timeouts.general), leaderlessDeadline: now.Add(timeouts.leaderless), done: ctx.Done(), hold: HoldOf(ctx)}
+		noLeaderDeadline: now.Add(timeouts.general), leaderlessDeadline: now.Add(timeouts.leaderless), done: ctx.Done(), hold: HoldFromContext(ctx)}
 }
 
 // wait waits for the response until ctx ends, and responseGracePeriod longer.
--- a/internal/discovery/timeout.go
+++ b/internal/discovery/timeout.go
@@ -8,14 +8,14 @@
 // holdKey is the context key of the hold time.
 type holdKey struct{}
 
-// WithHold returns a context under which the leader may hold requests for the given time before it
+// WithMaxHold returns a context under which the leader may hold requests for the given time before it
 // answers, without being considered unresponsive.
-func WithHold(ctx context.Context, hold time.Duration) context.Context {
+func WithMaxHold(ctx context.Context, hold time.Duration) context.Context {
 	return context.WithValue(ctx, holdKey{}, hold)
 }
 
-// HoldOf returns the hold time of a context, or 0 if it has none.
-func HoldOf(ctx context.Context) time.Duration {
+// HoldFromContext returns the hold time of a context, or 0 if it has none.
+func HoldFromContext(ctx context.Context) time.Duration {
 	hold, _ := ctx.Value(holdKey{}).(time.Duration)
 	return hold
 }
