--- a/cmd/tealpond/daemon.go
+++ b/cmd/tealpond/daemon.go
@@ -59,7 +59,7 @@
 		p.reportf("%v", err)
 		return exitFault
 	}
-	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMb) * memoryLimitFraction * bytesPerMb))
+	debug.SetMemoryLimit(int64(float64(file.Limits.MemoryMB) * memoryLimitFraction * bytesPerMb))
 	debug.SetGCPercent(gcPercent)
 	filtered := levelFilter{log.NewLogfmtLogger(log.NewSyncWriter(p.stderr)), logLevels[flags.logLevel]}
 	logger := log.With(filtered, "node", file.NodeName, "role", role.Name)
--- a/internal/api/gateway.go
+++ b/internal/api/gateway.go
@@ -62,7 +62,7 @@
 		Retries:           retryLimit(env.Settings.Bounds),
 		KeyTrustPeriod:    keyTrustPeriod(env.Settings.Bounds),
 		ProcessID:         env.ProcessID,
-		RateWindow:        env.Settings.ShareWindow(counter.DefaultWindow),
+		RateWindow:        env.Settings.QuotaWindow(counter.DefaultWindow),
 		MaxRunnerListAge:  maxRunnerListAge(&env.Settings),
 		LeaderOutageGrace: time.Duration(env.Settings.Bounds.InTouchMs) * time.Millisecond,
 		Refresh:           s.refreshConfiguration,
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -105,7 +105,7 @@
 		bootstraps:    make(chan bootstrapRequest),
 		leaderContact: newLeaderContact(),
 		limitsStale:   make(chan struct{}, 1),
-		shares:        newTenantShares(env.ProcessID, env.Settings.ShareWindow(counter.DefaultWindow), time.Now()),
+		shares:        newTenantShares(env.ProcessID, env.Settings.QuotaWindow(counter.DefaultWindow), time.Now()),
 	}
 	s.shares.overrun, s.shares.slack = env.Settings.Bounds.QuotaOverrun, env.Settings.Bounds.QuotaSlack
 	s.shutdownCtx, s.beginShutdown = context.WithCancel(context.Background())
--- a/internal/federation/settings.go
+++ b/internal/federation/settings.go
@@ -86,21 +86,21 @@
 		return Settings{}, Error.New("%s: %w", path, err)
 	}
 	if undecoded := metadata.Undecoded(); len(undecoded) > 0 {
-		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: undecoded[0].String(), Fault: "unknown"})
+		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: undecoded[0].String(), Problem: "unknown"})
 	}
-	if field, fault := file.firstInvalidField(); field != "" {
-		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: field, Fault: fault})
+	if field, problem := file.firstInvalidField(); field != "" {
+		return Settings{}, Error.Wrap(&settings.FieldError{Path: path, Field: field, Problem: problem})
 	}
 	return file, nil
 }
 
 // firstInvalidField returns the first invalid field, and what is wrong with it; empty if all are
 // valid.
-func (s *Settings) firstInvalidField() (field, fault string) {
+func (s *Settings) firstInvalidField() (field, problem string) {
 	for _, check := range []struct {
-		field string
-		ok    bool
-		fault string
+		field   string
+		ok      bool
+		problem string
 	}{
 		{"name", s.Name != "", "is missing"},
 		{"bucketS", s.BucketS > 0 && s.DayS >= 2*s.BucketS, "must be above 0 and at most half of dayS"},
@@ -114,11 +114,11 @@
 		{"peers", len(s.Peers) > 0, "must list at least one peer"},
 	} {
 		if !check.ok {
-			return check.field, check.fault
+			return check.field, check.problem
 		}
 	}
-	if field, fault := s.invalidPeerField(); field != "" {
-		return field, fault
+	if field, problem := s.invalidPeerField(); field != "" {
+		return field, problem
 	}
 	for _, route := range s.Routes {
 		switch {
@@ -131,8 +131,8 @@
 	return "", ""
 }
 
-// invalidPeerField returns the first fault of the peers.
-func (s *Settings) invalidPeerField() (field, fault string) {
+// invalidPeerField returns the first problem of the peers.
+func (s *Settings) invalidPeerField() (field, problem string) {
 	seenNames := map[string]bool{}
 	for _, peer := range s.Peers {
 		switch {
--- a/internal/federation/settings_test.go
+++ b/internal/federation/settings_test.go
@@ -41,8 +41,8 @@
 		if err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%v: %v, want %s", edit, err, field)
 		}
-		var fault *settings.FieldError
-		if !errors.As(err, &fault) || "field "+fault.Field != field || fault.Path != "f" {
+		var problem *settings.FieldError
+		if !errors.As(err, &problem) || "field "+problem.Field != field || problem.Path != "f" {
 			t.Errorf("%v: %#v", edit, err)
 		}
 	}
--- a/internal/server/replica.go
+++ b/internal/server/replica.go
@@ -166,7 +166,7 @@
 	r.events, r.ended = make(chan loopEvent, eventQueueLength), make(chan struct{})
 	r.writeQueue = make(chan storage.WriteRequest, storage.QueueLength)
 	r.leaderClient = leaderClient
-	r.counts = newCounts(env.ProcessID, env.Settings.ShareWindow(counter.DefaultWindow), time.Now())
+	r.counts = newCounts(env.ProcessID, env.Settings.QuotaWindow(counter.DefaultWindow), time.Now())
 	r.leaseDuration = env.Settings.LeaseDuration(timing.MaxLeaseDuration)
 	r.SetSeeds(env.Settings.SeedAddresses())
 	r.bootstrap.MinVoters, r.bootstrap.Restarted = 2*env.Settings.Tolerance.LostMachines+1, !env.Settings.FirstStart
--- a/internal/server/tallies.go
+++ b/internal/server/tallies.go
@@ -125,9 +125,9 @@
 // maxTallyBytes returns the maximum size of the tallies file in bytes. It is bounded by the disk,
 // and by the memory that its adds take while the process runs.
 func maxTallyBytes(limits settings.Limits) int64 {
-	maxMB := float64(limits.MemoryMb) * tallyMemoryShare
-	if limits.DiskMb > 0 {
-		maxMB = min(maxMB, float64(limits.DiskMb)*tallyDiskShare)
+	maxMB := float64(limits.MemoryMB) * tallyMemoryShare
+	if limits.DiskMB > 0 {
+		maxMB = min(maxMB, float64(limits.DiskMB)*tallyDiskShare)
 	}
 	return int64(maxMB * bytesPerMB)
 }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -19,7 +19,7 @@
 		InnerPortRange: []int{7720, 7735}, SeedNodes: []string{"10.1.0.11:8166", "10.1.0.12:8166"}, FirstStart: true, LossCounts: true,
 		DataDir: "/data", HeartbeatIntervalMs: 501, AssignmentProtocol: "duty_call", RunnerAddress: "10.1.0.10:8165", TargetService: "service",
 		ListenAddresses: ListenAddresses{FrontHTTP: "10.1.0.10:8161", Readiness: "10.1.0.10:8167", Control: "10.1.0.10:8166"},
-		Limits:          Limits{CPUShare: 0.5, MemoryMb: 284, MaxFileDescriptors: 1024, DiskMb: 300},
+		Limits:          Limits{CPUShare: 0.5, MemoryMB: 284, MaxFileDescriptors: 1024, DiskMB: 300},
 		Tolerance:       Tolerance{LostMachines: 1},
 		Bounds: Bounds{InTouchMs: 3001, GraceS: 6.5, MaxLeaseMs: 6002, StopGraceMs: 403, DrainMs: 2508, GangWaitMs: 3004, EarlyMs: 105, StatusS: 120.5,
 			SpreadFactor: 1.5, QuotaWindowS: 5.5, QuotaOverrun: 0.15, QuotaSlack: 16.5, RestoreMs: 4006, ConfigApplyMs: 2007, EvacuateMs: 5009, HistoryS: 20.5, FreeAfterMs: 1501, CheckpointEveryS: 1.25},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,9 +32,9 @@
 // Limits are the resource limits of the machine.
 type Limits struct {
 	CPUShare           float64 `toml:"cpuShare"` // fraction of one core
-	MemoryMb           int     `toml:"memoryMb"` // in units of 2^20 bytes
+	MemoryMB           int     `toml:"memoryMb"` // in units of 2^20 bytes
 	MaxFileDescriptors int     `toml:"maxFds"`
-	DiskMb             int     `toml:"diskMb"`
+	DiskMB             int     `toml:"diskMb"`
 }
 
 // Tolerance is the number of simultaneous failures under which all guarantees must hold.
@@ -170,8 +170,8 @@
 		return File{}, Error.New("%s: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	for _, check := range fieldChecks {
-		if fault := check.fault(&file); fault != "" {
-			return File{}, Error.Wrap(&FieldError{Path: path, Field: check.field, Fault: fault})
+		if problem := check.problem(&file); problem != "" {
+			return File{}, Error.Wrap(&FieldError{Path: path, Field: check.field, Problem: problem})
 		}
 	}
 	return file, nil
@@ -231,9 +231,9 @@
 	return time.Duration(f.Bounds.HistoryS * float64(time.Second))
 }
 
-// ShareWindow returns the window in which the rates of tenants are counted, or fallback
+// QuotaWindow returns the window in which the rates of tenants are counted, or fallback
 // if the file sets none.
-func (f *File) ShareWindow(fallback time.Duration) time.Duration {
+func (f *File) QuotaWindow(fallback time.Duration) time.Duration {
 	if f.Bounds.QuotaWindowS <= 0 {
 		return fallback
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -72,13 +72,13 @@
 // TestFieldErrorsAreTyped checks that callers can distinguish an invalid field from a
 // file that can't be read.
 func TestFieldErrorsAreTyped(t *testing.T) {
-	var fault *FieldError
+	var problem *FieldError
 	_, err := Parse("f.toml", []byte(strings.Replace(validFile, "memoryMb = 284", "memoryMb = 0", 1)))
-	if !errors.As(err, &fault) || fault.Field != "limits.memoryMb" || fault.Path != "f.toml" {
+	if !errors.As(err, &problem) || problem.Field != "limits.memoryMb" || problem.Path != "f.toml" {
 		t.Errorf("%#v", err)
 	}
 	_, err = Load("testdata/absent.toml")
-	if errors.As(err, &fault) || !errors.Is(err, fs.ErrNotExist) || !Error.Has(err) {
+	if errors.As(err, &problem) || !errors.Is(err, fs.ErrNotExist) || !Error.Has(err) {
 		t.Errorf("%#v", err)
 	}
 }
--- a/internal/simulation/daemons.go
+++ b/internal/simulation/daemons.go
@@ -77,7 +77,7 @@
 	if c.tallies {
 		file.Contracts = []string{settings.ContractJobs, settings.ContractTallies}
 	}
-	file.Limits.MemoryMb = 284
+	file.Limits.MemoryMB = 284
 	file.ListenAddresses.Control = address(n.ip, controlPort)
 	if n.role == agentRole {
 		file.Serves = []string{agentRole}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -170,7 +170,7 @@
 func (r *run) settings() settings.File {
 	file := settings.File{
 		Contracts: []string{"base", "config", "drain"},
-		Limits:    settings.Limits{MemoryMb: r.options.MemoryMb},
+		Limits:    settings.Limits{MemoryMB: r.options.MemoryMb},
 		Tolerance: settings.Tolerance{LostMachines: 1},
 		Bounds:    settings.Bounds{GraceS: r.options.Grace.Seconds(), InTouchMs: inTouch.Milliseconds(), DrainMs: 3000, ConfigApplyMs: 3000, RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 192},
 	}
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -160,7 +160,7 @@
 	return settings.File{
 		HeartbeatIntervalMs: heartbeatInterval.Milliseconds(), AssignmentProtocol: "duty_call", TargetService: service,
 		Contracts: []string{"base", "config", "drain", settings.ContractJobs},
-		Limits:    settings.Limits{MemoryMb: 256},
+		Limits:    settings.Limits{MemoryMB: 256},
 		Tolerance: settings.Tolerance{LostMachines: 1},
 		Bounds: settings.Bounds{InTouchMs: 3000, GraceS: 6, MaxLeaseMs: 6000, StopGraceMs: 400, DrainMs: 2000, GangWaitMs: 3000, StatusS: 120,
 			SpreadFactor: 1.5, CheckpointEveryS: 1, ConfigApplyMs: 2000, HistoryS: 20, FreeAfterMs: releaseBound.Milliseconds()},
