--- a/internal/agent/monitoring.go
+++ b/internal/agent/monitoring.go
@@ -27,7 +27,7 @@
 // gauges collects the metrics; it must be called in the event loop.
 func (a *Agent) gauges() []monitoring.Gauge {
 	gauges := []monitoring.Gauge{
-		{Name: "tealpond_runner_known", Value: monitoring.Flag(a.session != nil)},
+		{Name: "tealpond_runner_known", Value: monitoring.BoolValue(a.session != nil)},
 		{Name: "tealpond_runner_calls_in_flight", Value: float64(a.callsInFlight)},
 	}
 	session := a.session
@@ -37,8 +37,8 @@
 	leaseLeft := time.Duration(session.workerLeaseUntilMs-session.estimatedClockMs(a.now)) * time.Millisecond
 	return append(gauges,
 		monitoring.Gauge{Name: "tealpond_fence", Value: float64(session.fence)},
-		monitoring.Gauge{Name: "tealpond_runner_silent", Value: monitoring.Flag(session.silent(a.now))},
-		monitoring.Gauge{Name: "tealpond_runner_leaving", Value: monitoring.Flag(a.isLeaving(session))},
+		monitoring.Gauge{Name: "tealpond_runner_silent", Value: monitoring.BoolValue(session.silent(a.now))},
+		monitoring.Gauge{Name: "tealpond_runner_leaving", Value: monitoring.BoolValue(a.isLeaving(session))},
 		monitoring.Gauge{Name: "tealpond_worker_lease_left_seconds", Value: max(leaseLeft, 0).Seconds()},
 		monitoring.Gauge{Name: "tealpond_runs", Value: float64(len(session.runs))},
 		monitoring.Gauge{Name: "tealpond_completions_read", Value: float64(session.readSequence)},
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -270,8 +270,8 @@
 // WriteMetrics writes the metrics of this daemon. It implements monitoring.Source.
 func (s *Server) WriteMetrics(ctx context.Context, w io.Writer) {
 	gauges := []monitoring.Gauge{
-		{Name: "tealpond_ready", Value: monitoring.Flag(s.ready())},
-		{Name: "tealpond_leader_heard", Value: monitoring.Flag(s.leaderContact.reachedWithin(timing.LeaderContactTimeout))},
+		{Name: "tealpond_ready", Value: monitoring.BoolValue(s.ready())},
+		{Name: "tealpond_leader_heard", Value: monitoring.BoolValue(s.leaderContact.reachedWithin(timing.LeaderContactTimeout))},
 		{Name: "tealpond_config_version_heard", Value: float64(s.newestVersion.Load())},
 	}
 	if s.gateway != nil {
--- a/internal/monitoring/gauges.go
+++ b/internal/monitoring/gauges.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Flag returns the gauge value of a boolean: 1 for true and 0 for false.
-func Flag(on bool) float64 {
+// BoolValue returns the gauge value of a boolean: 1 for true and 0 for false.
+func BoolValue(on bool) float64 {
 	if on {
 		return 1
 	}
--- a/internal/monitoring/server_test.go
+++ b/internal/monitoring/server_test.go
@@ -40,7 +40,7 @@
 	_ = free.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	source := sourceFunc(func(w io.Writer) {
-		WriteGauges(w, []Gauge{{"tealpond_leader", Flag(true)}, {"tealpond_follower", Flag(false)}, {"tealpond_wait_seconds", 1.5}})
+		WriteGauges(w, []Gauge{{"tealpond_leader", BoolValue(true)}, {"tealpond_follower", BoolValue(false)}, {"tealpond_wait_seconds", 1.5}})
 	})
 	if err := Serve(ctx, ip, Endpoint{port, "/metrics"}, source); err != nil {
 		t.Fatal(err)
--- a/internal/server/monitoring.go
+++ b/internal/server/monitoring.go
@@ -32,7 +32,7 @@
 // gauges returns the gauges of this replica. It must be called in the loop.
 func (r *Replica) gauges(now time.Time) []monitoring.Gauge {
 	gauges := []monitoring.Gauge{
-		{Name: "tealpond_storage_open", Value: monitoring.Flag(r.StorageOpened())},
+		{Name: "tealpond_storage_open", Value: monitoring.BoolValue(r.StorageOpened())},
 		{Name: "tealpond_loop_events_waiting", Value: float64(len(r.events))},
 		{Name: "tealpond_storage_writes_in_flight", Value: float64(r.writesInFlight)},
 	}
@@ -56,9 +56,9 @@
 		{Name: "tealpond_raft_applied_index", Value: float64(r.state.AppliedIndex)},
 		{Name: "tealpond_raft_snapshot_index", Value: float64(r.lastSnapshotIndex)},
 		{Name: "tealpond_raft_voters", Value: float64(len(r.node.Voters()))},
-		{Name: "tealpond_raft_votes", Value: monitoring.Flag(r.node.IsVoter(r.self.ID))},
-		{Name: "tealpond_raft_leader", Value: monitoring.Flag(r.leadsWithLease(now))},
-		{Name: "tealpond_raft_leader_known", Value: monitoring.Flag(r.node.Leader() != "")},
+		{Name: "tealpond_raft_votes", Value: monitoring.BoolValue(r.node.IsVoter(r.self.ID))},
+		{Name: "tealpond_raft_leader", Value: monitoring.BoolValue(r.leadsWithLease(now))},
+		{Name: "tealpond_raft_leader_known", Value: monitoring.BoolValue(r.node.Leader() != "")},
 	}
 }
 
