--- a/internal/rpc/codes.go
+++ b/internal/rpc/codes.go
@@ -53,7 +53,7 @@
 	CodeTooManyRequests Code = 429
 	// CodeUnavailable: the replica cannot serve the request at the moment.
 	CodeUnavailable Code = 503
-	// CodeOutcomeForgotten: the request was decided so long ago that its outcome
+	// CodeOutcomeExpired: the request was decided so long ago that its outcome
 	// is no longer stored.
-	CodeOutcomeForgotten Code = 504
+	CodeOutcomeExpired Code = 504
 )
--- a/internal/server/coordination_test.go
+++ b/internal/server/coordination_test.go
@@ -187,7 +187,7 @@
 			rpc.KindAcquireLock: coordination.Acquire{Name: "new", Holder: "a", HoldMs: 3000},
 			rpc.KindPutKey:      coordination.Put{Key: "g.new", Value: "v"},
 		} {
-			if response := h.call(kind, body); response.Code != rpc.CodeOutcomeForgotten || response.Text == "" {
+			if response := h.call(kind, body); response.Code != rpc.CodeOutcomeExpired || response.Text == "" {
 				t.Errorf("%s: %+v", kind, response)
 			}
 		}
