--- a/internal/discovery/aggregator.go
+++ b/internal/discovery/aggregator.go
@@ -30,7 +30,7 @@
 }
 
 // backOff records a failure of the daemon at addr and sets the time until which it is not
-// retried, with exponential backoff.
+// retried, with exponential backoff. It does nothing unless Options.PreferAggregator is set.
 func (c *Client) backOff(addr string) {
 	if !c.options.PreferAggregator || addr == "" {
 		return
@@ -77,7 +77,7 @@
 	case result.stream == nil || result.stream.Closed():
 		c.backOff(result.addr)
 	case c.stream == nil || c.searching:
-		// A leader search is in progress, and its outcome takes precedence.
+		// A leader search is in progress or about to start, and its outcome takes precedence.
 		result.stream.Close()
 	default:
 		c.useStream(result.stream, result.addr)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -25,7 +25,7 @@
 	// announce none.
 	SelfAddress string
 	// Seeds are the addresses of daemons that each search for the leader may probe, after the servers
-	// learnt from earlier answers.
+	// named in earlier answers.
 	Seeds []string
 	// PreferAggregator makes the client connect to the aggregator of its zone, which responses
 	// name, and fall back to the leader when the aggregator fails.
@@ -53,13 +53,13 @@
 	now             time.Time
 	stream          *transport.Stream // to the leader or to the zone's aggregator; nil while disconnected
 	address         string            // of the peer of the current or, if disconnected, the last stream
-	lastFrameAt     time.Time         // when the last frame of the stream arrived
+	lastFrameAt     time.Time         // when the last frame arrived, or when the stream became the current one
 	pending         map[uint64]*pendingRequest
 	lastRequestID   uint64 // ID of the newest request
 	largestResponse int    // size in bytes of the largest response so far, which is a whole configuration
 
 	seeds          []string
-	knownServers   []string  // addresses learnt from other daemons, most recent first
+	knownServers   []string  // server addresses, the most recently recorded first
 	leader         string    // last known leader
 	disconnectedAt time.Time // since when there has been no stream
 	searchFailedAt time.Time // end of the last complete search that found no leader; zero once connected
@@ -112,8 +112,8 @@
 // AddServer records the address of a server. It is safe for concurrent use.
 func (c *Client) AddServer(addr string) { c.post(clientEvent{server: addr}) }
 
-// KnownServers returns the recently learnt server addresses and the last known leader, or nil if
-// the loop has returned. It waits for the loop to answer and is safe for concurrent use.
+// KnownServers returns the known server addresses, most recent first, and the last known leader, or nil
+// if the loop has returned. It waits for the loop to answer and is safe for concurrent use.
 func (c *Client) KnownServers() []string {
 	servers := make(chan []string, 1)
 	c.post(clientEvent{knownServers: servers})
@@ -133,8 +133,8 @@
 	}
 }
 
-// Introduce announces this server's address to the seeds by probing them. Seeds without a disk
-// know no servers after a restart of all daemons. It does not wait for answers.
+// Introduce announces this server's address to the seeds by probing them, without waiting for
+// answers. This is needed because seeds without a disk know no servers after all daemons restart.
 func (c *Client) Introduce(ctx context.Context, seeds []string) {
 	for _, addr := range seeds {
 		if addr == c.options.SelfAddress {
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -8,5 +8,5 @@
 // leader processed it) or rpc.CodeTimeout (a leader may have processed it).
 //
 // The package takes no part in leader election, never acknowledges a request on
-// behalf of the leader, and stores nothing beyond the life of the process.
+// behalf of the leader, and keeps its state only in memory.
 package discovery
--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -17,8 +17,8 @@
 	// the time-out of an attempt is computed: half of a 2 Mbit/s link, as the other half is left to
 	// other traffic.
 	minLinkBytesPerSecond = 125_000
-	// leaderWaitTimeout is how long a request waits for a leader unless its kind sets another limit;
-	// an election takes about as long.
+	// leaderWaitTimeout is how long a request waits for a leader unless its kind sets another limit; it
+	// is slightly longer than timing.ExpectedElectionTime.
 	leaderWaitTimeout = 1300 * time.Millisecond
 	// knownNoLeaderWait is how long a client's request waits for a leader while it is known that none is
 	// reachable.
@@ -42,7 +42,7 @@
 	reply    chan rpc.Response
 	deadline time.Time
 	// noLeaderDeadline is when a request that no leader can have processed fails;
-	// leaderlessDeadline replaces it while no leader is known to be reachable.
+	// leaderlessDeadline replaces it while the client knows that no leader is reachable.
 	noLeaderDeadline, leaderlessDeadline time.Time
 	sentAt                               time.Time // zero while not in flight
 	// unansweredAttempts counts the attempts that a leader may have processed.
@@ -94,8 +94,8 @@
 	p.reply <- rpc.Response{Code: code}
 }
 
-// leaderTimeouts is how long a request waits for a leader: in general, and while no leader is
-// known to be reachable.
+// leaderTimeouts is how long a request waits for a leader: in general, and while the client knows
+// that no leader is reachable.
 type leaderTimeouts struct{ general, leaderless time.Duration }
 
 // leaderTimeoutsByKind sets time-outs by the kind of request. A rejection during an election costs
@@ -109,9 +109,10 @@
 	rpc.KindGetConfig: {operatorLeaderWait, 0},
 }
 
-// Call encodes the body and sends the request to the leader, retrying until ctx ends. The
-// response's code is rpc.CodeNoLeader if no leader processed the request, rpc.CodeTimeout if one may
-// have processed it, and the leader's code otherwise. It is safe for concurrent use.
+// Call encodes the body and sends the request to the leader. It retries until the request is
+// answered, ctx ends or the wait for a leader times out. The response's code is rpc.CodeNoLeader if no
+// leader processed the request, rpc.CodeTimeout if one may have processed it, and the leader's code
+// otherwise. It is safe for concurrent use.
 func (c *Client) Call(ctx context.Context, kind string, body any) rpc.Response {
 	return c.Do(ctx, rpc.Request{Kind: kind, Body: transport.Encode(body)})
 }
--- a/internal/discovery/search.go
+++ b/internal/discovery/search.go
@@ -21,7 +21,8 @@
 	// shortStragglerTimeout is how long a search waits for unresponsive daemons if others have answered.
 	shortStragglerTimeout = 150 * time.Millisecond
 	// maxShortSearches is the number of consecutive failed searches after which a search waits for
-	// failedSearchTTL instead of shortStragglerTimeout; an election is over by then.
+	// failedSearchTTL instead of shortStragglerTimeout; by then an ordinary election has
+	// ended.
 	maxShortSearches = 6
 	// failedSearchTTL is how long the result of a search that found no leader stays valid; it is longer
 	// than a search and the pause after it.
@@ -109,7 +110,7 @@
 	}
 }
 
-// leaderless reports whether no leader is known to be reachable: the client has been disconnected
+// leaderless reports whether the client knows that no leader is reachable: it has been disconnected
 // for at least the expected time of an election, and a complete search has failed recently.
 func (c *Client) leaderless(now time.Time) bool {
 	disconnected := c.stream == nil && now.Sub(c.disconnectedAt) >= timing.ExpectedElectionTime
@@ -155,11 +156,13 @@
 
 // searchPlan describes one search for the leader.
 type searchPlan struct {
-	id               int
-	pause            time.Duration // before the search begins
-	standby          string        // probed first and alone; empty if there is none
-	addresses        []string
-	stragglerTimeout time.Duration // how long to wait for the remaining addresses once one has answered
+	id        int
+	pause     time.Duration // before the search begins
+	standby   string        // probed first and alone; empty if there is none
+	addresses []string
+	// stragglerTimeout is the time from the start of the probes after which the search stops waiting
+	// if any address has answered.
+	stragglerTimeout time.Duration
 }
 
 // planSearch plans the next search from the outcomes of the previous ones.
@@ -285,7 +288,7 @@
 	}
 }
 
-// probe connects to an address and asks for its LeaderInfo. The stream stays open if the daemon
+// probe connects to an address and requests its LeaderInfo. The stream stays open if the daemon
 // answers in time.
 func (c *Client) probe(ctx context.Context, addr string) (*transport.Stream, rpc.LeaderInfo, bool) {
 	infos := make(chan rpc.LeaderInfo, 1)
