--- a/internal/storage/checked_file.go
+++ b/internal/storage/checked_file.go
@@ -103,9 +103,9 @@
 	return nil
 }
 
-// openBolt opens a file that was verified. NoFreelistSync keeps the list of free
-// pages out of the file: bbolt rebuilds it from the tree when it opens the file, so
-// that no freelist page can be torn, and opening writes nothing. The order of bbolt's
+// openBolt opens a verified file, or creates a new one. NoFreelistSync keeps the list of
+// free pages out of the file: bbolt rebuilds it from the tree when it opens the file, so
+// that no freelist page can be torn, and opening an existing file writes nothing. The order of bbolt's
 // writes is unaffected: new pages, sync, meta page, sync. Pages that the older meta page
 // refers to are not overwritten before the newer meta page is synced.
 func (fs fileSystem) openBolt(path string) (db *bolt.DB, err error) {
--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -47,8 +47,8 @@
 // Open makes one attempt to open the file of a directory, and creates the file if there is none. A
 // valid file is read without any write, so that a daemon keeps its identity even if the disk
 // is full. The directory is synced each time, since an earlier run of the daemon may have ended
-// before that sync. A failure of this sync is an error only while the file holds
-// nothing but an identity.
+// before that sync. A failure of this sync is an error only while the file holds no Raft state and no
+// founders.
 //
 // A file that is provably corrupt, or belongs to another program, is quarantined by renaming it
 // (only the newest one is kept), and the daemon continues under a new identity.
@@ -57,8 +57,8 @@
 // acknowledged and that the cluster relies on. Under a new identity the daemon is another member,
 // which neither votes nor counts towards a quorum until the leader has brought it up to date.
 //
-// Any other failure is an *UnavailableError or a *VersionError, and leaves all files
-// unchanged.
+// Any other failure is an *UnavailableError or a *VersionError. It never changes a file that has an
+// identity; a new file, or one with the suffix ".new", may be left behind.
 func Open(dir string) (*Store, Recovered, error) {
 	return osFileSystem.open(dir)
 }
@@ -89,7 +89,7 @@
 	return meta, err
 }
 
-// isUnused reports whether only an identity was ever written.
+// isUnused reports whether the file holds no Raft state and no founders.
 func (c *storeContent) isUnused() bool { return c.recovered.isUnused() }
 
 // initialize writes a new identity.
--- a/internal/storage/page_walker.go
+++ b/internal/storage/page_walker.go
@@ -21,8 +21,8 @@
 }
 
 // walkFile verifies every page that is in use. It calls visit for each record in the
-// order of buckets and keys, and once with a nil key before the records of each bucket.
-// Keys and values stay valid after the call.
+// order of buckets and keys, and once with a nil key before the records of each bucket,
+// except the root bucket. Keys and values stay valid after the call.
 func walkFile(reader io.ReaderAt, size int64, visit func(bucket string, key, value []byte) error) (boltMeta, error) {
 	meta, err := newestMeta(reader, size)
 	if err != nil {
@@ -113,7 +113,7 @@
 }
 
 // walkPage verifies a page and its descendants. Each key must be greater than last. first is
-// the key of this page in its parent, and no key of the page may be less than it.
+// the key of this page in its parent; if it is a leaf page, none of its keys may be less than first.
 func (w *pageWalker) walkPage(bucket string, id uint64, first []byte, last *[]byte, depth int) error {
 	p, err := w.readPage(id)
 	if err != nil {
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -17,11 +17,11 @@
 	Commit      uint64        // highest index known to be committed; 0 in files of earlier versions
 	NewIdentity bool          // the file was created by this call
 	FirstStart  bool          // see MarkFirstStart
-	// QuarantineReason says why an earlier file was quarantined; empty if none was.
+	// QuarantineReason is the reason why an earlier file was quarantined; empty if none was.
 	QuarantineReason string
 }
 
-// isUnused reports whether only an identity was ever written.
+// isUnused reports whether the file holds no Raft state and no founders.
 func (r *Recovered) isUnused() bool {
 	return r.HardState == (raft.HardState{}) && r.Snapshot.Index == 0 && len(r.Entries) == 0 && len(r.Founders) == 0
 }
--- a/internal/storage/snapshot.go
+++ b/internal/storage/snapshot.go
@@ -22,8 +22,8 @@
 // that no earlier snapshot had. Each transaction adds some frames, so that log entries
 // need not wait for a whole large snapshot. The last transaction stores the new generation
 // in the header and removes the old generation. Until it is synced, the old snapshot and
-// the log after it are complete; afterwards the new ones are. Frames that a crash leaves
-// of a generation other than that of the header are removed when the next snapshot begins.
+// the log after it are complete; afterwards the new ones are. After a crash, frames
+// of other generations may be left; they are removed when the next snapshot begins.
 
 // snapshotHeader describes the active snapshot. It is stored as an array, so the order of
 // its fields must not change.
@@ -36,7 +36,7 @@
 	Checksum   uint32 // CRC-32C of the data
 }
 
-// snapshotWriter is a snapshot that is being written.
+// snapshotWriter writes a snapshot in frames and tracks its progress.
 type snapshotWriter struct {
 	snapshot  *raft.Snapshot
 	header    snapshotHeader
--- a/internal/storage/tallies.go
+++ b/internal/storage/tallies.go
@@ -51,7 +51,7 @@
 	Runs   []tally.Run
 	// Bytes is the size of the pages in use.
 	Bytes int64
-	// QuarantineReason says why an earlier file was quarantined; empty if none was. Its adds must be
+	// QuarantineReason is the reason why an earlier file was quarantined; empty if none was. Its adds must be
 	// fetched from the other replicas, as after the loss of a disk.
 	QuarantineReason string
 	// LastWriteLost reports that one of the two meta pages is invalid. Either power failed during
--- a/internal/storage/write_queue.go
+++ b/internal/storage/write_queue.go
@@ -38,8 +38,8 @@
 
 func (q *writeQueue) empty() bool { return len(q.requests) == 0 && len(q.localSnapshots) == 0 }
 
-// nextSnapshot returns the snapshot to begin or continue writing, or nil. A received snapshot is newer
-// than any local one, and the requests after it wait for it.
+// nextSnapshot returns the writer of the snapshot to begin or continue, or nil if there is none. A
+// received snapshot is newer than any local one, and the requests after it wait for it.
 func (q *writeQueue) nextSnapshot(generation uint64) *snapshotWriter {
 	var next *raft.Snapshot
 	switch {
