--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -14,11 +14,11 @@
 // Bounds are the operators' limits that the checker applies.
 type Bounds struct {
 	Grace time.Duration // how long a daemon may take to end after SIGTERM
-	// UnforwardedLimit is how long after its last byte was sent a request that reached no runner may
-	// still be cut.
+	// UnforwardedLimit is the time after its last byte was sent within which a request that reached no
+	// runner may be lost. Pipelined requests have no such limit.
 	UnforwardedLimit time.Duration
-	// InTouch is how long before a request was sent a SIGKILL, SIGSTOP or SIGCONT of its daemon still
-	// excuses the loss of the request.
+	// InTouch: the loss of a request is excused if its daemon got SIGKILL, SIGSTOP or SIGCONT less than
+	// this long before the request was sent, or later but before the request ended.
 	InTouch time.Duration
 }
 
@@ -116,12 +116,12 @@
 // ranUntilGraceEnd reports whether a runner was still working on a request in the last part of the
 // grace period after a SIGTERM, and the request was sent soon enough to be excused.
 func (c checker) ranUntilGraceEnd(request Request, signalAt time.Time) bool {
-	graceEndPart := signalAt.Add(time.Duration(float64(c.bounds.Grace) * (1 - excusedGraceFraction)))
-	if request.SentAt.After(signalAt.Add(excusedSendTime)) || request.EndedAt.Before(graceEndPart) {
+	lastPartStart := signalAt.Add(time.Duration(float64(c.bounds.Grace) * (1 - excusedGraceFraction)))
+	if request.SentAt.After(signalAt.Add(excusedSendTime)) || request.EndedAt.Before(lastPartStart) {
 		return false
 	}
 	for _, run := range c.record.Runs[request.ID] {
-		if run.EndedAt.IsZero() || !run.EndedAt.Before(graceEndPart) {
+		if run.EndedAt.IsZero() || !run.EndedAt.Before(lastPartStart) {
 			return true
 		}
 	}
@@ -143,8 +143,8 @@
 	return ""
 }
 
-// ranDespiteRejection describes a request that ran although its answer promised that it would not;
-// empty if there is no violation.
+// ranDespiteRejection describes a request that ran although its answer rejected it; empty if there is
+// no violation.
 func (c checker) ranDespiteRejection(request Request) string {
 	rejected := request.Outcome == OutcomeAnswered && (request.Status == http.StatusServiceUnavailable || request.Status == http.StatusTooManyRequests)
 	if rejected && len(c.record.Runs[request.ID]) > 0 {
@@ -163,10 +163,11 @@
 
 // startupTime is how long after its start a process may be terminated by a signal's default action:
 // the runtime and its packages may take that long before the program can handle signals. The daemon
-// serves no clients by then.
+// serves no clients until then.
 const startupTime = 30 * time.Millisecond
 
-// abnormalExits returns violations for processes that ended neither with exit status 0 nor by SIGKILL.
+// abnormalExits returns violations for processes that ended neither with exit status 0 nor by SIGKILL,
+// except those that a signal ended within startupTime.
 func (c checker) abnormalExits() []Violation {
 	var violations []Violation
 	for _, exit := range c.record.Exits {
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -97,12 +97,12 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// maxCheckedJobs limits how many of the accepted jobs are queried at the end of a run: of more jobs,
-// every n-th is queried.
+// maxCheckedJobs limits how many of the accepted jobs are queried at the end of a run. From twice as
+// many accepted jobs on, only every n-th is queried, so that fewer than twice as many are queried.
 const maxCheckedJobs = 300
 
-// lostJobs queries accepted jobs after all daemons were restarted, and returns a violation for each that
-// the cluster does not know.
+// lostJobs queries accepted jobs after all daemons were restarted, and returns a violation for each
+// query that is not answered with 200.
 func (r *run) lostJobs(ctx context.Context, record Record) []Violation {
 	var accepted []Request
 	for _, request := range record.Requests {
--- a/internal/soak/restart.go
+++ b/internal/soak/restart.go
@@ -30,7 +30,7 @@
 }
 
 // restartDaemon restarts a daemon after its process exits. If that does not happen within the grace
-// period, it kills the process if it was sent SIGTERM.
+// period, it kills the process if it was sent SIGTERM, and returns without a restart.
 func (r *run) restartDaemon(ctx context.Context, node *localcluster.Daemon, exited <-chan struct{}) {
 	defer func() {
 		r.mu.Lock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -100,8 +100,8 @@
 	background         sync.WaitGroup
 }
 
-// Run executes the schedule of a seed under load and checks the observations. The error tells that the
-// run itself failed; violations are in the result.
+// Run executes the schedule of a seed under load and checks the observations. A non-nil error means
+// that the run itself failed; violations are in the result.
 func Run(ctx context.Context, options Options) (Result, error) {
 	r := &run{options: options, recorder: NewRecorder(), restarting: map[string]bool{}, hangupAfterRestart: map[string]bool{}}
 	r.schedule = GenerateSchedule(options.Seed, options.Servers+options.Proxies, options.Length)
