--- a/internal/trial/calls.go
+++ b/internal/trial/calls.go
@@ -28,8 +28,8 @@
 const callTimeout = 1500 * time.Millisecond
 
 // call makes an HTTP request to a daemon. A body that is not a string is encoded as JSON; an answer
-// with status 200 is decoded into answer unless that is nil. The error tells that the request failed or
-// that its answer could not be decoded.
+// with status 200 is decoded into answer unless that is nil. A non-nil error means that the request
+// failed or that its answer could not be decoded.
 func (t *trial) call(method, address, path string, body, answer any, headers map[string]string) (status int, err error) {
 	ctx, cancel := context.WithTimeout(t.ctx, callTimeout)
 	defer cancel()
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -66,8 +66,8 @@
 	starts         int
 }
 
-// Run runs a trial. The error tells which check failed. When Run returns, all processes have ended and
-// all files are removed.
+// Run runs a trial. The error names the check that failed. When Run returns, all processes have ended
+// and all files are removed.
 func Run(ctx context.Context, options Options) error {
 	t := &trial{options: options, startedAt: time.Now(), startsByWorker: map[string]int{}}
 	t.ctx, t.stop = context.WithCancel(ctx)
