--- a/internal/simulation/activity_pairs_test.go
+++ b/internal/simulation/activity_pairs_test.go
@@ -12,7 +12,7 @@
 	"tealpond/internal/protocol"
 )
 
-// activityPairSeeds is the number of seeds, each of which draws and plays one pair of
+// activityPairSeeds is the number of seeds, each of which selects and runs one pair of
 // activities:
 //
 //	go test ./internal/simulation -run TestActivityPairs -sim.pairs 200 -timeout 60m
--- a/internal/simulation/application.go
+++ b/internal/simulation/application.go
@@ -111,7 +111,7 @@
 }
 
 // Acquire tries once to acquire a lock. It returns nil if the lock was not granted, or if the
-// grant came after the hold time was over.
+// grant came after the hold time had expired.
 func (a *Application) Acquire(lock string, hold time.Duration) *LockHold {
 	sent, grant := time.Now(), protocol.LockGrant{}
 	code := a.call(applicationTimeout, http.MethodPost, "/-/Locks.Begin/"+lock, protocol.LockRequest{Holder: a.Name, HoldMs: hold.Milliseconds()}, &grant)
@@ -162,7 +162,7 @@
 }
 
 // Put sets a key to a unique value if the key is at the expected revision, and retries until
-// the outcome is known or PutTimeout is over. It returns the key's revision afterwards, as far
+// the outcome is known or PutTimeout has elapsed. It returns the key's revision afterwards, as far
 // as is known.
 func (a *Application) Put(key string, expected int64) int64 {
 	a.putCount++
@@ -204,7 +204,7 @@
 	return call.Revision, true
 }
 
-// Watch asks once for the puts of a group after a revision, and returns the revision to resume
+// Watch requests the puts of a group after a revision once, and returns the revision to resume
 // from: 0 if the revision is no longer available. It returns false if the call failed.
 func (a *Application) Watch(group string, after int64, wait time.Duration) (int64, bool) {
 	answer := WatchCall{Group: group, After: after, Sent: time.Now()}
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -197,7 +197,7 @@
 	return code
 }
 
-// IsReady asks a node whether it is ready.
+// IsReady reports whether a node's readiness endpoint answers 200.
 func (c *Cluster) IsReady(node string) bool {
 	code, _, _ := c.request(http.MethodGet, c.nodeURL(node, readinessPort, "/-/readiness"), "", "", nil)
 	return code == http.StatusOK
--- a/internal/simulation/conn.go
+++ b/internal/simulation/conn.go
@@ -111,7 +111,7 @@
 }
 
 // Write sends data. It blocks only if the link of one of the hosts has a rate limit, until the
-// other end has room in its receive window.
+// other end's receive window is not full.
 func (c *conn) Write(p []byte) (int, error) {
 	if !c.network.isRateLimited(c.local, c.remote) {
 		return len(p), c.send(p)
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// awaitWindow waits until the other end's receive window has room.
+// awaitWindow waits until the other end's receive window is not full.
 func (c *conn) awaitWindow() error {
 	for {
 		c.mu.Lock()
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// Close closes both directions. Data in flight still arrives.
+// Close closes both directions. Data in flight to the other end still arrives.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/simulation/divergence_test.go
+++ b/internal/simulation/divergence_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestDivergedReplicaReplacesItsState checks that a replica, follower or leader, whose state
-// differs from that of the majority detects this, gives up its identity, and votes again once it
+// differs from that of the majority detects this, discards its identity, and votes again once it
 // has received the state.
 func TestDivergedReplicaReplacesItsState(t *testing.T) {
 	for _, leads := range []bool{false, true} {
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -3,6 +3,6 @@
 // same code as the real process. A History records what the simulated parties
 // observed, and its checkers verify that record against the operators' rules.
 //
-// Time is that of a testing/synctest bubble, so that minutes of a cluster's life
-// take seconds. The package is for tests only; no daemon imports it.
+// Time is that of a testing/synctest bubble, so that minutes of cluster time
+// take seconds of real time. The package is for tests only; no daemon imports it.
 package simulation
--- a/internal/simulation/gateway_test.go
+++ b/internal/simulation/gateway_test.go
@@ -236,7 +236,7 @@
 // answers 404 only if it is certain that a route does not exist.
 func TestGatewayAppliesConfigurationChanges(t *testing.T) {
 	runGatewayTest(t, func(c *Cluster, load *gatewayLoad) {
-		// This daemon learns late of changes and must ask a server before it answers 404.
+		// This daemon receives changes late and must ask a server before it answers 404.
 		c.Network.SetDelay(c.NodeIP("edge-6"), 150*time.Millisecond)
 		for version := 2; version < 8; version++ {
 			route := fmt.Sprintf(`,{"name":"n%d","hostName":"h","pathPrefix":"/new%d/","kind":"read_only","timeoutMs":2000,"targetService":"svc","maxTries":2}`, version, version)
--- a/internal/simulation/shutdown_test.go
+++ b/internal/simulation/shutdown_test.go
@@ -20,8 +20,8 @@
 	return down
 }
 
-// TestConcurrentShutdownsAreSerialized: two of three servers are told to terminate at
-// the same time. They are down one after the other, so that a majority is always
+// TestConcurrentShutdownsAreSerialized: two of three servers get the signal to terminate
+// at the same time. They are down one after the other, so that a majority is always
 // running, and both terminate within 3 s.
 func TestConcurrentShutdownsAreSerialized(t *testing.T) {
 	const downtime = 500 * time.Millisecond
--- a/internal/simulation/terminating_gateway_test.go
+++ b/internal/simulation/terminating_gateway_test.go
@@ -137,7 +137,7 @@
 	})
 }
 
-// runReadsDuringShutdown pipelines more reads after the daemon was told to terminate.
+// runReadsDuringShutdown pipelines more reads after the daemon got the signal to terminate.
 // Reads that reach a runner are answered; the others may be left unread.
 func runReadsDuringShutdown(c *Cluster, node string) {
 	client := c.dialRaw(node)
