--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -92,7 +92,7 @@
 }
 
 // handler counts the requests being handled. While the daemon is shutting down, each response
-// closes its connection.
+// closes its connection, unless Options.HandlerClosesConnections is set.
 func (s *Server) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.openRequests.Add(1)
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -19,7 +19,8 @@
 	"tealpond/internal/shutdown"
 )
 
-// longTimeouts gives every phase after the first as much time as it needs.
+// longTimeouts ends Announcing at once, if the listeners may be closed, and lets Closing take up to an
+// hour.
 var longTimeouts = shutdown.Timeouts{RefuseAfter: time.Hour, RespondWithin: time.Hour}
 
 // testServer is a server on the loopback interface.
--- a/internal/httpserver/shutdown.go
+++ b/internal/httpserver/shutdown.go
@@ -10,8 +10,8 @@
 	// shutdownCheckInterval is how often a daemon that is shutting down checks its open
 	// connections.
 	shutdownCheckInterval = 20 * time.Millisecond
-	// minIdleBeforeClose is how long a connection of a draining daemon stays idle before it is
-	// closed, to allow for a request in transit.
+	// minIdleBeforeClose is how long a connection of a daemon that is shutting down stays idle
+	// before it is closed, to allow for a request in transit.
 	minIdleBeforeClose = 60 * time.Millisecond
 )
 
@@ -119,7 +119,7 @@
 	return open
 }
 
-// closeIdle closes the idle connections.
+// closeIdle closes the connections that have been idle for at least minIdleBeforeClose.
 func (s *Shutdown) closeIdle(now time.Time) {
 	for _, server := range s.servers {
 		server.closeIdle(now, minIdleBeforeClose)
--- a/internal/shutdown/machine.go
+++ b/internal/shutdown/machine.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// refuseFraction is the fraction of graceS after which a draining daemon starts no new request.
+	// refuseFraction is the fraction of graceS after which a daemon that is shutting down starts no new
+	// request.
 	refuseFraction = 0.45
 	// respondFraction is the fraction of graceS within which open requests are answered. It is below
 	// 1 because the process must exit before graceS has elapsed.
@@ -30,8 +31,8 @@
 	// and requests. Each response closes its connection where possible, so that clients
 	// connect to another daemon.
 	Announcing Phase = iota
-	// Closing means that no connection is accepted and idle connections are closed.
-	// Requests that were accepted are answered.
+	// Closing means that listeners are closed once pending connections are accepted, and idle
+	// connections are closed. Requests that were accepted are answered.
 	Closing
 	// Aborting means that the time for open requests has passed. Those that are still open get
 	// a final response.
