--- a/internal/localcluster/cluster.go
+++ b/internal/localcluster/cluster.go
@@ -117,7 +117,7 @@
 // Names returns the names of the daemons: servers first, then proxies, then agents.
 func (c *Cluster) Names() []string { return append([]string(nil), c.names...) }
 
-// Daemon returns the daemon of a name. The error wraps ErrUnknownDaemon if there is none.
+// Daemon returns the daemon with the given name. The error wraps ErrUnknownDaemon if there is none.
 func (c *Cluster) Daemon(name string) (*Daemon, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,7 +161,8 @@
 	return c.closed
 }
 
-// seeds returns the control addresses of the first servers, at most maxSeeds.
+// seeds returns the control addresses of the first servers, at most maxSeeds, or of the first daemon if
+// there are no servers.
 func (c *Cluster) seeds() []string {
 	var addresses []string
 	for _, name := range c.names[:min(maxSeeds, max(c.options.Servers, 1))] {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -19,7 +19,7 @@
 const (
 	// listPageSize is the number of runners on one page of the list.
 	listPageSize = 3
-	// runnerSlots is the number of concurrent requests that a runner's entry names.
+	// runnerSlots is the number of concurrent requests that a runner's entry allows.
 	runnerSlots = 4
 	// headerTimeout is the time limit for reading the header of a request.
 	headerTimeout = 3 * time.Second
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -24,8 +24,8 @@
 	// Observe is called with each event; it may be nil. It must not call the worker.
 	Observe func(WorkerEvent)
 	// RunFails reports whether a finished run fails, given its task and the number of runs of the task
-	// that may fail. If it is nil, no run fails.
-	RunFails func(task string, times int) bool
+	// that fail. If it is nil, no run fails.
+	RunFails func(task string, failures int) bool
 }
 
 // Worker is a fake of the runner of a worker machine, as the operators' protocol describes it. A
@@ -155,8 +155,8 @@
 }
 
 // runFails reports whether a finished run fails.
-func (w *Worker) runFails(task string, times int) bool {
-	return times > 0 && w.options.RunFails != nil && w.options.RunFails(task, times)
+func (w *Worker) runFails(task string, failures int) bool {
+	return failures > 0 && w.options.RunFails != nil && w.options.RunFails(task, failures)
 }
 
 // finish ends a run and adds its completion to the list.
--- a/internal/standin/worker_calls.go
+++ b/internal/standin/worker_calls.go
@@ -129,8 +129,9 @@
 }
 
 // keepAlive renews the lease, processes acknowledgements, and returns the lists of runs once there
-// are completions or the poll's wait time is over. It is called and returns with w.mu held, and
-// releases it while it waits.
+// are completions or the poll's wait time has elapsed. If ctx ends first, or the worker restarts or
+// becomes unresponsive meanwhile, the response is empty. It is called and returns with w.mu held,
+// and releases it while it waits.
 func (w *Worker) keepAlive(ctx context.Context, incarnation string, poll protocol.KeepAliveRequest) agent.RunnerResponse {
 	w.advance()
 	if incarnation != w.incarnation {
