--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -20,32 +20,33 @@
 	runnerPollSlack = 300 * time.Millisecond
 )
 
-// poll sends keep-alive requests, called polls here: each extends the runner's lease and reads its
-// lists of running and completed runs. A long poll, which may wait at the runner for a completion, is
-// in flight nearly all the time. It returns the time until it must be called again, or 0.
+// poll sends keep-alive requests, called polls here: each normally extends the runner's lease and
+// reads its lists of running and completed runs. A long poll, which may wait at the runner for a
+// completion, is in flight nearly all the time. It returns the time until it must be called again, or 0.
 func (a *Agent) poll(session *runnerSession) time.Duration {
 	if remaining := session.pollBackoff(a.now); remaining > 0 {
 		return remaining
 	}
-	unanswered := session.hasUnansweredCall()
+	needsLists := session.needsRunLists()
 	if session.polling {
-		if unanswered && !session.probing {
+		if needsLists && !session.probing {
 			// A second poll is sent concurrently with the first, which started before the call and
 			// may still wait for a completion.
 			a.sendKeepAlive(session, 0, &session.probing)
 		}
 		return 0
 	}
-	if session.reportsInFlight > 0 && !unanswered {
+	if session.reportsInFlight > 0 && !needsLists {
 		if pause := session.reportPause(a.now); pause > 0 {
 			return pause
 		}
 	}
-	a.sendKeepAlive(session, session.pollWait(a.now, unanswered), &session.polling)
+	a.sendKeepAlive(session, session.pollWait(a.now, needsLists), &session.polling)
 	return 0
 }
 
-// pollBackoff returns the time left until the next poll after consecutive failures.
+// pollBackoff returns the time left until the next poll after consecutive failures, which is not
+// positive once the next poll is due.
 func (s *runnerSession) pollBackoff(now time.Time) time.Duration {
 	if s.pollFailures == 0 {
 		return 0
@@ -65,16 +66,16 @@
 }
 
 // pollWait returns how long the runner may wait for a completion before it answers the next poll.
-// If a call got no response (unanswered), the lists of running and completed runs are needed at once.
-func (s *runnerSession) pollWait(now time.Time, unanswered bool) time.Duration {
+// If needsLists is set, the lists of running and completed runs are needed at once.
+func (s *runnerSession) pollWait(now time.Time, needsLists bool) time.Duration {
 	wait := runnerPollWait
-	if s.reportsInFlight > 0 && !unanswered {
+	if s.reportsInFlight > 0 && !needsLists {
 		wait = 0
 	}
 	if len(s.runs) == 0 {
 		wait = runnerIdlePollWait
 	}
-	if !s.listed || s.workerLeaseUntilMs > 0 && s.confirmedRunLeaseUntilMs == 0 || unanswered {
+	if !s.listed || s.workerLeaseUntilMs > 0 && s.confirmedRunLeaseUntilMs == 0 || needsLists {
 		wait = 0
 	}
 	for _, run := range s.runs {
@@ -92,9 +93,9 @@
 	return wait
 }
 
-// hasUnansweredCall reports whether a call got no response, and no poll that was sent since then
-// has returned the lists of running and completed runs.
-func (s *runnerSession) hasUnansweredCall() bool {
+// needsRunLists reports whether the lists of running and completed runs are needed at once: a call got
+// no response, and no poll that was sent since then has returned them.
+func (s *runnerSession) needsRunLists() bool {
 	for _, run := range s.runs {
 		if run.unanswered && s.lastCompletePoll <= run.pollAtLastCall {
 			return true
