--- a/internal/api/redirect.go
+++ b/internal/api/redirect.go
@@ -14,8 +14,8 @@
 const redirectLeaderContactTimeout = timing.MembershipRenewInterval + timing.RequestAttemptTimeout
 
 // redirectToLeader responds to an operator's call with a redirect (307) to the leader. It returns
-// false if this daemon should forward the call, because it has a replica itself or has not heard
-// from the leader recently.
+// false if this daemon should forward the call, because it has a replica itself or has had no
+// contact with the leader recently.
 //
 // A configuration may have hundreds of kilobytes. A machine without a disk may have a tenth of a
 // processor and a link of 2 Mbit/s, so it takes longer to validate and forward a configuration than
--- a/internal/gateway/retry_budget.go
+++ b/internal/gateway/retry_budget.go
@@ -41,12 +41,12 @@
 
 // retryAccount holds the retries that a daemon may use for one service.
 type retryAccount struct {
-	earned      []earnedAttempts // oldest first
-	reserveUsed []time.Time      // oldest first
+	earned      []earnedRetries // oldest first
+	reserveUsed []time.Time     // oldest first
 }
 
-// earnedAttempts holds the unused retries that requests earned within one slot of the window.
-type earnedAttempts struct {
+// earnedRetries holds the unused retries that requests earned within one slot of the window.
+type earnedRetries struct {
 	since     time.Time
 	remaining float64
 }
@@ -74,7 +74,7 @@
 	account := b.account(service, now)
 	last := len(account.earned) - 1
 	if last < 0 || now.Sub(account.earned[last].since) >= b.limit.Window/budgetSlots {
-		account.earned = append(account.earned, earnedAttempts{since: now})
+		account.earned = append(account.earned, earnedRetries{since: now})
 		last++
 	}
 	account.earned[last].remaining += b.limit.Ratio * retryShare
@@ -112,12 +112,12 @@
 // takeEarned consumes one earned retry, using the oldest entries first.
 func (a *retryAccount) takeEarned() bool {
 	// Sums of many small fractions fall short of 1 through rounding.
-	const wholeAttempt = 1 - 1e-9
+	const wholeRetry = 1 - 1e-9
 	sum := 0.0
 	for _, part := range a.earned {
 		sum += part.remaining
 	}
-	if sum < wholeAttempt {
+	if sum < wholeRetry {
 		return false
 	}
 	needed := 1.0
