--- a/internal/protocol/headers.go
+++ b/internal/protocol/headers.go
@@ -5,7 +5,7 @@
 	// HeaderBasedOn is the version that a configuration change is based on.
 	HeaderBasedOn = "X-Tealpond-Based-On"
 	// HeaderTargetRunner is the incarnation of a runner that a call is addressed to;
-	// any other responds with 421.
+	// a runner with another incarnation responds with 421.
 	HeaderTargetRunner = "X-Tealpond-Target-Runner"
 	// HeaderTimeLeft is the time that a client still waits for the response, in ms.
 	HeaderTimeLeft = "X-Tealpond-Time-Left"
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -8,7 +8,7 @@
 )
 
 // HeaderSize returns the size in bytes to which the header limit applies: the request target and all
-// header fields as sent.
+// fields of request.Header, which do not include Host.
 func HeaderSize(request *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(request.RequestURI)
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -12,7 +12,7 @@
 		"a run's lease expires before its worker's":          MaxRunLeaseAhead < MaxLeaseDuration,
 		"a renewal and an election timeout fit into the contact timeout": LeaderContactTimeout >
 			MembershipRenewInterval+ElectionTimeout+ElectionTimeoutJitter,
-		"a membership survives two lost renewals": MembershipLeaseDuration > 2*AgentMembershipRenewInterval,
+		"a membership survives a lost renewal": MembershipLeaseDuration > 2*AgentMembershipRenewInterval,
 	} {
 		if !holds {
 			t.Errorf("does not hold: %s", name)
