--- a/internal/discovery/pending.go
+++ b/internal/discovery/pending.go
@@ -110,9 +110,10 @@
 }
 
 // Call encodes the body and sends the request to the leader. It retries until the request is
-// answered, ctx ends or the wait for a leader times out. The response's code is rpc.CodeNoLeader if no
-// leader processed the request, rpc.CodeTimeout if one may have processed it, and the leader's code
-// otherwise. It is safe for concurrent use.
+// answered, ctx ends or the wait for a leader times out; a ctx without a deadline is limited to
+// defaultRequestTimeout. The response's code is rpc.CodeNoLeader if no leader processed the request,
+// rpc.CodeTimeout if one may have processed it, and the leader's code otherwise. It is safe for
+// concurrent use.
 func (c *Client) Call(ctx context.Context, kind string, body any) rpc.Response {
 	return c.Do(ctx, rpc.Request{Kind: kind, Body: transport.Encode(body)})
 }
