--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -71,7 +71,7 @@
 	Clients   int
 	Length    time.Duration // of the schedule
 	Grace     time.Duration
-	MemoryMb  int    // memory limit in the settings of each daemon
+	MemoryMB  int    // memory limit in the settings of each daemon
 	MaxFiles  uint64 // limit of open files of each daemon; 0 means the limit of this process
 }
 
@@ -170,7 +170,7 @@
 func (r *run) settings() settings.File {
 	file := settings.File{
 		Contracts: []string{"base", "config", "drain"},
-		Limits:    settings.Limits{MemoryMB: r.options.MemoryMb},
+		Limits:    settings.Limits{MemoryMB: r.options.MemoryMB},
 		Tolerance: settings.Tolerance{LostMachines: 1},
 		Bounds:    settings.Bounds{GraceS: r.options.Grace.Seconds(), InTouchMs: inTouch.Milliseconds(), DrainMs: 3000, ConfigApplyMs: 3000, RetryRatio: 0.2, RetryWindowS: 10, RetrySlack: 192},
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -88,7 +88,7 @@
 	defer func() { _ = os.RemoveAll(directory) }()
 	result, err := Run(t.Context(), Options{
 		Program: path, Role: roleForSeed(seed), Directory: directory, Seed: seed, Subnet: localcluster.Subnet{A: byte(80 + seed/200%100), B: byte(seed % 200)},
-		Servers: *servers, Proxies: *proxies, Runners: 6, Clients: *clients, Length: *length, Grace: gracePeriod, MemoryMb: *memory, MaxFiles: *files,
+		Servers: *servers, Proxies: *proxies, Runners: 6, Clients: *clients, Length: *length, Grace: gracePeriod, MemoryMB: *memory, MaxFiles: *files,
 	})
 	if err != nil {
 		t.Fatalf("%v\n%s", err, result.Schedule)
