--- a/internal/storage/open.go
+++ b/internal/storage/open.go
@@ -13,7 +13,7 @@
 const (
 	fileName         = "tealpond.db"
 	tempSuffix       = ".new"     // of a file that is still being created
-	corruptSuffix    = ".foreign" // of a corrupt file that was quarantined
+	corruptSuffix    = ".foreign" // of a corrupt or foreign file that was quarantined
 	wrongStateSuffix = ".differs" // of a file that ResetIdentity replaced
 	fileMode         = 0o600
 )
