--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,32 +16,32 @@
 	"tealpond/internal/tracing"
 )
 
-// eventQueueLength is how many inputs may wait for the agent's loop.
+// eventQueueLength is the capacity of the queue of the agent's event loop.
 const eventQueueLength = 1024
 
-// event is an input of the agent's loop; one field is set.
+// event is an input of the agent's event loop; exactly one field is set.
 type event struct {
 	heartbeat  *heartbeatRequest
 	signOff    *signOffRequest
 	assignment *rpc.Assignment
-	renew      bool // a new connection to the leader: the lease is renewed at once
+	renew      bool // a connection to the leader was established: the lease is renewed at once
 	callback   func()
 }
 
-// heartbeatRequest is a heartbeat with the channel for the status of its answer.
+// heartbeatRequest is a heartbeat with the channel for the HTTP status of its response.
 type heartbeatRequest struct {
 	id        string // the runner's incarnation
 	heartbeat protocol.Heartbeat
 	status    chan int
 }
 
-// signOffRequest is a sign-off with the channel for the status of its answer.
+// signOffRequest is a sign-off with the channel for the HTTP status of its response.
 type signOffRequest struct {
 	id     string // the runner's incarnation
 	status chan int
 }
 
-// Agent is the side role. Only its loop reads and writes the session.
+// Agent is the agent role. Only its event loop accesses the session.
 type Agent struct {
 	settings          settings.File
 	log               log.Logger
@@ -52,16 +52,16 @@
 	runner            RunnerClient
 	callLeader        func(ctx context.Context, kind string, body any) rpc.Response
 	trace             *tracing.Ring
-	session           *runnerSession   // of the present incarnation; nil: no heartbeat was heard yet
-	signedOff         incarnationTimes // when incarnations leave that signed off
-	endedIncarnations incarnationTimes // when their end was noted: by the leader's state or by the runner
-	callsInFlight     int              // to the runner, about its runs
-	appliedIndex      uint64           // the highest index of the log that a response named as applied
-	ctx               context.Context  // of Run
-	now               time.Time        // when the loop began with its present input
+	session           *runnerSession   // of the current incarnation; nil: no heartbeat was received yet
+	signedOff         incarnationTimes // when incarnations that signed off will leave
+	endedIncarnations incarnationTimes // when the end of an incarnation was reported, by the leader or the runner
+	callsInFlight     int              // calls to the runner about its runs
+	appliedIndex      uint64           // the highest applied log index in the leader's responses
+	ctx               context.Context  // the context of Run
+	now               time.Time        // when the loop started to handle its current input
 }
 
-// New builds the side role over a way to call its runner.
+// New returns an agent that calls its runner with the given client.
 func New(env daemon.Environment, runner RunnerClient) *Agent {
 	a := &Agent{
 		settings:  env.Settings,
@@ -82,14 +82,14 @@
 	return a
 }
 
-// runKey names one run of a task.
+// runKey returns the key of one run of a task.
 func runKey(task string, run int) string { return task + "/" + strconv.Itoa(run) }
 
-// post has the loop call a function, such as one that takes the response to a
-// call; it does nothing once the agent ends.
+// post has the event loop call a function, such as one that handles the response to a call. It does
+// nothing once the agent has stopped.
 func (a *Agent) post(callback func()) { a.send(event{callback: callback}) }
 
-// send hands the loop an input; it does nothing once the agent ends.
+// send passes an input to the event loop. It does nothing once the agent has stopped.
 func (a *Agent) send(e event) {
 	select {
 	case a.events <- e:
@@ -97,7 +97,7 @@
 	}
 }
 
-// handle handles one input of the loop.
+// handle handles one input of the event loop.
 func (a *Agent) handle(e event) {
 	a.now = time.Now()
 	switch {
@@ -116,7 +116,7 @@
 	}
 }
 
-// requestLeader sends a request to the leader; onResponse is called in the loop.
+// requestLeader sends a request to the leader; onResponse is called in the event loop.
 func (a *Agent) requestLeader(kind string, body any, timeout time.Duration, onResponse func(rpc.Response)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, timeout)
@@ -129,8 +129,8 @@
 	}()
 }
 
-// advance does all that is due and returns the time until it must be called
-// again; 0 if there is nothing to do before the next input.
+// advance does all work that is due, and returns the time until it must be called again; 0 if there
+// is nothing to do before the next input.
 func (a *Agent) advance(now time.Time) time.Duration {
 	a.now = now
 	session := a.session
--- a/internal/agent/completions.go
+++ b/internal/agent/completions.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// maxCompletedRunsKept is the number of completed runs that an agent remembers before it forgets
-	// those that are committed and older than completedRunRetention.
+	// maxCompletedRunsKept is the number of completed runs kept before the agent deletes those that
+	// are committed and older than completedRunRetention.
 	maxCompletedRunsKept = 512
-	// completedRunRetention is how long a completed run is remembered at least.
+	// completedRunRetention is the minimum time that a completed run is kept.
 	completedRunRetention = 30 * time.Second
 )
 
-// completedRun is a run that has ended: its completion as the runner listed it or,
-// with sequence 0, as this daemon declared it.
+// completedRun is a run that has ended, with its completion as the runner listed it or, with
+// sequence 0, as this agent declared it.
 type completedRun struct {
 	completion protocol.Completion
-	notedAt    time.Time
+	recordedAt time.Time
 	reporting  bool // it is being reported again
 }
 
-// reportCompletions has the leader commit completions, which are acknowledged to
-// the runner only after that, and checkpoints with them. Callers set startsList if
-// the first completion is also the first of the runner's list.
+// reportCompletions has the leader commit completions, and checkpoints with them. Completions are
+// acknowledged to the runner only once they are committed. startsList says that the first
+// completion is also the first of the runner's list.
 func (a *Agent) reportCompletions(
 	session *runnerSession, completions []protocol.Completion, startsList bool, checkpoints []protocol.RunProgress,
 ) {
@@ -49,7 +49,7 @@
 			return
 		}
 		if response.Code == rpc.CodeOK {
-			a.noteCommitted(session, response, committedBefore, fence)
+			a.recordCommitted(session, response, committedBefore, fence)
 		}
 		if fence != session.fence {
 			return
@@ -64,23 +64,21 @@
 			a.registerRunner(session)
 		}
 		if response.Code == rpc.CodeOK && len(completions) > 0 && response.Value < completions[len(completions)-1].Sequence {
-			// An earlier report was lost on its way. It is sent again at once,
-			// since jobs wait for it.
+			// An earlier report was lost. It is sent again at once, since jobs wait for it.
 			if missing := session.unacknowledged(); len(missing) > 0 && missing[0].Sequence == session.committedSequence+1 {
 				a.reportCompletions(session, missing, false, nil)
 			}
 		}
 		if session.reportsInFlight == 0 {
-			// What is no longer being reported, and not committed, is still in
-			// the runner's list and is read again.
+			// Completions that are neither being reported nor committed are still in the runner's
+			// list and are read again.
 			session.readSequence = session.committedSequence
 		}
 	})
 }
 
-// reportCheckpointsAgain has checkpoints reported with the next listing that names
-// them: their report had no response, or was refused. A run that was saved anew
-// meanwhile is left alone.
+// reportCheckpointsAgain has checkpoints whose report got no response or was refused reported with
+// the next listing that contains them. A run with a newer checkpoint is skipped.
 func (s *runnerSession) reportCheckpointsAgain(checkpoints []protocol.RunProgress) {
 	for _, progress := range checkpoints {
 		if run := s.runs[runKey(progress.Task, progress.Run)]; run != nil && run.checkpoint == progress.Checkpoint {
@@ -89,16 +87,16 @@
 	}
 }
 
-// noteCommitted records the prefix of completions that is committed. It is
-// the one that the response names, never the last one reported, since an earlier
-// report may have been lost.
-func (a *Agent) noteCommitted(session *runnerSession, response rpc.Response, committedBefore, fence int64) {
+// recordCommitted records up to which sequence completions are committed. That is the sequence in
+// the response, never the last one reported, since an earlier report may have been lost.
+func (a *Agent) recordCommitted(session *runnerSession, response rpc.Response, committedBefore, fence int64) {
 	if response.Text != "" {
 		_ = a.log.Log("level", "error", "event", "completions.mismatched", "worker", session.id, "fence", fence, "error", response.Text)
 	}
 	if response.Value < committedBefore {
 		_ = a.log.Log("level", "error", "event", "completions.mismatched", "worker", session.id, "fence", fence,
-			"error", "the state holds fewer completions than it said before", "held", response.Value, "acknowledged", committedBefore)
+			"error", "state holds fewer completions than it reported before",
+			"held", response.Value, "acknowledged", committedBefore)
 	}
 	if response.Value <= session.committedSequence {
 		return
@@ -111,8 +109,8 @@
 	session.committedSequence = response.Value
 }
 
-// unacknowledged are the completions that were read and aren't known to be
-// committed, in the order of their sequence.
+// unacknowledged returns the completions that were read and aren't known to be committed, sorted by
+// sequence.
 func (s *runnerSession) unacknowledged() []protocol.Completion {
 	var completions []protocol.Completion
 	for _, done := range s.completed {
@@ -124,12 +122,12 @@
 	return completions
 }
 
-// reportAgain reports a completion once more when the leader assigns its run again.
-// Usually the assignment and the first report crossed on their way; otherwise the
-// run is still open in the state, and this report closes it.
-func (a *Agent) reportAgain(session *runnerSession, done *completedRun) {
+// reportCompletionAgain reports a completion again after the leader assigned its run again. Usually
+// the assignment and the first report crossed in transit; otherwise the run is still open in the
+// state, and this report closes it.
+func (a *Agent) reportCompletionAgain(session *runnerSession, done *completedRun) {
 	if done.completion.Sequence > session.committedSequence || done.reporting {
-		// It is being reported, or will be once it is listed again.
+		// It is being reported, or will be once the runner lists it again.
 		return
 	}
 	done.reporting = true
@@ -142,44 +140,44 @@
 		}
 		switch {
 		case response.Code == rpc.CodeOK:
-			a.noteCommitted(session, response, committedBefore, fence)
+			a.recordCommitted(session, response, committedBefore, fence)
 		case fence != session.fence:
-			// Under a new fence the leader sends all assignments again.
+			// After a registration under a new fence the leader sends all assignments again.
 		case response.Code == rpc.CodeConflict:
 			a.registerRunner(session)
 		case response.Code != rpc.CodeGone:
-			a.reportAgain(session, done)
+			a.reportCompletionAgain(session, done)
 		}
 	})
 }
 
-// remember records a completion. Old ones are forgotten once they are
-// committed, since their runs are never assigned again.
-func (s *runnerSession) remember(completion protocol.Completion, now time.Time) {
+// recordCompletion records a completion. Old ones are deleted once they are committed, since their
+// runs are never assigned again.
+func (s *runnerSession) recordCompletion(completion protocol.Completion, now time.Time) {
 	if s.completed == nil {
 		s.completed = map[string]*completedRun{}
 	}
 	key := runKey(completion.Task, completion.Run)
 	if done := s.completed[key]; done != nil {
 		if completion.Sequence > done.completion.Sequence {
-			// The listed completion says how the run ended.
+			// A listed completion takes precedence over a declared result.
 			done.completion = completion
 		}
 		return
 	}
 	if len(s.completed) >= maxCompletedRunsKept {
 		for otherKey, done := range s.completed {
-			if now.Sub(done.notedAt) > completedRunRetention && done.completion.Sequence <= s.committedSequence {
+			if now.Sub(done.recordedAt) > completedRunRetention && done.completion.Sequence <= s.committedSequence {
 				delete(s.completed, otherKey)
 			}
 		}
 	}
-	s.completed[key] = &completedRun{completion: completion, notedAt: now}
+	s.completed[key] = &completedRun{completion: completion, recordedAt: now}
 }
 
-// declareResult closes a run that the runner's lists will never name, with a result
-// that the agent gives. It is final: the run is never started again under this
-// fence, since a report that had no response may still be committed later.
+// declareResult closes a run that the runner's lists will never contain, with a result that the
+// agent determines. It is final: the run is never started again under this fence, since a report
+// that got no response may still be committed later.
 func (a *Agent) declareResult(session *runnerSession, run *taskRun, result string) {
 	run.declaredResult = result
 	a.reportDeclared(session, run)
@@ -207,8 +205,8 @@
 		}
 		switch response.Code {
 		case rpc.CodeOK:
-			a.noteCommitted(session, response, committedBefore, fence)
-			session.remember(completion, a.now)
+			a.recordCommitted(session, response, committedBefore, fence)
+			session.recordCompletion(completion, a.now)
 			delete(session.runs, key)
 		case rpc.CodeConflict:
 			a.registerRunner(session)
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -11,9 +11,8 @@
 // stalledRunnerExclusion is how long a runner with stalled runs is reported as unhealthy.
 const stalledRunnerExclusion = 2500 * time.Millisecond
 
-// superviseHealth reports to the leader when the runner becomes unhealthy or
-// healthy again, and closes what a silent runner can no longer be running. It
-// returns the time until it must be called again, or 0.
+// superviseHealth reports changes of the runner's health to the leader, and closes runs that a
+// silent runner can no longer be running. It returns the time until it must be called again, or 0.
 func (a *Agent) superviseHealth(session *runnerSession) time.Duration {
 	silent := session.silent(a.now)
 	unhealthy := silent || a.now.Sub(session.lastStalledAt) < stalledRunnerExclusion
@@ -49,8 +48,8 @@
 	})
 }
 
-// closeRunsOfUnresponsiveRunner declares the results of runs that surely never started
-// or whose lease has surely expired.
+// closeRunsOfUnresponsiveRunner declares the results of runs that certainly never started or whose
+// lease has certainly expired.
 func (a *Agent) closeRunsOfUnresponsiveRunner(session *runnerSession) {
 	expired := session.leasesExpired(a.now)
 	for _, run := range session.runs {
@@ -59,8 +58,7 @@
 		}
 		switch {
 		case run.attempts == 0 && run.phase == runPending && session.listed:
-			// Before the lists were read, it may have been started under
-			// another fence.
+			// Until the lists were read, the run may have been started under another fence.
 			a.declareResult(session, run, protocol.ResultRefused)
 		case expired:
 			a.declareResult(session, run, protocol.ResultLeaseExpired)
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -10,16 +10,15 @@
 	"tealpond/internal/state"
 )
 
-// runnerRequestTimeout is how long a start or stop waits for the response of the runner, which is
-// on the same machine.
+// runnerRequestTimeout bounds a start or stop call to the runner, which is on the same machine.
 const runnerRequestTimeout = 250 * time.Millisecond
 
-// handleHeartbeat handles a heartbeat; a new ID is a new incarnation of the
-// runner. The answer waits until the leader has committed what it confirms.
+// handleHeartbeat handles a heartbeat; a new ID is a new incarnation of the runner. The response is
+// sent once the leader has committed what it confirms.
 func (a *Agent) handleHeartbeat(request *heartbeatRequest) {
 	session := a.session
 	if _, ended := a.endedIncarnations.of(request.id); ended && session != nil && session.id != request.id {
-		// It is late. A new session for it would replace that of the present
+		// The heartbeat is late. A new session for it would replace that of the current
 		// incarnation, with its lease and its runs.
 		request.status <- http.StatusOK
 		return
@@ -34,15 +33,14 @@
 		return
 	}
 	if request.heartbeat.Sequence < session.heartbeatSequence {
-		// A heartbeat that arrives after a newer one is acknowledged, and
-		// otherwise ignored.
+		// A heartbeat that arrives after a newer one is acknowledged, but otherwise ignored.
 		request.status <- http.StatusOK
 		return
 	}
 	session.heartbeatSequence = request.heartbeat.Sequence
 	session.heartbeat = request.heartbeat
 	draining := a.isLeaving(session)
-	session.noteClock(request.heartbeat.ClockMs, a.now)
+	session.recordClock(request.heartbeat.ClockMs, a.now)
 	if session.fence == 0 || session.registering {
 		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{draining, request.status})
 		return
@@ -54,10 +52,10 @@
 	request.status <- http.StatusOK
 }
 
-// verifyIncarnation asks the runner whether it is the incarnation that a heartbeat
-// names, before a session for that one replaces the present session: the heartbeat may
-// be a late one of an incarnation that ended before this daemon was started, of which it
-// knows nothing. If the runner gives no answer, the heartbeat is believed.
+// verifyIncarnation asks the runner whether it is the incarnation that a heartbeat names, before a
+// session for that one replaces the current session. The heartbeat may be a late one of an
+// incarnation that ended before this agent was started, and which it does not know. If the runner
+// does not respond, the heartbeat is accepted.
 func (a *Agent) verifyIncarnation(request *heartbeatRequest) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, runnerRequestTimeout)
@@ -68,7 +66,7 @@
 			case session.id == request.id:
 				a.handleHeartbeat(request)
 			case response.StatusCode == http.StatusMisdirectedRequest:
-				a.noteEnded(request.id)
+				a.recordEnded(request.id)
 				request.status <- http.StatusOK
 			default:
 				a.startSession(request)
@@ -77,8 +75,8 @@
 	}()
 }
 
-// startSession begins a session for a new incarnation, in place of the present
-// one; its heartbeat is answered once it is registered.
+// startSession starts a session for a new incarnation in place of the current one; the heartbeat is
+// answered once the incarnation is registered.
 func (a *Agent) startSession(request *heartbeatRequest) {
 	_ = a.log.Log("level", "info", "event", "runner.detected", "worker", request.id)
 	session := &runnerSession{
@@ -91,21 +89,19 @@
 		session.previousID = a.session.id
 	}
 	a.session = session
-	session.noteClock(request.heartbeat.ClockMs, a.now)
+	session.recordClock(request.heartbeat.ClockMs, a.now)
 	session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{a.isLeaving(session), request.status})
 	a.registerRunner(session)
 }
 
-// isLeaving reports whether the runner announced that it leaves: by a heartbeat, or by
-// its sign-off. Some runners report the state "ready" again after their sign-off;
-// that changes nothing.
+// isLeaving reports whether the runner announced that it leaves, by a heartbeat or a sign-off. Some
+// runners report the state "ready" again after their sign-off; that is ignored.
 func (a *Agent) isLeaving(session *runnerSession) bool {
 	_, signedOff := a.signedOff.of(session.id)
 	return signedOff || session.heartbeat.State == protocol.RunnerDraining
 }
 
-// leavesInMs is the least time until the runner leaves, or -1 if that is not
-// known.
+// leavesInMs returns the minimum time until the runner leaves, or -1 if that is not known.
 func (a *Agent) leavesInMs(session *runnerSession) int64 {
 	if leavesAt, signedOff := a.signedOff.of(session.id); signedOff {
 		return max(0, leavesAt.Sub(a.now).Milliseconds())
@@ -116,7 +112,7 @@
 	return *session.heartbeat.LeavesInMs
 }
 
-// answerPendingHeartbeats answers what waited for the registration.
+// answerPendingHeartbeats answers the requests that waited for the registration.
 func (a *Agent) answerPendingHeartbeats(session *runnerSession, status int) {
 	for _, pending := range session.pendingHeartbeats {
 		if status == http.StatusOK && pending.draining && !session.drainingCommitted {
@@ -128,8 +124,7 @@
 	session.pendingHeartbeats = nil
 }
 
-// commitDraining has the leader commit that the runner is draining, and then
-// acknowledges it to the runner.
+// commitDraining has the leader commit that the runner is draining, and then answers the heartbeat.
 func (a *Agent) commitDraining(session *runnerSession, status chan int) {
 	leavesInMs := a.leavesInMs(session)
 	_ = a.log.Log("level", "info", "event", "runner.draining_announced", "worker", session.id,
@@ -149,11 +144,11 @@
 func (a *Agent) handleSignOff(request *signOffRequest) {
 	session := a.session
 	if session == nil || session.id != request.id {
-		// It is committed nevertheless: this daemon may have been restarted, and
-		// the previous process may have registered that incarnation.
+		// It is committed nevertheless: after a restart of this agent, the incarnation may have
+		// been registered by the previous process.
 		session = &runnerSession{id: request.id}
 	}
-	a.noteSignOff(session)
+	a.recordSignOff(session)
 	if session == a.session && !session.superseded && (session.fence == 0 || session.registering) {
 		session.pendingHeartbeats = append(session.pendingHeartbeats, pendingHeartbeat{true, request.status})
 		return
@@ -175,16 +170,16 @@
 	})
 }
 
-// noteSignOff records when an incarnation that signs off will leave; a second
-// sign-off changes nothing.
-func (a *Agent) noteSignOff(session *runnerSession) {
+// recordSignOff records when an incarnation that signs off will leave; a repeated sign-off is
+// ignored.
+func (a *Agent) recordSignOff(session *runnerSession) {
 	if _, again := a.signedOff.of(session.id); again {
 		return
 	}
 	leavesAt := a.now
 	if !session.drainingCommitted && !a.isLeaving(session) {
-		// It has not drained yet, and stays for the drain time from now on.
+		// The runner has not drained yet, and stays for the drain time from now on.
 		leavesAt = leavesAt.Add(time.Duration(a.settings.Bounds.DrainMs * float64(time.Millisecond)))
 	}
-	a.signedOff.note(session.id, leavesAt, a.now)
+	a.signedOff.record(session.id, leavesAt, a.now)
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -22,8 +22,8 @@
 	return max(timing.LeaseRenewInterval-sinceLast, time.Millisecond)
 }
 
-// renewLease requests a longer lease from the leader. The response's Value is how
-// long it lasts, in ms from when it was requested.
+// renewLease requests a lease renewal from the leader. The response's Value is the duration of the
+// lease, in ms from the request.
 func (a *Agent) renewLease(session *runnerSession) {
 	session.renewingLease, session.lastRenewalAt = true, a.now
 	// The clock is read before the request is sent: the lease counts from then.
--- a/internal/agent/monitoring.go
+++ b/internal/agent/monitoring.go
@@ -8,8 +8,8 @@
 	"tealpond/internal/monitoring"
 )
 
-// WriteMetrics writes the figures of this daemon, as its loop reads them; it
-// implements monitoring.Source.
+// WriteMetrics writes the metrics of this agent, collected in its event loop; it implements
+// monitoring.Source.
 func (a *Agent) WriteMetrics(ctx context.Context, w io.Writer) {
 	received := make(chan []monitoring.Gauge, 1)
 	select {
@@ -24,7 +24,7 @@
 	}
 }
 
-// gauges reads the figures of this agent, in the loop.
+// gauges collects the metrics; it must be called in the event loop.
 func (a *Agent) gauges() []monitoring.Gauge {
 	gauges := []monitoring.Gauge{
 		{Name: "tealpond_runner_known", Value: monitoring.Flag(a.session != nil)},
--- a/internal/agent/polling.go
+++ b/internal/agent/polling.go
@@ -12,18 +12,17 @@
 const (
 	// runnerPollWait is the waitMs of a poll, which may be at most 2,000 ms.
 	runnerPollWait = 900 * time.Millisecond
-	// runnerIdlePollWait is the waitMs of a poll while nothing runs there.
+	// runnerIdlePollWait is the waitMs of a poll while nothing is running.
 	runnerIdlePollWait = 2000 * time.Millisecond
-	// overdueRunPollWait is the waitMs of a poll while some run takes longer than estimated.
+	// overdueRunPollWait is the waitMs of a poll while a run exceeds its estimate.
 	overdueRunPollWait = 350 * time.Millisecond
-	// runnerPollSlack is added to waitMs for the way of a poll and its response.
+	// runnerPollSlack is added to waitMs for the transmission of a poll and its response.
 	runnerPollSlack = 300 * time.Millisecond
 )
 
-// poll sends keep-alive requests, called polls here: each extends the runner's
-// lease and reads its lists. One that may wait at the runner for a completion is
-// in flight nearly all the time. It returns the time until it must be called
-// again, or 0.
+// poll sends keep-alive requests, called polls here: each extends the runner's lease and reads its
+// lists. A long poll, which may wait at the runner for a completion, is in flight nearly all the
+// time. It returns the time until it must be called again, or 0.
 func (a *Agent) poll(session *runnerSession) time.Duration {
 	if remaining := session.pollBackoff(a.now); remaining > 0 {
 		return remaining
@@ -31,8 +30,8 @@
 	unanswered := session.hasUnansweredCall()
 	if session.polling {
 		if unanswered && !session.probing {
-			// A second poll is sent at the same time as the first, which began
-			// before the call and may still wait for a completion.
+			// A second poll is sent concurrently with the first, which started before the call and
+			// may still wait for a completion.
 			a.sendKeepAlive(session, 0, &session.probing)
 		}
 		return 0
@@ -46,7 +45,7 @@
 	return 0
 }
 
-// pollBackoff is the time left until the next poll after some that failed.
+// pollBackoff returns the time left until the next poll after consecutive failures.
 func (s *runnerSession) pollBackoff(now time.Time) time.Duration {
 	if s.pollFailures == 0 {
 		return 0
@@ -54,9 +53,9 @@
 	return min(time.Duration(s.pollFailures)*pollRetryStep, pollRetryMax) - now.Sub(s.lastPollAt)
 }
 
-// reportPause is the time to wait before the next poll while completions are being
-// reported. The runner would answer a poll at once, with the same completions, so
-// the next one is sent only when the runner's lease has to be extended.
+// reportPause returns the time to wait before the next poll while completions are being reported.
+// The runner would answer a poll at once, with the same completions, so the next one is sent only
+// when the runner's lease has to be extended.
 func (s *runnerSession) reportPause(now time.Time) time.Duration {
 	extensionMs := s.maxRunLeaseUntilMs(now) - s.confirmedRunLeaseUntilMs
 	if remainingMs := timing.MaxRunLeaseAhead.Milliseconds()/2 - extensionMs; remainingMs > 0 {
@@ -65,8 +64,8 @@
 	return 0
 }
 
-// pollWait is how long the runner may wait for a completion before it answers the
-// next poll. If a call had no answer (unanswered), the lists are needed at once.
+// pollWait returns how long the runner may wait for a completion before it answers the next poll.
+// If a call got no response (unanswered), the lists are needed at once.
 func (s *runnerSession) pollWait(now time.Time, unanswered bool) time.Duration {
 	wait := runnerPollWait
 	if s.reportsInFlight > 0 && !unanswered {
@@ -83,7 +82,7 @@
 			wait = min(wait, stoppedRunPollWait)
 		}
 		if run.overdue(now) {
-			// It may be stalled, and no completion would end the wait.
+			// The run may be stalled, and then no completion would end the wait.
 			wait = min(wait, overdueRunPollWait)
 		}
 	}
@@ -93,8 +92,8 @@
 	return wait
 }
 
-// hasUnansweredCall reports whether a call was left without an answer, and no poll
-// that was sent since then has brought the lists.
+// hasUnansweredCall reports whether a call got no response, and no poll that was sent since then
+// has returned the lists.
 func (s *runnerSession) hasUnansweredCall() bool {
 	for _, run := range s.runs {
 		if run.unanswered && s.lastCompletePoll <= run.pollAtLastCall {
@@ -104,9 +103,9 @@
 	return false
 }
 
-// sendKeepAlive sends one poll; inFlight is set until it returns. The lease of a
-// runner that left calls without an answer is not extended: each extension would
-// delay the moment from which its runs have surely ended.
+// sendKeepAlive sends one poll; inFlight is set until it returns. The lease of a runner that left
+// calls unanswered is not extended: each extension would postpone the time from which its runs have
+// certainly ended.
 func (a *Agent) sendKeepAlive(session *runnerSession, wait time.Duration, inFlight *bool) {
 	request := protocol.KeepAliveRequest{
 		Fence:                session.fence,
@@ -127,7 +126,7 @@
 		cancel()
 		a.post(func() {
 			*inFlight = false
-			session.noteResponse(response, a.now)
+			session.recordResponse(response, a.now)
 			if a.session != session || session.fence != fence {
 				return
 			}
@@ -136,7 +135,7 @@
 	}()
 }
 
-// handleKeepAlive handles the answer to a poll.
+// handleKeepAlive handles the response to a poll.
 func (a *Agent) handleKeepAlive(session *runnerSession, request protocol.KeepAliveRequest, poll uint64, response RunnerResponse) {
 	if response.StatusCode != http.StatusOK {
 		session.pollFailures++
@@ -146,10 +145,10 @@
 		return
 	}
 	session.pollFailures = 0
-	session.noteClock(response.Run.ClockMs, a.now)
+	session.recordClock(response.Run.ClockMs, a.now)
 	session.confirmedRunLeaseUntilMs = max(session.confirmedRunLeaseUntilMs, request.LeaseUntilMs)
 	if poll < session.lastCompletePoll {
-		// The lists of a poll that was sent later were read already.
+		// The lists of a newer poll were read already.
 		return
 	}
 	a.reconcile(session, poll, newListing(response.KeepAlive))
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -8,26 +8,26 @@
 	"tealpond/internal/timing"
 )
 
-// stalledRunTimeout is the least time without progress after which a run is stopped.
+// stalledRunTimeout is the minimum time without progress after which a run is stopped.
 const stalledRunTimeout = 450 * time.Millisecond
 
-// runtimeSample is how long a run took.
+// runtimeSample is the runtime of one run.
 type runtimeSample struct {
 	percentOfEstimate int64
 	takenAt           time.Time
 }
 
-// minRuntimeSamples is how many samples a median needs.
+// minRuntimeSamples is the minimum number of samples for a median.
 const minRuntimeSamples = 3
 
-// maxPercentDelay is how many times as long as the average percent the next one
-// may take before the run counts as stalled.
+// maxPercentDelay is the multiple of the average time per percent that the next one may take before
+// the run counts as stalled.
 const maxPercentDelay = 8
 
-// minProgressPercent is the least progress from which a runtime is extrapolated.
+// minProgressPercent is the minimum progress from which a runtime is extrapolated.
 const minProgressPercent = 5
 
-// overdue reports whether a run takes more than one and a half times its estimate.
+// overdue reports whether a run has taken more than one and a half times its estimate.
 func (r *taskRun) overdue(now time.Time) bool {
 	if r.phase != runRunning || r.assignment.LongRunning {
 		return false
@@ -36,10 +36,9 @@
 	return now.Sub(r.startedAt).Milliseconds() > 3*r.assignment.EstimateMs/2+graceMs
 }
 
-// trackProgress records a run's progress, and requests that it is stopped if it is
-// stalled.
+// trackProgress records a run's progress, and requests a stop if the run is stalled.
 func (a *Agent) trackProgress(session *runnerSession, run *taskRun, progress protocol.RunProgress) {
-	unchangedFor := run.noteProgress(progress.Percent, a.now)
+	unchangedFor := run.recordProgress(progress.Percent, a.now)
 	if unchangedFor == 0 || !run.stalled(unchangedFor, time.Duration(a.settings.Bounds.RestoreMs)*time.Millisecond) {
 		return
 	}
@@ -49,14 +48,13 @@
 	session.lastStalledAt = a.now
 }
 
-// noteProgress records a run's progress and returns for how long it has not changed.
-func (r *taskRun) noteProgress(percent int, now time.Time) time.Duration {
+// recordProgress records a run's progress and returns how long it has not changed.
+func (r *taskRun) recordProgress(percent int, now time.Time) time.Duration {
 	if r.startedAt.IsZero() {
 		r.startedAt, r.percentChangedAt = now, now
 	}
 	if !r.progressSeen {
-		// The first percentage is kept, since a run that resumes begins in its
-		// middle.
+		// The first percentage is kept, since a resumed run does not start at zero.
 		r.progressSeen, r.percent, r.firstPercent = true, percent, percent
 		r.percentChangedAt = now
 		return 0
@@ -68,10 +66,10 @@
 	return now.Sub(r.percentChangedAt)
 }
 
-// stalled reports whether a run whose progress has not changed for unchangedFor is
-// to be stopped. The limit depends on the run's own pace, since a long task on a
-// slow runner rarely gains a percent. A run that resumes from a checkpoint makes
-// no progress while it restores it, which takes about restoreTime.
+// stalled reports whether a run whose progress has not changed for unchangedFor is to be stopped.
+// The limit depends on the run's own speed, since a long task on a slow runner rarely gains a
+// percent. A run that resumes from a checkpoint makes no progress while it restores it, which takes
+// about restoreTime.
 func (r *taskRun) stalled(unchangedFor, restoreTime time.Duration) bool {
 	if r.assignment.LongRunning || r.stopRequested || r.assignment.Worker == "" {
 		return false
@@ -87,8 +85,8 @@
 	return unchangedFor >= timeout && unchangedFor >= maxPercentDelay*timePerPercent
 }
 
-// sampleRuntime records how long a run took that is done. A run that resumed from a
-// checkpoint is left out, since the estimate is of a whole run.
+// sampleRuntime records the runtime of a run that is done. A run that resumed from a checkpoint is
+// excluded, since the estimate is for a whole run.
 func (s *runnerSession) sampleRuntime(run *taskRun, now time.Time) {
 	if run.startedAt.IsZero() || run.assignment.EstimateMs <= 0 || run.assignment.Checkpoint != "" {
 		return
@@ -96,9 +94,8 @@
 	s.runtimeSamples = append(s.runtimeSamples, runtimeSample{now.Sub(run.startedAt).Milliseconds() * 100 / run.assignment.EstimateMs, now})
 }
 
-// medianRuntimePercent is the median duration of recent runs, in percent of their
-// estimates; 0: not known. Runs that still run count too, since few end on a slow
-// runner.
+// medianRuntimePercent returns the median runtime of recent runs, in percent of their estimates; 0:
+// not known. Runs in progress count too, since few end on a slow runner.
 func (s *runnerSession) medianRuntimePercent(now time.Time) int64 {
 	s.runtimeSamples = slices.DeleteFunc(s.runtimeSamples, func(sample runtimeSample) bool {
 		return now.Sub(sample.takenAt) >= timing.SpeedSampleDecay
@@ -119,8 +116,8 @@
 	return max(percents[len(percents)/2], 1)
 }
 
-// expectedRuntimePercent is how long a run will take by its progress so far, in
-// percent of its estimate; false if that is not known yet.
+// expectedRuntimePercent extrapolates the runtime of a run from its progress, in percent of its
+// estimate; false if that is not known yet.
 func (r *taskRun) expectedRuntimePercent(now time.Time) (int64, bool) {
 	estimateMs := r.assignment.EstimateMs
 	if r.phase != runRunning || r.startedAt.IsZero() || estimateMs <= 0 || r.assignment.Checkpoint != "" {
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -5,19 +5,19 @@
 	"tealpond/internal/rpc"
 )
 
-// maxCompletionsListed is the number of completions that a runner lists at most in one response,
-// by the protocol; so long a list may be incomplete.
+// maxCompletionsListed is the maximum number of completions that a runner lists in one response, by
+// the protocol; a list of that length may be incomplete.
 const maxCompletionsListed = 500
 
-// listing is what a runner listed in its answer to a poll.
+// listing is what a runner listed in its response to a poll.
 type listing struct {
 	running     map[string]protocol.RunProgress // by runKey
 	ended       map[string]bool                 // by runKey
 	completions []protocol.Completion
-	complete    bool // the list of completions is not cut off
+	complete    bool // the list of completions is not truncated
 }
 
-// newListing indexes both lists of an answer.
+// newListing indexes both lists of a response.
 func newListing(response protocol.KeepAliveResponse) listing {
 	l := listing{running: map[string]protocol.RunProgress{}, ended: map[string]bool{}, completions: response.Completions()}
 	for _, progress := range response.Progress() {
@@ -30,11 +30,11 @@
 	return l
 }
 
-// reconcile compares the runner's lists with the session: it reports new completions
-// and checkpoints, and closes runs that are in neither list.
+// reconcile compares the runner's lists with the session: it reports new completions and
+// checkpoints, and closes runs that are in neither list.
 func (a *Agent) reconcile(session *runnerSession, poll uint64, listed listing) {
-	unreported := a.noteCompletions(session, listed.completions)
-	checkpoints := a.noteRunning(session, listed.running)
+	unreported := a.recordCompletions(session, listed.completions)
+	checkpoints := a.recordRunning(session, listed.running)
 	firstListing := !session.listed && listed.complete
 	if listed.complete {
 		session.listed, session.lastCompletePoll = true, poll
@@ -50,12 +50,11 @@
 	}
 }
 
-// noteCompletions records the completions listed and returns those that were not
-// read before.
-func (a *Agent) noteCompletions(session *runnerSession, completions []protocol.Completion) []protocol.Completion {
+// recordCompletions records the listed completions and returns those that were not read before.
+func (a *Agent) recordCompletions(session *runnerSession, completions []protocol.Completion) []protocol.Completion {
 	var unreported []protocol.Completion
 	for _, completion := range completions {
-		session.remember(completion, a.now)
+		session.recordCompletion(completion, a.now)
 		if completion.Sequence <= session.readSequence {
 			continue
 		}
@@ -69,9 +68,8 @@
 	return unreported
 }
 
-// noteRunning records the progress of the runs listed and returns those whose
-// checkpoint is new.
-func (a *Agent) noteRunning(session *runnerSession, running map[string]protocol.RunProgress) []protocol.RunProgress {
+// recordRunning records the progress of the listed runs and returns those with a new checkpoint.
+func (a *Agent) recordRunning(session *runnerSession, running map[string]protocol.RunProgress) []protocol.RunProgress {
 	var checkpoints []protocol.RunProgress
 	for key, progress := range running {
 		run := session.runs[key]
@@ -96,10 +94,9 @@
 	return checkpoints
 }
 
-// adopt adds a run that the runner lists and that was not yet assigned under this
-// fence, as after a restart of the agent: the leader's assignment for it is still
-// to come, and must not start it twice. A run that was reported as completed is
-// stopped.
+// adopt adds a run that the runner lists but that was not assigned under this fence yet, as after a
+// restart of the agent: the leader's assignment for it is still to come, and must not start it
+// twice. A run that was reported as completed is stopped.
 func (a *Agent) adopt(session *runnerSession, key string, progress protocol.RunProgress) *taskRun {
 	run := &taskRun{assignment: rpc.Assignment{Task: progress.Task, Run: progress.Run}}
 	if session.completed[key] != nil {
@@ -110,8 +107,8 @@
 	return run
 }
 
-// closeMissing deletes runs whose completion is listed, and declares those stopped
-// that are in neither list.
+// closeMissing deletes runs whose completion is listed, and declares runs stopped that are in
+// neither list.
 func (a *Agent) closeMissing(session *runnerSession, poll uint64, listed listing) {
 	for key, run := range session.runs {
 		if _, ok := listed.running[key]; ok {
@@ -124,8 +121,8 @@
 		if run.declaredResult != "" {
 			continue
 		}
-		// A poll counts only if it was sent after the answer to the run's last
-		// call: an older one can't know the run.
+		// A poll counts only if it was sent after the response to the run's last call: an older one
+		// may not include the run.
 		if (run.phase == runRunning || run.phase == runStopped) && poll > run.pollAtLastCall && listed.complete {
 			run.missedPolls++
 			if run.missedPolls >= maxMissedPolls || run.phase == runStopped {
--- a/internal/agent/registration.go
+++ b/internal/agent/registration.go
@@ -11,7 +11,7 @@
 	"tealpond/internal/timing"
 )
 
-// registerRunner has the runner registered with this daemon under a new fence.
+// registerRunner registers the runner with the leader under a new fence.
 func (a *Agent) registerRunner(session *runnerSession) {
 	if session.registering || session.superseded {
 		return
@@ -37,8 +37,8 @@
 	})
 }
 
-// handleRegistration handles the leader's response to a registration; draining is
-// what the registration said of the runner.
+// handleRegistration handles the leader's response to a registration; draining is the value in the
+// request.
 func (a *Agent) handleRegistration(session *runnerSession, draining bool, response rpc.Response) {
 	if response.Code == rpc.CodePreconditionFailed && response.Value > session.replacedFence {
 		a.confirmIncarnation(session, response.Value)
@@ -54,8 +54,8 @@
 		return
 	}
 	if session.previousID != "" {
-		// The state ended it with this registration.
-		a.noteEnded(session.previousID)
+		// This registration ended the previous incarnation in the state.
+		a.recordEnded(session.previousID)
 	}
 	session.beginFence(response.Value, draining, a.now)
 	a.answerPendingHeartbeats(session, http.StatusOK)
@@ -73,15 +73,15 @@
 	s.lastRenewalAt = time.Time{}
 	s.workerLeaseUntilMs = 0
 	s.pollFailures = 0
-	// The leader sends all assignments again under the new fence, and what runs
-	// already is read from the runner's lists.
+	// The leader sends all assignments again under the new fence, and running runs are read from
+	// the runner's lists.
 	s.runs = map[string]*taskRun{}
 }
 
-// confirmIncarnation checks with the runner that the session's incarnation is the
-// present one. It is needed when the leader knows another incarnation on this
-// machine, registered under the given fence: registering would end that one, and
-// the heartbeat that began the session may only have arrived late.
+// confirmIncarnation checks with the runner that the session's incarnation is the current one. This
+// is needed when the leader knows another incarnation on this machine, registered under the given
+// fence: registering would end that one, and the heartbeat that started the session may only have
+// arrived late.
 func (a *Agent) confirmIncarnation(session *runnerSession, fence int64) {
 	go func() {
 		ctx, cancel := context.WithTimeout(a.ctx, runnerRequestTimeout)
@@ -110,11 +110,11 @@
 // endSession ends a session whose incarnation has ended.
 func (a *Agent) endSession(session *runnerSession) {
 	session.superseded = true
-	a.noteEnded(session.id)
+	a.recordEnded(session.id)
 }
 
-// noteEnded notes that an incarnation has ended: a late heartbeat of it begins no
-// new session.
-func (a *Agent) noteEnded(id string) {
-	a.endedIncarnations.note(id, a.now, a.now)
+// recordEnded records that an incarnation has ended, so that a late heartbeat of it starts no new
+// session.
+func (a *Agent) recordEnded(id string) {
+	a.endedIncarnations.record(id, a.now, a.now)
 }
--- a/internal/agent/role.go
+++ b/internal/agent/role.go
@@ -28,8 +28,8 @@
 	})
 }
 
-// Run serves the runner's calls and runs the loop until ctx ends, and then leaves in order:
-// the calls that it has taken are answered first, by the loop. daemon.ErrKilled ends it at
+// Run serves the runner's calls and runs the event loop until ctx ends. It then shuts down
+// gracefully: the event loop first answers the accepted calls. With daemon.ErrKilled it ends at
 // once. All goroutines that it starts end when it returns.
 func (a *Agent) Run(ctx context.Context) error {
 	loopCtx, endLoop := context.WithCancel(context.WithoutCancel(ctx))
@@ -59,15 +59,15 @@
 			httpServer.Close() // the process ends, whatever is open
 			return
 		}
-		a.leave(httpServer)
+		a.shutDown(httpServer)
 	}()
 	daemon.Loop(loopCtx, a.events, a.handle, a.advance)
 	return nil
 }
 
-// leave ends the listener in order. The runner's next call goes to the next process, so its
+// shutDown closes the listener gracefully. The runner's next call goes to the next process, so its
 // connections are closed without notice.
-func (a *Agent) leave(httpServer *httpserver.Server) {
+func (a *Agent) shutDown(httpServer *httpserver.Server) {
 	leaving := httpserver.BeginLeaving([]*httpserver.Server{httpServer}, shutdown.TimesOf(a.settings.Grace(), 0))
 	_ = a.log.Log("level", "info", "event", "shutdown.begun", "open", leaving.Open())
 	nothingToHandOver := make(chan struct{})
@@ -76,7 +76,7 @@
 	_ = a.log.Log("level", "info", "event", "shutdown.ended", "open", remains.Open, "busy", remains.Busy, "took_ms", remains.Took.Milliseconds())
 }
 
-// followSettings applies settings that were read again, until ctx ends.
+// followSettings applies reloaded settings until ctx ends.
 func (a *Agent) followSettings(ctx context.Context) {
 	for {
 		select {
@@ -88,7 +88,7 @@
 	}
 }
 
-// handleFrame answers requests for this daemon's trace.
+// handleFrame answers requests for this agent's trace.
 func (a *Agent) handleFrame(event transport.Event) {
 	var request rpc.Request
 	if event.Closed || event.Frame.Kind != rpc.FrameRequest || transport.Decode(event.Frame.Body, &request) != nil {
@@ -101,7 +101,7 @@
 	event.Stream.Send(transport.Frame{Kind: rpc.FrameResponse, ID: event.Frame.ID, Body: transport.Encode(response)})
 }
 
-// renewMembership renews this daemon's membership lease, until ctx ends.
+// renewMembership renews this agent's membership lease until ctx ends.
 func (a *Agent) renewMembership(ctx context.Context) {
 	lease := rpc.MembershipLease{
 		Node:      a.settings.NodeName,
--- a/internal/agent/runner_client.go
+++ b/internal/agent/runner_client.go
@@ -13,24 +13,23 @@
 	"tealpond/internal/transport"
 )
 
-// RunnerResponse is what came of one call to the runner.
+// RunnerResponse is the result of one call to the runner.
 type RunnerResponse struct {
-	StatusCode int // of HTTP; 0: no answer
+	StatusCode int // HTTP status; 0: no response
 	Run        protocol.RunResponse
-	KeepAlive  protocol.KeepAliveResponse // of a keep-alive only
+	KeepAlive  protocol.KeepAliveResponse // only for a keep-alive
 }
 
-// answered reports whether the runner answered at all.
+// answered reports whether the runner responded at all.
 func (r RunnerResponse) answered() bool { return r.StatusCode != 0 }
 
-// refusedFor reports whether the runner refused the call for a reason.
+// refusedFor reports whether the runner refused the call for the given reason.
 func (r RunnerResponse) refusedFor(reason string) bool {
 	return r.StatusCode == http.StatusConflict && r.Run.Reason == reason
 }
 
-// effectUnknown reports whether the call may be carried out later, or was without
-// this answer saying so: only the statuses that PROTOCOL-tealpond.md names are
-// clear.
+// effectUnknown reports whether the call may have taken effect, or may still, without the response
+// saying so: only the statuses that PROTOCOL-tealpond.md names are conclusive.
 func (r RunnerResponse) effectUnknown() bool {
 	switch r.StatusCode {
 	case http.StatusOK, http.StatusBadRequest, http.StatusConflict, http.StatusMisdirectedRequest,
@@ -40,9 +39,9 @@
 	return true
 }
 
-// RunnerClient makes calls to a runner (duty_call in the settings). The body is a
-// request of package protocol, the path one of those in callPolicies. It makes
-// each call once, and never again by itself.
+// RunnerClient makes calls to a runner (duty_call in the settings). The body is a request of
+// package protocol, the path one of those in callPolicies. It sends each call once, and never
+// retries.
 type RunnerClient interface {
 	Call(ctx context.Context, incarnation, path string, body any) RunnerResponse
 }
@@ -56,8 +55,8 @@
 	client  *http.Client
 }
 
-// newHTTPRunnerClient builds a client for the runner at an address. It follows no
-// redirect: that would be another call than was decided on.
+// newHTTPRunnerClient returns a client for the runner at an address. It follows no redirects, since
+// that would be a different call.
 func newHTTPRunnerClient(address string) *httpRunnerClient {
 	dialer := &net.Dialer{
 		Timeout:   runnerRequestTimeout,
@@ -80,18 +79,18 @@
 	return &httpRunnerClient{baseURL: "http://" + address, client: client}
 }
 
-// Call makes one call, once: it is not repeated after a reset, nor when an idle
-// connection turns out to be closed.
+// Call sends one call once: it is not repeated after a reset, nor when an idle connection turns out
+// to be closed.
 func (c *httpRunnerClient) Call(ctx context.Context, incarnation, path string, body any) RunnerResponse {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		panic("agent: request to the runner: " + err.Error())
+		panic("agent: encode request to runner: " + err.Error())
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(raw))
 	if err != nil {
 		return RunnerResponse{}
 	}
-	// With GetBody the transport would send the request again by itself.
+	// With GetBody the transport could send the request again.
 	request.GetBody = nil
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(protocol.HeaderTargetRunner, incarnation)
--- a/internal/agent/runner_handlers.go
+++ b/internal/agent/runner_handlers.go
@@ -20,14 +20,14 @@
 	return a.respond(c, event{heartbeat: request}, request.status)
 }
 
-// serveSignOff serves POST /-/Runners.SignOff/ID: 200 once it is committed.
+// serveSignOff serves POST /-/Runners.SignOff/ID: 200 once the sign-off is committed.
 func (a *Agent) serveSignOff(c echo.Context) error {
 	request := &signOffRequest{id: c.Param("id"), status: make(chan int, 1)}
 	return a.respond(c, event{signOff: request}, request.status)
 }
 
-// respond passes an event to the loop and answers with the resulting status, or with
-// 503 if there is none within heartbeatTimeout.
+// respond passes an event to the event loop and responds with the resulting status, or with 503 if
+// there is none within heartbeatTimeout.
 func (a *Agent) respond(c echo.Context, e event, status chan int) error {
 	a.send(e)
 	timer := time.NewTimer(heartbeatTimeout)
--- a/internal/agent/runs.go
+++ b/internal/agent/runs.go
@@ -9,18 +9,18 @@
 	"tealpond/internal/rpc"
 )
 
-// maxConcurrentRunnerRequests is the number of requests to a runner that may be under way at once.
+// maxConcurrentRunnerRequests is the maximum number of concurrent requests to a runner.
 const maxConcurrentRunnerRequests = 4
 
-// runPhase is the state of a run, as far as this daemon knows.
+// runPhase is the state of a run, as far as the agent knows.
 type runPhase byte
 
 const (
 	runPending  = runPhase(iota) // assigned, no start sent yet
-	runStarting                  // a start is in flight, or brought no answer
-	runRunning                   // an answer or a list says that it is there
-	runStopping                  // a stop is to be sent, or in flight
-	runStopped                   // a stop was answered
+	runStarting                  // a start is in flight, or got no response
+	runRunning                   // a response or a list says that it exists
+	runStopping                  // a stop is in flight, or to be sent
+	runStopped                   // the runner answered a stop
 	runRefused                   // the runner refused to start it
 )
 
@@ -30,30 +30,30 @@
 	phase         runPhase
 	stopRequested bool
 
-	// Calls about it.
+	// Calls about the run.
 	callInFlight       bool
 	attempts           int       // starts sent
-	unhealthyResponses int       // to starts, of an unhealthy runner
+	unhealthyResponses int       // responses of an unhealthy runner to starts
 	notBefore          time.Time // no call and no report before
-	startUntil         time.Time // no start from then on, since the zone is evacuated; zero: it isn't
-	pollAtLastCall     uint64    // number of the last poll sent when its call returned
-	unanswered         bool      // that call brought no answer: the lists are read first
-	unansweredStarts   int       // starts whose effect is unknown: they may still be carried out
+	startUntil         time.Time // no start from then on, since the zone is evacuated; zero: not evacuated
+	pollAtLastCall     uint64    // number of the last poll sent when the run's last call returned
+	unanswered         bool      // that call got no response: the lists are read first
+	unansweredStarts   int       // starts whose effect is unknown: they may still take effect
 
-	// What the runner lists of it.
-	missedPolls      int // complete lists in a row that don't name it
+	// What the runner lists about the run.
+	missedPolls      int // consecutive complete lists without the run
 	percent          int
 	firstPercent     int // when first listed
 	progressSeen     bool
 	percentChangedAt time.Time
 	startedAt        time.Time
-	checkpoint       string // the newest that was reported, and not refused since
+	checkpoint       string // newest one that was reported and not refused since
 
-	declaredResult string // reported by this daemon, without a completion; it is final
+	declaredResult string // reported by this agent, without a completion; it is final
 	reporting      bool   // the declared result is being reported
 }
 
-// handleAssignment handles an assignment, if it is for the present fence.
+// handleAssignment handles an assignment, if it is for the current fence.
 func (a *Agent) handleAssignment(assignment rpc.Assignment) {
 	session := a.session
 	if session == nil || session.id != assignment.Worker || session.fence != assignment.Fence {
@@ -61,10 +61,9 @@
 	}
 	key := runKey(assignment.Task, assignment.Run)
 	if done := session.completed[key]; done != nil {
-		// It is never started again: the runner would refuse it, and the refusal
-		// could end the allocation before the completion does. A task that is done
-		// would then run again.
-		a.reportAgain(session, done)
+		// The run is never started again: the runner would refuse it, and the refusal could close
+		// the allocation before the completion does. A task that is done would then run again.
+		a.reportCompletionAgain(session, done)
 		return
 	}
 	run := session.runs[key]
@@ -72,18 +71,18 @@
 		run = &taskRun{assignment: assignment}
 		session.runs[key] = run
 	}
-	mark := "start received"
+	traceEvent := "start received"
 	if assignment.Evacuated {
 		run.startUntil = a.now.Add(time.Duration(assignment.StartWithinMs) * time.Millisecond)
 	}
 	if assignment.Stop {
-		run.stopRequested, mark = true, "stop received"
+		run.stopRequested, traceEvent = true, "stop received"
 	}
-	a.trace.Record(assignment.Task, mark, int64(assignment.Run), "")
+	a.trace.Record(assignment.Task, traceEvent, int64(assignment.Run), "")
 }
 
-// advanceRun does what is due for a run. It returns the time until it must be
-// called again, or 0.
+// advanceRun does the work that is due for a run. It returns the time until it must be called
+// again, or 0.
 func (a *Agent) advanceRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.callInFlight || run.declaredResult != "" && run.phase != runStopping {
 		return 0
@@ -108,14 +107,14 @@
 	return 0
 }
 
-// startsTooLate reports whether the run's zone was evacuated for too long to start it.
+// startsTooLate reports whether the start deadline of a run in an evacuated zone has passed.
 func (r *taskRun) startsTooLate(now time.Time) bool {
 	return !r.startUntil.IsZero() && !now.Before(r.startUntil)
 }
 
-// startRun starts a run, unless it is to be stopped, the runner is leaving, its zone is
-// evacuated or its lease is too short. A start that had no answer is sent again under the same
-// conditions.
+// startRun starts a run, unless it is to be stopped, the runner is leaving, the run's start
+// deadline in an evacuated zone has passed, or the lease is too short. A start that got no response
+// is sent again under the same conditions.
 func (a *Agent) startRun(session *runnerSession, run *taskRun) time.Duration {
 	if run.stopRequested {
 		if run.attempts == 0 {
@@ -155,8 +154,8 @@
 	return 0
 }
 
-// callRunner makes one call about a run; onResponse is called in the loop, unless the
-// session or the fence has changed meanwhile.
+// callRunner makes one call about a run; onResponse is called in the event loop, unless the session
+// or the fence has changed meanwhile.
 func (a *Agent) callRunner(
 	session *runnerSession, run *taskRun, path string, body any,
 	onResponse func(*runnerSession, *taskRun, RunnerResponse),
@@ -171,16 +170,16 @@
 		a.post(func() {
 			run.callInFlight = false
 			a.callsInFlight--
-			session.noteResponse(response, a.now)
+			session.recordResponse(response, a.now)
 			if a.session != session || session.fence != fence {
 				return
 			}
-			session.noteClock(response.Run.ClockMs, a.now)
+			session.recordClock(response.Run.ClockMs, a.now)
 			run.pollAtLastCall = session.lastPoll
 			run.unanswered = !response.answered() && !callPolicies[path].Retryable
 			if response.StatusCode == http.StatusMisdirectedRequest {
-				// The runner is in a new incarnation. Nothing is reported, since
-				// its heartbeat ends the old one with all its runs.
+				// The runner has a new incarnation. Nothing is reported, since its heartbeat ends
+				// the old one with all its runs.
 				run.notBefore = a.now.Add(newIncarnationPause)
 				return
 			}
@@ -204,15 +203,14 @@
 		if run.startedAt.IsZero() {
 			run.startedAt, run.percentChangedAt = a.now, a.now
 		}
-	case 0: // no answer
+	case 0: // no response
 		run.notBefore = a.now.Add(min(time.Duration(run.attempts)*startRetryStep, startRetryMax))
 	case http.StatusConflict:
 		a.handleStartRefusal(session, run, response.Run.Reason)
 	case http.StatusBadRequest:
 		run.phase = runRefused
 	default:
-		// 429 and 503 from an unhealthy runner, or a status that the protocol
-		// doesn't name.
+		// 429 and 503 from an unhealthy runner, or a status that the protocol doesn't define.
 		run.unhealthyResponses++
 		run.notBefore = a.now.Add(time.Duration(run.unhealthyResponses) * unhealthyStartStep)
 		if run.unhealthyResponses >= maxUnhealthyStarts {
@@ -230,14 +228,14 @@
 	case protocol.ReasonLeaseEnded:
 		run.notBefore = a.now.Add(lateStartPause)
 	case protocol.ReasonAlreadyStarted:
-		// It is running, or has ended: the next poll shows which.
+		// The run is running, or has ended: the next poll shows which.
 		run.phase = runRunning
 	default:
 		run.phase = runRefused
 	}
 }
 
-// stopIfRequested stops a run that is to be stopped.
+// stopIfRequested stops a run if a stop was requested.
 func (a *Agent) stopIfRequested(session *runnerSession, run *taskRun) time.Duration {
 	if run.stopRequested {
 		run.phase = runStopping
@@ -246,8 +244,8 @@
 	return 0
 }
 
-// resolveRefusal declares a run refused if no start is left that may still take
-// effect; otherwise the run is stopped first.
+// resolveRefusal declares a run refused if no earlier start can still take effect; otherwise it
+// stops the run first.
 func (a *Agent) resolveRefusal(session *runnerSession, run *taskRun) time.Duration {
 	if run.unansweredStarts == 0 {
 		a.declareResult(session, run, protocol.ResultRefused)
@@ -257,8 +255,7 @@
 	return a.stopRun(session, run)
 }
 
-// stopRun sends a stop; the run has ended once a later poll doesn't list it as
-// running.
+// stopRun sends a stop; the run has ended once a later poll doesn't list it as running.
 func (a *Agent) stopRun(session *runnerSession, run *taskRun) time.Duration {
 	if a.callsInFlight >= maxConcurrentRunnerRequests {
 		return 0
--- a/internal/agent/timing.go
+++ b/internal/agent/timing.go
@@ -2,55 +2,54 @@
 
 import "time"
 
-// Bounds of requests to the leader.
+// Timeouts of requests to the leader.
 const (
 	registerTimeout = 10 * time.Second
 	renewTimeout    = 3 * time.Second
 	reportTimeout   = 20 * time.Second
 	healthTimeout   = time.Second
-	// A runner tries another daemon when its heartbeat or sign-off has had no
-	// answer for a second.
+	// A runner tries another daemon when its heartbeat or sign-off got no response within a second.
 	eligibilityTimeout = 950 * time.Millisecond
-	heartbeatTimeout   = 970 * time.Millisecond // for the answer to the runner
+	heartbeatTimeout   = 970 * time.Millisecond // for the response to the runner
 )
 
-// Pauses before the next step of a run.
+// Delays before the next step of a run.
 const (
 	leaseWaitPause      = 50 * time.Millisecond  // a start waits for a longer lease
-	startRetryStep      = 10 * time.Millisecond  // after each unanswered start of the run
-	startRetryMax       = 300 * time.Millisecond // the longest of these
-	lateStartPause      = 20 * time.Millisecond  // a start came after the end of its lease
-	unhealthyStartStep  = 40 * time.Millisecond  // after each answer of an unhealthy runner
+	startRetryStep      = 10 * time.Millisecond  // per unanswered start of the run
+	startRetryMax       = 300 * time.Millisecond // maximum of these
+	lateStartPause      = 20 * time.Millisecond  // after a start that arrived after the end of its lease
+	unhealthyStartStep  = 40 * time.Millisecond  // per response of an unhealthy runner
 	stopRetryPause      = 30 * time.Millisecond
-	newIncarnationPause = 500 * time.Millisecond // until its heartbeat ends the old one
+	newIncarnationPause = 500 * time.Millisecond // until the new incarnation's heartbeat ends the old one
 )
 
-// maxUnhealthyStarts is how many times a start is sent that the runner answers
-// with 429 or 503; then the run counts as refused.
+// maxUnhealthyStarts is how many times a start is sent that the runner answers with 429 or 503;
+// then the run counts as refused.
 const maxUnhealthyStarts = 3
 
-// minUnansweredCalls is how many calls in a row must have had no answer before a
-// runner counts as silent.
+// minUnansweredCalls is the number of consecutive calls without a response after which a runner may
+// count as silent.
 const minUnansweredCalls = 2
 
-// maxMissedPolls is how many complete lists in a row may leave out a run that was
-// started; then it counts as stopped.
+// maxMissedPolls is the number of consecutive complete lists without a started run after which the
+// run counts as stopped.
 const maxMissedPolls = 2
 
-// minStartLeaseMs is the least lease that a start is sent with, on the runner's
-// clock: a shorter one could end before the start arrives.
+// minStartLeaseMs is the minimum remaining lease for a start, on the runner's clock: a shorter
+// lease could end before the start arrives.
 const minStartLeaseMs = 300
 
-// Pauses and waits of polls.
+// Delays and wait times of polls.
 const (
-	pollRetryStep      = 50 * time.Millisecond  // after each poll that failed in a row
-	pollRetryMax       = 500 * time.Millisecond // the longest of these
+	pollRetryStep      = 50 * time.Millisecond  // per consecutive failed poll
+	pollRetryMax       = 500 * time.Millisecond // maximum of these
 	minReportPause     = 50 * time.Millisecond  // while completions are being reported
-	stoppedRunPollWait = 100 * time.Millisecond // the end of a stopped run comes soon
+	stoppedRunPollWait = 100 * time.Millisecond // a stopped run is expected to end soon
 )
 
-// Pauses of the supervision of the runner's health.
+// Delays between checks of the runner's health.
 const (
 	unhealthyPause = 100 * time.Millisecond // while it is reported as unhealthy
-	silentPause    = 50 * time.Millisecond  // while it answers nothing
+	silentPause    = 50 * time.Millisecond  // while it does not respond
 )
